--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -17,7 +17,9 @@
       std::cerr << error.what() << std::endl;
       return 1;
     }
-    if (!std::cout) return 1;
+    if (!std::cout) {
+      return 1;
+    }
   }
   return 0;
 }
--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -35,9 +35,15 @@
 };
 
 ServerState state_from(std::string_view word) {
-  if (word == "up") return ServerState::kUp;
-  if (word == "draining") return ServerState::kDraining;
-  if (word == "removed") return ServerState::kRemoved;
+  if (word == "up") {
+    return ServerState::kUp;
+  }
+  if (word == "draining") {
+    return ServerState::kDraining;
+  }
+  if (word == "removed") {
+    return ServerState::kRemoved;
+  }
   fault("state", "not one of up, draining, removed");
 }
 
@@ -51,7 +57,9 @@
     e.state = state_from(get<std::string>(row, "state"));
     e.cell = get<std::uint32_t>(row, "unit-group", 0);
     const auto born = get<Duration>(row, "born", Duration{0});
-    if (born > Duration{0}) e.born = born;
+    if (born > Duration{0}) {
+      e.born = born;
+    }
     list.push_back(std::move(e));
   }
   return list;
@@ -83,10 +91,18 @@
 LoadReport report_in(const Json::Value& event) {
   LoadReport report;
   const Json::Value* info = find(event, "health-info");
-  if (!info) return report;
-  if (!info->isObject()) fault("health-info", "not an object");
-  if (const Json::Value* v = find(*info, "cpu_share")) report.utilisation = as<double>(*v, "cpu_share");
-  if (const Json::Value* v = find(*info, "served_ps")) report.rate_per_s = as<double>(*v, "served_ps");
+  if (!info) {
+    return report;
+  }
+  if (!info->isObject()) {
+    fault("health-info", "not an object");
+  }
+  if (const Json::Value* v = find(*info, "cpu_share")) {
+    report.utilisation = as<double>(*v, "cpu_share");
+  }
+  if (const Json::Value* v = find(*info, "served_ps")) {
+    report.rate_per_s = as<double>(*v, "served_ps");
+  }
   return report;
 }
 
@@ -101,27 +117,43 @@
 
   std::optional<Event> event_from(std::string_view type, const Json::Value& e,
                                   const std::array<std::vector<ListEntry>, kSlots>& lists) {
-    if (type == "Request") return request_from(e);
-    if (type == "Done") return outcome_from(e);
-    if (type == "Wakeup") return timer_from(e);
+    if (type == "Request") {
+      return request_from(e);
+    }
+    if (type == "Done") {
+      return outcome_from(e);
+    }
+    if (type == "Wakeup") {
+      return timer_from(e);
+    }
     if (type == "StatusBack") {
       const auto server = servers_.known(get<std::string>(e, "upstream"));
-      if (!server) fault("upstream", "not on any list of this instance");
+      if (!server) {
+        fault("upstream", "not on any list of this instance");
+      }
       return ProbeResult{*server, result_from(e), report_in(e)};
     }
-    if (type == "Discovery") return discovery_from(e, lists);
+    if (type == "Discovery") {
+      return discovery_from(e, lists);
+    }
     if (type == "FirstByte") {
       const auto id = request(e);
-      if (!id) return std::nullopt;
+      if (!id) {
+        return std::nullopt;
+      }
       return FirstByte{*id, get<std::uint32_t>(e, "send-no")};
     }
     if (type == "CancelledByClient") {
       const auto id = request(e);
-      if (!id) return std::nullopt;
+      if (!id) {
+        return std::nullopt;
+      }
       open_.at(*id).over = true;
       return ClientGone{*id};
     }
-    if (type == "Message") return std::nullopt;  // this module sends none, so none is for it
+    if (type == "Message") {
+      return std::nullopt;  // this module sends none, so none is for it
+    }
     fault("event_type", "not a known event");
   }
 
@@ -132,7 +164,9 @@
   void tidy() {  // forgets requests that are over, after their batch was answered
     for (const RequestId id : touched_) {
       const auto it = open_.find(id);
-      if (it == open_.end() || !it->second.over || it->second.attempts > 0) continue;
+      if (it == open_.end() || !it->second.over || it->second.attempts > 0) {
+        continue;
+      }
       requests_.erase(it->second.name);
       open_.erase(it);
     }
@@ -149,8 +183,12 @@
   Settings settings_from(const Json::Value& begin) {
     config::NamedSettings named =
         config::read_settings(object_in(begin, "env"), get<std::uint64_t>(begin, "prng"));
-    for (const auto& name : named.classes) classes_.id(name);
-    for (const auto& name : named.tenants) tenants_.id(name);
+    for (const auto& name : named.classes) {
+      classes_.id(name);
+    }
+    for (const auto& name : named.tenants) {
+      tenants_.id(name);
+    }
     zones_.id(named.zone);
     return std::move(named.settings);
   }
@@ -159,40 +197,54 @@
     Request r;
     const auto name = get<std::string>(e, "id");
     r.id = next_request_++;
-    if (!requests_.try_emplace(std::string(name), r.id).second) fault("id", "came before");
+    if (!requests_.try_emplace(std::string(name), r.id).second) {
+      fault("id", "came before");
+    }
     open_[r.id].name = name;
     const auto class_id = classes_.known(get<std::string>(e, "kind"));
-    if (!class_id) fault("kind", "not listed in profiles");
+    if (!class_id) {
+      fault("kind", "not listed in profiles");
+    }
     r.class_id = *class_id;
     const Json::Value* account = find(e, "account");
     if (account && account->isString()) {
       const auto tenant = tenants_.known(account->asString());
-      if (!tenant) fault("account", "not listed in tenants");
+      if (!tenant) {
+        fault("account", "not listed in tenants");
+      }
       r.tenant = *tenant;
     }
     r.deadline = get<Duration>(e, "drop-dead");
-    if (find(e, "hint")) r.work_hint = get<Duration>(e, "hint");
+    if (find(e, "hint")) {
+      r.work_hint = get<Duration>(e, "hint");
+    }
     return r;
   }
 
   std::optional<Event> outcome_from(const Json::Value& e) {
     const auto id = request(e);
-    if (!id) fault("id", "has no attempt out");
+    if (!id) {
+      fault("id", "has no attempt out");
+    }
     Open& open = open_.at(*id);
     --open.attempts;
-    Outcome o{*id, get<std::uint32_t>(e, "send-no"), result_from(e), get<bool>(e, "final"), report_in(e)};
+    Outcome o{*id, get<std::uint32_t>(e, "send-no"), result_from(e), get<bool>(e, "final"),
+              report_in(e)};
     open.over |= o.final;
     return o;
   }
 
   Event timer_from(const Json::Value& e) const {
     const std::string tag(get<std::string>(e, "tag"));
-    if (tag.empty() || tag.size() > 19 || tag.find_first_not_of("0123456789") != std::string::npos)
+    if (tag.empty() || tag.size() > 19 ||
+        tag.find_first_not_of("0123456789") != std::string::npos) {
       fault("tag", "not one that was set");
+    }
     return Timer{std::stoull(tag)};
   }
 
-  Event discovery_from(const Json::Value& e, const std::array<std::vector<ListEntry>, kSlots>& lists) {
+  Event discovery_from(const Json::Value& e,
+                       const std::array<std::vector<ListEntry>, kSlots>& lists) {
     Discovery d;
     const auto mode = get<std::string>(e, "mode");
     if (mode == "D") {
@@ -208,16 +260,21 @@
       fault("mode", "not one of D, F, C, X");
     }
     const auto slot = get<std::uint32_t>(e, "slot");
-    if (slot >= kSlots) fault("slot", "not in 0 to 15");
-    for (const ListEntry& row : lists[slot])
-      d.entries.push_back({servers_.id(row.upstream), row.state, zones_.id(row.zone), row.cell, row.born,
-                           kinds_.id(row.kind)});
+    if (slot >= kSlots) {
+      fault("slot", "not in 0 to 15");
+    }
+    for (const ListEntry& row : lists[slot]) {
+      d.entries.push_back({servers_.id(row.upstream), row.state, zones_.id(row.zone), row.cell,
+                           row.born, kinds_.id(row.kind)});
+    }
     return d;
   }
 
   std::optional<RequestId> request(const Json::Value& e) {
     const auto it = requests_.find(std::string(get<std::string>(e, "id")));
-    if (it == requests_.end()) return std::nullopt;
+    if (it == requests_.end()) {
+      return std::nullopt;
+    }
     touched_.push_back(it->second);
     return it->second;
   }
@@ -302,18 +359,24 @@
     std::string where = "batch ?: ";
     try {
       const Json::Value batch = config::parse(line.data(), line.data() + line.size(), "line");
-      if (!batch.isObject()) fault("line", "not a JSON object");
+      if (!batch.isObject()) {
+        fault("line", "not a JSON object");
+      }
       const auto serial = get<std::uint64_t>(batch, "serial");
       where = "batch " + std::to_string(serial) + ": ";
       const Time now = get<Duration>(batch, "moment");
       Json::Value reply(Json::objectValue);
       reply["serial"] = Json::UInt64(serial);
       Json::Value& groups = reply["balancers"] = Json::Value(Json::arrayValue);
-      for (const Json::Value& group : array_in(batch, "balancers")) play(now, group, groups);
+      for (const Json::Value& group : array_in(batch, "balancers")) {
+        play(now, group, groups);
+      }
       std::ostringstream text;
       writer_->write(reply, &text);
       return text.str();
-    } catch (const config::JsonFault& error) { throw WireError(where + error.what()); }
+    } catch (const config::JsonFault& error) {
+      throw WireError(where + error.what());
+    }
   }
 
  private:
@@ -326,18 +389,28 @@
       std::string failure;
       try {
         step(now, name, type, e);
-      } catch (const config::JsonFault&) { throw; } catch (const std::exception& error) {
+      } catch (const config::JsonFault&) {
+        throw;
+      } catch (const std::exception& error) {
         failure = error.what();
       }
-      for (const Action& action : actions_) out.append(instances_.at(name)->json_of(action));
-      if (failure.empty()) continue;
+      for (const Action& action : actions_) {
+        out.append(instances_.at(name)->json_of(action));
+      }
+      if (failure.empty()) {
+        continue;
+      }
       Json::Value row(Json::objectValue);
       row["event_type"] = "InternalError";
       row["what"] = failure;
       out.append(std::move(row));
     }
-    if (const auto it = instances_.find(name); it != instances_.end()) it->second->tidy();
-    if (out.empty()) return;
+    if (const auto it = instances_.find(name); it != instances_.end()) {
+      it->second->tidy();
+    }
+    if (out.empty()) {
+      return;
+    }
     Json::Value& answered = groups.append(Json::Value(Json::objectValue));
     answered["balancer-id"] = name;
     answered["out"] = std::move(out);
@@ -346,13 +419,17 @@
   void step(Time now, const std::string& name, std::string_view type, const Json::Value& e) {
     if (type == "Directory") {
       const auto slot = get<std::uint32_t>(e, "slot");
-      if (slot >= kSlots) fault("slot", "not in 0 to 15");
+      if (slot >= kSlots) {
+        fault("slot", "not in 0 to 15");
+      }
       lists_[slot] = read_directory(e);
     } else if (type == "Begin") {
       instances_[name] = std::make_unique<Instance>(now, e, actions_);
     } else {
       const auto it = instances_.find(name);
-      if (it == instances_.end()) fault("balancer-id", "names an instance that has not begun");
+      if (it == instances_.end()) {
+        fault("balancer-id", "names an instance that has not begun");
+      }
       if (type == "PowerOff") {
         instances_.erase(it);
       } else if (const auto event = it->second->event_from(type, e, lists_)) {
@@ -367,8 +444,11 @@
   std::vector<Action> actions_;
 };
 
-Host::Host() : impl_(std::make_unique<Impl>()) {}
+Host::Host() : impl_(std::make_unique<Impl>()) {
+}
 Host::~Host() = default;
-std::string Host::reply_to(const std::string& line) { return impl_->reply_to(line); }
+std::string Host::reply_to(const std::string& line) {
+  return impl_->reply_to(line);
+}
 
 }  // namespace beechhill::wire
--- a/adapter/wire.h
+++ b/adapter/wire.h
@@ -12,7 +12,8 @@
   using std::runtime_error::runtime_error;
 };
 
-// Hosts the instances of one process. They share nothing but the discovery lists that the wire numbers.
+// Hosts the instances of one process. They share nothing but the discovery lists that the wire
+// numbers.
 class Host {
  public:
   Host();
--- a/include/beechhill/balancer.h
+++ b/include/beechhill/balancer.h
@@ -66,8 +66,9 @@
   bool parallel_tries = false;
   std::uint32_t most_tries = 1;
   Duration max_retry_after{0};
-  Duration connect_timeout{100'000};  // for whoever carries out the sends: a connection not up by then failed
-  Duration idle_close{30'000'000};    // servers close a connection that has stood idle this long
+  Duration connect_timeout{
+      100'000};  // for whoever carries out the sends: a connection not up by then failed
+  Duration idle_close{30'000'000};  // servers close a connection that has stood idle this long
   double probe_price = 0;
   double cross_zone_price = 0;
 };
@@ -139,7 +140,8 @@
   TimerToken token = 0;
 };
 
-// What reports and answers showed of one start of a server, fading. Only the ratios and how much stands behind them mean something.
+// What reports and answers showed of one start of a server, fading. Only the ratios and how much
+// stands behind them mean something.
 struct Evidence {
   double rates = 0, utils = 0;  // reported
   double paces = 0;             // times of answers over what their class usually takes
@@ -158,21 +160,23 @@
   }
 };
 
-// What an earlier instance knew of a server in the start that the list names, as far as it is still to be believed. Not checked: whoever
-// reads it from a disk bounds it.
+// What an earlier instance knew of a server in the start that the list names, as far as it is still
+// to be believed. Not checked: whoever reads it from a disk bounds it.
 struct Recalled {
   ServerId server = 0;
   Evidence evidence;
 };
 
-// An operator leaves a server out, or lets it serve again, whatever the list says of it: either bars new work. It may
-// come before the list that first names the server. What was let serve again counts as just started.
+// An operator leaves a server out, or lets it serve again, whatever the list says of it: either
+// bars new work. It may come before the list that first names the server. What was let serve again
+// counts as just started.
 struct Barred {
   ServerId server = 0;
   bool barred = true;
 };
 
-using Event = std::variant<Discovery, Request, FirstByte, Outcome, ClientGone, ProbeResult, Timer, Barred, Recalled>;
+using Event = std::variant<Discovery, Request, FirstByte, Outcome, ClientGone, ProbeResult, Timer,
+                           Barred, Recalled>;
 
 // ---- Actions
 
@@ -223,7 +227,8 @@
     std::size_t listed = 0, avoided = 0;
   };
   Census census(Time now) const;
-  // What is known of one start of a server: for Recalled, to the next instance. Empty for one that was never named.
+  // What is known of one start of a server: for Recalled, to the next instance. Empty for one that
+  // was never named.
   Evidence known(ServerId server) const;
 
  private:
--- a/src/admin/admin_door.cpp
+++ b/src/admin/admin_door.cpp
@@ -19,18 +19,21 @@
 
 namespace {
 
-constexpr auto kReadLimit = 1500ms;   // for a whole call
-constexpr auto kSilentAge = 20ms;     // when the door is full: a caller that means it has spoken by then
-constexpr auto kAnswerLimit = 800ms;  // for the actor that owns the matter; an answer is due within 1 s
+constexpr auto kReadLimit = 1500ms;  // for a whole call
+constexpr auto kSilentAge =
+    20ms;  // when the door is full: a caller that means it has spoken by then
+constexpr auto kAnswerLimit =
+    800ms;  // for the actor that owns the matter; an answer is due within 1 s
 constexpr auto kGroupLimit = 3000ms;  // what the proxies have to settle first
 constexpr auto kWriteLimit = 2000ms, kLingerLimit = 500ms;
 constexpr auto kAcceptPause = 10ms;
 
 }  // namespace
 
-AdminDoor::AdminDoor(runtime::Scheduler& scheduler, const sockaddr_in& address, proxy::DecisionBox& decisions,
-                     handover::OrderBox& orders, const proxy::Telemetry& telemetry,
-                     const std::vector<std::string>& classes, std::function<bool()> serving, Group group)
+AdminDoor::AdminDoor(runtime::Scheduler& scheduler, const sockaddr_in& address,
+                     proxy::DecisionBox& decisions, handover::OrderBox& orders,
+                     const proxy::Telemetry& telemetry, const std::vector<std::string>& classes,
+                     std::function<bool()> serving, Group group)
     : scheduler_(scheduler),
       decisions_(decisions),
       orders_(orders),
@@ -38,7 +41,8 @@
       classes_(classes),
       serving_(std::move(serving)),
       group_(std::move(group)),
-      listener_(scheduler, address) {}
+      listener_(scheduler, address) {
+}
 
 Task<> AdminDoor::run() {
   for (;;) {
@@ -59,7 +63,9 @@
     }
     // After each caller the others have a turn: it has spoken, if it means to, by the next look.
     runtime::Wait wait(scheduler_);
-    if (full) wait.notified(left_);
+    if (full) {
+      wait.notified(left_);
+    }
     wait.until(Clock::now() + (io == Io::kOk ? 0ms : kAcceptPause));
     co_await wait;
   }
@@ -69,7 +75,9 @@
 bool AdminDoor::let_one_go() {
   const auto now = Clock::now();
   for (const auto& caller : callers_) {
-    if (!caller->asking || now - caller->came < kSilentAge) continue;
+    if (!caller->asking || now - caller->came < kSilentAge) {
+      continue;
+    }
     caller->let_go.notify();
     callers_.remove(caller);
     return true;
@@ -80,7 +88,9 @@
 Task<> AdminDoor::serve(std::shared_ptr<Caller> caller) {
   try {
     co_await converse(*caller);
-  } catch (const std::exception& error) { proxy::log_fault("operator_fault", error); }
+  } catch (const std::exception& error) {
+    proxy::log_fault("operator_fault", error);
+  }
   callers_.remove(caller);
   left_.notify();
 }
@@ -96,17 +106,23 @@
       answer = http::write_response(408, "", "", true);
       break;
     }
-    if (io != Io::kOk) co_return;
+    if (io != Io::kOk) {
+      co_return;
+    }
     progress = parser.feed(buffer);
   }
   caller.asking = false;
-  if (progress == http::Progress::kBad) answer = http::write_response(parser.error_status(), "", "", true);
+  if (progress == http::Progress::kBad) {
+    answer = http::write_response(parser.error_status(), "", "", true);
+  }
   if (progress == http::Progress::kDone) {
     const std::string method = parser.message().method, target = parser.message().target;
     answer = co_await answer_to(method, target);
   }
   const Io written = co_await caller.stream.write(answer, Clock::now() + kWriteLimit);
-  if (written == Io::kOk) co_await caller.stream.linger(Clock::now() + kLingerLimit, caller.let_go);
+  if (written == Io::kOk) {
+    co_await caller.stream.linger(Clock::now() + kLingerLimit, caller.let_go);
+  }
 }
 
 Task<std::string> AdminDoor::answer_to(const std::string& method, const std::string& target) {
@@ -131,8 +147,11 @@
                                                          : Change::kRejoin,
                           call.target, asked};
     status = 503;
-    if (orders_.post(std::move(order))) status = co_await proxy::settled(scheduler_, asked, kAnswerLimit);
-    log::info("operator", {{"call", std::string_view(target)}, {"status", static_cast<std::int64_t>(status)}});
+    if (orders_.post(std::move(order))) {
+      status = co_await proxy::settled(scheduler_, asked, kAnswerLimit);
+    }
+    log::info("operator",
+              {{"call", std::string_view(target)}, {"status", static_cast<std::int64_t>(status)}});
   }
   std::string answer = http::write_response(status, "", "", true);
   co_return answer;
@@ -147,7 +166,8 @@
     status = co_await proxy::settled(scheduler_, base, kGroupLimit);
   }
   const bool json = status == 200 && call.what != What::kWorksOrder;
-  std::string answer = http::write_response(status, json ? "Content-Type: application/json\r\n" : "", asked->text, true);
+  std::string answer = http::write_response(
+      status, json ? "Content-Type: application/json\r\n" : "", asked->text, true);
   co_return answer;
 }
 
@@ -155,9 +175,13 @@
   const auto asked = std::make_shared<Asked>();
   int status = 503;
   proxy::DecisionMessage question(std::in_place_type<proxy::Census>, asked);
-  if (decisions_.post(std::move(question))) status = co_await proxy::settled(scheduler_, asked, kAnswerLimit);
+  if (decisions_.post(std::move(question))) {
+    status = co_await proxy::settled(scheduler_, asked, kAnswerLimit);
+  }
   Json::Value root(Json::objectValue);
-  for (const char* name : {"completed", "rejected", "failed"}) root[name] = Json::Value(Json::objectValue);
+  for (const char* name : {"completed", "rejected", "failed"}) {
+    root[name] = Json::Value(Json::objectValue);
+  }
   for (ClassId id = 0; id < classes_.size(); ++id) {
     const proxy::Telemetry::Counts& c = telemetry_.of(id);
     root["completed"][classes_[id]] = Json::UInt64(c.completed);
@@ -172,7 +196,8 @@
   Json::StreamWriterBuilder writer;
   writer["indentation"] = "";
   std::string body = Json::writeString(writer, root) + "\n";
-  std::string answer = http::write_response(status, "Content-Type: application/json\r\n", status == 200 ? body : "", true);
+  std::string answer = http::write_response(status, "Content-Type: application/json\r\n",
+                                            status == 200 ? body : "", true);
   co_return answer;
 }
 
--- a/src/admin/admin_door.h
+++ b/src/admin/admin_door.h
@@ -1,5 +1,6 @@
-// Where operators call: one call to a connection, each carried to the actor that owns the matter and answered once that
-// actor has done it. Its descriptors are its own, so that a door full of clients keeps no operator waiting.
+// Where operators call: one call to a connection, each carried to the actor that owns the matter
+// and answered once that actor has done it. Its descriptors are its own, so that a door full of
+// clients keeps no operator waiting.
 #pragma once
 
 #include <functional>
@@ -15,18 +16,22 @@
 
 namespace beechhill::admin {
 
-// Callers that the door holds at a time; further ones wait in the backlog until the longest silent one is let go.
+// Callers that the door holds at a time; further ones wait in the backlog until the longest silent
+// one is let go.
 inline constexpr std::size_t kMostCallers = 16;
 
-// Calls on membership and maintenance, where this process has them: answers `asked`, with a body. Null: they are unknown here.
+// Calls on membership and maintenance, where this process has them: answers `asked`, with a body.
+// Null: they are unknown here.
 using Group = std::function<void(const Call& call, std::shared_ptr<proxy::AskedText> asked)>;
 
 class AdminDoor {
  public:
-  // What is referred to must outlive the door. `classes` names them by ClassId; `serving` says whether this process takes
-  // clients. Throws std::system_error where the address cannot be listened on.
-  AdminDoor(runtime::Scheduler& scheduler, const sockaddr_in& address, proxy::DecisionBox& decisions,
-            handover::OrderBox& orders, const proxy::Telemetry& telemetry, const std::vector<std::string>& classes,
+  // What is referred to must outlive the door. `classes` names them by ClassId; `serving` says
+  // whether this process takes clients. Throws std::system_error where the address cannot be
+  // listened on.
+  AdminDoor(runtime::Scheduler& scheduler, const sockaddr_in& address,
+            proxy::DecisionBox& decisions, handover::OrderBox& orders,
+            const proxy::Telemetry& telemetry, const std::vector<std::string>& classes,
             std::function<bool()> serving, Group group = {});
 
   sockaddr_in address() const { return listener_.address(); }
--- a/src/admin/call.h
+++ b/src/admin/call.h
@@ -1,4 +1,5 @@
-// What operators may call: method and path to a call, or the status that says what is wrong. No I/O.
+// What operators may call: method and path to a call, or the status that says what is wrong. No
+// I/O.
 #pragma once
 
 #include <map>
@@ -8,13 +9,23 @@
 
 namespace beechhill::admin {
 
-enum class What { kReady, kTelemetry, kExclude, kInclude, kEvacuate, kRejoin, kMembers, kWorks, kWorksOrder };
+enum class What {
+  kReady,
+  kTelemetry,
+  kExclude,
+  kInclude,
+  kEvacuate,
+  kRejoin,
+  kMembers,
+  kWorks,
+  kWorksOrder
+};
 
 struct Call {
   int error = 0;  // 0: it can be carried out; else 400, 404 or 405
   What what = What::kReady;
-  std::string target;  // a backend's id, for kExclude and kInclude
-  std::string verb;    // of kWorksOrder: the last part of its path
+  std::string target;                        // a backend's id, for kExclude and kInclude
+  std::string verb;                          // of kWorksOrder: the last part of its path
   std::map<std::string, std::string> query;  // of kWorks and kWorksOrder
 };
 
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -30,8 +30,9 @@
   std::string name;
   sockaddr_in listen{}, discovery{};
   std::optional<sockaddr_in> admin;  // where operators call; absent: nowhere
-  std::optional<int> inherited;          // a descriptor that listens for clients already; absent: `listen` is bound
-  std::string shared_folder;             // that the processes of one proxy share; empty: none
+  std::optional<int>
+      inherited;  // a descriptor that listens for clients already; absent: `listen` is bound
+  std::string shared_folder;  // that the processes of one proxy share; empty: none
   std::uint32_t sockets = 1024;
   std::uint32_t memory_mb = 192;
   ServerList known;
@@ -42,10 +43,12 @@
 ServerList read_server_list(const Json::Value& list);
 Config read_config(const Json::Value& root);
 
-// The file that GW_CONFIG names; GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_ADMIN_ADDR, where set, go before what it holds.
+// The file that GW_CONFIG names; GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_ADMIN_ADDR, where set, go
+// before what it holds.
 Config load_config();
 // GW_FD and TMPDIR are the environment's alone: `inherited`, and with it `shared_folder`.
-// The same file once it has been replaced: its own `discovery` counts now, as the variable is from the start.
+// The same file once it has been replaced: its own `discovery` counts now, as the variable is from
+// the start.
 Config reload_config();
 
 }  // namespace beechhill::config
--- a/src/config/interner.h
+++ b/src/config/interner.h
@@ -15,7 +15,9 @@
   std::uint32_t id(std::string_view name) {
     const auto next = free_.empty() ? static_cast<std::uint32_t>(names_.size()) : free_.back();
     const auto [it, fresh] = ids_.try_emplace(std::string(name), next);
-    if (!fresh) return it->second;
+    if (!fresh) {
+      return it->second;
+    }
     if (free_.empty()) {
       names_.emplace_back(name);
     } else {
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -13,45 +13,65 @@
 namespace beechhill::config {
 
 struct JsonFault : std::runtime_error {
-  explicit JsonFault(const std::string& text, std::ptrdiff_t at = -1) : std::runtime_error(text), offset(at) {}
+  explicit JsonFault(const std::string& text, std::ptrdiff_t at = -1)
+      : std::runtime_error(text), offset(at) {}
   std::ptrdiff_t offset;  // of the faulty value in what was parsed; negative: unknown
 };
 // `at`: the value that is wrong, or the object that lacks one.
-[[noreturn]] inline void fault(const std::string& key, const std::string& what, const Json::Value* at = nullptr) {
+[[noreturn]] inline void fault(const std::string& key, const std::string& what,
+                               const Json::Value* at = nullptr) {
   throw JsonFault(key + ": " + what, at && at->getOffsetLimit() > 0 ? at->getOffsetStart() : -1);
 }
 
 inline const Json::Value* find(const Json::Value& object, const char* key) {
-  if (!object.isObject()) fault(key, "not in an object", &object);
+  if (!object.isObject()) {
+    fault(key, "not in an object", &object);
+  }
   const Json::Value* value = object.find(key, key + std::char_traits<char>::length(key));
   return value && !value->isNull() ? value : nullptr;
 }
 inline const Json::Value& need(const Json::Value& object, const char* key) {
-  if (const Json::Value* value = find(object, key)) return *value;
+  if (const Json::Value* value = find(object, key)) {
+    return *value;
+  }
   fault(key, "missing", &object);
 }
 
 template <typename T>
 T as(const Json::Value& value, const char* key) {
   if constexpr (std::is_same_v<T, bool>) {
-    if (!value.isBool()) fault(key, "not a bool", &value);
+    if (!value.isBool()) {
+      fault(key, "not a bool", &value);
+    }
     return value.asBool();
   } else if constexpr (std::is_same_v<T, std::string>) {
-    if (!value.isString()) fault(key, "not a string", &value);
+    if (!value.isString()) {
+      fault(key, "not a string", &value);
+    }
     return value.asString();
   } else if constexpr (std::is_same_v<T, double>) {
-    if (!value.isNumeric()) fault(key, "not a number", &value);
+    if (!value.isNumeric()) {
+      fault(key, "not a number", &value);
+    }
     return value.asDouble();
   } else if constexpr (std::is_same_v<T, Duration>) {
-    if (!value.isInt64()) fault(key, "not an integer", &value);
+    if (!value.isInt64()) {
+      fault(key, "not an integer", &value);
+    }
     return Duration(value.asInt64());
   } else if constexpr (std::is_same_v<T, std::uint64_t>) {
-    if (value.isInt64()) return static_cast<std::uint64_t>(value.asInt64());
-    if (!value.isUInt64()) fault(key, "not an integer", &value);
+    if (value.isInt64()) {
+      return static_cast<std::uint64_t>(value.asInt64());
+    }
+    if (!value.isUInt64()) {
+      fault(key, "not an integer", &value);
+    }
     return value.asUInt64();
   } else {
     static_assert(std::is_same_v<T, std::uint32_t>);
-    if (!value.isUInt()) fault(key, "not a small non-negative integer", &value);
+    if (!value.isUInt()) {
+      fault(key, "not a small non-negative integer", &value);
+    }
     return value.asUInt();
   }
 }
@@ -66,14 +86,21 @@
 }
 inline const Json::Value& object_in(const Json::Value& object, const char* key) {
   const Json::Value& value = need(object, key);
-  if (!value.isObject()) fault(key, "not an object", &value);
+  if (!value.isObject()) {
+    fault(key, "not an object", &value);
+  }
   return value;
 }
 inline const Json::Value& array_in(const Json::Value& object, const char* key) {
   const Json::Value& value = need(object, key);
-  if (!value.isArray()) fault(key, "not an array", &value);
-  for (const Json::Value& row : value)
-    if (!row.isObject()) fault(key, "holds something other than objects", &row);
+  if (!value.isArray()) {
+    fault(key, "not an array", &value);
+  }
+  for (const Json::Value& row : value) {
+    if (!row.isObject()) {
+      fault(key, "holds something other than objects", &row);
+    }
+  }
   return value;
 }
 
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -10,7 +10,9 @@
 constexpr std::size_t kLongestName = 48;  // of a member
 
 void check_address(const TomlReader& r, std::string_view key, const std::string& text) {
-  if (!text.empty() && !net::parse_address(text)) r.fault(key, "not an IPv4 address and a port: " + text);
+  if (!text.empty() && !net::parse_address(text)) {
+    r.fault(key, "not an IPv4 address and a port: " + text);
+  }
 }
 
 MembershipSettings membership_from(TomlReader r) {
@@ -21,10 +23,16 @@
   m.interval = r.span("interval", m.interval, std::chrono::milliseconds(50));
   m.forget_after = r.span("forget_after", m.forget_after, std::chrono::minutes(1));
   check_address(r, "listen", m.listen), check_address(r, "advertise", m.advertise);
-  for (const std::string& seed : m.seeds) check_address(r, "seeds", seed);
-  if (!m.listen.empty() && m.key_file.empty()) r.fault("key_file", "missing");
+  for (const std::string& seed : m.seeds) {
+    check_address(r, "seeds", seed);
+  }
+  if (!m.listen.empty() && m.key_file.empty()) {
+    r.fault("key_file", "missing");
+  }
 #ifndef BEECHHILL_TALK
-  if (!m.listen.empty()) r.fault("listen", "this build has no membership (BEECHHILL_TALK)");
+  if (!m.listen.empty()) {
+    r.fault("listen", "this build has no membership (BEECHHILL_TALK)");
+  }
 #endif
   r.finish();
   return m;
@@ -35,25 +43,40 @@
   m.voters = r.texts("voters");
   const std::set<std::string> names(m.voters.begin(), m.voters.end());
   const std::size_t n = m.voters.size();
-  if (n != 0 && n != 1 && n != 3 && n != 5 && n != 7) r.fault("voters", "1, 3, 5 or 7 names");
-  if (names.size() != n) r.fault("voters", "a name comes twice");
-  for (const std::string& name : names)
-    if (name.empty() || name.size() > kLongestName || name.find('#') != std::string::npos) r.fault("voters", "no name of a proxy: " + name);
-  if (n > 0 && membership.listen.empty()) r.fault("voters", "needs membership.listen");
+  if (n != 0 && n != 1 && n != 3 && n != 5 && n != 7) {
+    r.fault("voters", "1, 3, 5 or 7 names");
+  }
+  if (names.size() != n) {
+    r.fault("voters", "a name comes twice");
+  }
+  for (const std::string& name : names) {
+    if (name.empty() || name.size() > kLongestName || name.find('#') != std::string::npos) {
+      r.fault("voters", "no name of a proxy: " + name);
+    }
+  }
+  if (n > 0 && membership.listen.empty()) {
+    r.fault("voters", "needs membership.listen");
+  }
   m.folder = r.text("folder", "");
   m.lease = r.span("lease", m.lease, std::chrono::seconds(1));
   m.isolated_after = r.span("isolated_after", m.isolated_after);
   m.hear_within = r.span("hear_within", m.hear_within);
   m.serve_unheard = r.flag("serve_unheard", m.serve_unheard);
   maintenance::Bounds& b = m.bounds;
-  const auto count = [&r](const char* key, std::uint32_t otherwise) { return static_cast<std::uint32_t>(r.integer(key, otherwise, 0, 100'000)); };
+  const auto count = [&r](const char* key, std::uint32_t otherwise) {
+    return static_cast<std::uint32_t>(r.integer(key, otherwise, 0, 100'000));
+  };
   const auto whole = [&r](const char* key, maintenance::Seconds otherwise) {
-    return r.span(key, std::chrono::seconds(otherwise), std::chrono::seconds(1)) / std::chrono::seconds(1);
+    return r.span(key, std::chrono::seconds(otherwise), std::chrono::seconds(1)) /
+           std::chrono::seconds(1);
   };
   b.reserve = r.number("reserve", b.reserve, 0, 10);
-  b.most_out = count("most_out", b.most_out), b.most_out_zone = count("most_out_zone", b.most_out_zone);
-  b.most_out_cell = count("most_out_cell", b.most_out_cell), b.least_proxies = count("least_proxies", b.least_proxies);
-  b.evacuate_within = whole("evacuate_within", b.evacuate_within), b.put_off = whole("put_off", b.put_off);
+  b.most_out = count("most_out", b.most_out),
+  b.most_out_zone = count("most_out_zone", b.most_out_zone);
+  b.most_out_cell = count("most_out_cell", b.most_out_cell),
+  b.least_proxies = count("least_proxies", b.least_proxies);
+  b.evacuate_within = whole("evacuate_within", b.evacuate_within),
+  b.put_off = whole("put_off", b.put_off);
   b.age_step = whole("age_step", b.age_step), b.calm = whole("calm", b.calm);
   b.needs_approval = r.flag("approval", b.needs_approval);
   r.finish();
@@ -66,18 +89,24 @@
   OperatorSettings o;
   TomlReader r(root, file);
   TomlReader l = r.table("log");
-  o.log.level = static_cast<log::Level>(
-      l.word("level", static_cast<std::size_t>(o.log.level), {"debug", "info", "warning", "error", "off"}));
+  o.log.level = static_cast<log::Level>(l.word("level", static_cast<std::size_t>(o.log.level),
+                                               {"debug", "info", "warning", "error", "off"}));
   o.log.format = static_cast<log::Format>(l.word("format", 0, {"logfmt", "json"}));
   o.log.time = l.flag("time", false);
-  o.log.queue = static_cast<std::size_t>(l.integer("queue", static_cast<std::int64_t>(o.log.queue), 16, 65'536));
+  o.log.queue = static_cast<std::size_t>(
+      l.integer("queue", static_cast<std::int64_t>(o.log.queue), 16, 65'536));
   l.finish();
   TomlReader s = r.table("routing");
   o.subset.nodes = static_cast<std::uint32_t>(s.integer("subset_nodes", 0, 0, 100'000));
-  o.subset.coverage = static_cast<std::uint32_t>(s.integer("coverage", o.subset.coverage, 1, 10'000));
+  o.subset.coverage =
+      static_cast<std::uint32_t>(s.integer("coverage", o.subset.coverage, 1, 10'000));
   o.subset.proxies = static_cast<std::uint32_t>(s.integer("proxies", 0, 0, 100'000));
-  if (s.has("place")) o.subset.place = static_cast<std::uint32_t>(s.integer("place", 0, 0, 100'000));
-  if (o.subset.place && *o.subset.place >= o.subset.proxies) s.fault("place", "not under proxies");
+  if (s.has("place")) {
+    o.subset.place = static_cast<std::uint32_t>(s.integer("place", 0, 0, 100'000));
+  }
+  if (o.subset.place && *o.subset.place >= o.subset.proxies) {
+    s.fault("place", "not under proxies");
+  }
   s.finish();
   TomlReader n = r.table("snapshot");
   o.snapshot.folder = n.text("folder", "");
@@ -91,7 +120,9 @@
 }
 
 OperatorSettings load_operator(const std::string& path) {
-  if (path.empty()) return {};
+  if (path.empty()) {
+    return {};
+  }
   return read_operator(load_toml(path), path);
 }
 
--- a/src/config/operator_file.h
+++ b/src/config/operator_file.h
@@ -1,5 +1,6 @@
-// The operator's own file (TOML): what the platform's configuration does not speak of. Read, checked and given
-// defaults here and nowhere else; every key is described in docs/operators/configuration.md.
+// The operator's own file (TOML): what the platform's configuration does not speak of. Read,
+// checked and given defaults here and nowhere else; every key is described in
+// docs/operators/configuration.md.
 #pragma once
 
 #include <chrono>
@@ -14,15 +15,16 @@
 namespace beechhill::config {
 
 struct SnapshotSettings {
-  std::string folder;                     // on a disk that lasts; empty: none are kept
+  std::string folder;  // on a disk that lasts; empty: none are kept
   std::chrono::milliseconds every{2000};
 };
 
 struct MembershipSettings {
-  std::string listen;              // UDP, an IPv4 address and a port; empty: the process talks with no other
-  std::string advertise;           // where the others reach it; empty: `listen`
+  std::string listen;     // UDP, an IPv4 address and a port; empty: the process talks with no other
+  std::string advertise;  // where the others reach it; empty: `listen`
   std::vector<std::string> seeds;  // addresses of some of the others
-  std::string key_file;            // a key a line, as 64 hexadecimal digits: the first signs, a second one is believed too
+  std::string key_file;  // a key a line, as 64 hexadecimal digits: the first signs, a second one is
+                         // believed too
   Duration interval{1'000'000};
   Duration forget_after{3'600'000'000};
 };
--- a/src/config/sealed.cpp
+++ b/src/config/sealed.cpp
@@ -7,7 +7,9 @@
 namespace beechhill::config {
 namespace {
 
-std::string checksum(std::string_view line) { return std::to_string(XXH64(line.data(), line.size(), 0)); }
+std::string checksum(std::string_view line) {
+  return std::to_string(XXH64(line.data(), line.size(), 0));
+}
 
 }  // namespace
 
@@ -23,13 +25,21 @@
 
 std::optional<Json::Value> unseal(std::string_view text, const char* is, int format) {
   const auto end = text.find('\n');
-  if (end == std::string_view::npos) return std::nullopt;
+  if (end == std::string_view::npos) {
+    return std::nullopt;
+  }
   const std::string_view line = text.substr(0, end);
-  if (text.substr(end + 1) != checksum(line) + "\n") return std::nullopt;
+  if (text.substr(end + 1) != checksum(line) + "\n") {
+    return std::nullopt;
+  }
   Json::Value root;
   const std::unique_ptr<Json::CharReader> reader(Json::CharReaderBuilder().newCharReader());
-  if (!reader->parse(line.data(), line.data() + line.size(), &root, nullptr) || !root.isObject()) return std::nullopt;
-  if (root["is"] != is || root["format"] != format) return std::nullopt;
+  if (!reader->parse(line.data(), line.data() + line.size(), &root, nullptr) || !root.isObject()) {
+    return std::nullopt;
+  }
+  if (root["is"] != is || root["format"] != format) {
+    return std::nullopt;
+  }
   return root;
 }
 
--- a/src/config/sealed.h
+++ b/src/config/sealed.h
@@ -1,4 +1,5 @@
-// State that is kept in a file: one line of JSON and one with its checksum (xxHash64). It is read back whole or not at all.
+// State that is kept in a file: one line of JSON and one with its checksum (xxHash64). It is read
+// back whole or not at all.
 #pragma once
 
 #include <json/json.h>
--- a/src/config/settings_reader.cpp
+++ b/src/config/settings_reader.cpp
@@ -46,7 +46,9 @@
   Json::Value value;
   std::string errors;
   try {
-    if (reader->parse(begin, end, &value, &errors)) return value;
+    if (reader->parse(begin, end, &value, &errors)) {
+      return value;
+    }
   } catch (const Json::Exception& error) {
     errors = error.what();  // nested too deep
   }
@@ -72,7 +74,9 @@
   named.zone = get<std::string>(env, "zone", "");
   s.tier = get<std::uint32_t>(env, "tier", 0);
   const Json::Value* tiers = find(env, "tiers");
-  if (tiers && !tiers->isArray()) fault("tiers", "not an array", tiers);
+  if (tiers && !tiers->isArray()) {
+    fault("tiers", "not an array", tiers);
+  }
   s.tier_count = tiers ? std::max(1u, tiers->size()) : s.tier + 1;
   s.replicas = get<std::uint32_t>(env, "replicas-of-me", 1);
   s.step = get<Duration>(env, "step", Duration{1000});
@@ -91,15 +95,17 @@
   s.most_tries = get<std::uint32_t>(l, "most-tries", 1);
   s.connect_timeout = get<Duration>(l, "connect-timeout", s.connect_timeout);
   s.idle_close = get<Duration>(l, "idle-close", s.idle_close);
-  if (get<bool>(l, "retry-after", false))
+  if (get<bool>(l, "retry-after", false)) {
     s.max_retry_after = get<Duration>(l, "max-retry-after", Duration{0});
+  }
   if (find(env, "prices")) {
     const Json::Value& p = object_in(env, "prices");
     s.probe_price = get<double>(p, "probe", 0);
     s.cross_zone_price = get<double>(p, "cross-zone", 0);
   }
-  if (find(env, "report"))
+  if (find(env, "report")) {
     s.reports_need_probes = get<std::string>(object_in(env, "report"), "source", "none") == "probe";
+  }
   return named;
 }
 
--- a/src/config/toml_reader.cpp
+++ b/src/config/toml_reader.cpp
@@ -12,7 +12,8 @@
 const toml::table kEmpty;
 
 std::string place(const std::string& file, const toml::source_region& at) {
-  const std::string& from = at.path && !at.path->empty() ? *at.path : file;  // a table may be put together from files
+  const std::string& from =
+      at.path && !at.path->empty() ? *at.path : file;  // a table may be put together from files
   return at.begin ? from + ":" + std::to_string(at.begin.line) : file;
 }
 
@@ -28,11 +29,17 @@
 
 toml::table load_toml(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
-  if (!in) throw TomlFault(path + ": cannot be read");
+  if (!in) {
+    throw TomlFault(path + ": cannot be read");
+  }
   std::string text(static_cast<std::size_t>(kMostBytes) + 1, '\0');
   in.read(text.data(), static_cast<std::streamsize>(text.size()));
-  if (in.bad()) throw TomlFault(path + ": cannot be read");
-  if (in.gcount() > kMostBytes) throw TomlFault(path + ": over 1 MiB");
+  if (in.bad()) {
+    throw TomlFault(path + ": cannot be read");
+  }
+  if (in.gcount() > kMostBytes) {
+    throw TomlFault(path + ": over 1 MiB");
+  }
   text.resize(static_cast<std::size_t>(in.gcount()));
   return parse_toml(text, path);
 }
@@ -40,7 +47,9 @@
 std::optional<Duration> parse_span(std::string_view text) {
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (error != std::errc()) return std::nullopt;
+  if (error != std::errc()) {
+    return std::nullopt;
+  }
   const std::string_view unit(end, static_cast<std::size_t>(text.data() + text.size() - end));
   double micros = 0;
   if (unit == "ns") {
@@ -59,12 +68,15 @@
     return std::nullopt;
   }
   const double all = value * micros;
-  if (!(all >= 0 && all <= 366.0 * 86400e6)) return std::nullopt;
+  if (!(all >= 0 && all <= 366.0 * 86400e6)) {
+    return std::nullopt;
+  }
   return Duration(std::llround(all));
 }
 
 TomlReader::TomlReader(const toml::table& table, std::string file, std::string path)
-    : table_(table), file_(std::move(file)), path_(std::move(path)) {}
+    : table_(table), file_(std::move(file)), path_(std::move(path)) {
+}
 
 void TomlReader::fault(std::string_view key, const std::string& what) const {
   const toml::node* node = table_.get(key);
@@ -76,19 +88,29 @@
   asked_.emplace(key);
   return table_.get(key);
 }
-const toml::node* TomlReader::raw(std::string_view key) { return find(key); }
+const toml::node* TomlReader::raw(std::string_view key) {
+  return find(key);
+}
 
 bool TomlReader::flag(std::string_view key, bool otherwise) {
   const toml::node* node = find(key);
-  if (!node) return otherwise;
-  if (!node->is_boolean()) fault(key, "not true or false");
+  if (!node) {
+    return otherwise;
+  }
+  if (!node->is_boolean()) {
+    fault(key, "not true or false");
+  }
   return *node->value<bool>();
 }
 
 double TomlReader::number(std::string_view key, double otherwise, double least, double most) {
   const toml::node* node = find(key);
-  if (!node) return otherwise;
-  if (!node->is_number()) fault(key, "not a number");
+  if (!node) {
+    return otherwise;
+  }
+  if (!node->is_number()) {
+    fault(key, "not a number");
+  }
   const double value = *node->value<double>();
   if (!(value >= least && value <= most)) {
     std::ostringstream what;
@@ -101,27 +123,41 @@
 std::int64_t TomlReader::integer(std::string_view key, std::int64_t otherwise, std::int64_t least,
                                  std::int64_t most) {
   const toml::node* node = find(key);
-  if (!node) return otherwise;
-  if (!node->is_integer()) fault(key, "not a whole number");
+  if (!node) {
+    return otherwise;
+  }
+  if (!node->is_integer()) {
+    fault(key, "not a whole number");
+  }
   const std::int64_t value = *node->value<std::int64_t>();
-  if (value < least || value > most)
+  if (value < least || value > most) {
     fault(key, "not from " + std::to_string(least) + " to " + std::to_string(most));
+  }
   return value;
 }
 
 std::string TomlReader::text(std::string_view key, std::string otherwise) {
   const toml::node* node = find(key);
-  if (!node) return otherwise;
-  if (!node->is_string()) fault(key, "not a text");
+  if (!node) {
+    return otherwise;
+  }
+  if (!node->is_string()) {
+    fault(key, "not a text");
+  }
   return *node->value<std::string>();
 }
 
-std::size_t TomlReader::word(std::string_view key, std::size_t otherwise, const std::vector<std::string>& words) {
+std::size_t TomlReader::word(std::string_view key, std::size_t otherwise,
+                             const std::vector<std::string>& words) {
   const toml::node* node = find(key);
-  if (!node) return otherwise;
+  if (!node) {
+    return otherwise;
+  }
   std::string all;
   for (std::size_t i = 0; i < words.size(); ++i) {
-    if (node->value<std::string>() == words[i]) return i;
+    if (node->value<std::string>() == words[i]) {
+      return i;
+    }
     all += (i ? ", " : "") + words[i];
   }
   fault(key, "not one of " + all);
@@ -129,19 +165,28 @@
 
 Duration TomlReader::span(std::string_view key, Duration otherwise, Duration least) {
   const toml::node* node = find(key);
-  if (!node) return otherwise;
-  const auto value = node->is_string() ? parse_span(*node->value<std::string_view>()) : std::nullopt;
-  if (!value) fault(key, "not a span of time such as \"250ms\", \"1.5s\" or \"2m\"");
-  if (*value < least) fault(key, "under " + std::to_string(least.count()) + "us");
+  if (!node) {
+    return otherwise;
+  }
+  const auto value =
+      node->is_string() ? parse_span(*node->value<std::string_view>()) : std::nullopt;
+  if (!value) {
+    fault(key, "not a span of time such as \"250ms\", \"1.5s\" or \"2m\"");
+  }
+  if (*value < least) {
+    fault(key, "under " + std::to_string(least.count()) + "us");
+  }
   return *value;
 }
 
 Range TomlReader::range(std::string_view key, Range otherwise, double least, double most) {
   const toml::node* node = find(key);
-  if (!node) return otherwise;
+  if (!node) {
+    return otherwise;
+  }
   Range r;
-  if (const toml::array* pair = node->as_array(); pair && pair->size() == 2 && pair->get(0)->is_number() &&
-                                                  pair->get(1)->is_number()) {
+  if (const toml::array* pair = node->as_array();
+      pair && pair->size() == 2 && pair->get(0)->is_number() && pair->get(1)->is_number()) {
     r = {*pair->get(0)->value<double>(), *pair->get(1)->value<double>()};
   } else if (node->is_number()) {
     r.from = r.to = *node->value<double>();
@@ -159,11 +204,17 @@
 std::vector<std::string> TomlReader::texts(std::string_view key) {
   std::vector<std::string> all;
   const toml::node* node = find(key);
-  if (!node) return all;
+  if (!node) {
+    return all;
+  }
   const toml::array* array = node->as_array();
-  if (!array) fault(key, "not an array of texts");
+  if (!array) {
+    fault(key, "not an array of texts");
+  }
   for (const toml::node& item : *array) {
-    if (!item.is_string()) fault(key, "not an array of texts");
+    if (!item.is_string()) {
+      fault(key, "not an array of texts");
+    }
     all.push_back(*item.value<std::string>());
   }
   return all;
@@ -171,18 +222,26 @@
 
 TomlReader TomlReader::table(std::string_view key) {
   const toml::node* node = find(key);
-  if (node && !node->is_table()) fault(key, "not a table");
+  if (node && !node->is_table()) {
+    fault(key, "not a table");
+  }
   return TomlReader(node ? *node->as_table() : kEmpty, file_, path_ + std::string(key) + ".");
 }
 
 std::vector<TomlReader> TomlReader::tables(std::string_view key) {
   std::vector<TomlReader> all;
   const toml::node* node = find(key);
-  if (!node) return all;
+  if (!node) {
+    return all;
+  }
   const toml::array* array = node->as_array();
-  if (!array) fault(key, "not an array of tables");
+  if (!array) {
+    fault(key, "not an array of tables");
+  }
   for (const toml::node& item : *array) {
-    if (!item.is_table()) fault(key, "not an array of tables");
+    if (!item.is_table()) {
+      fault(key, "not an array of tables");
+    }
     all.emplace_back(*item.as_table(), file_,
                      path_ + std::string(key) + "[" + std::to_string(all.size()) + "].");
   }
@@ -190,8 +249,11 @@
 }
 
 void TomlReader::finish() const {
-  for (const auto& [key, node] : table_)
-    if (!asked_.contains(key.str())) fault(key.str(), "unknown key");
+  for (const auto& [key, node] : table_) {
+    if (!asked_.contains(key.str())) {
+      fault(key.str(), "unknown key");
+    }
+  }
 }
 
 }  // namespace beechhill::config
--- a/src/config/toml_reader.h
+++ b/src/config/toml_reader.h
@@ -1,5 +1,5 @@
-// Typed reading of TOML tables for the operator file, scenarios and experiments. Every fault names the file,
-// the line and the key; a key that nobody asked for is a fault too.
+// Typed reading of TOML tables for the operator file, scenarios and experiments. Every fault names
+// the file, the line and the key; a key that nobody asked for is a fault too.
 #pragma once
 
 #include <toml++/toml.h>
@@ -31,8 +31,8 @@
   double from = 0, to = 0;
 };
 
-// One table. The caller asks for each key it knows, then calls finish(), which refuses all others. Borrows the
-// table, which must outlive it.
+// One table. The caller asks for each key it knows, then calls finish(), which refuses all others.
+// Borrows the table, which must outlive it.
 class TomlReader {
  public:
   TomlReader(const toml::table& table, std::string file, std::string path = "");
@@ -41,10 +41,12 @@
   // Each takes what counts where the key is absent, and inclusive bounds.
   bool flag(std::string_view key, bool otherwise);
   double number(std::string_view key, double otherwise, double least, double most);
-  std::int64_t integer(std::string_view key, std::int64_t otherwise, std::int64_t least, std::int64_t most);
+  std::int64_t integer(std::string_view key, std::int64_t otherwise, std::int64_t least,
+                       std::int64_t most);
   std::string text(std::string_view key, std::string otherwise);
   // One of `words`, as its index.
-  std::size_t word(std::string_view key, std::size_t otherwise, const std::vector<std::string>& words);
+  std::size_t word(std::string_view key, std::size_t otherwise,
+                   const std::vector<std::string>& words);
   Duration span(std::string_view key, Duration otherwise, Duration least = Duration{0});
   Range range(std::string_view key, Range otherwise, double least, double most);
   std::vector<std::string> texts(std::string_view key);
--- a/src/emulator/clients.h
+++ b/src/emulator/clients.h
@@ -1,5 +1,5 @@
-// The clients: when requests come, what they ask for, and what a client does when a try has failed. No clock and no
-// I/O; the emulator's world and the load on sockets both play them.
+// The clients: when requests come, what they ask for, and what a client does when a try has failed.
+// No clock and no I/O; the emulator's world and the load on sockets both play them.
 #pragma once
 
 #include <optional>
@@ -43,11 +43,14 @@
   bool refused = false, unreachable = false;
   Duration advice{0};  // of a refusal; 0: none
 };
-// How long the client waits before it tries again; nothing where it does not, because it never does, has done so
-// often enough, or the effect may be there already.
-std::optional<Duration> wait_before_retry(const Scenario& s, const FailedTry& failed, Stream& random);
-// A proxy is back: each connection comes to it with the chance that makes its part of the `alive` ones' an even one.
-void deal_back(std::vector<std::uint32_t>& homes, std::uint32_t proxy, std::size_t alive, Stream& random);
+// How long the client waits before it tries again; nothing where it does not, because it never
+// does, has done so often enough, or the effect may be there already.
+std::optional<Duration> wait_before_retry(const Scenario& s, const FailedTry& failed,
+                                          Stream& random);
+// A proxy is back: each connection comes to it with the chance that makes its part of the `alive`
+// ones' an even one.
+void deal_back(std::vector<std::uint32_t>& homes, std::uint32_t proxy, std::size_t alive,
+               Stream& random);
 // How long it waits for the answer to one try.
 Duration patience_of(const Scenario& s, ClassId c, Stream& random);
 
--- a/src/emulator/event_queue.h
+++ b/src/emulator/event_queue.h
@@ -28,7 +28,8 @@
   kNodeGone,     // a: tier, b: node; a drained node leaves
   kSecond,       // a: number of the window that ends
   kLeft,         // a: operation, b: its try; the client of a stopped proxy waits no longer
-  kWake,         // a: proxy, b: its life, c: whether discovery answers; a continued proxy has heard, or waited enough
+  kWake,  // a: proxy, b: its life, c: whether discovery answers; a continued proxy has heard, or
+          // waited enough
 };
 
 struct Happening {
@@ -55,7 +56,8 @@
   std::uint64_t next_ = 0;
 };
 
-// Things with ids that are never mistaken for what stood at the same place before: place and generation.
+// Things with ids that are never mistaken for what stood at the same place before: place and
+// generation.
 template <typename T>
 class Slab {
  public:
@@ -77,12 +79,16 @@
   // Null where it is no more. Good until the next add.
   T* find(std::uint64_t id) {
     const auto place = static_cast<std::uint32_t>(id);
-    if (place >= cells_.size()) return nullptr;
+    if (place >= cells_.size()) {
+      return nullptr;
+    }
     Cell& cell = cells_[place];
     return cell.used && cell.generation == id >> 32 ? &cell.thing : nullptr;
   }
   void remove(std::uint64_t id) {
-    if (!find(id)) return;
+    if (!find(id)) {
+      return;
+    }
     Cell& cell = cells_[static_cast<std::uint32_t>(id)];
     cell.thing = T{};
     cell.used = false;
--- a/src/emulator/node.cpp
+++ b/src/emulator/node.cpp
@@ -7,18 +7,22 @@
 namespace {
 
 constexpr std::size_t kReportsKept = 64;  // a report can be that many refreshes late
-constexpr double kMostlyIdle = 0.5;       // of the cores, at the most busy while a choked node recovers
+constexpr double kMostlyIdle = 0.5;  // of the cores, at the most busy while a choked node recovers
 
 }  // namespace
 
-Node::Node(const TierSpec& spec, std::uint64_t seed, std::uint64_t index, std::optional<Time> born, Time now)
+Node::Node(const TierSpec& spec, std::uint64_t seed, std::uint64_t index, std::optional<Time> born,
+           Time now)
     : spec_(&spec), random_(seed, Actor::kNode, index), born_(born), rolled_(now) {
   speed_ = random_.uniform(spec.speed);
-  refreshed_ = now - to_span(random_.uniform() * to_s(spec.report_every));  // not all at the same instant
+  refreshed_ =
+      now - to_span(random_.uniform() * to_s(spec.report_every));  // not all at the same instant
 }
 
 double Node::warmth(Time now) const {
-  if (!born_ || spec_->cold_span <= Duration{0} || now >= *born_ + spec_->cold_span) return 1;
+  if (!born_ || spec_->cold_span <= Duration{0} || now >= *born_ + spec_->cold_span) {
+    return 1;
+  }
   const double age = std::max(0.0, to_s(now - *born_));
   return spec_->cold_from + (1 - spec_->cold_from) * age / to_s(spec_->cold_span);
 }
@@ -29,7 +33,9 @@
 
 double Node::backlog_s(Time now) const {
   // What runs is taken to be half done.
-  const double running = started_ > 0 ? 0.5 * static_cast<double>(busy_) * busy_total_ / static_cast<double>(started_) : 0;
+  const double running =
+      started_ > 0 ? 0.5 * static_cast<double>(busy_) * busy_total_ / static_cast<double>(started_)
+                   : 0;
   return (running + (run_work_ + room_work_) / pace(now)) / spec_->cores;
 }
 
@@ -42,23 +48,33 @@
     busy_total_ += dt * static_cast<double>(busy_);
     present_ += dt * static_cast<double>(in_hand());
     rolled_ = next;
-    if (next < refreshed_ + spec_->report_every) return;
+    if (next < refreshed_ + spec_->report_every) {
+      return;
+    }
     const double length = to_s(spec_->report_every);
     reports_.push_back({next, busy_in_window_ / length / spec_->cores, done_in_window_ / length});
-    if (reports_.size() > kReportsKept) reports_.pop_front();
+    if (reports_.size() > kReportsKept) {
+      reports_.pop_front();
+    }
     busy_in_window_ = done_in_window_ = 0;
     refreshed_ = next;
-    // Guards against walking every window of a long idle time: what was said last would only repeat.
+    // Guards against walking every window of a long idle time: what was said last would only
+    // repeat.
     const auto skip = (now - next) / spec_->report_every - static_cast<std::int64_t>(kReportsKept);
-    if (skip > 0 && busy_ == 0 && in_hand() == 0) refreshed_ += skip * spec_->report_every, rolled_ = refreshed_;
+    if (skip > 0 && busy_ == 0 && in_hand() == 0) {
+      refreshed_ += skip * spec_->report_every, rolled_ = refreshed_;
+    }
   }
 }
 
 void Node::watch_crowd(Time now) {
-  if (spec_->choke_crowd <= 0) return;
+  if (spec_->choke_crowd <= 0) {
+    return;
+  }
   const bool crowded = static_cast<double>(waiting()) > spec_->choke_crowd * spec_->cores;
   const bool idle = waiting() == 0 && static_cast<double>(busy_) <= kMostlyIdle * spec_->cores;
-  if (choked_ && ((idle_since_ && now - *idle_since_ >= spec_->choke_idle) || now - choked_at_ >= spec_->choke_most)) {
+  if (choked_ && ((idle_since_ && now - *idle_since_ >= spec_->choke_idle) ||
+                  now - choked_at_ >= spec_->choke_most)) {
     choked_ = false;
     crowded_since_.reset();
   }
@@ -66,10 +82,18 @@
     choked_ = true;
     choked_at_ = now;
   }
-  if (!crowded) crowded_since_.reset();
-  if (crowded && !crowded_since_) crowded_since_ = now;
-  if (!idle) idle_since_.reset();
-  if (idle && !idle_since_) idle_since_ = now;
+  if (!crowded) {
+    crowded_since_.reset();
+  }
+  if (crowded && !crowded_since_) {
+    crowded_since_ = now;
+  }
+  if (!idle) {
+    idle_since_.reset();
+  }
+  if (idle && !idle_since_) {
+    idle_since_ = now;
+  }
 }
 
 void Node::run(Time now, std::vector<Start>& starts) {
@@ -85,18 +109,26 @@
     run_queue_.pop_front();
     run_work_ -= job.work;
     ++busy_;
-    if (job.first) waited_ += to_s(now - job.since), ++started_;
+    if (job.first) {
+      waited_ += to_s(now - job.since), ++started_;
+    }
     starts.push_back({job.job, now + to_span(job.work / pace(now))});
   }
-  if (run_queue_.empty()) run_work_ = 0;  // sums of reals do not come back to nothing by themselves
-  if (room_.empty()) room_work_ = 0;
+  if (run_queue_.empty()) {
+    run_work_ = 0;  // sums of reals do not come back to nothing by themselves
+  }
+  if (room_.empty()) {
+    room_work_ = 0;
+  }
   watch_crowd(now);
 }
 
 bool Node::take(Time now, JobId job, double work, std::vector<Start>& starts) {
   roll(now);
   watch_crowd(now);
-  if (in_hand() >= static_cast<std::size_t>(spec_->slots) + spec_->room) return false;
+  if (in_hand() >= static_cast<std::size_t>(spec_->slots) + spec_->room) {
+    return false;
+  }
   room_.push_back({job, work, now, true});
   room_work_ += work;
   run(now, starts);
@@ -114,7 +146,9 @@
 void Node::phase_done(Time now, bool leaves, std::vector<Start>& starts) {
   roll(now);
   --busy_;
-  if (leaves) --working_, done_in_window_ += 1;
+  if (leaves) {
+    --working_, done_in_window_ += 1;
+  }
   run(now, starts);
 }
 
@@ -131,7 +165,8 @@
   if (const auto it = std::find_if(room_.begin(), room_.end(), is_it); it != room_.end()) {
     room_work_ -= it->work;
     room_.erase(it);
-  } else if (const auto at = std::find_if(run_queue_.begin(), run_queue_.end(), is_it); at != run_queue_.end()) {
+  } else if (const auto at = std::find_if(run_queue_.begin(), run_queue_.end(), is_it);
+             at != run_queue_.end()) {
     run_work_ -= at->work;
     run_queue_.erase(at);
     --working_;
@@ -160,7 +195,9 @@
   roll(now);
   const Time until = now - spec_->report_delay - more_delay;
   for (auto it = reports_.rbegin(); it != reports_.rend(); ++it) {
-    if (it->at > until) continue;
+    if (it->at > until) {
+      continue;
+    }
     const double noise = 1 + spec_->report_noise * (2 * random_.uniform() - 1);
     return {std::clamp(it->utilisation * noise, 0.0, 1.0), it->rate * noise};
   }
--- a/src/emulator/node.h
+++ b/src/emulator/node.h
@@ -1,6 +1,6 @@
-// One node as a state machine: cores, slots, a waiting room, warmth, choking, load reports. No clock and no
-// events of its own: the host tells it what happens when, and does what it returns. The emulator's world and
-// the stand-in nodes on sockets both host it.
+// One node as a state machine: cores, slots, a waiting room, warmth, choking, load reports. No
+// clock and no events of its own: the host tells it what happens when, and does what it returns.
+// The emulator's world and the stand-in nodes on sockets both host it.
 #pragma once
 
 #include <deque>
@@ -21,24 +21,28 @@
 
 class Node {
  public:
-  Node(const TierSpec& spec, std::uint64_t seed, std::uint64_t index, std::optional<Time> born, Time now);
+  Node(const TierSpec& spec, std::uint64_t seed, std::uint64_t index, std::optional<Time> born,
+       Time now);
 
-  // Takes a job whose first phase is `work` seconds on a core of speed 1. False: it is full, and the job has
-  // not run. What starts is appended to `starts`.
+  // Takes a job whose first phase is `work` seconds on a core of speed 1. False: it is full, and
+  // the job has not run. What starts is appended to `starts`.
   bool take(Time now, JobId job, double work, std::vector<Start>& starts);
   // A job that gave up its core without ending (it waits for the next tier) asks for one again.
   void resume(Time now, JobId job, double work, std::vector<Start>& starts);
   // The job's phase is over: its core is free. With `leaves`, its slot is free too.
   void phase_done(Time now, bool leaves, std::vector<Start>& starts);
   void leave(Time now, std::vector<Start>& starts);  // a job that holds a slot but no core ends
-  // Takes out a job that waits for a core; false where it does not. Looks at its queue, which is bounded.
+  // Takes out a job that waits for a core; false where it does not. Looks at its queue, which is
+  // bounded.
   bool withdraw(Time now, JobId job, std::vector<Start>& starts);
   // Everything in it is lost; it starts again cold at `born`.
   void restart(Time now, Time born);
 
   double warmth(Time now) const;  // present share of its whole capacity
   bool cold(Time now) const { return warmth(now) < 1; }
-  double capacity(Time now) const { return spec_->cores * speed_ * warmth(now); }  // core-seconds a second
+  double capacity(Time now) const {
+    return spec_->cores * speed_ * warmth(now);
+  }  // core-seconds a second
   std::size_t in_hand() const { return working_ + room_.size(); }
   std::size_t waiting() const { return run_queue_.size() + room_.size(); }
   double backlog_s(Time now) const;  // seconds of work that wait for each core at its present speed
--- a/src/emulator/policies.cpp
+++ b/src/emulator/policies.cpp
@@ -32,19 +32,28 @@
   Time credited{0};
 };
 
-// What the plain policies share: no queue, no limit, tries again only what the class allows, and gives a cold
-// node its warmth's share of what a warm one gets from here.
+// What the plain policies share: no queue, no limit, tries again only what the class allows, and
+// gives a cold node its warmth's share of what a warm one gets from here.
 class PlainPolicy : public Policy {
  public:
-  explicit PlainPolicy(const Settings& settings) : s_(settings), random_(settings.seed, Actor::kPolicy, 0) {}
+  explicit PlainPolicy(const Settings& settings)
+      : s_(settings), random_(settings.seed, Actor::kPolicy, 0) {}
 
   void handle(Time now, const Event& event, std::vector<Action>& actions) override {
     now_ = now;
     out_ = &actions;
-    if (const auto* d = std::get_if<Discovery>(&event)) on(*d);
-    if (const auto* r = std::get_if<Request>(&event)) on(*r);
-    if (const auto* o = std::get_if<Outcome>(&event)) on(*o);
-    if (const auto* g = std::get_if<ClientGone>(&event)) on(*g);
+    if (const auto* d = std::get_if<Discovery>(&event)) {
+      on(*d);
+    }
+    if (const auto* r = std::get_if<Request>(&event)) {
+      on(*r);
+    }
+    if (const auto* o = std::get_if<Outcome>(&event)) {
+      on(*o);
+    }
+    if (const auto* g = std::get_if<ClientGone>(&event)) {
+      on(*g);
+    }
   }
 
  protected:
@@ -69,18 +78,28 @@
   };
 
   void on(const Discovery& d) {
-    if (d.kind == ListKind::kFailed) return;
-    if (d.kind != ListKind::kChanges)
-      for (Known& k : servers_) k.up = false;
+    if (d.kind == ListKind::kFailed) {
+      return;
+    }
+    if (d.kind != ListKind::kChanges) {
+      for (Known& k : servers_) {
+        k.up = false;
+      }
+    }
     for (const ServerEntry& e : d.entries) {
-      if (servers_.size() <= e.server) servers_.resize(e.server + 1);
+      if (servers_.size() <= e.server) {
+        servers_.resize(e.server + 1);
+      }
       Known& k = servers_[e.server];
       k.entry = e;
       k.up = e.state == ServerState::kUp;
     }
     up_.clear();
-    for (ServerId id = 0; id < servers_.size(); ++id)
-      if (servers_[id].up) up_.push_back(id);
+    for (ServerId id = 0; id < servers_.size(); ++id) {
+      if (servers_[id].up) {
+        up_.push_back(id);
+      }
+    }
   }
 
   bool cold(const Known& k) const { return k.entry.born && now_ < *k.entry.born + s_.cold_span; }
@@ -95,10 +114,16 @@
   }
 
   bool group_allows(const Call& c, const Known& k) const {
-    if (!c.maybe_ran) return true;
+    if (!c.maybe_ran) {
+      return true;
+    }
     const ClassSettings& s = s_.classes[c.request.class_id];
-    if (s.effect == Effect::kRepeatable) return true;
-    if (s.effect == Effect::kOnce || now_ >= c.sent[*c.maybe_ran] + s.memory_span) return false;
+    if (s.effect == Effect::kRepeatable) {
+      return true;
+    }
+    if (s.effect == Effect::kOnce || now_ >= c.sent[*c.maybe_ran] + s.memory_span) {
+      return false;
+    }
     const ServerEntry& first = servers_[c.tried[*c.maybe_ran]].entry;
     return s.group == Group::kAll ||
            (k.entry.zone == first.zone && (s.group == Group::kZone || k.entry.cell == first.cell));
@@ -106,25 +131,35 @@
 
   // What choose() says, a few times; then whichever is allowed.
   std::optional<ServerId> pick(const Call& c) {
-    if (up_.empty() || !admits(c.request)) return std::nullopt;
+    if (up_.empty() || !admits(c.request)) {
+      return std::nullopt;
+    }
     for (int i = 0; i < 3; ++i) {
       const ServerId id = up_[choose()];
-      if (group_allows(c, servers_[id]) && spare(servers_[id])) return id;
+      if (group_allows(c, servers_[id]) && spare(servers_[id])) {
+        return id;
+      }
     }
     const std::size_t from = random_.below(up_.size());
     for (std::size_t i = 0; i < up_.size(); ++i) {
       const ServerId id = up_[(from + i) % up_.size()];
-      if (group_allows(c, servers_[id]) && spare(servers_[id])) return id;
+      if (group_allows(c, servers_[id]) && spare(servers_[id])) {
+        return id;
+      }
     }
     return std::nullopt;
   }
 
   bool send(Call& c) {
     const auto id = pick(c);
-    if (!id) return false;
+    if (!id) {
+      return false;
+    }
     Known& k = servers_[*id];
     k.out += 1;
-    if (cold(k)) k.credit -= 1;
+    if (cold(k)) {
+      k.credit -= 1;
+    }
     c.tried.push_back(*id);
     c.sent.push_back(now_);
     c.out += 1;
@@ -138,13 +173,17 @@
     rated_ = now_;
     Call& c = calls_[r.id];
     c.request = r;
-    if (!send(c)) give_up(c);
+    if (!send(c)) {
+      give_up(c);
+    }
     tidy(r.id);
   }
 
   void on(const Outcome& o) {
     const auto it = calls_.find(o.id);
-    if (it == calls_.end()) return;
+    if (it == calls_.end()) {
+      return;
+    }
     Call& c = it->second;
     Known& k = servers_[c.tried[o.attempt]];
     k.out -= k.out > 0;
@@ -153,19 +192,26 @@
       k.utils += *o.report.utilisation - 0.2 * k.utils;
     }
     c.out -= 1;
-    const bool never = o.result == Result::kFull || o.result == Result::kConnectFailed || o.result == Result::kMoot;
-    if (!never && !c.maybe_ran) c.maybe_ran = o.attempt;
+    const bool never = o.result == Result::kFull || o.result == Result::kConnectFailed ||
+                       o.result == Result::kMoot;
+    if (!never && !c.maybe_ran) {
+      c.maybe_ran = o.attempt;
+    }
     c.over = c.over || o.final || o.result == Result::kOk;
     if (!c.over && c.out == 0) {
       const bool more = c.tried.size() < s_.most_tries && now_ < c.request.deadline;
-      if (!more || !send(c)) give_up(c);
+      if (!more || !send(c)) {
+        give_up(c);
+      }
     }
     tidy(o.id);
   }
 
   void on(const ClientGone& g) {
     const auto it = calls_.find(g.id);
-    if (it == calls_.end()) return;
+    if (it == calls_.end()) {
+      return;
+    }
     it->second.over = true;
     tidy(g.id);
   }
@@ -180,7 +226,9 @@
 
   void tidy(RequestId id) {
     const auto it = calls_.find(id);
-    if (it != calls_.end() && it->second.over && it->second.out == 0) calls_.erase(it);
+    if (it != calls_.end() && it->second.over && it->second.out == 0) {
+      calls_.erase(it);
+    }
   }
 
   Settings s_;
@@ -225,7 +273,9 @@
     std::size_t best = from;
     for (std::size_t i = 1; i < up().size(); ++i) {
       const std::size_t at = (from + i) % up().size();
-      if (known(at).out < known(best).out) best = at;
+      if (known(at).out < known(best).out) {
+        best = at;
+      }
     }
     return best;
   }
@@ -237,16 +287,23 @@
   using PlainPolicy::PlainPolicy;
   std::size_t choose() override {
     double rates = 0, utils = 0;
-    for (std::size_t i = 0; i < up().size(); ++i) rates += known(i).rates, utils += known(i).utils;
+    for (std::size_t i = 0; i < up().size(); ++i) {
+      rates += known(i).rates, utils += known(i).utils;
+    }
     const double mean = utils > 0 && rates > 0 ? rates / utils : 1;
     const auto weight = [&](const Known& k) {
       return std::max(0.1 * mean, (k.rates + mean) / (k.utils + 1));
     };
     double all = 0;
-    for (std::size_t i = 0; i < up().size(); ++i) all += weight(known(i));
+    for (std::size_t i = 0; i < up().size(); ++i) {
+      all += weight(known(i));
+    }
     double left = random().uniform() * all;
-    for (std::size_t i = 0; i < up().size(); ++i)
-      if ((left -= weight(known(i))) < 0) return i;
+    for (std::size_t i = 0; i < up().size(); ++i) {
+      if ((left -= weight(known(i))) < 0) {
+        return i;
+      }
+    }
     return up().size() - 1;
   }
 };
@@ -254,11 +311,15 @@
 class Oracle : public PlainPolicy {
  public:
   Oracle(const Settings& s, const TrueState& truth) : PlainPolicy(s), truth_(truth) {
-    for (const ClassSettings& c : s.classes) most_worth_ = std::max(most_worth_, c.worth);
+    for (const ClassSettings& c : s.classes) {
+      most_worth_ = std::max(most_worth_, c.worth);
+    }
   }
   // Refuses at the first tier what would wait too long for its aim, the cheaper classes sooner.
   bool admits(const Request& r) override {
-    if (settings().tier > 0) return true;
+    if (settings().tier > 0) {
+      return true;
+    }
     const ClassSettings& k = settings().classes[r.class_id];
     const double wait = truth_.wait_s(now(), 0, up()[choose()]);
     return wait <= to_s(k.aim) * (0.25 + 0.5 * k.worth / most_worth_);
@@ -271,9 +332,13 @@
     const std::size_t from = best;
     for (std::size_t i = 0; i < up().size(); ++i) {
       const std::size_t at = (from + i) % up().size();
-      if (!truth_.spares(now(), tier, up()[at])) continue;
+      if (!truth_.spares(now(), tier, up()[at])) {
+        continue;
+      }
       const double wait = truth_.wait_s(now(), tier, up()[at]);
-      if (wait < least) least = wait, best = at;
+      if (wait < least) {
+        least = wait, best = at;
+      }
     }
     return best;
   }
@@ -286,20 +351,34 @@
 }  // namespace
 
 const std::vector<std::string>& policy_names() {
-  static const std::vector<std::string> names{"module",      "random",           "round_robin", "two_choices",
-                                              "least_outstanding", "weighted", "oracle"};
+  static const std::vector<std::string> names{
+      "module", "random", "round_robin", "two_choices", "least_outstanding", "weighted", "oracle"};
   return names;
 }
 
 std::unique_ptr<Policy> make_policy(const std::string& name, Time now, const Settings& settings,
                                     const TrueState& truth, std::vector<Action>& actions) {
-  if (name == "module") return std::make_unique<ModulePolicy>(now, settings, actions);
-  if (name == "random") return std::make_unique<RandomPolicy>(settings);
-  if (name == "round_robin") return std::make_unique<RoundRobin>(settings);
-  if (name == "two_choices") return std::make_unique<TwoChoices>(settings);
-  if (name == "least_outstanding") return std::make_unique<LeastOutstanding>(settings);
-  if (name == "weighted") return std::make_unique<Weighted>(settings);
-  if (name == "oracle") return std::make_unique<Oracle>(settings, truth);
+  if (name == "module") {
+    return std::make_unique<ModulePolicy>(now, settings, actions);
+  }
+  if (name == "random") {
+    return std::make_unique<RandomPolicy>(settings);
+  }
+  if (name == "round_robin") {
+    return std::make_unique<RoundRobin>(settings);
+  }
+  if (name == "two_choices") {
+    return std::make_unique<TwoChoices>(settings);
+  }
+  if (name == "least_outstanding") {
+    return std::make_unique<LeastOutstanding>(settings);
+  }
+  if (name == "weighted") {
+    return std::make_unique<Weighted>(settings);
+  }
+  if (name == "oracle") {
+    return std::make_unique<Oracle>(settings, truth);
+  }
   return nullptr;
 }
 
--- a/src/emulator/policy.h
+++ b/src/emulator/policy.h
@@ -1,5 +1,5 @@
-// What decides in an emulated proxy: the real module, or one of the plain policies it is measured against. All
-// speak the module's own events and actions.
+// What decides in an emulated proxy: the real module, or one of the plain policies it is measured
+// against. All speak the module's own events and actions.
 #pragma once
 
 #include <memory>
@@ -23,8 +23,8 @@
 class TrueState {
  public:
   virtual ~TrueState() = default;
-  // Seconds until a core would be free for new work, were it sent now; a large number for a node that is
-  // silent, down, full or fails what it gets.
+  // Seconds until a core would be free for new work, were it sent now; a large number for a node
+  // that is silent, down, full or fails what it gets.
   virtual double wait_s(Time now, std::uint32_t tier, ServerId node) const = 0;
   // Whether a cold node can take one more job without coming near the rule's bound.
   virtual bool spares(Time now, std::uint32_t tier, ServerId node) const = 0;
--- a/src/emulator/rules.h
+++ b/src/emulator/rules.h
@@ -27,16 +27,19 @@
 // Requests are named by the world's call ids; nodes by tier and number.
 class RuleChecker {
  public:
-  // `slack`: how much later than it happened something may come into the books; zero where one clock rules all.
-  explicit RuleChecker(const Scenario& scenario, Duration slack = Duration{0}) : s_(scenario), slack_(slack) {}
+  // `slack`: how much later than it happened something may come into the books; zero where one
+  // clock rules all.
+  explicit RuleChecker(const Scenario& scenario, Duration slack = Duration{0})
+      : s_(scenario), slack_(slack) {}
 
   void taken(Time now, std::uint64_t call, ClassId c, Time deadline);
-  // A final answer of any kind reaches the client. `refusal`: it tells that trying again is harmless.
+  // A final answer of any kind reaches the client. `refusal`: it tells that trying again is
+  // harmless.
   void answered(Time now, std::uint64_t call, bool refusal);
-  // The proxy sends an attempt. `told`: since when its list says that the node drains or is gone. `held`: for how long it may
-  // have stood on its way until this was seen.
-  void sent(Time now, std::uint64_t call, std::uint32_t tier, ServerId node, const ServerEntry& entry,
-            std::optional<Time> told, Duration held = Duration{0});
+  // The proxy sends an attempt. `told`: since when its list says that the node drains or is gone.
+  // `held`: for how long it may have stood on its way until this was seen.
+  void sent(Time now, std::uint64_t call, std::uint32_t tier, ServerId node,
+            const ServerEntry& entry, std::optional<Time> told, Duration held = Duration{0});
   void ended(Time now, std::uint64_t call, std::uint32_t attempt, Result result);
   // Its client waits no longer, through no fault of the proxy's: no answer is owed.
   void excused(Time now, std::uint64_t call);
@@ -44,10 +47,10 @@
   void forget(std::uint64_t call);
   // Its deadline and the grace after it are over.
   void overdue(Time now, std::uint64_t call);
-  // `work` core-seconds reach a node that has `capacity` core-seconds a second now; `aware`: from a proxy that
-  // was told of its start. True: the node is pushed over.
-  bool pressed(Time now, std::uint32_t tier, ServerId node, double work, double capacity, double usual_work,
-               bool aware);
+  // `work` core-seconds reach a node that has `capacity` core-seconds a second now; `aware`: from a
+  // proxy that was told of its start. True: the node is pushed over.
+  bool pressed(Time now, std::uint32_t tier, ServerId node, double work, double capacity,
+               double usual_work, bool aware);
   void node_warm(std::uint32_t tier, ServerId node);
 
   std::uint64_t count(Rule rule) const { return counts_[static_cast<std::size_t>(rule)]; }
--- a/src/emulator/talk.cpp
+++ b/src/emulator/talk.cpp
@@ -14,12 +14,17 @@
 
 constexpr std::uint64_t kTalkStream = 1ULL << 37;
 constexpr std::size_t kSocketHolds = 128;  // datagrams for a process that does not read
-constexpr std::size_t kGateAdds = 32 + 4 + 2 + 9 + 8 * 3 + 1;  // what stands round a payload: MAC, name, life, number, ticket, channel
+constexpr std::size_t kGateAdds =
+    32 + 4 + 2 + 9 + 8 * 3 +
+    1;  // what stands round a payload: MAC, name, life, number, ticket, channel
 
 }  // namespace
 
-TalkWorld::TalkWorld(const TalkSpec& spec) : spec_(spec), random_(spec.seed, Actor::kDiscovery, kTalkStream), members_(spec.members) {
-  for (std::size_t i = 0; i < members_.size(); ++i) start(i);
+TalkWorld::TalkWorld(const TalkSpec& spec)
+    : spec_(spec), random_(spec.seed, Actor::kDiscovery, kTalkStream), members_(spec.members) {
+  for (std::size_t i = 0; i < members_.size(); ++i) {
+    start(i);
+  }
 }
 
 void TalkWorld::start(std::size_t i) {
@@ -30,8 +35,11 @@
   m.rate = 1 + spec_.drift * (2 * random_.uniform() - 1);
   membership::Settings settings;
   settings.interval = spec_.interval;
-  for (std::uint32_t s = 0; s < spec_.seeds; ++s) settings.seeds.push_back(std::to_string(s));
-  m.swim = std::make_unique<membership::Swim>(clock(m), settings, random_.bits(), name_of(i), std::to_string(i), random_.bits());
+  for (std::uint32_t s = 0; s < spec_.seeds; ++s) {
+    settings.seeds.push_back(std::to_string(s));
+  }
+  m.swim = std::make_unique<membership::Swim>(clock(m), settings, random_.bits(), name_of(i),
+                                              std::to_string(i), random_.bits());
   m.planned = Time{-1};
   plan(i);
 }
@@ -49,12 +57,18 @@
 
 void TalkWorld::go_on(std::size_t i) {
   Member& m = members_[i];
-  if (!m.swim || !std::exchange(m.stopped, false)) return;
+  if (!m.swim || !std::exchange(m.stopped, false)) {
+    return;
+  }
   std::vector<membership::Outgoing> out;
   // As the program does: a gap of more than two periods is noticed before anything is read.
-  if (now_ - m.stopped_at > 2 * spec_.interval) m.swim->woke(clock(m), out);
+  if (now_ - m.stopped_at > 2 * spec_.interval) {
+    m.swim->woke(clock(m), out);
+  }
   carry_out(i, out);
-  for (const auto& [from, message] : std::exchange(m.waiting, {})) hear(i, from, message);
+  for (const auto& [from, message] : std::exchange(m.waiting, {})) {
+    hear(i, from, message);
+  }
   m.planned = Time{-1};
   plan(i);
 }
@@ -73,7 +87,9 @@
     queue_.pop();
     now_ = h.at;
     Member& m = members_[h.to];
-    if (!m.swim || (!h.message && m.life != h.life)) continue;
+    if (!m.swim || (!h.message && m.life != h.life)) {
+      continue;
+    }
     if (h.message) {
       if (!m.stopped) {
         hear(h.to, h.from, *h.message);
@@ -82,7 +98,9 @@
       }
       continue;
     }
-    if (m.stopped || h.at != m.planned) continue;
+    if (m.stopped || h.at != m.planned) {
+      continue;
+    }
     m.planned = Time{-1};
     std::vector<membership::Outgoing> out;
     m.swim->tick(clock(m), out);
@@ -106,14 +124,18 @@
     deliver(i, place_of(o.to), o.message);
   }
   for (const membership::Swim::Change& c : members_[i].swim->take_changes()) {
-    const std::size_t other = static_cast<std::size_t>(std::stoul(c.name.substr(c.name.find('-') + 1)));
-    books_.false_deaths += c.to == State::kDead && !c.joined && c.from != State::kLeft && running(other);
+    const std::size_t other =
+        static_cast<std::size_t>(std::stoul(c.name.substr(c.name.find('-') + 1)));
+    books_.false_deaths +=
+        c.to == State::kDead && !c.joined && c.from != State::kLeft && running(other);
     books_.restarts_seen += c.restarted;
   }
 }
 
 void TalkWorld::deliver(std::size_t from, std::size_t to, const Message& message) {
-  if (to >= members_.size() || (passes_ && !passes_(from, to)) || random_.uniform() < spec_.loss) return;
+  if (to >= members_.size() || (passes_ && !passes_(from, to)) || random_.uniform() < spec_.loss) {
+    return;
+  }
   for (int copies = random_.uniform() < spec_.doubled ? 2 : 1; copies > 0; --copies) {
     const Duration takes = spec_.delay + to_span(to_s(spec_.delay) * random_.uniform());
     queue_.push({now_ + takes, ++order_, to, from, 0, message});
@@ -122,33 +144,49 @@
 
 void TalkWorld::plan(std::size_t i) {
   Member& m = members_[i];
-  const Time due = std::max(now_, Time(static_cast<std::int64_t>(static_cast<double>(m.swim->due().count()) / m.rate) + 1));
-  if (m.planned >= now_ && m.planned <= due) return;
+  const Time due = std::max(
+      now_,
+      Time(static_cast<std::int64_t>(static_cast<double>(m.swim->due().count()) / m.rate) + 1));
+  if (m.planned >= now_ && m.planned <= due) {
+    return;
+  }
   m.planned = due;
   queue_.push({due, ++order_, i, i, m.life, std::nullopt});
 }
 
 bool TalkWorld::agreed() const {
   for (std::size_t i = 0; i < members_.size(); ++i) {
-    if (!running(i)) continue;
+    if (!running(i)) {
+      continue;
+    }
     std::size_t up = 0;
     for (const auto& [name, held] : members_[i].swim->members()) {
-      const std::size_t other = static_cast<std::size_t>(std::stoul(name.substr(name.find('-') + 1)));
+      const std::size_t other =
+          static_cast<std::size_t>(std::stoul(name.substr(name.find('-') + 1)));
       const bool alive = held.rumour.state == State::kAlive || held.rumour.state == State::kSuspect;
-      if (alive != running(other)) return false;
+      if (alive != running(other)) {
+        return false;
+      }
       up += alive;
     }
     std::size_t others = 0;
-    for (std::size_t j = 0; j < members_.size(); ++j) others += j != i && running(j);
-    if (up != others) return false;
+    for (std::size_t j = 0; j < members_.size(); ++j) {
+      others += j != i && running(j);
+    }
+    if (up != others) {
+      return false;
+    }
   }
   return true;
 }
 
 std::optional<Time> TalkWorld::dead_since(std::size_t watcher, std::size_t other) const {
   const auto it = members_[watcher].swim->members().find(name_of(other));
-  if (it == members_[watcher].swim->members().end() || it->second.rumour.state != State::kDead) return std::nullopt;
-  return Time(static_cast<std::int64_t>(static_cast<double>(it->second.since.count()) / members_[watcher].rate));
+  if (it == members_[watcher].swim->members().end() || it->second.rumour.state != State::kDead) {
+    return std::nullopt;
+  }
+  return Time(static_cast<std::int64_t>(static_cast<double>(it->second.since.count()) /
+                                        members_[watcher].rate));
 }
 
 }  // namespace beechhill::emulator
--- a/src/emulator/talk.h
+++ b/src/emulator/talk.h
@@ -1,5 +1,6 @@
-// Members of a group that talk over a network which loses, delays, doubles and reorders, in simulated time: membership::Swim itself, with
-// faults drawn or told. One thread, no clock: equal seeds give equal runs.
+// Members of a group that talk over a network which loses, delays, doubles and reorders, in
+// simulated time: membership::Swim itself, with faults drawn or told. One thread, no clock: equal
+// seeds give equal runs.
 #pragma once
 
 #include <cstdint>
@@ -19,10 +20,10 @@
   std::uint32_t members = 3;
   std::uint64_t seed = 1;
   Duration interval{1'000'000};
-  double loss = 0;       // of datagrams
-  double doubled = 0;    // that come twice
-  Duration delay{500};   // one way, and as much again at random
-  double drift = 0;      // clocks run apart by as much, at the most
+  double loss = 0;          // of datagrams
+  double doubled = 0;       // that come twice
+  Duration delay{500};      // one way, and as much again at random
+  double drift = 0;         // clocks run apart by as much, at the most
   std::uint32_t seeds = 2;  // the first members, which all others know of at the start
 };
 
@@ -41,8 +42,11 @@
   void stop(std::size_t i);   // what comes meanwhile waits, up to a socket's buffer
   void go_on(std::size_t i);
   void leave(std::size_t i);  // says good-bye, then ends
-  // Which pairs reach each other; nothing: all. Asked for each datagram, `from` and `to` being places.
-  void cut(std::function<bool(std::size_t from, std::size_t to)> passes) { passes_ = std::move(passes); }
+  // Which pairs reach each other; nothing: all. Asked for each datagram, `from` and `to` being
+  // places.
+  void cut(std::function<bool(std::size_t from, std::size_t to)> passes) {
+    passes_ = std::move(passes);
+  }
 
   // Whether each that runs holds each that runs for alive, and no other.
   bool agreed() const;
@@ -50,8 +54,8 @@
   std::optional<Time> dead_since(std::size_t watcher, std::size_t other) const;
 
   struct Books {
-    std::uint64_t datagrams = 0, bytes = 0;      // sent, with what the gate adds
-    std::uint64_t false_deaths = 0;              // one that ran was held for dead by another
+    std::uint64_t datagrams = 0, bytes = 0;  // sent, with what the gate adds
+    std::uint64_t false_deaths = 0;          // one that ran was held for dead by another
     std::uint64_t restarts_seen = 0;
   };
   const Books& books() const { return books_; }
@@ -75,12 +79,16 @@
     std::optional<membership::Message> message;  // none: a tick
     bool operator>(const Happening& o) const { return at != o.at ? at > o.at : order > o.order; }
   };
-  Time clock(const Member& m) const { return Time(static_cast<std::int64_t>(static_cast<double>(now_.count()) * m.rate)); }
+  Time clock(const Member& m) const {
+    return Time(static_cast<std::int64_t>(static_cast<double>(now_.count()) * m.rate));
+  }
   void carry_out(std::size_t i, std::vector<membership::Outgoing>& out);
   void deliver(std::size_t from, std::size_t to, const membership::Message& message);
   void hear(std::size_t i, std::size_t from, const membership::Message& message);
   void plan(std::size_t i);
-  static std::size_t place_of(const std::string& address) { return static_cast<std::size_t>(std::stoul(address)); }
+  static std::size_t place_of(const std::string& address) {
+    return static_cast<std::size_t>(std::stoul(address));
+  }
 
   const TalkSpec spec_;
   Stream random_;
--- a/src/emulator/units.h
+++ b/src/emulator/units.h
@@ -8,8 +8,12 @@
 
 namespace beechhill::emulator {
 
-inline double to_s(Duration d) { return std::chrono::duration<double>(d).count(); }
+inline double to_s(Duration d) {
+  return std::chrono::duration<double>(d).count();
+}
 // To the nearest microsecond, unlike the module's own, which cuts off.
-inline Duration to_span(double s) { return Duration(std::llround(s * 1e6)); }
+inline Duration to_span(double s) {
+  return Duration(std::llround(s * 1e6));
+}
 
 }  // namespace beechhill::emulator
--- a/src/emulator/works.h
+++ b/src/emulator/works.h
@@ -1,5 +1,6 @@
-// Proxies that settle which machine is taken out, in simulated time: maintenance::Works itself over a network, disks and processes that fail
-// as a plan drawn from a seed says, with calls to backends that the rights are held against. Equal seeds give equal runs.
+// Proxies that settle which machine is taken out, in simulated time: maintenance::Works itself over
+// a network, disks and processes that fail as a plan drawn from a seed says, with calls to backends
+// that the rights are held against. Equal seeds give equal runs.
 #pragma once
 
 #include <cstdint>
@@ -19,9 +20,9 @@
 // Faults of the proxies' own, put in to see that the verdict finds them.
 enum class WorksBug {
   kNone,
-  kLongLease,      // a lease is taken for four times as long as it is
-  kConfirmsBusy,   // a machine is confirmed to be empty with calls open there
-  kNoLease,        // announced machines are used whatever became of the lease
+  kLongLease,     // a lease is taken for four times as long as it is
+  kConfirmsBusy,  // a machine is confirmed to be empty with calls open there
+  kNoLease,       // announced machines are used whatever became of the lease
 };
 
 struct WorksSpec {
@@ -29,12 +30,12 @@
   std::uint32_t backends = 12, zones = 2;
   std::uint64_t seed = 1;
   double loss = 0, doubled = 0;
-  Duration delay{2'000};          // one way; as much again at random, so that datagrams overtake each other
-  Duration disk{0};               // until what was written is durable
-  Duration call{300'000};         // that a call lasts
-  double calls_per_s = 20;        // of each proxy
-  Duration work{1'500'000};       // of staff, on one machine
-  Duration warm{1'000'000};       // until a machine that is back is warm
+  Duration delay{2'000};  // one way; as much again at random, so that datagrams overtake each other
+  Duration disk{0};       // until what was written is durable
+  Duration call{300'000};    // that a call lasts
+  double calls_per_s = 20;   // of each proxy
+  Duration work{1'500'000};  // of staff, on one machine
+  Duration warm{1'000'000};  // until a machine that is back is warm
   Duration isolated_after{0};
   maintenance::Bounds bounds;
   double use = 0.5;
@@ -61,22 +62,25 @@
   void start(std::size_t i);
   void stop(std::size_t i);
   void go_on(std::size_t i);
-  void wipe(std::size_t i);                       // its disk; it must not run
-  void keep_copy(std::size_t i);                  // of its disk, for put_back()
-  void put_back(std::size_t i);                   // it must not run
+  void wipe(std::size_t i);       // its disk; it must not run
+  void keep_copy(std::size_t i);  // of its disk, for put_back()
+  void put_back(std::size_t i);   // it must not run
   void fail_disk(std::size_t i);
-  void cut(std::function<bool(std::size_t from, std::size_t to)> passes) { passes_ = std::move(passes); }
+  void cut(std::function<bool(std::size_t from, std::size_t to)> passes) {
+    passes_ = std::move(passes);
+  }
   void shift_clock(std::size_t i, maintenance::Seconds by) { proxies_[i].unix_shift += by; }
-  void backend_down(std::size_t i, bool down);    // by itself
+  void backend_down(std::size_t i, bool down);  // by itself
   // Staff let what is out stay out.
   void strike() { staff_works_ = false; }
   void work_again() { staff_works_ = true; }
 
   // What never may be, with the first few told.
   struct Verdict {
-    std::uint64_t sent_to_out = 0;      // calls that began, or were open, while a machine was out
-    std::uint64_t too_many = 0;         // settled states beyond a bound
-    std::uint64_t split_minds = 0;      // two that hold different states of one index, or one fence twice
+    std::uint64_t sent_to_out = 0;  // calls that began, or were open, while a machine was out
+    std::uint64_t too_many = 0;     // settled states beyond a bound
+    std::uint64_t split_minds =
+        0;  // two that hold different states of one index, or one fence twice
     std::string text;
     std::uint64_t all() const { return sent_to_out + too_many + split_minds; }
   };
@@ -107,7 +111,7 @@
     maintenance::Machine machine;
     Time back{0}, work_ends{0};
     bool in_work = false, down = false;
-    std::optional<Time> out_since;   // as the one that leads said
+    std::optional<Time> out_since;  // as the one that leads said
     std::string request;
     Time say_done_at = Time::max();
     maintenance::Fence fence = 0;
@@ -119,7 +123,9 @@
   };
 
   static std::string proxy_name(std::size_t i) { return "proxy-" + std::to_string(i); }
-  static std::string backend_name(std::size_t i) { return "backend-" + std::to_string(100'000 + i).substr(1); }
+  static std::string backend_name(std::size_t i) {
+    return "backend-" + std::to_string(100'000 + i).substr(1);
+  }
   maintenance::WorksSettings settings(std::size_t i) const;
   void make(std::size_t i);
   void step();
@@ -140,15 +146,16 @@
   std::multimap<Time, Flying> flying_;
   std::function<bool(std::size_t, std::size_t)> passes_;
   bool staff_works_ = true;
-  std::map<maintenance::Index, std::size_t> states_;   // hashes of settled states, by index
-  std::map<maintenance::Fence, std::string> fences_;   // whose each is
+  std::map<maintenance::Index, std::size_t> states_;  // hashes of settled states, by index
+  std::map<maintenance::Fence, std::string> fences_;  // whose each is
   std::map<std::size_t, maintenance::Index> checked_;
   std::size_t taken_out_ = 0;
   std::uint64_t calls_made_ = 0, kept_back_ = 0;
   Verdict verdict_;
 };
 
-// A plan of faults drawn from a seed, played against a round of work over all backends; the verdict holds what broke.
+// A plan of faults drawn from a seed, played against a round of work over all backends; the verdict
+// holds what broke.
 struct WorksPlay {
   WorksWorld::Verdict verdict;
   std::size_t taken_out = 0, backends = 0;
