--- a/src/experiments/experiment.cpp
+++ b/src/experiments/experiment.cpp
@@ -28,17 +28,31 @@
 }
 
 Json::Value json_of(const toml::node& node, const config::TomlReader& r, const std::string& key) {
-  if (node.is_integer()) return Json::Value(static_cast<Json::Int64>(*node.value<std::int64_t>()));
-  if (node.is_floating_point()) return Json::Value(*node.value<double>());
-  if (node.is_boolean()) return Json::Value(*node.value<bool>());
-  if (node.is_string()) return Json::Value(*node.value<std::string>());
+  if (node.is_integer()) {
+    return Json::Value(static_cast<Json::Int64>(*node.value<std::int64_t>()));
+  }
+  if (node.is_floating_point()) {
+    return Json::Value(*node.value<double>());
+  }
+  if (node.is_boolean()) {
+    return Json::Value(*node.value<bool>());
+  }
+  if (node.is_string()) {
+    return Json::Value(*node.value<std::string>());
+  }
   r.fault(key, "only numbers, texts and booleans can vary");
 }
 
 void put(toml::table& root, const std::string& path, const Json::Value& value) {
-  if (value.isBool()) return emulator::override_key(root, path, toml::value<bool>(value.asBool()));
-  if (value.isString()) return emulator::override_key(root, path, toml::value<std::string>(value.asString()));
-  if (value.type() == Json::realValue) return emulator::override_key(root, path, toml::value<double>(value.asDouble()));
+  if (value.isBool()) {
+    return emulator::override_key(root, path, toml::value<bool>(value.asBool()));
+  }
+  if (value.isString()) {
+    return emulator::override_key(root, path, toml::value<std::string>(value.asString()));
+  }
+  if (value.type() == Json::realValue) {
+    return emulator::override_key(root, path, toml::value<double>(value.asDouble()));
+  }
   emulator::override_key(root, path, toml::value<std::int64_t>(value.asInt64()));
 }
 
@@ -49,25 +63,31 @@
 
 File open_file(const std::string& path, const char* mode) {
   File f(std::fopen(path.c_str(), mode));
-  if (!f) throw std::runtime_error(path + ": cannot be written");
+  if (!f) {
+    throw std::runtime_error(path + ": cannot be written");
+  }
   return f;
 }
 void write_line(std::FILE* f, const std::string& path, const std::string& line) {
   if (std::fwrite(line.data(), 1, line.size(), f) != line.size() || std::fputc('\n', f) == EOF ||
-      std::fflush(f) != 0)
+      std::fflush(f) != 0) {
     throw std::runtime_error(path + ": cannot be written");
+  }
 }
 
 }  // namespace
 
-std::unique_ptr<emulator::World> world_of(const emulator::Scenario& scenario, const std::string& policy) {
-  return std::make_unique<emulator::World>(scenario, [policy](Time now, const Settings& settings, const emulator::TrueState& truth,
-                                                              std::vector<Action>& actions) {
-    return emulator::make_policy(policy, now, settings, truth, actions);
-  });
+std::unique_ptr<emulator::World> world_of(const emulator::Scenario& scenario,
+                                          const std::string& policy) {
+  return std::make_unique<emulator::World>(
+      scenario, [policy](Time now, const Settings& settings, const emulator::TrueState& truth,
+                         std::vector<Action>& actions) {
+        return emulator::make_policy(policy, now, settings, truth, actions);
+      });
 }
 
-Json::Value row_of(const emulator::Scenario& scenario, const std::string& policy, const Json::Value& result) {
+Json::Value row_of(const emulator::Scenario& scenario, const std::string& policy,
+                   const Json::Value& result) {
   Json::Value row;
   row["cell"]["policy"] = policy;
   row["cell"]["seed"] = static_cast<Json::UInt64>(scenario.seed);
@@ -79,8 +99,12 @@
 
 void write_lines(const std::string& path, const std::vector<Json::Value>& rows) {
   std::ofstream out(path);
-  for (const Json::Value& row : rows) out << one_line(row) << "\n";
-  if (!out.flush()) throw std::runtime_error(path + ": cannot be written");
+  for (const Json::Value& row : rows) {
+    out << one_line(row) << "\n";
+  }
+  if (!out.flush()) {
+    throw std::runtime_error(path + ": cannot be written");
+  }
 }
 
 RunOutput run_scenario(const emulator::Scenario& scenario, const std::string& policy, bool series,
@@ -104,14 +128,16 @@
     out.result["recovery_s"] = world.metrics().recovery_s(to, scenario.length, 0.95 * before);
   }
   const emulator::RuleChecker& rules = world.rules();
-  for (const emulator::Rule rule : emulator::kRules)
+  for (const emulator::Rule rule : emulator::kRules) {
     out.result["rules"][emulator::name_of(rule)] = static_cast<Json::UInt64>(rules.count(rule));
+  }
   out.result["left_over"] = static_cast<Json::UInt64>(world.left_over());
   out.violations = rules.all();
-  for (const emulator::Violation& v : rules.violations())
-    out.violation_text +=
-        fmt::format("rule {} broken: seed={} time={:.6f} request={:x}: {}\n{}", emulator::name_of(v.rule),
-                    scenario.seed, std::chrono::duration<double>(v.at).count(), v.request, v.what, v.trace);
+  for (const emulator::Violation& v : rules.violations()) {
+    out.violation_text += fmt::format(
+        "rule {} broken: seed={} time={:.6f} request={:x}: {}\n{}", emulator::name_of(v.rule),
+        scenario.seed, std::chrono::duration<double>(v.at).count(), v.request, v.what, v.trace);
+  }
   return out;
 }
 
@@ -123,20 +149,30 @@
   e.title = r.text("title", e.name);
   e.series = r.flag("series", true);
   const std::string file = r.text("scenario", "");
-  if (file.empty()) r.fault("scenario", "missing");
+  if (file.empty()) {
+    r.fault("scenario", "missing");
+  }
   e.scenario_file = (std::filesystem::path(path).parent_path() / file).string();
   e.scenario = emulator::load_scenario(e.scenario_file);
   e.policies = r.texts("policies");
-  if (e.policies.empty()) e.policies = {"module"};
-  for (const std::string& p : e.policies)
+  if (e.policies.empty()) {
+    e.policies = {"module"};
+  }
+  for (const std::string& p : e.policies) {
     if (std::find(emulator::policy_names().begin(), emulator::policy_names().end(), p) ==
-        emulator::policy_names().end())
+        emulator::policy_names().end()) {
       r.fault("policies", "unknown: " + p);
+    }
+  }
   if (const toml::node* seeds = r.raw("seeds")) {
     const toml::array* list = seeds->as_array();
-    if (!list || list->empty()) r.fault("seeds", "not an array of whole numbers");
+    if (!list || list->empty()) {
+      r.fault("seeds", "not an array of whole numbers");
+    }
     for (const toml::node& seed : *list) {
-      if (!seed.is_integer() || *seed.value<std::int64_t>() < 0) r.fault("seeds", "not an array of whole numbers");
+      if (!seed.is_integer() || *seed.value<std::int64_t>() < 0) {
+        r.fault("seeds", "not an array of whole numbers");
+      }
       e.seeds.push_back(static_cast<std::uint64_t>(*seed.value<std::int64_t>()));
     }
   } else {
@@ -144,12 +180,18 @@
   }
   if (const toml::node* grid = r.raw("grid")) {
     const toml::table* table = grid->as_table();
-    if (!table) r.fault("grid", "not a table");
+    if (!table) {
+      r.fault("grid", "not a table");
+    }
     for (const auto& [key, node] : *table) {
       const toml::array* list = node.as_array();
-      if (!list || list->empty()) r.fault("grid", std::string(key.str()) + " is not an array of values");
+      if (!list || list->empty()) {
+        r.fault("grid", std::string(key.str()) + " is not an array of values");
+      }
       Axis axis{std::string(key.str()), {}};
-      for (const toml::node& v : *list) axis.values.push_back(json_of(v, r, "grid"));
+      for (const toml::node& v : *list) {
+        axis.values.push_back(json_of(v, r, "grid"));
+      }
       e.grid.push_back(std::move(axis));
     }
   }
@@ -162,7 +204,9 @@
   std::size_t count = e.policies.size() * e.seeds.size();
   for (const Axis& axis : e.grid) {
     count *= axis.values.size();
-    if (count > kMostCells) throw std::invalid_argument("grid: more than 100000 cells");
+    if (count > kMostCells) {
+      throw std::invalid_argument("grid: more than 100000 cells");
+    }
   }
   std::vector<Cell> cells;
   std::vector<std::size_t> at(e.grid.size(), 0);
@@ -174,11 +218,12 @@
       put(root, axis.path, axis.values[at[i]]);
       params[axis.path] = axis.values[at[i]];
     }
-    std::ostringstream text;  // what is played, so that a changed scenario is not taken for a finished one
+    std::ostringstream
+        text;  // what is played, so that a changed scenario is not taken for a finished one
     text << root;
     const std::string played = text.str();
     const emulator::Scenario scenario = emulator::read_scenario(root, e.scenario_file);
-    for (const std::uint64_t seed : e.seeds)
+    for (const std::uint64_t seed : e.seeds) {
       for (const std::string& policy : e.policies) {
         Cell cell;
         cell.scenario = scenario;
@@ -192,9 +237,14 @@
         cell.key = one_line(cell.labels);
         cells.push_back(std::move(cell));
       }
+    }
     std::size_t i = 0;
-    while (i < at.size() && ++at[i] == e.grid[i].values.size()) at[i++] = 0;
-    if (i == at.size()) return cells;
+    while (i < at.size() && ++at[i] == e.grid[i].values.size()) {
+      at[i++] = 0;
+    }
+    if (i == at.size()) {
+      return cells;
+    }
   }
 }
 
@@ -208,7 +258,8 @@
   while (std::getline(in, line)) {
     Json::Value row;
     std::string errors;
-    const bool whole = !in.eof() && reader->parse(line.data(), line.data() + line.size(), &row, &errors) &&
+    const bool whole = !in.eof() &&
+                       reader->parse(line.data(), line.data() + line.size(), &row, &errors) &&
                        row.isObject() && row.isMember("cell");
     if (whole) {
       rows.push_back(std::move(row));
@@ -228,17 +279,26 @@
   std::map<std::string, std::string> done;  // line by cell
   for (const std::string& path : {out_path, partial}) {
     bool torn = false;
-    for (const Json::Value& row : read_lines(path, torn)) done[one_line(row["cell"])] = one_line(row);
+    for (const Json::Value& row : read_lines(path, torn)) {
+      done[one_line(row["cell"])] = one_line(row);
+    }
     summary.torn = summary.torn || torn;
   }
   std::vector<std::size_t> todo;
-  for (std::size_t i = 0; i < cells.size(); ++i)
-    if (!done.contains(cells[i].key)) todo.push_back(i);
+  for (std::size_t i = 0; i < cells.size(); ++i) {
+    if (!done.contains(cells[i].key)) {
+      todo.push_back(i);
+    }
+  }
   summary.kept = cells.size() - todo.size();
 
-  File kept = open_file(partial, "wb");  // begins with what was whole: a torn line is not appended to
-  for (const Cell& cell : cells)
-    if (const auto it = done.find(cell.key); it != done.end()) write_line(kept.get(), partial, it->second);
+  File kept =
+      open_file(partial, "wb");  // begins with what was whole: a torn line is not appended to
+  for (const Cell& cell : cells) {
+    if (const auto it = done.find(cell.key); it != done.end()) {
+      write_line(kept.get(), partial, it->second);
+    }
+  }
   const File times = open_file(timing, "ab");
 
   std::atomic<std::size_t> next{0};
@@ -246,9 +306,13 @@
   std::exception_ptr error;
   const auto work = [&] {
     for (;;) {
-      if (stop && stop()) return;
+      if (stop && stop()) {
+        return;
+      }
       const std::size_t i = next++;
-      if (i >= todo.size()) return;
+      if (i >= todo.size()) {
+        return;
+      }
       const Cell& cell = cells[todo[i]];
       try {
         RunOutput out = run_scenario(cell.scenario, cell.policy, e.series);
@@ -258,16 +322,22 @@
         const std::string line = one_line(row);
         const std::lock_guard lock(mutex);
         write_line(kept.get(), partial, line);
-        write_line(times.get(), timing,
-                   fmt::format(R"({{"cell":{},"wall_s":{:.3f},"events_per_s":{:.0f},"us_per_decision":{:.3f}}})",
-                               cell.key, out.wall_s, row["result"]["events"].asDouble() / out.wall_s,
-                               1e6 * out.wall_s / std::max(1.0, row["result"]["decisions"].asDouble())));
+        write_line(
+            times.get(), timing,
+            fmt::format(
+                R"({{"cell":{},"wall_s":{:.3f},"events_per_s":{:.0f},"us_per_decision":{:.3f}}})",
+                cell.key, out.wall_s, row["result"]["events"].asDouble() / out.wall_s,
+                1e6 * out.wall_s / std::max(1.0, row["result"]["decisions"].asDouble())));
         done[cell.key] = line;
         ++summary.run;
-        (cell.policy == "module" ? summary.module_violations : summary.plain_violations) += out.violations;
-        if (cell.policy == "module" && summary.violation_text.size() < 64 * 1024)
+        (cell.policy == "module" ? summary.module_violations : summary.plain_violations) +=
+            out.violations;
+        if (cell.policy == "module" && summary.violation_text.size() < 64 * 1024) {
           summary.violation_text += out.violation_text;
-        if (progress) progress(summary.kept + summary.run, cells.size());
+        }
+        if (progress) {
+          progress(summary.kept + summary.run, cells.size());
+        }
       } catch (...) {
         const std::lock_guard lock(mutex);
         error = std::current_exception();
@@ -276,17 +346,29 @@
     }
   };
   std::vector<std::thread> pool;
-  for (unsigned i = 0; i < std::max(1u, threads); ++i) pool.emplace_back(work);
-  for (std::thread& t : pool) t.join();
-  if (error) std::rethrow_exception(error);
+  for (unsigned i = 0; i < std::max(1u, threads); ++i) {
+    pool.emplace_back(work);
+  }
+  for (std::thread& t : pool) {
+    t.join();
+  }
+  if (error) {
+    std::rethrow_exception(error);
+  }
   kept.reset();
-  if (done.size() < cells.size()) return summary;  // stopped early: the partial file holds what there is
+  if (done.size() < cells.size()) {
+    return summary;  // stopped early: the partial file holds what there is
+  }
 
   const std::string fresh = out_path + ".new";
   {
     const File f = open_file(fresh, "wb");
-    for (const Cell& cell : cells) write_line(f.get(), fresh, done.at(cell.key));
-    if (::fsync(::fileno(f.get())) != 0) throw std::runtime_error(fresh + ": cannot be written");
+    for (const Cell& cell : cells) {
+      write_line(f.get(), fresh, done.at(cell.key));
+    }
+    if (::fsync(::fileno(f.get())) != 0) {
+      throw std::runtime_error(fresh + ": cannot be written");
+    }
   }
   std::filesystem::rename(fresh, out_path);
   std::filesystem::remove(partial);
--- a/src/experiments/plot.h
+++ b/src/experiments/plot.h
@@ -8,8 +8,8 @@
 
 namespace beechhill::experiments {
 
-// `rows` as read_lines returns them, `timing` the rows of the timing file or none. Throws std::runtime_error
-// where gnuplot is missing or fails. The page needs nothing but itself.
+// `rows` as read_lines returns them, `timing` the rows of the timing file or none. Throws
+// std::runtime_error where gnuplot is missing or fails. The page needs nothing but itself.
 std::string html_report(const std::string& title, const std::vector<Json::Value>& rows,
                         const std::vector<Json::Value>& timing);
 
--- a/src/experiments/temp_folder.h
+++ b/src/experiments/temp_folder.h
@@ -12,7 +12,9 @@
  public:
   TempFolder() {
     std::string path = (std::filesystem::temp_directory_path() / "beechhill-XXXXXX").string();
-    if (!::mkdtemp(path.data())) throw std::runtime_error("no temporary folder can be made");
+    if (!::mkdtemp(path.data())) {
+      throw std::runtime_error("no temporary folder can be made");
+    }
     path_ = path;
   }
   ~TempFolder() {
--- a/src/handover/folder.h
+++ b/src/handover/folder.h
@@ -1,5 +1,6 @@
-// The folder that the processes of one proxy share: the state, replaced by rename under a lock, and a file for each
-// process, locked for as long as it lives, so that the kernel says who is there however a process ended.
+// The folder that the processes of one proxy share: the state, replaced by rename under a lock, and
+// a file for each process, locked for as long as it lives, so that the kernel says who is there
+// however a process ended.
 #pragma once
 
 #include <cstdint>
@@ -14,8 +15,9 @@
 
 class Folder {
  public:
-  // Joins the processes that share `path` under `name`: this one is of the next generation. A state that cannot be read
-  // is set aside, with a line in the log. Throws std::system_error where files cannot be written or locked there.
+  // Joins the processes that share `path` under `name`: this one is of the next generation. A state
+  // that cannot be read is set aside, with a line in the log. Throws std::system_error where files
+  // cannot be written or locked there.
   Folder(std::string path, std::string name);
 
   const SharedState& state() const { return state_; }  // as last read or written
--- a/src/handover/handover_actor.cpp
+++ b/src/handover/handover_actor.cpp
@@ -11,9 +11,10 @@
 
 namespace {
 
-constexpr auto kLook = 50ms;        // a call at one process binds the other within 1 s
+constexpr auto kLook = 50ms;  // a call at one process binds the other within 1 s
 constexpr auto kLookWhenNew = 5ms;
-constexpr auto kOwnerLimit = 600ms;  // for the owner to carry an order out; the operator hears within 1 s
+constexpr auto kOwnerLimit =
+    600ms;  // for the owner to carry an order out; the operator hears within 1 s
 constexpr auto kLockLimit = 150ms, kLockPause = 5ms;
 constexpr std::size_t kInboxCapacity = 64;
 
@@ -27,7 +28,9 @@
       door_(door),
       look_(std::move(look)),
       inbox_(kInboxCapacity) {
-  if (folder_) followed_ = folder_->state();
+  if (folder_) {
+    followed_ = folder_->state();
+  }
 }
 
 Task<> HandoverActor::run() {
@@ -39,15 +42,21 @@
     }
     if (folder_ && Clock::now() >= next) {
       next = Clock::now() + kLook;
-      if (folder_->refresh()) follow();
+      if (folder_->refresh()) {
+        follow();
+      }
       const Own own = look_(folder_->others());
       folder_->publish(own.ready, own.descriptors);
       told_ready_ = own.ready;
-      if (!told_ready_) next = Clock::now() + kLookWhenNew;
+      if (!told_ready_) {
+        next = Clock::now() + kLookWhenNew;
+      }
     }
     runtime::Wait wait(scheduler_);
     wait.notified(inbox_.arrived());
-    if (folder_) wait.until(next);
+    if (folder_) {
+      wait.until(next);
+    }
     co_await wait;
   }
 }
@@ -56,11 +65,15 @@
   const auto owner = std::make_shared<Asked>();
   const bool of_backend = order.change == Change::kExclude || order.change == Change::kInclude;
   const bool posted =
-      of_backend ? decisions_.post(proxy::Exclude{order.host, order.change == Change::kExclude, owner})
-                 : door_.post({order.change == Change::kEvacuate ? proxy::DoorWord::kEvacuate : proxy::DoorWord::kRejoin,
-                               false, owner});
+      of_backend
+          ? decisions_.post(proxy::Exclude{order.host, order.change == Change::kExclude, owner})
+          : door_.post({order.change == Change::kEvacuate ? proxy::DoorWord::kEvacuate
+                                                          : proxy::DoorWord::kRejoin,
+                        false, owner});
   int status = 503;
-  if (posted) status = co_await proxy::settled(scheduler_, owner, kOwnerLimit);
+  if (posted) {
+    status = co_await proxy::settled(scheduler_, owner, kOwnerLimit);
+  }
   if (folder_ && status == 200) {
     // Done here; a yes binds the other process too.
     const auto written_by = Clock::now() + kLockLimit;
@@ -71,9 +84,15 @@
         wait.until(Clock::now() + kLockPause);
         co_await wait;
       }
-    } catch (const std::exception& error) { proxy::log_fault("handover_fault", error); }
-    if (written) follow();
-    if (!written) status = 503;
+    } catch (const std::exception& error) {
+      proxy::log_fault("handover_fault", error);
+    }
+    if (written) {
+      follow();
+    }
+    if (!written) {
+      status = 503;
+    }
   }
   order.asked->answer(status);
 }
@@ -82,18 +101,31 @@
 void HandoverActor::follow() {
   const SharedState& now = folder_->state();
   bool told = true;
-  for (const std::string& host : now.barred)
-    if (!followed_.barred.contains(host)) told = decisions_.post(proxy::Exclude{host, true, nullptr}) && told;
-  for (const std::string& host : followed_.barred)
-    if (!now.barred.contains(host)) told = decisions_.post(proxy::Exclude{host, false, nullptr}) && told;
-  if (now.drained != followed_.drained)
-    told = door_.post({now.drained ? proxy::DoorWord::kEvacuate : proxy::DoorWord::kRejoin, false, nullptr}) && told;
-  if (!told) return proxy::log_lost("handover");  // all of it is told again after the next change
+  for (const std::string& host : now.barred) {
+    if (!followed_.barred.contains(host)) {
+      told = decisions_.post(proxy::Exclude{host, true, nullptr}) && told;
+    }
+  }
+  for (const std::string& host : followed_.barred) {
+    if (!now.barred.contains(host)) {
+      told = decisions_.post(proxy::Exclude{host, false, nullptr}) && told;
+    }
+  }
+  if (now.drained != followed_.drained) {
+    told = door_.post({now.drained ? proxy::DoorWord::kEvacuate : proxy::DoorWord::kRejoin, false,
+                       nullptr}) &&
+           told;
+  }
+  if (!told) {
+    return proxy::log_lost("handover");  // all of it is told again after the next change
+  }
   followed_ = now;
 }
 
 bool HandoverActor::succeeded() {
-  if (!folder_) return false;
+  if (!folder_) {
+    return false;
+  }
   folder_->refresh();
   return folder_->others().successor;
 }
--- a/src/handover/handover_actor.h
+++ b/src/handover/handover_actor.h
@@ -1,5 +1,5 @@
-// Carries operators' orders to the actors that own the matter, and to the other processes of this proxy; and what those
-// are told, here.
+// Carries operators' orders to the actors that own the matter, and to the other processes of this
+// proxy; and what those are told, here.
 #pragma once
 
 #include <functional>
@@ -20,20 +20,20 @@
 
 class HandoverActor {
  public:
-  // `folder` may be null: then there are no other processes. `look` is called every kLook with what the others are, and
-  // returns what to tell them. What is referred to must outlive the actor.
+  // `folder` may be null: then there are no other processes. `look` is called every kLook with what
+  // the others are, and returns what to tell them. What is referred to must outlive the actor.
   struct Own {
     bool ready = false;
     std::uint32_t descriptors = 0;
   };
   using Look = std::function<Own(const Folder::Others&)>;
-  HandoverActor(runtime::Scheduler& scheduler, std::unique_ptr<Folder> folder, proxy::DecisionBox& decisions,
-                proxy::DoorBox& door, Look look);
+  HandoverActor(runtime::Scheduler& scheduler, std::unique_ptr<Folder> folder,
+                proxy::DecisionBox& decisions, proxy::DoorBox& door, Look look);
 
   OrderBox& inbox() { return inbox_; }
   runtime::Task<> run();
-  // Whether the others have been told that this process takes clients: before that its yes would have the old one end
-  // as if it were alone.
+  // Whether the others have been told that this process takes clients: before that its yes would
+  // have the old one end as if it were alone.
   bool told_ready() const { return !folder_ || told_ready_; }
   // Asked at a planned end, at once: whether a later process takes the clients.
   bool succeeded();
--- a/src/handover/state.cpp
+++ b/src/handover/state.cpp
@@ -32,20 +32,28 @@
   root["generation"] = Json::UInt64(state.generation);
   root["drained"] = state.drained;
   root["barred"] = Json::Value(Json::arrayValue);
-  for (const std::string& host : state.barred) root["barred"].append(host);
+  for (const std::string& host : state.barred) {
+    root["barred"].append(host);
+  }
   return config::seal(std::move(root), kMagic, kFormat);
 }
 
 std::optional<SharedState> decode(std::string_view text) {
   const auto sealed = config::unseal(text, kMagic, kFormat);
-  if (!sealed) return std::nullopt;
+  if (!sealed) {
+    return std::nullopt;
+  }
   const Json::Value& root = *sealed;
-  if (!root["generation"].isUInt64() || !root["drained"].isBool() || !root["barred"].isArray()) return std::nullopt;
+  if (!root["generation"].isUInt64() || !root["drained"].isBool() || !root["barred"].isArray()) {
+    return std::nullopt;
+  }
   SharedState state;
   state.generation = root["generation"].asUInt64();
   state.drained = root["drained"].asBool();
   for (const Json::Value& host : root["barred"]) {
-    if (!host.isString()) return std::nullopt;
+    if (!host.isString()) {
+      return std::nullopt;
+    }
     state.barred.insert(host.asString());
   }
   return state;
--- a/src/handover/state.h
+++ b/src/handover/state.h
@@ -1,4 +1,5 @@
-// What the processes of one proxy share over an upgrade: its format and how changes go into it. No I/O.
+// What the processes of one proxy share over an upgrade: its format and how changes go into it. No
+// I/O.
 #pragma once
 
 #include <cstdint>
@@ -17,12 +18,13 @@
   bool operator==(const SharedState&) const = default;
 };
 
-// What an operator ordered. It is applied to the state as it stands, never to a copy that a process remembers: so two
-// processes' orders cannot undo each other.
+// What an operator ordered. It is applied to the state as it stands, never to a copy that a process
+// remembers: so two processes' orders cannot undo each other.
 enum class Change { kExclude, kInclude, kEvacuate, kRejoin };
 void apply(SharedState& state, Change change, const std::string& host);
 
-// One line of JSON and one with its checksum (xxHash64). A host may hold any bytes that JSON text can.
+// One line of JSON and one with its checksum (xxHash64). A host may hold any bytes that JSON text
+// can.
 std::string encode(const SharedState& state);
 // Nothing where it is torn, foreign or another version's.
 std::optional<SharedState> decode(std::string_view text);
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -1,4 +1,5 @@
-// HTTP/1.1 messages: incremental parsers that take bytes off the front of a buffer, and writers. No I/O.
+// HTTP/1.1 messages: incremental parsers that take bytes off the front of a buffer, and writers. No
+// I/O.
 #pragma once
 
 #include <chrono>
@@ -12,7 +13,7 @@
 namespace beechhill::http {
 
 inline constexpr std::size_t kMaxHead = 16 * 1024;
-inline constexpr std::size_t kMaxBody = 64 * 1024;            // of a message taken whole
+inline constexpr std::size_t kMaxBody = 64 * 1024;             // of a message taken whole
 inline constexpr std::size_t kMaxStreamed = 40 * 1024 * 1024;  // of one passed on as it comes
 inline constexpr std::size_t kMaxBlank = 64;   // bytes of blank lines before a request
 inline constexpr std::size_t kMaxInterim = 8;  // 1xx answers before the real one
@@ -57,7 +58,8 @@
 
   // The whole message, up to kMaxBody.
   Progress feed(std::string& buffer);
-  // Or in parts: the head and what there is of the body, up to kMaxStreamed in all, for whoever stops at a part of it.
+  // Or in parts: the head and what there is of the body, up to kMaxStreamed in all, for whoever
+  // stops at a part of it.
   Progress feed_part(std::string& buffer);
   // Or by themselves: the head, and then, until kDone, the body's bytes from `buffer` to `out`.
   Progress feed_head(std::string& buffer);
@@ -90,26 +92,28 @@
 };
 
 // The head of a response whose body follows: of that length, or else chunked.
-std::string write_response_head(int status, std::string_view extra, std::optional<std::uint64_t> length, bool close);
+std::string write_response_head(int status, std::string_view extra,
+                                std::optional<std::uint64_t> length, bool close);
 // One chunk of a body; an empty one ends it.
 std::string write_chunk(std::string_view bytes);
 // A whole response. `extra` holds further header lines, each with its line end.
 std::string write_response(int status, std::string_view extra, std::string_view body, bool close);
 // The head of a request whose body follows: of that length, or else chunked.
-std::string write_request_head(std::string_view method, std::string_view target, std::string_view host,
-                               std::string_view extra, std::optional<std::uint64_t> length);
+std::string write_request_head(std::string_view method, std::string_view target,
+                               std::string_view host, std::string_view extra,
+                               std::optional<std::uint64_t> length);
 std::string write_request(std::string_view method, std::string_view target, std::string_view host,
                           std::string_view extra, std::string_view body);
 
-// Whether a request may begin like this, however little there is of it: what else follows a request shows
-// that its length was wrong.
+// Whether a request may begin like this, however little there is of it: what else follows a request
+// shows that its length was wrong.
 bool may_begin_request(std::string_view bytes);
 
 // Whole digits only; nothing where that is not a number or does not fit.
 std::optional<std::uint64_t> whole_number(std::string_view text);
 
-// The value of `column` in a load report: "TEXT inflight=7, util=0.61". Nothing where it is no number. Whether it can be
-// true is not asked here.
+// The value of `column` in a load report: "TEXT inflight=7, util=0.61". Nothing where it is no
+// number. Whether it can be true is not asked here.
 std::optional<double> load_value(std::string_view report, std::string_view column);
 
 // A span as `Retry-After` carries it: decimal seconds.
--- a/src/lab/books.cpp
+++ b/src/lab/books.cpp
@@ -6,11 +6,13 @@
 namespace beechhill::lab {
 namespace {
 
-// Backends may still see a request's attempts for so long after its time: what the proxy wrote before, read late.
+// Backends may still see a request's attempts for so long after its time: what the proxy wrote
+// before, read late.
 constexpr Duration kKeptAfter{5'000'000};
 constexpr std::size_t kMostSeconds = 100'000;
 
-// A backend cannot see when a proxy gives up one attempt for another, so two at once are no proof against it.
+// A backend cannot see when a proxy gives up one attempt for another, so two at once are no proof
+// against it.
 emulator::Scenario judged(emulator::Scenario s) {
   s.parallel_tries = true;
   return s;
@@ -26,25 +28,35 @@
       lives_(proxies),
       connections_(scenario.tiers[0].nodes),
       arrivals_(scenario.tiers[0].nodes),
-      lists_(proxies) {}
+      lists_(proxies) {
+}
 
 std::optional<CallId> Books::call_of(std::string_view trace) {
   const std::size_t first = trace.find('-');
   const std::size_t second = first == std::string_view::npos ? first : trace.find('-', first + 1);
-  if (second == std::string_view::npos) return std::nullopt;
+  if (second == std::string_view::npos) {
+    return std::nullopt;
+  }
   std::uint64_t number = 0;
   std::uint32_t tries = 0;
   const char* const to = trace.data() + trace.size();
   const auto a = std::from_chars(trace.data() + first + 1, trace.data() + second, number, 16);
   const auto b = std::from_chars(trace.data() + second + 1, to, tries);
-  if (a.ec != std::errc() || a.ptr != trace.data() + second || b.ec != std::errc() || b.ptr != to) return std::nullopt;
+  if (a.ec != std::errc() || a.ptr != trace.data() + second || b.ec != std::errc() || b.ptr != to) {
+    return std::nullopt;
+  }
   return call_of(number, tries);
 }
 
 void Books::count(std::vector<std::uint32_t>& by_second, Time now) {
-  if (now < Time{0}) return;
-  const auto second = std::min(kMostSeconds, static_cast<std::size_t>(now / std::chrono::seconds(1)));
-  if (by_second.size() <= second) by_second.resize(second + 1);
+  if (now < Time{0}) {
+    return;
+  }
+  const auto second =
+      std::min(kMostSeconds, static_cast<std::size_t>(now / std::chrono::seconds(1)));
+  if (by_second.size() <= second) {
+    by_second.resize(second + 1);
+  }
   ++by_second[second];
 }
 
@@ -64,11 +76,15 @@
   rules_.taken(now_(), call, c, deadline);
 }
 
-void Books::answered(CallId call, bool refusal) { rules_.answered(now_(), call, refusal); }
+void Books::answered(CallId call, bool refusal) {
+  rules_.answered(now_(), call, refusal);
+}
 
 void Books::unanswered(CallId call) {
   const auto it = open_.find(call);
-  if (it == open_.end()) return;
+  if (it == open_.end()) {
+    return;
+  }
   const Life& life = lives_[it->second.proxy];
   if (life.troubles > 0 || life.last + kBookSlack >= it->second.asked) {
     ++excused_;
@@ -78,13 +94,17 @@
   }
 }
 
-void Books::connected(ServerId node) { count(connections_[node], now_()); }
+void Books::connected(ServerId node) {
+  count(connections_[node], now_());
+}
 
 std::uint32_t Books::arrived(CallId call, const ServerEntry& node) {
   count(arrivals_[node.server], now_());
   sent_to_out_ += out_.contains(node.server);
   const auto it = open_.find(call);
-  if (it == open_.end()) return 0;
+  if (it == open_.end()) {
+    return 0;
+  }
   const Told& told = told_[it->second.proxy][node.server];
   const auto cut = cuts_.find({it->second.proxy, node.server});
   const bool held = cut != cuts_.end() && it->second.asked <= cut->second.to;
@@ -93,18 +113,25 @@
   return it->second.attempts++;
 }
 
-void Books::ended(CallId call, std::uint32_t attempt, Result result) { rules_.ended(now_(), call, attempt, result); }
+void Books::ended(CallId call, std::uint32_t attempt, Result result) {
+  rules_.ended(now_(), call, attempt, result);
+}
 
 void Books::pressed(CallId call, ServerId node, double work, double capacity, Time born) {
   const auto it = open_.find(call);
-  if (it == open_.end()) return;
+  if (it == open_.end()) {
+    return;
+  }
   const Told& told = told_[it->second.proxy][node];
-  rules_.pressed(now_(), 0, node, work, capacity, emulator::mean_work_s(s_), told.up && told.up_since >= born);
+  rules_.pressed(now_(), 0, node, work, capacity, emulator::mean_work_s(s_),
+                 told.up && told.up_since >= born);
 }
 
 void Books::cut(std::size_t proxy, ServerId node, bool on) {
   Cut& cut = cuts_[{proxy, node}];
-  if (on) cut.from = now_();
+  if (on) {
+    cut.from = now_();
+  }
   cut.to = on ? Time::max() : now_();
 }
 
@@ -124,17 +151,26 @@
     hold(e.server, e.state);
     named.insert(e.server);
   }
-  for (ServerId i = 0; whole && i < list.size(); ++i)
-    if (!named.contains(i)) hold(i, ServerState::kRemoved);
+  for (ServerId i = 0; whole && i < list.size(); ++i) {
+    if (!named.contains(i)) {
+      hold(i, ServerState::kRemoved);
+    }
+  }
 }
 
-void Books::disturbed(std::size_t proxy) { ++lives_[proxy].troubles; }
+void Books::disturbed(std::size_t proxy) {
+  ++lives_[proxy].troubles;
+}
 
 void Books::undisturbed(std::size_t proxy, bool new_life) {
   Life& life = lives_[proxy];
-  if (life.troubles > 0) --life.troubles;
+  if (life.troubles > 0) {
+    --life.troubles;
+  }
   life.last = now_();
-  if (new_life) std::fill(told_[proxy].begin(), told_[proxy].end(), Told{});
+  if (new_life) {
+    std::fill(told_[proxy].begin(), told_[proxy].end(), Told{});
+  }
 }
 
 }  // namespace beechhill::lab
--- a/src/lab/books.h
+++ b/src/lab/books.h
@@ -1,5 +1,6 @@
-// The books of a run on sockets: what clients, backends, discovery's agents and the fault plan saw, each by its own eyes.
-// The rules are judged from them by the emulator's checker, never by a proxy's word.
+// The books of a run on sockets: what clients, backends, discovery's agents and the fault plan saw,
+// each by its own eyes. The rules are judged from them by the emulator's checker, never by a
+// proxy's word.
 #pragma once
 
 #include <deque>
@@ -18,7 +19,8 @@
 
 using CallId = std::uint64_t;  // a client's request and its try
 
-// How much later than it happened the lab may read of something, on a crowded machine. The verdict allows for it.
+// How much later than it happened the lab may read of something, on a crowded machine. The verdict
+// allows for it.
 inline constexpr Duration kBookSlack{500'000};
 
 class Books {
@@ -28,9 +30,12 @@
   Books(const Books&) = delete;
   Books& operator=(const Books&) = delete;
 
-  // "1-2f-3": seed, number and try in hex, as the load writes them; nothing where it is not of that form.
+  // "1-2f-3": seed, number and try in hex, as the load writes them; nothing where it is not of that
+  // form.
   static std::optional<CallId> call_of(std::string_view trace);
-  static CallId call_of(std::uint64_t number, std::uint32_t tries) { return number << kTryBits | tries; }
+  static CallId call_of(std::uint64_t number, std::uint32_t tries) {
+    return number << kTryBits | tries;
+  }
   static constexpr unsigned kTryBits = 6;
 
   // The clients'.
@@ -47,10 +52,12 @@
   void pressed(CallId call, ServerId node, double work, double capacity, Time born);
   void warm(ServerId node) { rules_.node_warm(0, node); }
 
-  // The plan's: the link of the two is cut, and stands again. What comes over it then may have been sent before.
+  // The plan's: the link of the two is cut, and stands again. What comes over it then may have been
+  // sent before.
   void cut(std::size_t proxy, ServerId node, bool on);
 
-  // Staff's: a backend is out for work, and is back. Whatever reaches it meanwhile is counted, however it came there.
+  // Staff's: a backend is out for work, and is back. Whatever reaches it meanwhile is counted,
+  // however it came there.
   void out(ServerId node, bool on) { on ? void(out_.insert(node)) : void(out_.erase(node)); }
   std::uint64_t sent_to_out() const { return sent_to_out_; }
 
@@ -58,7 +65,8 @@
   void told(std::size_t proxy, const std::vector<ServerEntry>& rows, bool whole);
   void asked_whole(std::size_t proxy) { ++lists_[proxy]; }
 
-  // The plan's: from then on its silence is no fault of its own; after it, a new life knows nothing.
+  // The plan's: from then on its silence is no fault of its own; after it, a new life knows
+  // nothing.
   void disturbed(std::size_t proxy);
   void undisturbed(std::size_t proxy, bool new_life);
 
@@ -67,7 +75,9 @@
   // Most in one second, and the node and second where: [backend][second].
   const std::vector<std::vector<std::uint32_t>>& connections() const { return connections_; }
   const std::vector<std::vector<std::uint32_t>>& arrivals() const { return arrivals_; }
-  const std::vector<std::uint32_t>& lists() const { return lists_; }  // whole lists asked for, by proxy
+  const std::vector<std::uint32_t>& lists() const {
+    return lists_;
+  }  // whole lists asked for, by proxy
 
  private:
   struct Open {
--- a/src/lab/fleet/fleet.cpp
+++ b/src/lab/fleet/fleet.cpp
@@ -22,7 +22,9 @@
 enum Exit { kDone = 0, kRuleBroken = 3 };
 constexpr std::size_t kMostShrinkPlays = 40;
 
-Json::Value number(std::uint64_t n) { return Json::Value(static_cast<Json::UInt64>(n)); }
+Json::Value number(std::uint64_t n) {
+  return Json::Value(static_cast<Json::UInt64>(n));
+}
 
 struct Half {  // one of the two: the play or its control
   std::optional<emulator::Metrics> metrics;
@@ -42,16 +44,26 @@
     h.connections = run.most_connections, h.arrivals = run.most_arrivals, h.lists = run.most_lists;
     h.broken = run.violations + run.wrong_answers;
     h.broken_text = std::move(run.violation_text);
-    if (run.wrong_answers > 0) h.broken_text += fmt::format("{} answers were not the ones to their requests\n", run.wrong_answers);
-    if (run.sent_to_out > 0) h.broken_text += fmt::format("{} calls reached backends that staff had out\n", run.sent_to_out);
-    if (run.most_at_once > s.group.most_out) h.broken_text += fmt::format("{} backends were out at once\n", run.most_at_once);
+    if (run.wrong_answers > 0) {
+      h.broken_text +=
+          fmt::format("{} answers were not the ones to their requests\n", run.wrong_answers);
+    }
+    if (run.sent_to_out > 0) {
+      h.broken_text +=
+          fmt::format("{} calls reached backends that staff had out\n", run.sent_to_out);
+    }
+    if (run.most_at_once > s.group.most_out) {
+      h.broken_text += fmt::format("{} backends were out at once\n", run.most_at_once);
+    }
     h.broken += run.sent_to_out + (run.most_at_once > s.group.most_out);
     if (s.group.voters > 0) {
       h.result["taken_out"] = run.taken_out;
       h.result["open_requests"] = run.open_requests;
       h.result["works_ended_s"] = emulator::to_s(run.works_ended);
     }
-    if (run.last_back > Time{0}) h.back = run.last_back;
+    if (run.last_back > Time{0}) {
+      h.back = run.last_back;
+    }
     return h;
   }
   h.world = experiments::world_of(s, player.policy);
@@ -60,16 +72,22 @@
   h.result = h.metrics->to_json(true);
   h.connections = h.metrics->most_connections, h.arrivals = h.metrics->most_arrivals;
   h.broken = h.world->rules().all() + h.world->left_over();
-  for (const emulator::Violation& v : h.world->rules().violations())
-    h.broken_text += fmt::format("{:.6f} {}: {}\n{}", emulator::to_s(v.at), name_of(v.rule), v.what, v.trace);
-  if (h.world->left_over() > 0) h.broken_text += fmt::format("{} requests were never ended\n", h.world->left_over());
+  for (const emulator::Violation& v : h.world->rules().violations()) {
+    h.broken_text +=
+        fmt::format("{:.6f} {}: {}\n{}", emulator::to_s(v.at), name_of(v.rule), v.what, v.trace);
+  }
+  if (h.world->left_over() > 0) {
+    h.broken_text += fmt::format("{} requests were never ended\n", h.world->left_over());
+  }
   return h;
 }
 
 Json::Value as_row(const Play& p, const Scenario& s, const char* what) {
   Json::Value row = experiments::row_of(s, what, p.result);
   Json::Value& r = row["result"];
-  if (p.back.full_after) r["full_after_s"] = emulator::to_s(*p.back.full_after);
+  if (p.back.full_after) {
+    r["full_after_s"] = emulator::to_s(*p.back.full_after);
+  }
   r["worth_lost_s"] = p.back.worth_lost;
   r["control_goodput"] = p.control_goodput;
   r["most_connections"] = number(p.most_connections);
@@ -87,7 +105,8 @@
 
 // Of plays that are not back by their end the last.
 std::optional<Duration> middle(std::vector<std::optional<Duration>> all, std::size_t place) {
-  std::sort(all.begin(), all.end(), [](const auto& a, const auto& b) { return a && (!b || *a < *b); });
+  std::sort(all.begin(), all.end(),
+            [](const auto& a, const auto& b) { return a && (!b || *a < *b); });
   return all[place];
 }
 
@@ -102,34 +121,41 @@
 
 Scenario scenario_of(const Options& o, std::uint32_t turn) {
   toml::table root = emulator::load_scenario(o.file);
-  for (const std::string& change : o.changes) emulator::override_from(root, change);
+  for (const std::string& change : o.changes) {
+    emulator::override_from(root, change);
+  }
   Scenario s = emulator::read_scenario(root, o.file);
-  if (o.seed >= 0) s.seed = static_cast<std::uint64_t>(o.seed);
+  if (o.seed >= 0) {
+    s.seed = static_cast<std::uint64_t>(o.seed);
+  }
   s.seed += turn;
-  if (o.draw) s.faults = draw_faults(s, s.seed);
+  if (o.draw) {
+    s.faults = draw_faults(s, s.seed);
+  }
   return s;
 }
 
 void tell_broken(const Options& o, const Scenario& s, const Play& play) {
   std::fflush(stdout);
   std::vector<emulator::FaultSpec> faults = s.faults;
-  if (o.smaller)
+  if (o.smaller) {
     faults = shrink(faults, kMostShrinkPlays, [&](const std::vector<emulator::FaultSpec>& fewer) {
       Scenario less = s;
       less.faults = fewer;
       return play_half(less, o.player).broken > 0;
     });
+  }
   std::fprintf(stderr, "%s# seed %llu: a plan that shows it\n%s", play.broken_text.c_str(),
                static_cast<unsigned long long>(s.seed), to_toml(s, faults).c_str());
 }
 
 int fleet(const Options& o) {
   const Scenario first = scenario_of(o, 0);
-  fmt::print("{}: {} {} before {} backends, {:.0f} requests/s for {:g} s\n", first.name, first.proxies,
-             o.player.emulated ? "emulated proxies" : "processes", first.tiers[0].nodes, emulator::rate_per_s(first),
-             emulator::to_s(first.length));
-  fmt::print("{:>12} {:>9} {:>9} {:>7} {:>7} {:>17} {:>17} {:>6} {:>7}\n", "seed", "goodput", "control", "full s", "lost s",
-             "connections/s", "arrivals/s", "lists", "broken");
+  fmt::print("{}: {} {} before {} backends, {:.0f} requests/s for {:g} s\n", first.name,
+             first.proxies, o.player.emulated ? "emulated proxies" : "processes",
+             first.tiers[0].nodes, emulator::rate_per_s(first), emulator::to_s(first.length));
+  fmt::print("{:>12} {:>9} {:>9} {:>7} {:>7} {:>17} {:>17} {:>6} {:>7}\n", "seed", "goodput",
+             "control", "full s", "lost s", "connections/s", "arrivals/s", "lists", "broken");
   std::vector<std::optional<Duration>> times;
   std::vector<double> lost;
   std::vector<Json::Value> rows;
@@ -140,25 +166,39 @@
     times.push_back(p.back.full_after);
     lost.push_back(p.back.worth_lost);
     broken += p.broken;
-    fmt::print("{:>12} {:>9.4f} {:>9.4f} {:>7} {:>7.2f} {:>17} {:>17} {:>6} {:>7}\n", s.seed, p.goodput, p.control_goodput,
-               in_seconds(p.back.full_after), p.back.worth_lost, fmt::format("{} ({})", p.most_connections, p.control_connections),
+    fmt::print("{:>12} {:>9.4f} {:>9.4f} {:>7} {:>7.2f} {:>17} {:>17} {:>6} {:>7}\n", s.seed,
+               p.goodput, p.control_goodput, in_seconds(p.back.full_after), p.back.worth_lost,
+               fmt::format("{} ({})", p.most_connections, p.control_connections),
                fmt::format("{} ({})", p.most_arrivals, p.control_arrivals), p.most_lists, p.broken);
-    if (s.group.voters > 0)
-      fmt::print("{:>12} taken out and back {}, staff's requests still open {}, the last ended at {:.1f} s\n", "", p.result["taken_out"].asUInt(),
-                 p.result["open_requests"].asUInt(), p.result["works_ended_s"].asDouble());
+    if (s.group.voters > 0) {
+      fmt::print(
+          "{:>12} taken out and back {}, staff's requests still open {}, the last ended at {:.1f} "
+          "s\n",
+          "", p.result["taken_out"].asUInt(), p.result["open_requests"].asUInt(),
+          p.result["works_ended_s"].asDouble());
+    }
     std::fflush(stdout);
     rows.push_back(as_row(p, s, o.player.emulated ? o.player.policy.c_str() : "real proxies"));
-    if (p.broken > 0) tell_broken(o, s, p);
+    if (p.broken > 0) {
+      tell_broken(o, s, p);
+    }
   }
   std::sort(lost.begin(), lost.end());
-  if (o.player.control)
-    fmt::print("full service after: median {} s, worst {} s; lost: median {:.2f}, worst {:.2f} seconds' worth\n",
-             in_seconds(middle(times, (times.size() - 1) / 2)), in_seconds(middle(times, times.size() - 1)),
-             lost[(lost.size() - 1) / 2], lost.back());
-  if (!o.json.empty()) experiments::write_lines(o.json, rows);
+  if (o.player.control) {
+    fmt::print(
+        "full service after: median {} s, worst {} s; lost: median {:.2f}, worst {:.2f} seconds' "
+        "worth\n",
+        in_seconds(middle(times, (times.size() - 1) / 2)),
+        in_seconds(middle(times, times.size() - 1)), lost[(lost.size() - 1) / 2], lost.back());
+  }
+  if (!o.json.empty()) {
+    experiments::write_lines(o.json, rows);
+  }
   if (!o.html.empty()) {
     std::ofstream out(o.html);
-    if (!(out << experiments::html_report(first.name, rows, {})).flush()) throw std::runtime_error(o.html + ": cannot be written");
+    if (!(out << experiments::html_report(first.name, rows, {})).flush()) {
+      throw std::runtime_error(o.html + ": cannot be written");
+    }
   }
   return broken > 0 ? kRuleBroken : kDone;
 }
@@ -175,30 +215,43 @@
   p.goodput = real.metrics->goodput();
   if (control.metrics) {
     p.control_goodput = control.metrics->goodput();
-    p.back = real.metrics->return_from(*control.metrics, struck.begun, real.back.value_or(struck.back));
+    p.back =
+        real.metrics->return_from(*control.metrics, struck.begun, real.back.value_or(struck.back));
   }
   p.most_connections = real.connections, p.most_arrivals = real.arrivals;
   p.control_connections = control.connections, p.control_arrivals = control.arrivals;
   p.most_lists = real.lists;
   p.broken = real.broken + control.broken;
-  p.broken_text = real.broken_text + (control.broken > 0 ? "in the control:\n" + control.broken_text : "");
+  p.broken_text =
+      real.broken_text + (control.broken > 0 ? "in the control:\n" + control.broken_text : "");
   return p;
 }
 
 void add_fleet_command(CLI::App& app, int& code) {
   const auto o = std::make_shared<Options>();
   o->player.program = program_beside_us();
-  CLI::App* c = app.add_subcommand("fleet", "Play many proxies under a fault plan, against a control without it, and judge by the books");
-  c->add_option("scenario", o->file, "Scenario file of one tier, with its faults (TOML)")->required();
+  CLI::App* c = app.add_subcommand(
+      "fleet",
+      "Play many proxies under a fault plan, against a control without it, and judge by the books");
+  c->add_option("scenario", o->file, "Scenario file of one tier, with its faults (TOML)")
+      ->required();
   c->add_flag("--emulated", o->player.emulated, "In the emulator, not with real processes");
-  c->add_option("--policy", o->player.policy, "Who decides in the emulator")->check(CLI::IsMember(emulator::policy_names()))->capture_default_str();
+  c->add_option("--policy", o->player.policy, "Who decides in the emulator")
+      ->check(CLI::IsMember(emulator::policy_names()))
+      ->capture_default_str();
   c->add_option("--proxy", o->player.program, "The proxy program");
-  c->add_option("--seed", o->seed, "In place of the scenario's seed")->check(CLI::NonNegativeNumber);
-  c->add_option("--seeds", o->seeds, "So many plays, with this seed and the next ones")->check(CLI::Range(1u, 10'000u))->capture_default_str();
-  c->add_flag("!--alone", o->player.control, "Without the control: the rules and the books are judged, the return is not");
+  c->add_option("--seed", o->seed, "In place of the scenario's seed")
+      ->check(CLI::NonNegativeNumber);
+  c->add_option("--seeds", o->seeds, "So many plays, with this seed and the next ones")
+      ->check(CLI::Range(1u, 10'000u))
+      ->capture_default_str();
+  c->add_flag("!--alone", o->player.control,
+              "Without the control: the rules and the books are judged, the return is not");
   c->add_flag("--draw", o->draw, "Faults drawn from the seed in place of the scenario's");
-  c->add_flag("--shrink", o->smaller, "Make a plan smaller that breaks a rule, while it still does");
-  c->add_option("--set", o->changes, "KEY=VALUE in place of the scenario's, such as fault.0.part=0.7");
+  c->add_flag("--shrink", o->smaller,
+              "Make a plan smaller that breaks a rule, while it still does");
+  c->add_option("--set", o->changes,
+                "KEY=VALUE in place of the scenario's, such as fault.0.part=0.7");
   c->add_option("--json", o->json, "Write the results here, as lines that `plot` reads");
   c->add_option("--html", o->html, "Draw the results into this page");
   c->callback([o, &code] { code = fleet(*o); });
--- a/src/lab/fleet/fleet.h
+++ b/src/lab/fleet/fleet.h
@@ -1,5 +1,6 @@
-// Plays of many proxies under a fault plan, each against a control without the faults of processes: with real processes
-// on loopback, or in the emulator. The verdict comes from the clients' and the backends' books.
+// Plays of many proxies under a fault plan, each against a control without the faults of processes:
+// with real processes on loopback, or in the emulator. The verdict comes from the clients' and the
+// backends' books.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -10,11 +11,12 @@
 namespace beechhill::lab {
 
 struct Play {
-  Json::Value result;  // in the emulator's form, with its series
+  Json::Value result;     // in the emulator's form, with its series
   emulator::Return back;  // against the control
   double goodput = 0, control_goodput = 0;
   // At one backend in one second, after the warm-up.
-  std::uint64_t most_connections = 0, most_arrivals = 0, control_connections = 0, control_arrivals = 0;
+  std::uint64_t most_connections = 0, most_arrivals = 0, control_connections = 0,
+                control_arrivals = 0;
   std::uint64_t most_lists = 0;  // that one proxy asked of discovery; 0 in the emulator
   std::uint64_t broken = 0;      // rules, and answers to other requests than asked
   std::string broken_text;       // the first few, with their traces
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -19,7 +19,9 @@
 
 Duration advice_in(const http::Message& answer) {
   const std::string* text = answer.headers.find("Retry-After");
-  if (!text) return Duration{0};
+  if (!text) {
+    return Duration{0};
+  }
   const double seconds = std::strtod(text->c_str(), nullptr);
   return seconds > 0 && seconds < 3600 ? Duration(std::llround(seconds * 1e6)) : Duration{0};
 }
@@ -38,22 +40,32 @@
       metrics_(scenario),
       random_(scenario.seed, emulator::Actor::kClients, 0),
       homes_(scenario.clients.connections) {
-  for (std::size_t i = 0; i < homes_.size(); ++i) homes_[i] = static_cast<std::uint32_t>(i % proxies_.size());
-  metrics_.seconds.resize(static_cast<std::size_t>(std::ceil(std::chrono::duration<double>(s_.length).count())));
+  for (std::size_t i = 0; i < homes_.size(); ++i) {
+    homes_[i] = static_cast<std::uint32_t>(i % proxies_.size());
+  }
+  metrics_.seconds.resize(
+      static_cast<std::size_t>(std::ceil(std::chrono::duration<double>(s_.length).count())));
 }
 
-void Load::offer(std::size_t proxy, bool offered) { offered_[proxy] = offered; }
+void Load::offer(std::size_t proxy, bool offered) {
+  offered_[proxy] = offered;
+}
 
 void Load::deal_back(std::size_t proxy) {
-  if (!s_.clients.dealt_back) return;
+  if (!s_.clients.dealt_back) {
+    return;
+  }
   const auto alive = static_cast<std::size_t>(std::count(offered_.begin(), offered_.end(), true));
   emulator::deal_back(homes_, static_cast<std::uint32_t>(proxy), alive, random_);
 }
 
 std::size_t Load::another() {
   std::vector<std::size_t> among;
-  for (std::size_t i = 0; i < offered_.size(); ++i)
-    if (offered_[i]) among.push_back(i);
+  for (std::size_t i = 0; i < offered_.size(); ++i) {
+    if (offered_[i]) {
+      among.push_back(i);
+    }
+  }
   return among.empty() ? random_.below(offered_.size()) : among[random_.below(among.size())];
 }
 
@@ -83,23 +95,39 @@
   const Time until = a.at + s_.classes[a.c].settings.deadline;
   bool served = false, refused = false;
   for (std::uint32_t tries = 1;; ++tries) {
-    if (metrics_.counted(a.at)) ++metrics_.tries;
-    if (emulator::Second* w = metrics_.second_of(clock_.now())) ++w->tries;
-    if (!offered_[homes_[a.connection]]) homes_[a.connection] = static_cast<std::uint32_t>(another());
-    const Duration patience = std::min(emulator::patience_of(s_, a.c, random_), until - clock_.now());
+    if (metrics_.counted(a.at)) {
+      ++metrics_.tries;
+    }
+    if (emulator::Second* w = metrics_.second_of(clock_.now())) {
+      ++w->tries;
+    }
+    if (!offered_[homes_[a.connection]]) {
+      homes_[a.connection] = static_cast<std::uint32_t>(another());
+    }
+    const Duration patience =
+        std::min(emulator::patience_of(s_, a.c, random_), until - clock_.now());
     const Try got = co_await one_try(a, number, tries, homes_[a.connection], patience);
     served = got.end == Try::End::kServed;
     refused = got.end == Try::End::kRefused;
-    if (served) break;
-    if (emulator::Second* w = metrics_.second_of(clock_.now())) (refused ? w->refused : w->failed) += 1;
+    if (served) {
+      break;
+    }
+    if (emulator::Second* w = metrics_.second_of(clock_.now())) {
+      (refused ? w->refused : w->failed) += 1;
+    }
     const bool unreachable = got.end == Try::End::kUnreachable;
     if (unreachable) {  // the client's front offers another proxy
       ++metrics_.unreachable;
       homes_[a.connection] = static_cast<std::uint32_t>(another());
     }
-    std::optional<Duration> wait = emulator::wait_before_retry(s_, {a.c, tries, refused, unreachable, got.advice}, random_);
-    if (wait && unreachable) wait = std::max(*wait, Duration{1000});
-    if (!wait || clock_.now() + *wait >= until) break;
+    std::optional<Duration> wait =
+        emulator::wait_before_retry(s_, {a.c, tries, refused, unreachable, got.advice}, random_);
+    if (wait && unreachable) {
+      wait = std::max(*wait, Duration{1000});
+    }
+    if (!wait || clock_.now() + *wait >= until) {
+      break;
+    }
     Wait pause(scheduler_);
     pause.until(clock_.point(clock_.now() + *wait));
     co_await pause;
@@ -107,11 +135,13 @@
   metrics_.ended(a.at, clock_.now() - a.at, a.c, a.tenant, a.worth, served, refused);
   served_ += served;
   --open_;
-  if (all_sent_ && open_ == 0) ended_.notify();
+  if (all_sent_ && open_ == 0) {
+    ended_.notify();
+  }
 }
 
-Task<Load::Try> Load::one_try(const emulator::Arrival& a, std::uint64_t number, std::uint32_t tries, std::size_t proxy,
-                              Duration patience) {
+Task<Load::Try> Load::one_try(const emulator::Arrival& a, std::uint64_t number, std::uint32_t tries,
+                              std::size_t proxy, Duration patience) {
   struct Held {  // a connection's place, for as long as the try lives
     std::size_t& count;
     explicit Held(std::size_t& c) : count(c) { ++count; }
@@ -124,13 +154,23 @@
   const CallId call = Books::call_of(number, tries);
   const bool keyed = s_.classes[a.c].settings.effect != Effect::kRepeatable;
   const std::string id = fmt::format("{:x}-{:x}-{}", s_.seed, number, tries);
-  std::string extra = fmt::format("X-Trace-Id: {}\r\nX-Expires-In-Ms: {}\r\n", id,
-                                  std::max<std::int64_t>(1, std::chrono::duration_cast<std::chrono::milliseconds>(patience).count()));
-  if (a.tenant != kNoTenant) extra += "X-Customer: " + s_.tenants[a.tenant].name + "\r\n";
-  if (keyed) extra += fmt::format("Idempotency-Key: {:x}-{:x}\r\n", s_.seed, number);
-  if (tries > 1) extra += "X-Second-Try: 1\r\n";
-  const std::string target = fmt::format("/{}/x?work_us={}", s_.classes[a.c].name, std::llround(a.work_s * 1e6));
-  const std::string request = http::write_request(keyed ? "POST" : "GET", target, "proxy", extra, keyed ? "{}" : "");
+  std::string extra =
+      fmt::format("X-Trace-Id: {}\r\nX-Expires-In-Ms: {}\r\n", id,
+                  std::max<std::int64_t>(
+                      1, std::chrono::duration_cast<std::chrono::milliseconds>(patience).count()));
+  if (a.tenant != kNoTenant) {
+    extra += "X-Customer: " + s_.tenants[a.tenant].name + "\r\n";
+  }
+  if (keyed) {
+    extra += fmt::format("Idempotency-Key: {:x}-{:x}\r\n", s_.seed, number);
+  }
+  if (tries > 1) {
+    extra += "X-Second-Try: 1\r\n";
+  }
+  const std::string target =
+      fmt::format("/{}/x?work_us={}", s_.classes[a.c].name, std::llround(a.work_s * 1e6));
+  const std::string request =
+      http::write_request(keyed ? "POST" : "GET", target, "proxy", extra, keyed ? "{}" : "");
   std::string buffer;
   books_.asked(call, a.c, proxy, clock_.now() + patience);
   for (bool again = true; again;) {
@@ -140,7 +180,9 @@
       stream = std::move(idle_[proxy].back());
       idle_[proxy].pop_back();
       --connections_;
-      if (stream->stale()) stream.reset();
+      if (stream->stale()) {
+        stream.reset();
+      }
     }
     const bool kept = stream != nullptr;
     if (!stream && connections_ >= kMostConnections) {
@@ -149,9 +191,12 @@
     }
     const Held held(connections_);
     if (!stream) {
-      std::unique_ptr<net::Stream> made = co_await net::Stream::connect(scheduler_, proxies_[proxy], deadline);
+      std::unique_ptr<net::Stream> made =
+          co_await net::Stream::connect(scheduler_, proxies_[proxy], deadline);
       stream = std::move(made);
-      if (stream) ++metrics_.connections;
+      if (stream) {
+        ++metrics_.connections;
+      }
     }
     if (!stream) {
       result.end = Try::End::kUnreachable;
@@ -166,12 +211,18 @@
       begun = begun || !buffer.empty();
       progress = io == Io::kOk ? parser.feed(buffer) : progress;
     }
-    if (io == Io::kEof && begun) progress = parser.end();
+    if (io == Io::kEof && begun) {
+      progress = parser.end();
+    }
     if (progress != http::Progress::kDone) {
-      // A kept connection that the proxy closed unread: once more on a new one, as the protocol has it.
-      again = kept && !begun && (io == Io::kEof || io == Io::kError) && runtime::Clock::now() < deadline;
+      // A kept connection that the proxy closed unread: once more on a new one, as the protocol has
+      // it.
+      again = kept && !begun && (io == Io::kEof || io == Io::kError) &&
+              runtime::Clock::now() < deadline;
       buffer.clear();
-      if (!again) books_.unanswered(call);
+      if (!again) {
+        books_.unanswered(call);
+      }
       continue;
     }
     const http::Message& answer = parser.message();
@@ -180,7 +231,9 @@
       result.end = Try::End::kFailed;
     } else if (answer.status == 200) {
       result.end = Try::End::kServed;
-      if (answer.body != id + " served\n") ++wrong_;  // not a node's answer to this request
+      if (answer.body != id + " served\n") {
+        ++wrong_;  // not a node's answer to this request
+      }
     } else if (answer.status == 429 || answer.status == 503) {
       result.end = Try::End::kRefused;
       result.advice = advice_in(answer);
@@ -197,12 +250,15 @@
 
 // ---- Closed loop
 
-ClosedLoad::ClosedLoad(runtime::Scheduler& scheduler, const emulator::Scenario& scenario, sockaddr_in proxy,
-                       std::size_t clients)
-    : scheduler_(scheduler), s_(scenario), proxy_(proxy), clients_(clients) {}
+ClosedLoad::ClosedLoad(runtime::Scheduler& scheduler, const emulator::Scenario& scenario,
+                       sockaddr_in proxy, std::size_t clients)
+    : scheduler_(scheduler), s_(scenario), proxy_(proxy), clients_(clients) {
+}
 
 Task<> ClosedLoad::run(TimePoint until) {
-  for (std::size_t i = 0; i < clients_; ++i) ++running_, scheduler_.spawn(client(i, until));
+  for (std::size_t i = 0; i < clients_; ++i) {
+    ++running_, scheduler_.spawn(client(i, until));
+  }
   while (running_ > 0) {
     Wait wait(scheduler_);
     wait.notified(ended_);
@@ -218,7 +274,8 @@
   for (std::uint64_t turn = 0; runtime::Clock::now() < until; ++turn) {
     const TimePoint deadline = runtime::Clock::now() + s_.classes[0].settings.deadline;
     if (!stream) {
-      std::unique_ptr<net::Stream> made = co_await net::Stream::connect(scheduler_, proxy_, deadline);
+      std::unique_ptr<net::Stream> made =
+          co_await net::Stream::connect(scheduler_, proxy_, deadline);
       stream = std::move(made);
       buffer.clear();
     }
@@ -231,19 +288,27 @@
       http::Progress progress = http::Progress::kMore;
       while (io == Io::kOk && progress == http::Progress::kMore) {
         io = co_await stream->read(buffer, deadline);
-        if (io == Io::kOk) progress = parser.feed(buffer);
+        if (io == Io::kOk) {
+          progress = parser.feed(buffer);
+        }
       }
       const bool whole = progress == http::Progress::kDone;
       good = whole && parser.message().status == 200;
-      if (!whole || !parser.message().keep_alive()) stream.reset();
+      if (!whole || !parser.message().keep_alive()) {
+        stream.reset();
+      }
     }
     ++(good ? served_ : other_);
-    if (good) continue;
+    if (good) {
+      continue;
+    }
     Wait pause(scheduler_);  // a proxy that refuses is not asked in a tight loop
     pause.until(runtime::Clock::now() + std::chrono::milliseconds(10));
     co_await pause;
   }
-  if (--running_ == 0) ended_.notify();
+  if (--running_ == 0) {
+    ended_.notify();
+  }
 }
 
 }  // namespace beechhill::lab
--- a/src/lab/load.h
+++ b/src/lab/load.h
@@ -1,5 +1,5 @@
-// An open-loop load on real proxies: the scenario's clients over HTTP/1.1. Latency counts from the moment a request
-// was to be sent, so a sender that falls behind does not hide it.
+// An open-loop load on real proxies: the scenario's clients over HTTP/1.1. Latency counts from the
+// moment a request was to be sent, so a sender that falls behind does not hide it.
 #pragma once
 
 #include <memory>
@@ -20,9 +20,11 @@
   // `books` must outlive it.
   Load(runtime::Scheduler& scheduler, const LabClock& clock, const emulator::Scenario& scenario,
        std::vector<sockaddr_in> proxies, Books& books);
-  // What the front between the clients and the proxies knows: whether it offers that one to new connections.
+  // What the front between the clients and the proxies knows: whether it offers that one to new
+  // connections.
   void offer(std::size_t proxy, bool offered);
-  // A proxy is back: where the scenario has it so, it is given its even part of the connections again.
+  // A proxy is back: where the scenario has it so, it is given its even part of the connections
+  // again.
   void deal_back(std::size_t proxy);
   // Ends when every request has ended.
   runtime::Task<> run();
@@ -32,7 +34,8 @@
   std::uint64_t asked() const { return asked_; }
   std::uint64_t served() const { return served_; }
   std::uint64_t open() const { return open_; }
-  // Answers that were not the one for the request they came to, or had a status that the protocol does not know.
+  // Answers that were not the one for the request they came to, or had a status that the protocol
+  // does not know.
   std::uint64_t wrong_answers() const { return wrong_; }
 
  private:
@@ -41,8 +44,8 @@
     Duration advice{0};
   };
   runtime::Task<> operation(emulator::Arrival arrival, std::uint64_t number);
-  runtime::Task<Try> one_try(const emulator::Arrival& arrival, std::uint64_t number, std::uint32_t tries,
-                             std::size_t proxy, Duration patience);
+  runtime::Task<Try> one_try(const emulator::Arrival& arrival, std::uint64_t number,
+                             std::uint32_t tries, std::size_t proxy, Duration patience);
 
   std::size_t another();  // that the front offers
 
@@ -63,11 +66,12 @@
   runtime::Notifier ended_;
 };
 
-// A closed loop: so many clients, each with a connection of its own, each asking again when it is answered. For cost,
-// not for latency: a slow proxy slows its load.
+// A closed loop: so many clients, each with a connection of its own, each asking again when it is
+// answered. For cost, not for latency: a slow proxy slows its load.
 class ClosedLoad {
  public:
-  ClosedLoad(runtime::Scheduler& scheduler, const emulator::Scenario& scenario, sockaddr_in proxy, std::size_t clients);
+  ClosedLoad(runtime::Scheduler& scheduler, const emulator::Scenario& scenario, sockaddr_in proxy,
+             std::size_t clients);
   runtime::Task<> run(runtime::TimePoint until);
   std::uint64_t served() const { return served_; }
   std::uint64_t other() const { return other_; }  // refused, failed or broken
--- a/src/lab/process.h
+++ b/src/lab/process.h
@@ -14,8 +14,9 @@
 
 namespace beechhill::lab {
 
-// A free port on loopback, kept so while this stands: whoever is told its number may listen on it, also after it was away, and
-// nobody is given it meanwhile. Throws std::runtime_error where there is none.
+// A free port on loopback, kept so while this stands: whoever is told its number may listen on it,
+// also after it was away, and nobody is given it meanwhile. Throws std::runtime_error where there
+// is none.
 class ReservedPort {
  public:
   ReservedPort();
@@ -30,8 +31,8 @@
  public:
   // Its configuration and log stand in `folder`, which must outlive it.
   // `operator_file`: the text of its operator file; empty: it has none.
-  ProxyProcess(const experiments::TempFolder& folder, const std::string& program, Json::Value config, sockaddr_in address,
-               const std::string& operator_file = {});
+  ProxyProcess(const experiments::TempFolder& folder, const std::string& program,
+               Json::Value config, sockaddr_in address, const std::string& operator_file = {});
   ~ProxyProcess() { kill(); }
   ProxyProcess(const ProxyProcess&) = delete;
   ProxyProcess& operator=(const ProxyProcess&) = delete;
@@ -43,14 +44,16 @@
   void go_on() { signal(SIGCONT); }
   // In good order, or by force after 5 s. Blocks.
   void end();
-  bool ended();  // it never ran, or has been reaped
+  bool ended();                            // it never ran, or has been reaped
   double cpu_s() const { return cpu_s_; }  // of all lives that have ended
   double cpu_now_s() const;                // of the one that runs, from /proc
   long rss_kib() const;
   const sockaddr_in& address() const { return address_; }
   std::string last_words() const;  // the last line of its log
-  std::size_t said(const std::string& event) const;  // lines of its log, over all lives, that tell of it
-  std::uint64_t summed(const std::string& event, const std::string& key) const;  // of these lines, what stands as key=
+  std::size_t said(
+      const std::string& event) const;  // lines of its log, over all lives, that tell of it
+  std::uint64_t summed(const std::string& event,
+                       const std::string& key) const;  // of these lines, what stands as key=
 
  private:
   std::vector<std::string> lines(const std::string& event) const;
@@ -69,13 +72,15 @@
   int status = 0;
   std::string body;
 };
-runtime::Task<HttpAnswer> call_http(runtime::Scheduler& scheduler, sockaddr_in to, std::string method, std::string target,
+runtime::Task<HttpAnswer> call_http(runtime::Scheduler& scheduler, sockaddr_in to,
+                                    std::string method, std::string target,
                                     runtime::Clock::duration within);
 // Whether the proxy there says that it is ready, within 200 ms.
 runtime::Task<bool> ready(runtime::Scheduler& scheduler, sockaddr_in address);
 // Throws std::runtime_error where the proxy ends, or is not ready within 15 s.
 runtime::Task<> until_ready(runtime::Scheduler& scheduler, ProxyProcess& proxy);
-// Runs a task to its end on the scheduler, then stops it; a fault in it comes out of Scheduler::run.
+// Runs a task to its end on the scheduler, then stops it; a fault in it comes out of
+// Scheduler::run.
 runtime::Task<> then_stop(runtime::Scheduler& scheduler, runtime::Task<> task);
 
 }  // namespace beechhill::lab
--- a/src/lab/relay.cpp
+++ b/src/lab/relay.cpp
@@ -32,7 +32,9 @@
 }
 
 void Relay::reset() {
-  for (const auto& link : links_) link->end();
+  for (const auto& link : links_) {
+    link->end();
+  }
 }
 
 Task<> Relay::accept() {
@@ -58,8 +60,11 @@
     wait.until(Clock::now() + kLookAgain);
     co_await wait;
   }
-  std::unique_ptr<net::Stream> far = co_await net::Stream::connect(scheduler_, to_, Clock::now() + kFar);
-  if (!far) co_return;  // as the far end has it: nobody there
+  std::unique_ptr<net::Stream> far =
+      co_await net::Stream::connect(scheduler_, to_, Clock::now() + kFar);
+  if (!far) {
+    co_return;  // as the far end has it: nobody there
+  }
   link->far = std::move(far);
   links_.insert(link);
   scheduler_.spawn(pump(link, false));
@@ -74,16 +79,22 @@
   std::string bytes;
   while (!link->over) {
     const Io io = co_await from.read(bytes, Clock::now() + kFar, &over);
-    if (io != Io::kOk) break;
+    if (io != Io::kOk) {
+      break;
+    }
     const auto due = Clock::now() + delay_;
     while (!link->over && (cut || Clock::now() < due)) {
       Wait wait(scheduler_);
       wait.until(cut ? Clock::now() + kLookAgain : due);
       co_await wait;
     }
-    if (link->over) break;
+    if (link->over) {
+      break;
+    }
     const Io written = co_await to.write(bytes, Clock::now() + kFar);
-    if (written != Io::kOk) break;
+    if (written != Io::kOk) {
+      break;
+    }
     bytes.clear();
   }
   // An end passes too, but not over a cut.
--- a/src/lab/relay.h
+++ b/src/lab/relay.h
@@ -1,4 +1,5 @@
-// A link between two ends on loopback that can be cut: bytes are held while it is, and a reset ends what goes over it.
+// A link between two ends on loopback that can be cut: bytes are held while it is, and a reset ends
+// what goes over it.
 #pragma once
 
 #include <memory>
--- a/src/lab/standin.cpp
+++ b/src/lab/standin.cpp
@@ -21,12 +21,14 @@
 
 namespace {
 
-constexpr auto kFar = 1h;            // a stand-in waits as long as its peer likes
+constexpr auto kFar = 1h;             // a stand-in waits as long as its peer likes
 constexpr double kMostWork = 3600e6;  // core-microseconds of one request
-constexpr auto kWatchLine = 2s;      // an empty line shows that the watch stands
-constexpr auto kLookAgain = 5ms;     // whether a silence is over
+constexpr auto kWatchLine = 2s;       // an empty line shows that the watch stands
+constexpr auto kLookAgain = 5ms;      // whether a silence is over
 
-sockaddr_in any_port() { return *net::parse_address("127.0.0.1:0"); }
+sockaddr_in any_port() {
+  return *net::parse_address("127.0.0.1:0");
+}
 
 // Reads one whole request. False where the connection has ended or what came is none.
 Task<bool> read_request(net::Stream& stream, std::string& buffer, http::Message& message) {
@@ -34,7 +36,9 @@
   http::Progress progress = parser.feed(buffer);
   while (progress == http::Progress::kMore) {
     const Io io = co_await stream.read(buffer, Clock::now() + kFar);
-    if (io != Io::kOk) co_return false;
+    if (io != Io::kOk) {
+      co_return false;
+    }
     progress = parser.feed(buffer);
   }
   message = std::move(parser.message());
@@ -43,14 +47,18 @@
 
 double work_in(const std::string& target) {
   const std::size_t at = target.find("work_us=");
-  if (at == std::string::npos) return 0;
+  if (at == std::string::npos) {
+    return 0;
+  }
   const std::size_t from = at + 8, to = std::min(target.find('&', from), target.size());
   const auto work = http::whole_number(std::string_view(target).substr(from, to - from));
   return work ? std::min(kMostWork, static_cast<double>(*work)) / 1e6 : 0;
 }
 
 const char* word(ServerState state) {
-  return state == ServerState::kUp ? "in_service" : state == ServerState::kDraining ? "terminating" : "terminated";
+  return state == ServerState::kUp         ? "in_service"
+         : state == ServerState::kDraining ? "terminating"
+                                           : "terminated";
 }
 
 std::string compact(const Json::Value& value) {
@@ -63,8 +71,8 @@
 
 // ---- Node
 
-StandInNode::StandInNode(runtime::Scheduler& scheduler, const LabClock& clock, const emulator::Scenario& scenario,
-                         ServerId id, Books* books)
+StandInNode::StandInNode(runtime::Scheduler& scheduler, const LabClock& clock,
+                         const emulator::Scenario& scenario, ServerId id, Books* books)
     : scheduler_(scheduler),
       clock_(clock),
       spec_(scenario.tiers[0]),
@@ -76,7 +84,9 @@
   scheduler_.spawn(tick());
 }
 
-std::string StandInNode::address() const { return net::to_string(dial()); }
+std::string StandInNode::address() const {
+  return net::to_string(dial());
+}
 
 void StandInNode::listen() {
   listener_ = std::make_unique<net::Listener>(scheduler_, dial());
@@ -84,7 +94,9 @@
 }
 
 void StandInNode::set_mode(Mode mode) {
-  if (mode == mode_) return;
+  if (mode == mode_) {
+    return;
+  }
   mode_ = mode;
   const Time now = clock_.now();
   phases_ = {};
@@ -92,10 +104,14 @@
     model_.restart(now, now);  // what it held is lost
     jobs_.clear();
   }
-  if (mode == Mode::kSilent) return;  // connections stand, and nothing more is said on them
+  if (mode == Mode::kSilent) {
+    return;  // connections stand, and nothing more is said on them
+  }
   const std::set<runtime::TaskId> serving = std::move(serving_);
   serving_.clear();
-  for (const runtime::TaskId id : serving) scheduler_.cancel(id);
+  for (const runtime::TaskId id : serving) {
+    scheduler_.cancel(id);
+  }
   if (mode == Mode::kDown) {
     scheduler_.cancel(accepting_);
     listener_.reset();
@@ -103,7 +119,9 @@
   }
   model_.restart(now, now);
   cold_ = true;
-  if (!listener_) listen();
+  if (!listener_) {
+    listen();
+  }
 }
 
 Task<> StandInNode::accept() {
@@ -116,9 +134,13 @@
       wait.until(Clock::now() + 10ms);
       co_await wait;
     }
-    if (io != Io::kOk) continue;
+    if (io != Io::kOk) {
+      continue;
+    }
     ++accepted_;
-    if (books_) books_->connected(id_);
+    if (books_) {
+      books_->connected(id_);
+    }
     auto stream = std::make_shared<net::Stream>(scheduler_, std::move(taken));
     const auto self = std::make_shared<runtime::TaskId>(0);
     *self = scheduler_.spawn(serve(std::move(stream), self));
@@ -126,7 +148,8 @@
   }
 }
 
-Task<> StandInNode::serve(std::shared_ptr<net::Stream> stream, std::shared_ptr<runtime::TaskId> self) {
+Task<> StandInNode::serve(std::shared_ptr<net::Stream> stream,
+                          std::shared_ptr<runtime::TaskId> self) {
   struct Leave {
     std::set<runtime::TaskId>& all;
     std::shared_ptr<runtime::TaskId> id;
@@ -137,8 +160,12 @@
   for (;;) {
     http::Message request;
     const bool whole = co_await read_request(*stream, buffer, request);
-    if (!whole) co_return;
-    if (mode_ == Mode::kSilent) continue;
+    if (!whole) {
+      co_return;
+    }
+    if (mode_ == Mode::kSilent) {
+      continue;
+    }
     ++taken_;
     const Time now = clock_.now();
     const std::string* id = request.headers.find("X-Trace-Id");
@@ -150,7 +177,8 @@
     const std::optional<CallId> call = books_ && id ? Books::call_of(*id) : std::nullopt;
     const double work = work_in(request.target) * spec_.work;
     const std::uint32_t attempt = call ? book_arrival(*call, work) : 0;
-    const double handshake = fresh ? std::chrono::duration<double>(spec_.handshake_work).count() : 0;
+    const double handshake =
+        fresh ? std::chrono::duration<double>(spec_.handshake_work).count() : 0;
     fresh = false;
     if (!id) {
       status = 404;
@@ -166,17 +194,24 @@
       wait.notified(job.done);
       co_await wait;
     }
-    if (call) books_->ended(*call, attempt, status == 200 ? Result::kOk : status == 503 ? Result::kFull : Result::kError);
+    if (call) {
+      books_->ended(*call, attempt,
+                    status == 200   ? Result::kOk
+                    : status == 503 ? Result::kFull
+                                    : Result::kError);
+    }
     extra += report(clock_.now());
     const std::string body = (id ? *id : "") + " served\n";
     const std::string answer = http::write_response(status, extra, body, false);
     const Io io = co_await stream->write(answer, Clock::now() + kFar);
-    if (io != Io::kOk) co_return;
+    if (io != Io::kOk) {
+      co_return;
+    }
   }
 }
 
-// Ends phases at the times that the model gave them, however late the machine's timer is: a timer of 1 ms must not
-// slow the node down.
+// Ends phases at the times that the model gave them, however late the machine's timer is: a timer
+// of 1 ms must not slow the node down.
 Task<> StandInNode::tick() {
   for (;;) {
     while (!phases_.empty() && phases_.top().until <= clock_.now()) {
@@ -193,14 +228,20 @@
     }
     Wait wait(scheduler_);
     wait.notified(rescheduled_);
-    if (!phases_.empty()) wait.until(clock_.point(phases_.top().until));
+    if (!phases_.empty()) {
+      wait.until(clock_.point(phases_.top().until));
+    }
     co_await wait;
   }
 }
 
 void StandInNode::schedule(const std::vector<emulator::Start>& starts) {
-  for (const emulator::Start& start : starts) phases_.push(start);
-  if (!starts.empty()) rescheduled_.notify();
+  for (const emulator::Start& start : starts) {
+    phases_.push(start);
+  }
+  if (!starts.empty()) {
+    rescheduled_.notify();
+  }
 }
 
 ServerEntry StandInNode::entry() const {
@@ -214,31 +255,49 @@
 std::uint32_t StandInNode::book_arrival(CallId call, double work) {
   const std::uint32_t attempt = books_->arrived(call, entry());
   const Time now = clock_.now();
-  if (cold_ && !model_.cold(now)) cold_ = false, books_->warm(id_);
-  if (cold_ && model_.born()) books_->pressed(call, id_, work, model_.capacity(now), *model_.born());
+  if (cold_ && !model_.cold(now)) {
+    cold_ = false, books_->warm(id_);
+  }
+  if (cold_ && model_.born()) {
+    books_->pressed(call, id_, work, model_.capacity(now), *model_.born());
+  }
   return attempt;
 }
 
 std::string StandInNode::report(Time now) {
   const LoadReport r = model_.report(now, late_);
-  if (!r.utilisation || !r.rate_per_s) return "";
-  return fmt::format("Endpoint-Load-Metrics: TEXT cpu_share={:.4f}, served_ps={:.2f}, pending={}\r\n", *r.utilisation,
-                     *r.rate_per_s, model_.waiting());
+  if (!r.utilisation || !r.rate_per_s) {
+    return "";
+  }
+  return fmt::format(
+      "Endpoint-Load-Metrics: TEXT cpu_share={:.4f}, served_ps={:.2f}, pending={}\r\n",
+      *r.utilisation, *r.rate_per_s, model_.waiting());
 }
 
 // ---- Discovery
 
-StandInDiscovery::StandInDiscovery(runtime::Scheduler& scheduler, const LabClock& clock, std::size_t proxy, Books* books)
-    : scheduler_(scheduler), clock_(clock), listener_(scheduler, any_port()), proxy_(proxy), books_(books) {
+StandInDiscovery::StandInDiscovery(runtime::Scheduler& scheduler, const LabClock& clock,
+                                   std::size_t proxy, Books* books)
+    : scheduler_(scheduler),
+      clock_(clock),
+      listener_(scheduler, any_port()),
+      proxy_(proxy),
+      books_(books) {
   scheduler_.spawn(accept());
 }
 
-std::string StandInDiscovery::address() const { return net::to_string(listener_.address()); }
+std::string StandInDiscovery::address() const {
+  return net::to_string(listener_.address());
+}
 
 void StandInDiscovery::tell(Json::Value row, const ServerEntry& entry, Time at) {
-  if (!changes_.empty()) at = std::max(at, changes_.back().due);
+  if (!changes_.empty()) {
+    at = std::max(at, changes_.back().due);
+  }
   changes_.push_back({at, std::move(row), entry});
-  for (runtime::Notifier* w : watchers_) w->notify();
+  for (runtime::Notifier* w : watchers_) {
+    w->notify();
+  }
 }
 
 void StandInDiscovery::rewind(std::optional<Time> to) {
@@ -247,7 +306,9 @@
   hosts_.clear(), entries_.clear();
   settle();
   ++rewinds_;
-  for (runtime::Notifier* w : watchers_) w->notify();
+  for (runtime::Notifier* w : watchers_) {
+    w->notify();
+  }
 }
 
 void StandInDiscovery::settle() {
@@ -269,14 +330,20 @@
   list["seq"] = static_cast<Json::UInt64>(told_);
   list["whole"] = true;
   list["hosts"] = Json::Value(Json::arrayValue);
-  for (const auto& [host, row] : hosts_) list["hosts"].append(row);
+  for (const auto& [host, row] : hosts_) {
+    list["hosts"].append(row);
+  }
   return list;
 }
 
 void StandInDiscovery::book_whole() {
-  if (!books_) return;
+  if (!books_) {
+    return;
+  }
   std::vector<ServerEntry> rows;
-  for (const auto& [host, entry] : entries_) rows.push_back(entry);
+  for (const auto& [host, entry] : entries_) {
+    rows.push_back(entry);
+  }
   books_->told(proxy_, rows, true);
 }
 
@@ -293,7 +360,9 @@
     net::Fd taken;
     sockaddr_in from{};
     const Io io = co_await listener_.accept(Clock::now() + kFar, taken, from);
-    if (io != Io::kOk) continue;
+    if (io != Io::kOk) {
+      continue;
+    }
     auto stream = std::make_shared<net::Stream>(scheduler_, std::move(taken));
     scheduler_.spawn(serve(std::move(stream)));
   }
@@ -309,15 +378,21 @@
   std::string buffer;
   http::Message request;
   const bool whole = co_await read_request(*stream, buffer, request);
-  if (!whole) co_return;
-  if (books_) books_->asked_whole(proxy_);
+  if (!whole) {
+    co_return;
+  }
+  if (books_) {
+    books_->asked_whole(proxy_);
+  }
   co_await while_silent();
   settle();
   if (request.target.find("watch=1") == std::string::npos) {
     const std::string list = compact(whole_list()) + "\n";
     const std::string answer = http::write_response(200, "", list, true);
     const Io io = co_await stream->write(answer, Clock::now() + kFar);
-    if (io == Io::kOk) book_whole();
+    if (io == Io::kOk) {
+      book_whole();
+    }
     co_return;
   }
   std::string out = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -327,15 +402,21 @@
   bool listed = false;
   for (;;) {
     co_await while_silent();
-    if (rewinds_ != rewinds) co_return;
+    if (rewinds_ != rewinds) {
+      co_return;
+    }
     out += fmt::format("{:x}\r\n{}\r\n", line.size(), line);
     const Io io = co_await stream->write(out, Clock::now() + kFar);
-    if (io != Io::kOk) co_return;
+    if (io != Io::kOk) {
+      co_return;
+    }
     if (!std::exchange(listed, true)) {
       book_whole();
     } else if (books_) {
       std::vector<ServerEntry> rows;
-      for (std::size_t i = booked; i < version; ++i) rows.push_back(changes_[i].entry);
+      for (std::size_t i = booked; i < version; ++i) {
+        rows.push_back(changes_[i].entry);
+      }
       books_->told(proxy_, rows, false);
     }
     booked = version;
@@ -344,59 +425,89 @@
     const TimePoint quiet = Clock::now() + kWatchLine;
     while (Clock::now() < quiet) {
       settle();
-      if (told_ > version || rewinds_ != rewinds) break;
+      if (told_ > version || rewinds_ != rewinds) {
+        break;
+      }
       Wait wait(scheduler_);
       const bool comes = told_ < changes_.size() && changes_[told_].due <= horizon_;
       const TimePoint due = comes ? std::min(quiet, clock_.point(changes_[told_].due)) : quiet;
       wait.until(due).notified(watcher.changed);
       co_await wait;
     }
-    if (rewinds_ != rewinds) co_return;
-    if (told_ == version) continue;
+    if (rewinds_ != rewinds) {
+      co_return;
+    }
+    if (told_ == version) {
+      continue;
+    }
     Json::Value list;
     list["seq"] = static_cast<Json::UInt64>(told_);
     list["whole"] = false;
     list["hosts"] = Json::Value(Json::arrayValue);
-    for (; version < told_; ++version) list["hosts"].append(changes_[version].row);
+    for (; version < told_; ++version) {
+      list["hosts"].append(changes_[version].row);
+    }
     line = compact(list) + "\n";
   }
 }
 
 // ---- Fleet
 
-Fleet::Fleet(runtime::Scheduler& scheduler, const LabClock& clock, const emulator::Scenario& scenario, Books* books)
+Fleet::Fleet(runtime::Scheduler& scheduler, const LabClock& clock,
+             const emulator::Scenario& scenario, Books* books)
     : scheduler_(scheduler),
       clock_(clock),
       s_(scenario),
       books_(books),
       struck_(scenario.faults.size()),
       lags_(scenario.seed, emulator::Actor::kDiscovery, 0) {
-  if (s_.tiers.size() != 1) throw std::invalid_argument("tier: stand-in nodes play one tier");
-  for (const FaultSpec& f : s_.faults)
-    if (f.kind == FaultKind::kReplace) throw std::invalid_argument("fault.kind: replace is the emulator's alone");
-  for (std::size_t i = 0; i < s_.proxies; ++i)
+  if (s_.tiers.size() != 1) {
+    throw std::invalid_argument("tier: stand-in nodes play one tier");
+  }
+  for (const FaultSpec& f : s_.faults) {
+    if (f.kind == FaultKind::kReplace) {
+      throw std::invalid_argument("fault.kind: replace is the emulator's alone");
+    }
+  }
+  for (std::size_t i = 0; i < s_.proxies; ++i) {
     agents_.push_back(std::make_unique<StandInDiscovery>(scheduler_, clock_, i, books));
-  for (ServerId id = 0; id < s_.tiers[0].nodes; ++id)
+  }
+  for (ServerId id = 0; id < s_.tiers[0].nodes; ++id) {
     nodes_.push_back(std::make_unique<StandInNode>(scheduler_, clock_, s_, id, books));
+  }
   for (std::size_t fault = 0; fault < s_.faults.size(); ++fault) {
-    if (!emulator::strikes_links(s_.faults[fault].kind)) continue;
-    for (const ServerId id : emulator::nodes_struck(s_, fault, entries()))
-      for (std::size_t i = 0; i < cut_off(); ++i)
-        if (auto& relay = relays_[{i, id}]; !relay) relay = std::make_unique<Relay>(scheduler_, nodes_[id]->dial());
+    if (!emulator::strikes_links(s_.faults[fault].kind)) {
+      continue;
+    }
+    for (const ServerId id : emulator::nodes_struck(s_, fault, entries())) {
+      for (std::size_t i = 0; i < cut_off(); ++i) {
+        if (auto& relay = relays_[{i, id}]; !relay) {
+          relay = std::make_unique<Relay>(scheduler_, nodes_[id]->dial());
+        }
+      }
+    }
+  }
+  for (const auto& n : nodes_) {
+    tell_at(*n, ServerState::kUp, [](std::size_t) { return Time::min(); });
   }
-  for (const auto& n : nodes_) tell_at(*n, ServerState::kUp, [](std::size_t) { return Time::min(); });
 }
 
-// A fault of links stands between the first half of the proxies and the nodes that it strikes, as in the emulator.
-std::size_t Fleet::cut_off() const { return emulator::part_of(0.5, s_.proxies); }
+// A fault of links stands between the first half of the proxies and the nodes that it strikes, as
+// in the emulator.
+std::size_t Fleet::cut_off() const {
+  return emulator::part_of(0.5, s_.proxies);
+}
 
 std::vector<ServerEntry> Fleet::entries() const {
   std::vector<ServerEntry> all;
-  for (const auto& n : nodes_) all.push_back(n->entry());
+  for (const auto& n : nodes_) {
+    all.push_back(n->entry());
+  }
   return all;
 }
 
-void Fleet::tell_at(const StandInNode& node, ServerState state, const std::function<Time(std::size_t)>& due) {
+void Fleet::tell_at(const StandInNode& node, ServerState state,
+                    const std::function<Time(std::size_t)>& due) {
   ServerEntry entry = node.entry();
   entry.state = state;
   for (std::size_t i = 0; i < agents_.size(); ++i) {
@@ -418,7 +529,8 @@
   std::int64_t born = 0;
   if (node.born()) {
     const auto ago = clock_.now() - *node.born();
-    born = std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::system_clock::now().time_since_epoch() - ago)
+    born = std::chrono::duration_cast<std::chrono::milliseconds>(
+               std::chrono::system_clock::now().time_since_epoch() - ago)
                .count();
   }
   r["born_ms"] = static_cast<Json::Int64>(born);
@@ -442,39 +554,68 @@
   const FaultSpec& f = s_.faults[fault];
   struck_[fault] = emulator::nodes_struck(s_, fault, entries());
   strike_proxies(f, true);
-  if (f.kind == FaultKind::kStaleList) stale_ = f.delay;
-  if (f.kind == FaultKind::kLateReports)
-    for (auto& n : nodes_) n->delay_reports(f.delay);
+  if (f.kind == FaultKind::kStaleList) {
+    stale_ = f.delay;
+  }
+  if (f.kind == FaultKind::kLateReports) {
+    for (auto& n : nodes_) {
+      n->delay_reports(f.delay);
+    }
+  }
   for (const ServerId i : struck_[fault]) {
     StandInNode& n = *nodes_[i];
-    if (emulator::strikes_links(f.kind)) strike_links(f, i, true);
-    if (f.kind == FaultKind::kErrors) n.set_errors(f.factor);
-    if (f.kind == FaultKind::kSlow) n.slow_down(f.factor);
-    if (f.kind == FaultKind::kDrain) tell(n, ServerState::kDraining);
+    if (emulator::strikes_links(f.kind)) {
+      strike_links(f, i, true);
+    }
+    if (f.kind == FaultKind::kErrors) {
+      n.set_errors(f.factor);
+    }
+    if (f.kind == FaultKind::kSlow) {
+      n.slow_down(f.factor);
+    }
+    if (f.kind == FaultKind::kDrain) {
+      tell(n, ServerState::kDraining);
+    }
     if (f.kind == FaultKind::kCrash) {
       n.set_mode(StandInNode::Mode::kDown);
       tell(n, ServerState::kRemoved);
     }
     if (f.kind == FaultKind::kSilent) {
       n.set_mode(StandInNode::Mode::kSilent);
-      if (s_.silent_notice > Duration{0} && s_.silent_notice < f.length) tell(n, ServerState::kRemoved, s_.silent_notice);
+      if (s_.silent_notice > Duration{0} && s_.silent_notice < f.length) {
+        tell(n, ServerState::kRemoved, s_.silent_notice);
+      }
     }
   }
 }
 
 void Fleet::end(std::size_t fault) {
   const FaultSpec& f = s_.faults[fault];
-  if (f.kind == FaultKind::kStaleList) stale_ = Duration{0};
+  if (f.kind == FaultKind::kStaleList) {
+    stale_ = Duration{0};
+  }
   strike_proxies(f, false);
-  if (f.kind == FaultKind::kLateReports)
-    for (auto& n : nodes_) n->delay_reports(Duration{0});
+  if (f.kind == FaultKind::kLateReports) {
+    for (auto& n : nodes_) {
+      n->delay_reports(Duration{0});
+    }
+  }
   for (const ServerId i : struck_[fault]) {
     StandInNode& n = *nodes_[i];
-    if (emulator::strikes_links(f.kind)) strike_links(f, i, false);
-    if (f.kind == FaultKind::kErrors) n.set_errors(0);
-    if (f.kind == FaultKind::kSlow) n.slow_down(1);
-    if (f.kind == FaultKind::kDrain) n.set_mode(StandInNode::Mode::kDown);
-    if (f.kind == FaultKind::kDrain || f.kind == FaultKind::kCrash || f.kind == FaultKind::kSilent) {
+    if (emulator::strikes_links(f.kind)) {
+      strike_links(f, i, false);
+    }
+    if (f.kind == FaultKind::kErrors) {
+      n.set_errors(0);
+    }
+    if (f.kind == FaultKind::kSlow) {
+      n.slow_down(1);
+    }
+    if (f.kind == FaultKind::kDrain) {
+      n.set_mode(StandInNode::Mode::kDown);
+    }
+    if (f.kind == FaultKind::kDrain || f.kind == FaultKind::kCrash ||
+        f.kind == FaultKind::kSilent) {
       n.set_mode(StandInNode::Mode::kUp);
       tell(n, ServerState::kUp);
     }
@@ -484,19 +625,31 @@
 void Fleet::strike_links(const FaultSpec& f, ServerId node, bool on) {
   for (std::size_t i = 0; i < cut_off(); ++i) {
     Relay& relay = *relays_.at({i, node});
-    if (f.kind == FaultKind::kPartition) relay.cut(on && f.way != emulator::Way::kBack, on && f.way != emulator::Way::kThere);
-    if (f.kind == FaultKind::kLinkDelay) relay.delay(on ? f.delay : Duration{0});
-    if (f.kind == FaultKind::kLinkReset && on) relay.reset();
-    if (books_ && f.kind != FaultKind::kLinkReset) books_->cut(i, node, on);
+    if (f.kind == FaultKind::kPartition) {
+      relay.cut(on && f.way != emulator::Way::kBack, on && f.way != emulator::Way::kThere);
+    }
+    if (f.kind == FaultKind::kLinkDelay) {
+      relay.delay(on ? f.delay : Duration{0});
+    }
+    if (f.kind == FaultKind::kLinkReset && on) {
+      relay.reset();
+    }
+    if (books_ && f.kind != FaultKind::kLinkReset) {
+      books_->cut(i, node, on);
+    }
   }
 }
 
 void Fleet::strike_proxies(const FaultSpec& f, bool begins) {
   const std::vector<std::uint32_t> struck = emulator::proxies_struck(s_, f);
   if (f.kind == FaultKind::kDiscoverySilent) {
-    for (const std::uint32_t i : struck) agents_[i]->silence(begins);
+    for (const std::uint32_t i : struck) {
+      agents_[i]->silence(begins);
+    }
   } else if (f.kind == FaultKind::kDiscoveryRewound) {
-    for (const std::uint32_t i : struck) agents_[i]->rewind(begins ? std::optional(clock_.now() - f.delay) : std::nullopt);
+    for (const std::uint32_t i : struck) {
+      agents_[i]->rewind(begins ? std::optional(clock_.now() - f.delay) : std::nullopt);
+    }
   } else if ((!struck.empty() || emulator::strikes_talk(f.kind)) && proxies_) {
     proxies_(f, struck, begins);
   }
@@ -514,7 +667,8 @@
     turns.push_back({s_.faults[i].at, i, true});
     turns.push_back({s_.faults[i].at + s_.faults[i].length, i, false});
   }
-  std::stable_sort(turns.begin(), turns.end(), [](const Turn& a, const Turn& b) { return a.at < b.at; });
+  std::stable_sort(turns.begin(), turns.end(),
+                   [](const Turn& a, const Turn& b) { return a.at < b.at; });
   for (const Turn& turn : turns) {
     Wait wait(scheduler_);
     wait.until(clock_.point(turn.at));
@@ -523,8 +677,9 @@
   }
 }
 
-Json::Value proxy_config(const emulator::Scenario& s, const std::string& name, const std::string& listen,
-                         Fleet& fleet, std::uint64_t seed, std::size_t proxy) {
+Json::Value proxy_config(const emulator::Scenario& s, const std::string& name,
+                         const std::string& listen, Fleet& fleet, std::uint64_t seed,
+                         std::size_t proxy) {
   const Settings told = emulator::settings_for(s, 0, 0, s.proxies, seed);
   Json::Value c;
   c["name"] = name;
--- a/src/lab/standin.h
+++ b/src/lab/standin.h
@@ -1,5 +1,5 @@
-// Stand-in nodes and their discovery on loopback, as a scenario of one tier describes them: the same node model as
-// the emulator's, with real sockets round it.
+// Stand-in nodes and their discovery on loopback, as a scenario of one tier describes them: the
+// same node model as the emulator's, with real sockets round it.
 #pragma once
 
 #include <json/json.h>
@@ -28,18 +28,18 @@
   runtime::TimePoint point(Time at) const { return zero + at; }
 };
 
-// An HTTP/1.1 node. A request says its work in core-microseconds as `work_us` in its query. What is lost in a crash
-// is reset; a silent node takes what comes and never answers.
+// An HTTP/1.1 node. A request says its work in core-microseconds as `work_us` in its query. What is
+// lost in a crash is reset; a silent node takes what comes and never answers.
 class StandInNode {
  public:
   enum class Mode { kUp, kSilent, kDown };
 
   // `books`, if any, must outlive it.
-  StandInNode(runtime::Scheduler& scheduler, const LabClock& clock, const emulator::Scenario& scenario, ServerId id,
-              Books* books = nullptr);
+  StandInNode(runtime::Scheduler& scheduler, const LabClock& clock,
+              const emulator::Scenario& scenario, ServerId id, Books* books = nullptr);
   const sockaddr_in& dial() const { return port_.address(); }
   std::string address() const;
-  void set_mode(Mode mode);         // coming up from anything else starts it again, cold
+  void set_mode(Mode mode);  // coming up from anything else starts it again, cold
   void set_errors(double share) { errors_ = share; }
   void slow_down(double times) { model_.slow_down(times); }
   void delay_reports(Duration by) { late_ = by; }
@@ -79,7 +79,9 @@
   std::map<emulator::JobId, Job*> jobs_;
   emulator::JobId next_job_ = 1;
   struct Later {
-    bool operator()(const emulator::Start& a, const emulator::Start& b) const { return a.until > b.until; }
+    bool operator()(const emulator::Start& a, const emulator::Start& b) const {
+      return a.until > b.until;
+    }
   };
   std::priority_queue<emulator::Start, std::vector<emulator::Start>, Later> phases_;
   runtime::Notifier rescheduled_;
@@ -88,18 +90,22 @@
   bool cold_ = false;  // by the books
 };
 
-// The agent of one proxy, or of all: tells the list of nodes as the protocol page's registry does, whole, or watched with
-// changes as they come due.
+// The agent of one proxy, or of all: tells the list of nodes as the protocol page's registry does,
+// whole, or watched with changes as they come due.
 class StandInDiscovery {
  public:
   // `books`, if any, must outlive it; `proxy`: whose agent it is, in them.
-  StandInDiscovery(runtime::Scheduler& scheduler, const LabClock& clock, std::size_t proxy = 0, Books* books = nullptr);
+  StandInDiscovery(runtime::Scheduler& scheduler, const LabClock& clock, std::size_t proxy = 0,
+                   Books* books = nullptr);
   std::string address() const;
   // What is told from `at` on, in the order of the calls.
   void tell(Json::Value row, const ServerEntry& entry, Time at);
   Json::Value whole_list() const;  // as told by now
-  void silence(bool on) { silent_ += on ? 1 : -1; }  // connections stand, and nothing is said on them
-  // From now on it tells the list as it was then, with that version, and ends the watches that stand; nothing: as it is.
+  void silence(bool on) {
+    silent_ += on ? 1 : -1;
+  }  // connections stand, and nothing is said on them
+  // From now on it tells the list as it was then, with that version, and ends the watches that
+  // stand; nothing: as it is.
   void rewind(std::optional<Time> to);
 
  private:
@@ -124,28 +130,35 @@
   std::set<runtime::Notifier*> watchers_;
   std::size_t proxy_;
   Books* books_;
-  int silent_ = 0;  // faults that keep it so
+  int silent_ = 0;              // faults that keep it so
   Time horizon_ = Time::max();  // what is due later is not told
   std::uint64_t rewinds_ = 0;
 };
 
-// Nodes, their discovery (one agent for each proxy, each with its own lateness) and the faults that the scenario has for them.
+// Nodes, their discovery (one agent for each proxy, each with its own lateness) and the faults that
+// the scenario has for them.
 class Fleet {
  public:
-  // Throws std::invalid_argument for a scenario that sockets can't play: more than one tier, or faults of other
-  // kinds than silent, errors, slow, late_reports, stale_list, crash, drain, burst, tenant_burst and those of links and proxies.
-  Fleet(runtime::Scheduler& scheduler, const LabClock& clock, const emulator::Scenario& scenario, Books* books = nullptr);
-  // Plays the faults by the clock. `proxies` is told when a fault of the processes themselves begins (true) and ends.
-  using StrikeProxies = std::function<void(const emulator::FaultSpec& fault, const std::vector<std::uint32_t>& struck, bool begins)>;
+  // Throws std::invalid_argument for a scenario that sockets can't play: more than one tier, or
+  // faults of other kinds than silent, errors, slow, late_reports, stale_list, crash, drain, burst,
+  // tenant_burst and those of links and proxies.
+  Fleet(runtime::Scheduler& scheduler, const LabClock& clock, const emulator::Scenario& scenario,
+        Books* books = nullptr);
+  // Plays the faults by the clock. `proxies` is told when a fault of the processes themselves
+  // begins (true) and ends.
+  using StrikeProxies = std::function<void(const emulator::FaultSpec& fault,
+                                           const std::vector<std::uint32_t>& struck, bool begins)>;
   runtime::Task<> play_faults(StrikeProxies proxies);
   StandInDiscovery& agent(std::size_t proxy) { return *agents_[proxy]; }
   const std::vector<std::unique_ptr<StandInNode>>& nodes() const { return nodes_; }
-  void restart(ServerId node);  // staff's work on it is over: it starts again, and discovery says so
+  void restart(
+      ServerId node);  // staff's work on it is over: it starts again, and discovery says so
 
  private:
   Json::Value row(const StandInNode& node, ServerState state, const std::string& dial) const;
   void tell(const StandInNode& node, ServerState state, Duration more = Duration{0});
-  void tell_at(const StandInNode& node, ServerState state, const std::function<Time(std::size_t agent)>& due);
+  void tell_at(const StandInNode& node, ServerState state,
+               const std::function<Time(std::size_t agent)>& due);
   std::vector<ServerEntry> entries() const;
   std::size_t cut_off() const;
   void strike_links(const emulator::FaultSpec& fault, ServerId node, bool on);
@@ -159,7 +172,8 @@
   Books* books_;
   std::vector<std::unique_ptr<StandInDiscovery>> agents_;  // by proxy
   std::vector<std::unique_ptr<StandInNode>> nodes_;
-  std::map<std::pair<std::size_t, ServerId>, std::unique_ptr<Relay>> relays_;  // where a fault cuts between the two
+  std::map<std::pair<std::size_t, ServerId>, std::unique_ptr<Relay>>
+      relays_;  // where a fault cuts between the two
   std::vector<std::vector<ServerId>> struck_;
   emulator::Stream lags_;
   Duration stale_{0};
@@ -167,7 +181,8 @@
 };
 
 // The configuration (GW_CONFIG) of a real proxy in front of it.
-Json::Value proxy_config(const emulator::Scenario& scenario, const std::string& name, const std::string& listen,
-                         Fleet& fleet, std::uint64_t seed, std::size_t proxy = 0);
+Json::Value proxy_config(const emulator::Scenario& scenario, const std::string& name,
+                         const std::string& listen, Fleet& fleet, std::uint64_t seed,
+                         std::size_t proxy = 0);
 
 }  // namespace beechhill::lab
--- a/src/lab/state_folder.cpp
+++ b/src/lab/state_folder.cpp
@@ -23,38 +23,53 @@
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
-void put(const fs::path& file, const std::string& text) { std::ofstream(file, std::ios::binary | std::ios::trunc) << text; }
+void put(const fs::path& file, const std::string& text) {
+  std::ofstream(file, std::ios::binary | std::ios::trunc) << text;
+}
 
 }  // namespace
 
 StateFolder::StateFolder(fs::path folder, std::string aside, std::uint64_t seed)
-    : folder_(std::move(folder)), aside_(folder_ / aside), random_(seed, emulator::Actor::kFaults, kStateStream) {
+    : folder_(std::move(folder)),
+      aside_(folder_ / aside),
+      random_(seed, emulator::Actor::kFaults, kStateStream) {
   fs::create_directories(folder_);
 }
 
-StateFolder::~StateFolder() { unblock(); }
+StateFolder::~StateFolder() {
+  unblock();
+}
 
 void StateFolder::strike(FaultKind kind, bool begins, std::chrono::milliseconds by) {
   switch (kind) {
     case FaultKind::kStateLost:
-      if (begins)
-        for (const auto& entry : fs::directory_iterator(folder_)) fs::remove_all(entry.path());
+      if (begins) {
+        for (const auto& entry : fs::directory_iterator(folder_)) {
+          fs::remove_all(entry.path());
+        }
+      }
       break;
     case FaultKind::kStateOld:
       begins ? remember() : put_back();
       break;
     case FaultKind::kStateTorn:
     case FaultKind::kStateFlipped:
-      if (begins) damage(kind == FaultKind::kStateTorn);
+      if (begins) {
+        damage(kind == FaultKind::kStateTorn);
+      }
       break;
     case FaultKind::kStateAged:
-      if (begins) age(by);
+      if (begins) {
+        age(by);
+      }
       break;
     case FaultKind::kDiskFull:
     case FaultKind::kDiskHangs:
     case FaultKind::kDiskGone:
       unblock();
-      if (begins) block(kind);
+      if (begins) {
+        block(kind);
+      }
       break;
     default:
       break;
@@ -63,21 +78,33 @@
 
 void StateFolder::remember() {
   copy_.clear();
-  for (const auto& entry : fs::directory_iterator(folder_))
-    if (entry.is_regular_file()) copy_[entry.path().filename().string()] = contents(entry.path());
+  for (const auto& entry : fs::directory_iterator(folder_)) {
+    if (entry.is_regular_file()) {
+      copy_[entry.path().filename().string()] = contents(entry.path());
+    }
+  }
 }
 
 void StateFolder::put_back() {
-  for (const auto& entry : fs::directory_iterator(folder_))
-    if (entry.is_regular_file() && !copy_.contains(entry.path().filename().string())) fs::remove(entry.path());
-  for (const auto& [name, text] : copy_) put(folder_ / name, text);
+  for (const auto& entry : fs::directory_iterator(folder_)) {
+    if (entry.is_regular_file() && !copy_.contains(entry.path().filename().string())) {
+      fs::remove(entry.path());
+    }
+  }
+  for (const auto& [name, text] : copy_) {
+    put(folder_ / name, text);
+  }
 }
 
 void StateFolder::damage(bool cut) {
   for (const auto& entry : fs::directory_iterator(folder_)) {
-    if (!entry.is_regular_file()) continue;
+    if (!entry.is_regular_file()) {
+      continue;
+    }
     std::string text = contents(entry.path());
-    if (text.empty()) continue;
+    if (text.empty()) {
+      continue;
+    }
     if (cut) {
       text.resize(text.size() / 2);
     } else {
@@ -90,10 +117,15 @@
 
 void StateFolder::age(std::chrono::milliseconds by) {
   for (const auto& entry : fs::directory_iterator(folder_)) {
-    auto snapshot = entry.is_regular_file() ? snapshot::decode(contents(entry.path())) : std::nullopt;
-    if (!snapshot) continue;
+    auto snapshot =
+        entry.is_regular_file() ? snapshot::decode(contents(entry.path())) : std::nullopt;
+    if (!snapshot) {
+      continue;
+    }
     snapshot->written -= by;
-    for (snapshot::Row& row : snapshot->rows) row.at -= by;
+    for (snapshot::Row& row : snapshot->rows) {
+      row.at -= by;
+    }
     put(entry.path(), snapshot::encode(*snapshot));
   }
 }
@@ -101,14 +133,22 @@
 void StateFolder::block(FaultKind kind) {
   std::error_code none;
   fs::remove_all(aside_, none);
-  if (kind == FaultKind::kDiskFull) fs::create_symlink("/dev/full", aside_, none);
-  if (kind == FaultKind::kDiskGone) fs::create_directory(aside_, none);
-  if (kind == FaultKind::kDiskHangs) ::mkfifo(aside_.c_str(), 0600);  // whoever opens it to write waits for a reader
+  if (kind == FaultKind::kDiskFull) {
+    fs::create_symlink("/dev/full", aside_, none);
+  }
+  if (kind == FaultKind::kDiskGone) {
+    fs::create_directory(aside_, none);
+  }
+  if (kind == FaultKind::kDiskHangs) {
+    ::mkfifo(aside_.c_str(), 0600);  // whoever opens it to write waits for a reader
+  }
 }
 
 void StateFolder::unblock() {
   std::error_code none;
-  if (fs::is_fifo(aside_, none)) drain_ = net::Fd(::open(aside_.c_str(), O_RDONLY | O_NONBLOCK | O_CLOEXEC));
+  if (fs::is_fifo(aside_, none)) {
+    drain_ = net::Fd(::open(aside_.c_str(), O_RDONLY | O_NONBLOCK | O_CLOEXEC));
+  }
   fs::remove_all(aside_, none);
 }
 
--- a/src/lab/state_folder.h
+++ b/src/lab/state_folder.h
@@ -1,6 +1,6 @@
-// The folder in which one process keeps what outlasts it, and what befalls it: lost, put back as it was, torn, damaged, or on a disk
-// that is full, hangs or cannot be written. By means that need no rights: what a process writes aside before it renames it meets
-// something that is no file.
+// The folder in which one process keeps what outlasts it, and what befalls it: lost, put back as it
+// was, torn, damaged, or on a disk that is full, hangs or cannot be written. By means that need no
+// rights: what a process writes aside before it renames it meets something that is no file.
 #pragma once
 
 #include <chrono>
@@ -23,8 +23,8 @@
   StateFolder& operator=(const StateFolder&) = delete;
 
   std::string path() const { return folder_.string(); }
-  // A fault of state (emulator::strikes_state) begins or ends. Faults of the disk may overlap: the first to end mends it.
-  // `by`: how much older its snapshots become, for kStateAged.
+  // A fault of state (emulator::strikes_state) begins or ends. Faults of the disk may overlap: the
+  // first to end mends it. `by`: how much older its snapshots become, for kStateAged.
   void strike(emulator::FaultKind kind, bool begins, std::chrono::milliseconds by);
 
  private:
--- a/src/lab/switchboard.cpp
+++ b/src/lab/switchboard.cpp
@@ -12,10 +12,16 @@
 }  // namespace
 
 Switchboard::Switchboard(runtime::Scheduler& scheduler, std::size_t processes, std::uint64_t seed)
-    : scheduler_(scheduler), count_(processes), random_(seed, emulator::Actor::kDiscovery, kBoardStream), cuts_(processes * processes) {
-  if (processes > 100) throw std::invalid_argument("proxies.count: at most 100 that talk with each other");
+    : scheduler_(scheduler),
+      count_(processes),
+      random_(seed, emulator::Actor::kDiscovery, kBoardStream),
+      cuts_(processes * processes) {
+  if (processes > 100) {
+    throw std::invalid_argument("proxies.count: at most 100 that talk with each other");
+  }
   for (std::size_t i = 0; i < processes; ++i) {
-    sockets_.push_back(std::make_unique<net::DatagramSocket>(scheduler_, *net::parse_address(reached(i))));
+    sockets_.push_back(
+        std::make_unique<net::DatagramSocket>(scheduler_, *net::parse_address(reached(i))));
     scheduler_.spawn(pass(i));
   }
 }
@@ -35,10 +41,13 @@
     while (auto bytes = sockets_[to]->take(from)) {  // all: what is left is not told of again
       const std::string sender = net::to_string(from);
       for (std::size_t i = 0; i < count_; ++i) {
-        if (sender != listens(i) || cuts_[i * count_ + to] > 0 || random_.uniform() < loss_) continue;
+        if (sender != listens(i) || cuts_[i * count_ + to] > 0 || random_.uniform() < loss_) {
+          continue;
+        }
         for (int copies = random_.uniform() < doubled_ ? 2 : 1; copies > 0; --copies) {
           ++passed_;
-          const auto after = std::chrono::duration_cast<runtime::Clock::duration>(delay_ * random_.uniform());
+          const auto after =
+              std::chrono::duration_cast<runtime::Clock::duration>(delay_ * random_.uniform());
           if (after.count() > 0) {
             scheduler_.spawn(later(i, to, *bytes, after));
           } else {
@@ -50,7 +59,8 @@
   }
 }
 
-runtime::Task<> Switchboard::later(std::size_t from, std::size_t to, std::string bytes, runtime::Clock::duration after) {
+runtime::Task<> Switchboard::later(std::size_t from, std::size_t to, std::string bytes,
+                                   runtime::Clock::duration after) {
   runtime::Wait wait(scheduler_);
   wait.until(runtime::Clock::now() + after);
   co_await wait;
--- a/src/lab/talk.h
+++ b/src/lab/talk.h
@@ -1,4 +1,5 @@
-// In simulated time: `membership`, what the members of a group learn of each other; `works`, rounds of work under drawn faults.
+// In simulated time: `membership`, what the members of a group learn of each other; `works`, rounds
+// of work under drawn faults.
 #pragma once
 
 #include <CLI/CLI.hpp>
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -18,9 +18,14 @@
 constexpr const char* kLevels[] = {"debug", "info", "warning", "error", "off"};
 
 bool plain(std::string_view text) {
-  if (text.empty()) return false;
-  for (const char c : text)
-    if (c <= ' ' || c == '"' || c == '=' || c == '\\' || c == 0x7f) return false;
+  if (text.empty()) {
+    return false;
+  }
+  for (const char c : text) {
+    if (c <= ' ' || c == '"' || c == '=' || c == '\\' || c == 0x7f) {
+      return false;
+    }
+  }
   return true;
 }
 
@@ -51,15 +56,19 @@
 
 std::string stamp(std::chrono::system_clock::time_point at) {
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(at.time_since_epoch());
-  return fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:03}Z", fmt::gmtime(std::chrono::system_clock::to_time_t(at)),
-                     ms.count() % 1000);
+  return fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:03}Z",
+                     fmt::gmtime(std::chrono::system_clock::to_time_t(at)), ms.count() % 1000);
 }
 
 void write_all(std::string_view bytes) {
   while (!bytes.empty()) {
     const ssize_t n = ::write(STDOUT_FILENO, bytes.data(), bytes.size());
-    if (n < 0 && errno == EINTR) continue;
-    if (n <= 0) return;  // nobody reads: a log must not end the program
+    if (n < 0 && errno == EINTR) {
+      continue;
+    }
+    if (n <= 0) {
+      return;  // nobody reads: a log must not end the program
+    }
     bytes.remove_prefix(static_cast<std::size_t>(n));
   }
 }
@@ -101,21 +110,31 @@
 
 }  // namespace
 
-std::string line_of(Format format, Level level, std::string_view name, const Field* fields, std::size_t count,
-                    const std::chrono::system_clock::time_point* at) {
+std::string line_of(Format format, Level level, std::string_view name, const Field* fields,
+                    std::size_t count, const std::chrono::system_clock::time_point* at) {
   const char* word = kLevels[static_cast<std::size_t>(level)];
   std::string line;
   if (format == Format::kJson) {
     line = "{";
-    if (at) line += "\"time\":\"" + stamp(*at) + "\",";
+    if (at) {
+      line += "\"time\":\"" + stamp(*at) + "\",";
+    }
     line += fmt::format("\"level\":\"{}\",\"event\":{}", word, quoted(name));
-    for (std::size_t i = 0; i < count; ++i) line += fmt::format(",{}:{}", quoted(fields[i].name), text_of(fields[i], true));
+    for (std::size_t i = 0; i < count; ++i) {
+      line += fmt::format(",{}:{}", quoted(fields[i].name), text_of(fields[i], true));
+    }
     return line + "}";
   }
-  if (at) line = stamp(*at) + " ";
+  if (at) {
+    line = stamp(*at) + " ";
+  }
   line += name;
-  if (level >= Level::kWarning) line += fmt::format(" level={}", word);
-  for (std::size_t i = 0; i < count; ++i) line += fmt::format(" {}={}", fields[i].name, text_of(fields[i], false));
+  if (level >= Level::kWarning) {
+    line += fmt::format(" level={}", word);
+  }
+  for (std::size_t i = 0; i < count; ++i) {
+    line += fmt::format(" {}={}", fields[i].name, text_of(fields[i], false));
+  }
   return line;
 }
 
@@ -126,34 +145,48 @@
   made->level = settings.level;
   made->pool = std::make_shared<spdlog::details::thread_pool>(settings.queue, 1);
   sink->pool = made->pool;
-  made->logger = std::make_shared<spdlog::async_logger>("beechhill", sink, made->pool,
-                                                        spdlog::async_overflow_policy::overrun_oldest);
+  made->logger = std::make_shared<spdlog::async_logger>(
+      "beechhill", sink, made->pool, spdlog::async_overflow_policy::overrun_oldest);
   made->logger->set_level(spdlog::level::trace);
   writer = made;
 }
 
 void set_level(Level level) {
-  if (writer) writer->level = level;
+  if (writer) {
+    writer->level = level;
+  }
 }
 
 void finish(std::chrono::milliseconds at_most) {
-  if (!writer) return;
+  if (!writer) {
+    return;
+  }
   const auto until = std::chrono::steady_clock::now() + at_most;
-  while (written + dropped() < writer->posted && std::chrono::steady_clock::now() < until)
+  while (written + dropped() < writer->posted && std::chrono::steady_clock::now() < until) {
     std::this_thread::sleep_for(std::chrono::milliseconds(1));
+  }
 }
 
-std::uint64_t dropped() { return writer ? writer->pool->overrun_counter() : 0; }
+std::uint64_t dropped() {
+  return writer ? writer->pool->overrun_counter() : 0;
+}
 
 void event(Level level, std::string_view name, std::initializer_list<Field> fields) {
   const Level least = writer ? writer->level.load() : Level::kInfo;
-  if (level < least || least == Level::kOff) return;
+  if (level < least || least == Level::kOff) {
+    return;
+  }
   const Settings usual;
   const Settings& s = writer ? writer->settings : usual;
   std::chrono::system_clock::time_point now;
-  if (s.time) now = std::chrono::system_clock::now();
-  const std::string line = line_of(s.format, level, name, fields.begin(), fields.size(), s.time ? &now : nullptr) + "\n";
-  if (!writer) return write_all(line);
+  if (s.time) {
+    now = std::chrono::system_clock::now();
+  }
+  const std::string line =
+      line_of(s.format, level, name, fields.begin(), fields.size(), s.time ? &now : nullptr) + "\n";
+  if (!writer) {
+    return write_all(line);
+  }
   ++writer->posted;
   writer->logger->log(spdlog::level::info, spdlog::string_view_t(line.data(), line.size()));
 }
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,6 +1,7 @@
-// The structured log: one line an event, with a name and typed fields. A line is handed to a writer thread
-// through a bounded queue, so that a reader of standard output that stalls never holds up the event loop; what
-// does not fit drops the oldest line, and the next line written says how many were dropped.
+// The structured log: one line an event, with a name and typed fields. A line is handed to a writer
+// thread through a bounded queue, so that a reader of standard output that stalls never holds up
+// the event loop; what does not fit drops the oldest line, and the next line written says how many
+// were dropped.
 #pragma once
 
 #include <chrono>
@@ -18,8 +19,8 @@
 struct Settings {
   Level level = Level::kInfo;  // what is below is not written
   Format format = Format::kLogfmt;
-  bool time = false;          // each line begins with the wall clock's time, in UTC
-  std::size_t queue = 2048;   // lines, from 16 to 65,536; each takes about 400 bytes
+  bool time = false;         // each line begins with the wall clock's time, in UTC
+  std::size_t queue = 2048;  // lines, from 16 to 65,536; each takes about 400 bytes
 };
 
 struct Field {
@@ -27,13 +28,14 @@
   std::variant<std::string_view, std::int64_t, std::uint64_t, double, bool> value;
 };
 
-// The line of an event without its line end. No I/O. `at` is left out where it is null. Bytes that could end or
-// forge a line are escaped, whoever they came from. In logfmt the level is named from a warning on.
-std::string line_of(Format format, Level level, std::string_view name, const Field* fields, std::size_t count,
-                    const std::chrono::system_clock::time_point* at);
+// The line of an event without its line end. No I/O. `at` is left out where it is null. Bytes that
+// could end or forge a line are escaped, whoever they came from. In logfmt the level is named from
+// a warning on.
+std::string line_of(Format format, Level level, std::string_view name, const Field* fields,
+                    std::size_t count, const std::chrono::system_clock::time_point* at);
 
-// Starts the writer, once for a process and after its signals are blocked. Before that, events are written at
-// once by whoever logs them.
+// Starts the writer, once for a process and after its signals are blocked. Before that, events are
+// written at once by whoever logs them.
 void start(const Settings& settings);
 // Takes over the level from settings that were read again; the rest is settled by the start.
 void set_level(Level level);
@@ -43,7 +45,9 @@
 void event(Level level, std::string_view name, std::initializer_list<Field> fields);
 std::uint64_t dropped();  // lines so far
 
-inline void info(std::string_view name, std::initializer_list<Field> fields = {}) { event(Level::kInfo, name, fields); }
+inline void info(std::string_view name, std::initializer_list<Field> fields = {}) {
+  event(Level::kInfo, name, fields);
+}
 inline void warning(std::string_view name, std::initializer_list<Field> fields = {}) {
   event(Level::kWarning, name, fields);
 }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,5 +1,6 @@
-// The command line. Without arguments the program serves. Exit codes: 0 done, 1 a fault while starting or serving,
-// 2 faulty arguments or, with `check`, a faulty file; those of beechhill-lab for what it carries out.
+// The command line. Without arguments the program serves. Exit codes: 0 done, 1 a fault while
+// starting or serving, 2 faulty arguments or, with `check`, a faulty file; those of beechhill-lab
+// for what it carries out.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -45,7 +46,9 @@
 int check(const std::string& config, const std::string& operator_file) {
   int code = 0;
   const auto look = [&code](const char* what, const std::string& path, const auto& read) {
-    if (path.empty()) return;
+    if (path.empty()) {
+      return;
+    }
     try {
       read();
       std::printf("%s: good: %s\n", what, path.c_str());
@@ -54,10 +57,14 @@
       code = kBadInput;
     }
   };
-  if (!config.empty()) ::setenv("GW_CONFIG", config.c_str(), 1);
+  if (!config.empty()) {
+    ::setenv("GW_CONFIG", config.c_str(), 1);
+  }
   const char* named = std::getenv("GW_CONFIG");
   if (!named && operator_file.empty()) {
-    std::fprintf(stderr, "beechhill: nothing to check: give --config or GW_CONFIG, --operator or BEECHHILL_OPERATOR\n");
+    std::fprintf(stderr,
+                 "beechhill: nothing to check: give --config or GW_CONFIG, --operator or "
+                 "BEECHHILL_OPERATOR\n");
     return kBadInput;
   }
   look("configuration", named ? named : "", [] { config::load_config(); });
@@ -65,47 +72,60 @@
   return code;
 }
 
-// The emulator and its libraries stay out of the serving program: they are a program of their own beside it.
+// The emulator and its libraries stay out of the serving program: they are a program of their own
+// beside it.
 int hand_over(char** argv) {
   std::error_code error;
   const auto self = std::filesystem::read_symlink("/proc/self/exe", error);
   const std::string lab = (self.parent_path() / "beechhill-lab").string();
   ::execv(lab.c_str(), argv);
-  std::fprintf(stderr, "beechhill: %s is carried out by %s, which cannot be started\n", argv[1], lab.c_str());
+  std::fprintf(stderr, "beechhill: %s is carried out by %s, which cannot be started\n", argv[1],
+               lab.c_str());
   return kFault;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  if (argc == 1) return serve(operator_file_of_environment());
+  if (argc == 1) {
+    return serve(operator_file_of_environment());
+  }
 
-  CLI::App app{"beechhill: a load balancing proxy for services that stand in tiers. Without arguments it serves."};
+  CLI::App app{
+      "beechhill: a load balancing proxy for services that stand in tiers. Without arguments it "
+      "serves."};
   app.require_subcommand(1);
-  app.footer("Exit codes: 0 done, 1 a fault while starting or serving, 2 faulty arguments or a faulty file. The commands\n"
-             "marked [lab] are carried out by beechhill-lab, which stands beside this program; its own --help tells more.");
+  app.footer(
+      "Exit codes: 0 done, 1 a fault while starting or serving, 2 faulty arguments or a faulty "
+      "file. The commands\n"
+      "marked [lab] are carried out by beechhill-lab, which stands beside this program; its own "
+      "--help tells more.");
   int code = 0;
   std::string config, operator_file = operator_file_of_environment();
 
   CLI::App* c = app.add_subcommand("serve", "Serve with the configuration that GW_CONFIG names");
-  c->add_option("--operator", operator_file, "Operator file (TOML), in place of BEECHHILL_OPERATOR's");
+  c->add_option("--operator", operator_file,
+                "Operator file (TOML), in place of BEECHHILL_OPERATOR's");
   c->callback([&] { code = serve(operator_file); });
 
-  c = app.add_subcommand("check", "Say what is wrong with a configuration and an operator file, with key and line");
+  c = app.add_subcommand(
+      "check", "Say what is wrong with a configuration and an operator file, with key and line");
   c->add_option("--config", config, "Configuration (JSON), in place of GW_CONFIG's");
-  c->add_option("--operator", operator_file, "Operator file (TOML), in place of BEECHHILL_OPERATOR's");
+  c->add_option("--operator", operator_file,
+                "Operator file (TOML), in place of BEECHHILL_OPERATOR's");
   c->callback([&] { code = check(config, operator_file); });
 
 #ifdef BEECHHILL_TALK
   maintenance::add_command(app, code);
 #endif
 
-  for (const auto& [name, text] : {std::pair{"emulate", "[lab] Play a scenario in simulated time"},
-                                   {"experiment", "[lab] Run a grid of scenarios, policies and seeds"},
-                                   {"plot", "[lab] Draw results into one HTML page"},
-                                   {"nodes", "[lab] Play stand-in nodes and their discovery on loopback"},
-                                   {"fleet", "[lab] Many processes under a fault plan, judged by books"},
-                                   {"demo", "[lab] Nodes, discovery, the real proxy and a load, all on this machine"}}) {
+  for (const auto& [name, text] :
+       {std::pair{"emulate", "[lab] Play a scenario in simulated time"},
+        {"experiment", "[lab] Run a grid of scenarios, policies and seeds"},
+        {"plot", "[lab] Draw results into one HTML page"},
+        {"nodes", "[lab] Play stand-in nodes and their discovery on loopback"},
+        {"fleet", "[lab] Many processes under a fault plan, judged by books"},
+        {"demo", "[lab] Nodes, discovery, the real proxy and a load, all on this machine"}}) {
     c = app.add_subcommand(name, text);
     c->prefix_command();
     c->set_help_flag();
--- a/src/maintenance/agreement.h
+++ b/src/maintenance/agreement.h
@@ -1,5 +1,6 @@
-// The voters' agreement on one order of commands: the core of libraft (C), to which this gives its time, its network and its disk, so that it
-// runs in the emulator as it does in the program. Nothing is said to others before what it rests on is durable.
+// The voters' agreement on one order of commands: the core of libraft (C), to which this gives its
+// time, its network and its disk, so that it runs in the emulator as it does in the program.
+// Nothing is said to others before what it rests on is durable.
 #pragma once
 
 #include <functional>
@@ -23,24 +24,27 @@
 };
 std::optional<Voter> voter_from(std::string_view address);
 
-// What a voter's storage begins with, where the group is founded: the configuration of all, as a first entry.
+// What a voter's storage begins with, where the group is founded: the configuration of all, as a
+// first entry.
 std::vector<Record> founding(const std::vector<std::string>& voters);
 
 struct Timing {
-  Duration election{1'000'000};   // without word of a leader, at the least, before another stands
+  Duration election{1'000'000};  // without word of a leader, at the least, before another stands
   Duration heartbeat{200'000};
 };
 
 class Agreement {
  public:
-  // `storage` and `ledger` must outlive it; the ledger is the machine that settled commands change, from empty.
-  // Throws std::runtime_error where the library refuses what is stored.
-  Agreement(Time now, const Voter& self, Storage& storage, Ledger& ledger, const Timing& timing, std::uint64_t seed);
+  // `storage` and `ledger` must outlive it; the ledger is the machine that settled commands change,
+  // from empty. Throws std::runtime_error where the library refuses what is stored.
+  Agreement(Time now, const Voter& self, Storage& storage, Ledger& ledger, const Timing& timing,
+            std::uint64_t seed);
   ~Agreement();
   Agreement(const Agreement&) = delete;
   Agreement& operator=(const Agreement&) = delete;
 
-  // Lets time pass, and what the disk has done. At due(), or whenever the storage has become more durable.
+  // Lets time pass, and what the disk has done. At due(), or whenever the storage has become more
+  // durable.
   void tick(Time now);
   Time due() const { return due_; }
   // From another voter. Damaged or unknown: nothing happens.
@@ -57,17 +61,20 @@
   std::uint64_t term() const;
   // Whether its storage has failed: it takes no part any more.
   bool halted() const { return halted_; }
-  // Others have seen more of this voter's storage than there is: it has been rolled back, and must be given up.
+  // Others have seen more of this voter's storage than there is: it has been rolled back, and must
+  // be given up.
   bool rolled_back() const { return rolled_back_; }
   std::vector<Voter> voters() const;
 
-  // Settled, or not: null, the ledger's reason code, or "not_leader", "lost" (it may be settled yet).
+  // Settled, or not: null, the ledger's reason code, or "not_leader", "lost" (it may be settled
+  // yet).
   using Done = std::function<void(const char* reason)>;
   void propose(const Command& command, Done done = {});
   std::size_t proposed() const;  // not settled yet
 
-  // Where this one leads: a voter that has lost its storage takes part again, as its next generation, step by step. Returns that
-  // generation, or 0 where another change is under way or the name is no voter's.
+  // Where this one leads: a voter that has lost its storage takes part again, as its next
+  // generation, step by step. Returns that generation, or 0 where another change is under way or
+  // the name is no voter's.
   std::uint32_t readmit(const std::string& name);
   // The generation of that name which is on its way in; 0: none is.
   std::uint32_t coming(const std::string& name) const;
--- a/src/maintenance/command.h
+++ b/src/maintenance/command.h
@@ -1,4 +1,5 @@
-// `beechhill maintenance`: staff's words, carried to the operators' door of any proxy; and the founding of a voter's storage.
+// `beechhill maintenance`: staff's words, carried to the operators' door of any proxy; and the
+// founding of a voter's storage.
 #pragma once
 
 #include <CLI/CLI.hpp>
--- a/src/maintenance/describe.h
+++ b/src/maintenance/describe.h
@@ -8,7 +8,9 @@
 
 namespace beechhill::maintenance {
 
-// All requests and courses; or, where `request` names one, that one and why it does not go on. `trouble`: what the one that leads sees now.
-std::string describe(const Ledger& ledger, const std::map<std::string, Index>& shown, const std::string& request, const std::string& trouble);
+// All requests and courses; or, where `request` names one, that one and why it does not go on.
+// `trouble`: what the one that leads sees now.
+std::string describe(const Ledger& ledger, const std::map<std::string, Index>& shown,
+                     const std::string& request, const std::string& trouble);
 
 }  // namespace beechhill::maintenance
--- a/src/maintenance/disk_storage.h
+++ b/src/maintenance/disk_storage.h
@@ -1,5 +1,6 @@
-// A voter's storage on a disk that lasts: one file of records, each with its checksum, written and synced by a thread of its own and made
-// anew where a snapshot replaces what came before. A slow disk holds up the voter's word, never a request.
+// A voter's storage on a disk that lasts: one file of records, each with its checksum, written and
+// synced by a thread of its own and made anew where a snapshot replaces what came before. A slow
+// disk holds up the voter's word, never a request.
 #pragma once
 
 #include <memory>
@@ -14,11 +15,13 @@
 
 class DiskStorage : public Storage {
  public:
-  // Null where none was founded there, or where it cannot be read: then it has been set aside, and said so in the log. Throws
-  // std::runtime_error where the folder cannot be used or another process has it.
+  // Null where none was founded there, or where it cannot be read: then it has been set aside, and
+  // said so in the log. Throws std::runtime_error where the folder cannot be used or another
+  // process has it.
   static std::unique_ptr<DiskStorage> open(const std::string& folder, const std::string& name);
   // Makes one that begins with these records. Throws as open(), and where there is one already.
-  static std::unique_ptr<DiskStorage> found(const std::string& folder, const Voter& voter, const std::vector<Record>& records);
+  static std::unique_ptr<DiskStorage> found(const std::string& folder, const Voter& voter,
+                                            const std::vector<Record>& records);
   ~DiskStorage() override;
   // For a voter that cannot rely on it any more. Nothing is written after it.
   void set_aside();
--- a/src/maintenance/ledger.h
+++ b/src/maintenance/ledger.h
@@ -1,6 +1,8 @@
-// What the voters have settled about machines taken out for work: requests, the roster of proxies, the list and load figures that they
-// agreed to go by, and the course of each machine. Changed by settled commands alone and by nothing else, so that whoever holds the same
-// commands holds the same ledger. Free of I/O and clocks; its time is what the commands say. docs/design/maintenance.md weighs the ways.
+// What the voters have settled about machines taken out for work: requests, the roster of proxies,
+// the list and load figures that they agreed to go by, and the course of each machine. Changed by
+// settled commands alone and by nothing else, so that whoever holds the same commands holds the
+// same ledger. Free of I/O and clocks; its time is what the commands say.
+// docs/design/maintenance.md weighs the ways.
 #pragma once
 
 #include <cstdint>
@@ -13,20 +15,20 @@
 
 namespace beechhill::maintenance {
 
-using Seconds = std::int64_t;   // Unix time, or a span, in whole seconds: people plan in minutes
-using Index = std::uint64_t;    // of a settled command
-using Fence = std::uint64_t;    // of one course of a machine; later ones are higher
+using Seconds = std::int64_t;  // Unix time, or a span, in whole seconds: people plan in minutes
+using Index = std::uint64_t;   // of a settled command
+using Fence = std::uint64_t;   // of one course of a machine; later ones are higher
 
 enum class Role : std::uint8_t { kBackend, kProxy };
 
 struct Machine {
   std::string id, zone, cell, kind;
   Role role = Role::kBackend;
-  double width = 1;          // of what its tier can do, against the others
+  double width = 1;  // of what its tier can do, against the others
   bool operator==(const Machine&) const = default;
-  bool up = true;            // listed, in service, not barred by hand
+  bool up = true;  // listed, in service, not barred by hand
   bool warm = true;
-  std::int64_t born = 0;     // of its present start, as the list tells it
+  std::int64_t born = 0;  // of its present start, as the list tells it
 };
 
 struct Select {  // what a request is for: those that match all that is not empty
@@ -40,17 +42,17 @@
   std::string id;
   Select select;
   std::uint32_t at_once = 1;
-  Seconds length = 0;               // expected, of one machine's work; 0: not said
+  Seconds length = 0;                     // expected, of one machine's work; 0: not said
   Seconds not_before = 0, not_after = 0;  // 0: any time
   std::int32_t priority = 0;
   std::string by, why;
   // Settled:
   bool approved = false, held = false, cancelled = false;
   Seconds asked = 0;
-  std::set<std::string> done;       // machines
+  std::set<std::string> done;              // machines
   std::map<std::string, Seconds> put_off;  // machines that were called back: not before then
   bool open() const { return !cancelled && !ended; }
-  bool ended = false;               // nothing is left of it
+  bool ended = false;  // nothing is left of it
 };
 
 // What a machine goes through. From kAnnounced on it counts as out.
@@ -67,22 +69,25 @@
   std::string request, machine;
   Fence fence = 0;
   Step step = Step::kAnnounced;
-  Index since_index = 0;     // of the command that brought it to this step
+  Index since_index = 0;  // of the command that brought it to this step
   Seconds since = 0;
-  std::int64_t born = 0;     // of the machine, when it was said to be out
+  std::int64_t born = 0;            // of the machine, when it was said to be out
   std::set<std::string> confirmed;  // proxies, for kEvacuating
 };
 
-// What must be left; settled, so that all reckon with the same. Equal in the operator files of the voters.
+// What must be left; settled, so that all reckon with the same. Equal in the operator files of the
+// voters.
 struct Bounds {
-  double reserve = 0.25;           // of what the load needs, on top of it
+  double reserve = 0.25;  // of what the load needs, on top of it
   std::uint32_t most_out = 1, most_out_zone = 1, most_out_cell = 1;
-  bool keep_zone = false, keep_cell = false;  // never the last of a zone, or a cell: it holds the memory of a keyed class
+  bool keep_zone = false,
+       keep_cell =
+           false;  // never the last of a zone, or a cell: it holds the memory of a keyed class
   std::uint32_t least_proxies = 1;  // in each zone
-  Seconds evacuate_within = 60;    // then a machine is called back
-  Seconds put_off = 60;            // and tried again so much later
-  Seconds age_step = 600;          // a request that waited so long counts as one priority higher
-  Seconds calm = 30;               // without trouble, before an incident's pause ends
+  Seconds evacuate_within = 60;     // then a machine is called back
+  Seconds put_off = 60;             // and tried again so much later
+  Seconds age_step = 600;           // a request that waited so long counts as one priority higher
+  Seconds calm = 30;                // without trouble, before an incident's pause ends
   bool needs_approval = true;
   bool operator==(const Bounds&) const = default;
 };
@@ -90,16 +95,30 @@
 // ---- Commands
 
 enum class What : std::uint8_t {
-  kAsk, kApprove, kHold, kResume, kCancel, kDone,  // staff's
-  kForget,                                         // staff's: that proxy is off for good, or sends nothing
-  kBounds, kFacts, kTime, kJoin, kLeave,           // the leader's
-  kAnnounce, kGrant, kConfirm, kOut, kWarm, kCallBack,
+  kAsk,
+  kApprove,
+  kHold,
+  kResume,
+  kCancel,
+  kDone,    // staff's
+  kForget,  // staff's: that proxy is off for good, or sends nothing
+  kBounds,
+  kFacts,
+  kTime,
+  kJoin,
+  kLeave,  // the leader's
+  kAnnounce,
+  kGrant,
+  kConfirm,
+  kOut,
+  kWarm,
+  kCallBack,
 };
 
 struct Command {
   What what = What::kFacts;
   Seconds at = 0;
-  std::string id;       // of a request; of staff's command, so that one that comes twice counts once
+  std::string id;  // of a request; of staff's command, so that one that comes twice counts once
   std::string machine, proxy, by;
   Fence fence = 0;
   std::optional<Request> request;
@@ -114,21 +133,24 @@
 std::string encode(const Command& command);
 std::optional<Command> decode(std::string_view bytes);
 
-inline constexpr std::size_t kMostRequests = 200;     // open or lately ended
+inline constexpr std::size_t kMostRequests = 200;  // open or lately ended
 inline constexpr std::size_t kMostMachines = 4'000;
 inline constexpr std::size_t kMostRoster = 1'000;
 inline constexpr std::size_t kLongestText = 200;
 
 class Ledger {
  public:
-  // Applies a settled command; the index counts up by one or more. Returns null, or why it changed nothing, as a reason code.
+  // Applies a settled command; the index counts up by one or more. Returns null, or why it changed
+  // nothing, as a reason code.
   const char* apply(Index index, const Command& command);
 
-  // The order: what is to be settled next as far as settled facts decide it, given which index each proxy of the roster has shown to
-  // hold (a proxy that is missing has shown none). A pure function.
+  // The order: what is to be settled next as far as settled facts decide it, given which index each
+  // proxy of the roster has shown to hold (a proxy that is missing has shown none). A pure
+  // function.
   std::vector<Command> next(const std::map<std::string, Index>& shown) const;
   // Why a request does not go on, a line for each reason; empty: nothing stands in its way.
-  std::vector<std::string> explain(const std::string& request, const std::map<std::string, Index>& shown) const;
+  std::vector<std::string> explain(const std::string& request,
+                                   const std::map<std::string, Index>& shown) const;
 
   // Whether proxies may send new work to a machine. `announced`: only those that hold a lease may.
   struct Right {
--- a/src/maintenance/maintenance_actor.cpp
+++ b/src/maintenance/maintenance_actor.cpp
@@ -16,11 +16,16 @@
 constexpr Duration kDiskLook{5'000};  // while something is being written
 constexpr int kAtOnce = 64;
 
-Seconds unix_now() { return std::chrono::duration_cast<std::chrono::seconds>(std::chrono::system_clock::now().time_since_epoch()).count(); }
+Seconds unix_now() {
+  return std::chrono::duration_cast<std::chrono::seconds>(
+             std::chrono::system_clock::now().time_since_epoch())
+      .count();
+}
 
 Works::Answer answer_to(std::shared_ptr<proxy::AskedText> asked) {
   return [asked](bool done, const std::string& text) {
-    const bool later = text == "no_leader" || text == "no_answer" || text == "lost" || text == "not_leader";
+    const bool later =
+        text == "no_leader" || text == "no_answer" || text == "lost" || text == "not_leader";
     asked->text = text;
     asked->answer(done ? 200 : later ? 503 : 409);
   };
@@ -28,26 +33,34 @@
 
 }  // namespace
 
-MaintenanceActor::MaintenanceActor(runtime::Scheduler& scheduler, WorksSettings settings, std::string folder, std::uint64_t life,
-                                   membership::TalkBox& talk, proxy::DecisionBox& decisions, std::function<View()> look,
-                                   std::function<void(bool)> drain)
+MaintenanceActor::MaintenanceActor(runtime::Scheduler& scheduler, WorksSettings settings,
+                                   std::string folder, std::uint64_t life,
+                                   membership::TalkBox& talk, proxy::DecisionBox& decisions,
+                                   std::function<View()> look, std::function<void(bool)> drain)
     : scheduler_(scheduler),
       settings_(std::move(settings)),
       folder_(std::move(folder)),
       life_(life),
-      votes_(std::find(settings_.voters.begin(), settings_.voters.end(), settings_.self) != settings_.voters.end()),
+      votes_(std::find(settings_.voters.begin(), settings_.voters.end(), settings_.self) !=
+             settings_.voters.end()),
       talk_(talk),
       decisions_(decisions),
       look_(std::move(look)),
       drain_(std::move(drain)),
       inbox_(kInboxCapacity) {
-  if (votes_) storage_ = DiskStorage::open(folder_, settings_.self);
-  if (votes_ && !storage_) log::warning("voter_without_storage", {});
+  if (votes_) {
+    storage_ = DiskStorage::open(folder_, settings_.self);
+  }
+  if (votes_ && !storage_) {
+    log::warning("voter_without_storage", {});
+  }
   begin();
 }
 
 void MaintenanceActor::begin() {
-  works_ = std::make_unique<Works>(now(), settings_, storage_.get(), storage_ ? storage_->voter().generation : 0, life_, life_ ^ 0x9e3779b97f4a7c15ULL, unix_now);
+  works_ = std::make_unique<Works>(now(), settings_, storage_.get(),
+                                   storage_ ? storage_->voter().generation : 0, life_,
+                                   life_ ^ 0x9e3779b97f4a7c15ULL, unix_now);
 }
 
 runtime::Task<> MaintenanceActor::run() {
@@ -64,33 +77,54 @@
     mind_storage();
     pass_on();
     Time until = std::min(works_->due(), look_at_);
-    for (const auto& [machine, end] : told_)
-      if (end > now()) until = std::min(until, end);  // told again the moment a right lapses
-    if (storage_ && !storage_->failed() && storage_->durable() < storage_->written()) until = std::min(until, now() + kDiskLook);
-    if (!inbox_.empty()) until = now();
+    for (const auto& [machine, end] : told_) {
+      if (end > now()) {
+        until = std::min(until, end);  // told again the moment a right lapses
+      }
+    }
+    if (storage_ && !storage_->failed() && storage_->durable() < storage_->written()) {
+      until = std::min(until, now() + kDiskLook);
+    }
+    if (!inbox_.empty()) {
+      until = now();
+    }
     runtime::Wait wait(scheduler_);
-    wait.notified(inbox_.arrived()).until(proxy::to_point(std::max(until, now() + Duration{1'000})));
+    wait.notified(inbox_.arrived())
+        .until(proxy::to_point(std::max(until, now() + Duration{1'000})));
     co_await wait;
   }
 }
 
 void MaintenanceActor::on(const membership::Heard& heard) {
-  works_->receive(now(), heard.from, heard.channel == membership::Channel::kAgreement ? Line::kAgreement : Line::kSettled, heard.whole);
+  works_->receive(
+      now(), heard.from,
+      heard.channel == membership::Channel::kAgreement ? Line::kAgreement : Line::kSettled,
+      heard.whole);
 }
 
-void MaintenanceActor::on(const membership::Woke&) { works_->woke(now()); }
+void MaintenanceActor::on(const membership::Woke&) {
+  works_->woke(now());
+}
 
 void MaintenanceActor::on(StaffOrder& order) {
-  log::info("maintenance_order", {{"request", std::string_view(order.command.id)}, {"by", std::string_view(order.command.by)}});
+  log::info("maintenance_order", {{"request", std::string_view(order.command.id)},
+                                  {"by", std::string_view(order.command.by)}});
   works_->order(now(), std::move(order.command), answer_to(order.asked));
 }
 
-void MaintenanceActor::on(StaffQuestion& question) { works_->question(now(), question.request, answer_to(question.asked)); }
+void MaintenanceActor::on(StaffQuestion& question) {
+  works_->question(now(), question.request, answer_to(question.asked));
+}
 
-// A voter that cannot rely on its storage goes on without, as any proxy, until the one that leads has let it in as a new voter.
+// A voter that cannot rely on its storage goes on without, as any proxy, until the one that leads
+// has let it in as a new voter.
 void MaintenanceActor::mind_storage() {
-  if (!votes_) return;
-  if (works_->halted() && !std::exchange(halted_said_, true)) log::warning("voter_halted", {});
+  if (!votes_) {
+    return;
+  }
+  if (works_->halted() && !std::exchange(halted_said_, true)) {
+    log::warning("voter_halted", {});
+  }
   if (works_->rolled_back()) {
     storage_->set_aside();
     works_.reset();
@@ -112,8 +146,14 @@
 
 void MaintenanceActor::pass_on() {
   for (Works::Outgoing& o : works_->take_outgoing()) {
-    membership::TalkMessage say(membership::Say{o.to, o.line == Line::kAgreement ? membership::Channel::kAgreement : membership::Channel::kSettled, std::move(o.bytes)});
-    if (!talk_.post(std::move(say))) proxy::log_lost("say");  // as on any network
+    membership::TalkMessage say(membership::Say{o.to,
+                                                o.line == Line::kAgreement
+                                                    ? membership::Channel::kAgreement
+                                                    : membership::Channel::kSettled,
+                                                std::move(o.bytes)});
+    if (!talk_.post(std::move(say))) {
+      proxy::log_lost("say");  // as on any network
+    }
   }
   std::map<std::string, Time> until;
   for (const auto& [machine, right] : works_->rights()) {
@@ -121,13 +161,21 @@
     until[machine] = end <= now() ? Time::min() : end;
   }
   const Time serve_until = works_->may_serve_until();
-  const bool lapsed = std::any_of(told_.begin(), told_.end(), [](const auto& t) { return t.second > Time::min() && t.second <= now(); });
+  const bool lapsed = std::any_of(told_.begin(), told_.end(), [](const auto& t) {
+    return t.second > Time::min() && t.second <= now();
+  });
   if (until != told_ || serve_until != told_serve_until_ || lapsed) {
     proxy::DecisionMessage message(proxy::WorkRights{until, serve_until});
-    if (decisions_.post(std::move(message))) told_ = until, told_serve_until_ = serve_until;
+    if (decisions_.post(std::move(message))) {
+      told_ = until, told_serve_until_ = serve_until;
+    }
+  }
+  if (std::exchange(told_out_, works_->self_out()) != told_out_) {
+    drain_(told_out_);
+  }
+  if (std::exchange(led_, works_->leads()) != led_) {
+    log::info("maintenance", {{"leads", led_}});
   }
-  if (std::exchange(told_out_, works_->self_out()) != told_out_) drain_(told_out_);
-  if (std::exchange(led_, works_->leads()) != led_) log::info("maintenance", {{"leads", led_}});
 }
 
 }  // namespace beechhill::maintenance
--- a/src/maintenance/maintenance_actor.h
+++ b/src/maintenance/maintenance_actor.h
@@ -1,4 +1,5 @@
-// Sole owner of this proxy's part in taking machines out: carries what Works says to the other proxies, the disk, and the actors here.
+// Sole owner of this proxy's part in taking machines out: carries what Works says to the other
+// proxies, the disk, and the actors here.
 #pragma once
 
 #include <functional>
@@ -22,15 +23,18 @@
   std::string request;  // empty: all
   std::shared_ptr<proxy::AskedText> asked;
 };
-using MaintenanceMessage = std::variant<membership::Heard, membership::Woke, StaffOrder, StaffQuestion>;
+using MaintenanceMessage =
+    std::variant<membership::Heard, membership::Woke, StaffOrder, StaffQuestion>;
 using MaintenanceBox = runtime::Mailbox<MaintenanceMessage>;
 
 class MaintenanceActor {
  public:
-  // `look`: what this proxy sees; `drain`: called when this proxy itself is to take no clients any more, and when it may again. What is
-  // referred to must outlive the actor. Throws std::runtime_error where a voter's folder cannot be used.
-  MaintenanceActor(runtime::Scheduler& scheduler, WorksSettings settings, std::string folder, std::uint64_t life, membership::TalkBox& talk,
-                   proxy::DecisionBox& decisions, std::function<View()> look, std::function<void(bool)> drain);
+  // `look`: what this proxy sees; `drain`: called when this proxy itself is to take no clients any
+  // more, and when it may again. What is referred to must outlive the actor. Throws
+  // std::runtime_error where a voter's folder cannot be used.
+  MaintenanceActor(runtime::Scheduler& scheduler, WorksSettings settings, std::string folder,
+                   std::uint64_t life, membership::TalkBox& talk, proxy::DecisionBox& decisions,
+                   std::function<View()> look, std::function<void(bool)> drain);
 
   MaintenanceBox& inbox() { return inbox_; }
   runtime::Task<> run();
--- a/src/maintenance/staff.h
+++ b/src/maintenance/staff.h
@@ -9,7 +9,10 @@
 
 namespace beechhill::maintenance {
 
-// `verb`: request, approve, hold, resume, cancel, done or forget. Nothing, and `fault` says what is wrong, where it makes no sense.
-std::optional<Command> command_from(const std::string& verb, const std::map<std::string, std::string>& query, std::string& fault);
+// `verb`: request, approve, hold, resume, cancel, done or forget. Nothing, and `fault` says what is
+// wrong, where it makes no sense.
+std::optional<Command> command_from(const std::string& verb,
+                                    const std::map<std::string, std::string>& query,
+                                    std::string& fault);
 
 }  // namespace beechhill::maintenance
--- a/src/maintenance/storage.cpp
+++ b/src/maintenance/storage.cpp
@@ -17,15 +17,22 @@
 
 std::string encode(const Record& record) {
   Writer w;
-  w.number(record.what).number(record.number).number(static_cast<std::uint32_t>(record.entries.size()));
+  w.number(record.what)
+      .number(record.number)
+      .number(static_cast<std::uint32_t>(record.entries.size()));
   for (const Entry& e : record.entries) {
     w.number(e.term).number(e.type).blob(e.data);
   }
   w.number(record.kept.has_value());
   if (record.kept) {
     const Kept& k = *record.kept;
-    w.number(k.index).number(k.term).number(k.servers_index).number(static_cast<std::uint8_t>(k.servers.size()));
-    for (const Server& s : k.servers) w.text(s.address).number(static_cast<std::uint8_t>(s.role));
+    w.number(k.index)
+        .number(k.term)
+        .number(k.servers_index)
+        .number(static_cast<std::uint8_t>(k.servers.size()));
+    for (const Server& s : k.servers) {
+      w.text(s.address).number(static_cast<std::uint8_t>(s.role));
+    }
     w.blob(k.data);
   }
   return w.bytes();
@@ -43,7 +50,8 @@
   }
   if (r.number<bool>()) {
     Kept& k = record.kept.emplace();
-    k.index = r.number<std::uint64_t>(), k.term = r.number<std::uint64_t>(), k.servers_index = r.number<std::uint64_t>();
+    k.index = r.number<std::uint64_t>(), k.term = r.number<std::uint64_t>(),
+    k.servers_index = r.number<std::uint64_t>();
     for (auto n = r.number<std::uint8_t>(); n > 0 && r.ok(); --n) {
       Server& s = k.servers.emplace_back();
       s.address = r.text(kLongestAddress);
@@ -51,8 +59,10 @@
     }
     k.data = r.blob();
   }
-  if (!r.done() || record.what > Record::What::kSnapshot || (record.what == Record::What::kSnapshot) != record.kept.has_value())
+  if (!r.done() || record.what > Record::What::kSnapshot ||
+      (record.what == Record::What::kSnapshot) != record.kept.has_value()) {
     return std::nullopt;
+  }
   return record;
 }
 
@@ -65,19 +75,28 @@
       vote = r.number;
       break;
     case Record::What::kAppend:
-      if (entries.empty() && r.number > 0) first = r.number;
+      if (entries.empty() && r.number > 0) {
+        first = r.number;
+      }
       entries.insert(entries.end(), r.entries.begin(), r.entries.end());
       break;
     case Record::What::kTruncate:
-      if (r.number >= first && r.number - first < entries.size()) entries.resize(r.number - first);
+      if (r.number >= first && r.number - first < entries.size()) {
+        entries.resize(r.number - first);
+      }
       break;
     case Record::What::kSnapshot: {
       kept = r.kept;
       const std::uint64_t last = first + entries.size() - 1;
-      // With nothing to trail it replaces the log; else only what is older than so many entries before it goes.
-      const std::uint64_t keep_from = r.number == 0 ? last + 1 : kept->index >= r.number ? kept->index - r.number + 1 : 1;
+      // With nothing to trail it replaces the log; else only what is older than so many entries
+      // before it goes.
+      const std::uint64_t keep_from = r.number == 0             ? last + 1
+                                      : kept->index >= r.number ? kept->index - r.number + 1
+                                                                : 1;
       if (keep_from > first) {
-        entries.erase(entries.begin(), entries.begin() + static_cast<std::ptrdiff_t>(std::min<std::uint64_t>(keep_from - first, entries.size())));
+        entries.erase(entries.begin(),
+                      entries.begin() + static_cast<std::ptrdiff_t>(std::min<std::uint64_t>(
+                                            keep_from - first, entries.size())));
         first = r.number == 0 ? kept->index + 1 : keep_from;
       } else if (entries.empty()) {
         first = kept->index + 1;
@@ -90,16 +109,24 @@
 std::vector<Record> Image::records() const {
   std::vector<Record> all;
   all.push_back({Record::What::kTerm, term, {}, {}});
-  if (vote != 0) all.push_back({Record::What::kVote, vote, {}, {}});
-  if (kept) all.push_back({Record::What::kSnapshot, 0, {}, kept});
-  if (!entries.empty()) all.push_back({Record::What::kAppend, first, entries, {}});
+  if (vote != 0) {
+    all.push_back({Record::What::kVote, vote, {}, {}});
+  }
+  if (kept) {
+    all.push_back({Record::What::kSnapshot, 0, {}, kept});
+  }
+  if (!entries.empty()) {
+    all.push_back({Record::What::kAppend, first, entries, {}});
+  }
   return all;
 }
 
 std::uint64_t MemoryStorage::write(Record record) {
   image_.apply(record);
   ++written_;
-  if (!lazy) sync();
+  if (!lazy) {
+    sync();
+  }
   return written_;
 }
 
--- a/src/maintenance/storage.h
+++ b/src/maintenance/storage.h
@@ -1,5 +1,6 @@
-// What a voter must not forget: its term, its vote, the log and the last snapshot. As an image that records change one by one, a
-// storage that keeps these records, and one of memory for the emulator.
+// What a voter must not forget: its term, its vote, the log and the last snapshot. As an image that
+// records change one by one, a storage that keeps these records, and one of memory for the
+// emulator.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +12,7 @@
 
 namespace beechhill::maintenance {
 
-struct Server {  // of the voters' configuration
+struct Server {         // of the voters' configuration
   std::string address;  // "name#generation"
   int role = 0;         // as the library's
   bool operator==(const Server&) const = default;
@@ -31,7 +32,8 @@
 
 struct Record {
   enum class What : std::uint8_t { kTerm, kVote, kAppend, kTruncate, kSnapshot } what = What::kTerm;
-  // The term, the vote, the index of the first entry (0: it follows), the one to truncate from, or how many entries trail a snapshot.
+  // The term, the vote, the index of the first entry (0: it follows), the one to truncate from, or
+  // how many entries trail a snapshot.
   std::uint64_t number = 0;
   std::vector<Entry> entries;
   std::optional<Kept> kept;
@@ -52,7 +54,8 @@
   virtual ~Storage() = default;
   // As loaded, and then with all that was written, durable or not.
   virtual const Image& image() const = 0;
-  // Takes it, and returns at once. The number of records written so far, over all lives of this storage.
+  // Takes it, and returns at once. The number of records written so far, over all lives of this
+  // storage.
   virtual std::uint64_t write(Record record) = 0;
   virtual std::uint64_t written() const = 0;
   // So many of them are on the disk.
@@ -69,7 +72,8 @@
   std::uint64_t durable() override { return durable_; }
   bool failed() override { return failed_; }
 
-  // The emulator's: a disk that syncs when it is told to, forgets what it has not, fails, or goes back.
+  // The emulator's: a disk that syncs when it is told to, forgets what it has not, fails, or goes
+  // back.
   bool lazy = false;
   void sync() { synced_ = image_, durable_ = written_; }
   void crash() { image_ = synced_, written_ = durable_; }
--- a/src/maintenance/works.cpp
+++ b/src/maintenance/works.cpp
@@ -13,22 +13,34 @@
 
 namespace {
 
-enum class Word : std::uint8_t { kAsk = 1, kLease, kElsewhere, kVouch, kVouched, kOrder, kOrdered, kQuestion, kTold, kReadmitted };
-
-constexpr std::size_t kMostAnswers = 64 * 1024;   // bytes of one
-constexpr std::size_t kMostAsked = 32;            // of other proxies' or staff's questions at a time
-constexpr std::size_t kMostFacts = 400;           // machines in one command
+enum class Word : std::uint8_t {
+  kAsk = 1,
+  kLease,
+  kElsewhere,
+  kVouch,
+  kVouched,
+  kOrder,
+  kOrdered,
+  kQuestion,
+  kTold,
+  kReadmitted
+};
+
+constexpr std::size_t kMostAnswers = 64 * 1024;  // bytes of one
+constexpr std::size_t kMostAsked = 32;           // of other proxies' or staff's questions at a time
+constexpr std::size_t kMostFacts = 400;          // machines in one command
 constexpr std::size_t kMostRights = 1'000;
 constexpr std::size_t kMostZones = 64;
 constexpr Duration kAnswerWithin{2'000'000};
 constexpr Duration kFactsEvery{1'000'000};
-// What counts as an incident. Pure parts; half and twice of each paused the same drawn days in the emulator.
+// What counts as an incident. Pure parts; half and twice of each paused the same drawn days in the
+// emulator.
 constexpr double kSilentProxies = 0.25;  // of the roster
 constexpr double kDownMachines = 0.1;    // of the list, beyond those that are out for work
 constexpr double kGoodputFall = 0.1;     // of what is asked, below the usual
 constexpr double kUsualSpan = 60;        // seconds
 constexpr std::uint64_t kTellingRequests = 50;
-constexpr double kUseStep = 0.05;        // smaller changes of use are not settled anew
+constexpr double kUseStep = 0.05;  // smaller changes of use are not settled anew
 
 Writer word(Word w) {
   Writer out;
@@ -38,25 +50,36 @@
 
 void put_rights(Writer& w, const std::map<std::string, Ledger::Right>& rights) {
   w.number(static_cast<std::uint16_t>(rights.size()));
-  for (const auto& [id, r] : rights) w.text(id).number(r.barred).number(r.announced).number(r.fence);
+  for (const auto& [id, r] : rights) {
+    w.text(id).number(r.barred).number(r.announced).number(r.fence);
+  }
 }
 
 std::map<std::string, Ledger::Right> read_rights(Reader& r) {
   std::map<std::string, Ledger::Right> rights;
   for (auto n = r.number<std::uint16_t>(); n > 0 && r.ok(); --n) {
     Ledger::Right& right = rights[r.text(kLongestText)];
-    right.barred = r.number<bool>(), right.announced = r.number<bool>(), right.fence = r.number<Fence>();
+    right.barred = r.number<bool>(), right.announced = r.number<bool>(),
+    right.fence = r.number<Fence>();
   }
   return rights;
 }
 
 }  // namespace
 
-Works::Works(Time now, WorksSettings settings, Storage* storage, std::uint32_t generation, std::uint64_t life, std::uint64_t seed,
-             std::function<Seconds()> unix)
-    : settings_(std::move(settings)), life_(life), unix_(std::move(unix)), now_(now), started_(now), due_(now), ask_at_(now) {
-  if (storage)
-    agreement_ = std::make_unique<Agreement>(now, Voter{settings_.self, generation}, *storage, ledger_, settings_.timing, seed);
+Works::Works(Time now, WorksSettings settings, Storage* storage, std::uint32_t generation,
+             std::uint64_t life, std::uint64_t seed, std::function<Seconds()> unix)
+    : settings_(std::move(settings)),
+      life_(life),
+      unix_(std::move(unix)),
+      now_(now),
+      started_(now),
+      due_(now),
+      ask_at_(now) {
+  if (storage) {
+    agreement_ = std::make_unique<Agreement>(now, Voter{settings_.self, generation}, *storage,
+                                             ledger_, settings_.timing, seed);
+  }
   next_voter_ = static_cast<std::size_t>(seed);  // not all ask the same one first
 }
 
@@ -68,21 +91,30 @@
 }
 
 std::vector<Works::Outgoing> Works::take_outgoing() {
-  if (agreement_)
-    for (Agreement::Outgoing& o : agreement_->take_outgoing()) out_.push_back({o.to, Line::kAgreement, std::move(o.bytes)});
+  if (agreement_) {
+    for (Agreement::Outgoing& o : agreement_->take_outgoing()) {
+      out_.push_back({o.to, Line::kAgreement, std::move(o.bytes)});
+    }
+  }
   return std::exchange(out_, {});
 }
 
 // ---- Rights
 
 Time Works::may_serve_until() const {
-  if (!leased_once_) return settings_.serve_unheard && now_ >= started_ + settings_.hear_within ? Time::max() : Time::min();
-  return settings_.isolated_after > Duration{0} ? lease_until_ + settings_.isolated_after : Time::max();
+  if (!leased_once_) {
+    return settings_.serve_unheard && now_ >= started_ + settings_.hear_within ? Time::max()
+                                                                               : Time::min();
+  }
+  return settings_.isolated_after > Duration{0} ? lease_until_ + settings_.isolated_after
+                                                : Time::max();
 }
 
 Time Works::may_use_until(const std::string& machine) const {
   const auto it = rights_.find(machine);
-  if (it == rights_.end()) return may_serve_until();
+  if (it == rights_.end()) {
+    return may_serve_until();
+  }
   return it->second.barred ? Time::min() : std::min(lease_until_, may_serve_until());
 }
 
@@ -94,23 +126,45 @@
   std::erase_if(asks_, [&](const auto& a) { return now > a.second + settings_.lease; });
   if (leader_.empty() || asks_.size() > 2) {  // no answer from that one: the next
     leader_ = settings_.voters[next_voter_++ % settings_.voters.size()];
-    if (agreement_ && !agreement_->leader().empty()) leader_ = agreement_->leader();
+    if (agreement_ && !agreement_->leader().empty()) {
+      leader_ = agreement_->leader();
+    }
   }
   const std::uint64_t number = next_number_++;
   asks_[number] = now;
   Writer w = word(Word::kAsk);
-  w.number(number).number(life_).number(held_).text(settings_.zone).number(view_.warm).number(view_.idle).number(view_.ending);
-  const bool lost = !agreement_ && std::find(settings_.voters.begin(), settings_.voters.end(), settings_.self) != settings_.voters.end();
-  w.number(lost || halted()).number(view_.served).number(view_.unserved).number(static_cast<std::uint8_t>(std::min(kMostZones, view_.use.size())));
+  w.number(number)
+      .number(life_)
+      .number(held_)
+      .text(settings_.zone)
+      .number(view_.warm)
+      .number(view_.idle)
+      .number(view_.ending);
+  const bool lost = !agreement_ && std::find(settings_.voters.begin(), settings_.voters.end(),
+                                             settings_.self) != settings_.voters.end();
+  w.number(lost || halted())
+      .number(view_.served)
+      .number(view_.unserved)
+      .number(static_cast<std::uint8_t>(std::min(kMostZones, view_.use.size())));
   std::size_t zones = 0;
-  for (const auto& [zone, use] : view_.use)
-    if (zones++ < kMostZones) w.text(zone).number(static_cast<std::int64_t>(use * 1e6));
+  for (const auto& [zone, use] : view_.use) {
+    if (zones++ < kMostZones) {
+      w.text(zone).number(static_cast<std::int64_t>(use * 1e6));
+    }
+  }
   std::vector<std::pair<std::string, Fence>> empty;
-  for (const auto& [id, right] : rights_)
-    if (right.barred && !view_.busy.contains(id)) empty.emplace_back(id, right.fence);
-  if (self_out_ && view_.idle) empty.emplace_back(settings_.self, *self_out_);
+  for (const auto& [id, right] : rights_) {
+    if (right.barred && !view_.busy.contains(id)) {
+      empty.emplace_back(id, right.fence);
+    }
+  }
+  if (self_out_ && view_.idle) {
+    empty.emplace_back(settings_.self, *self_out_);
+  }
   w.number(static_cast<std::uint16_t>(empty.size()));
-  for (const auto& [id, fence] : empty) w.text(id).number(fence);
+  for (const auto& [id, fence] : empty) {
+    w.text(id).number(fence);
+  }
   if (leader_ == settings_.self) {
     hear_ask(now, settings_.self, std::string_view(w.bytes()).substr(1));
   } else {
@@ -125,14 +179,19 @@
   auto rights = read_rights(r);
   const auto proxies = read_rights(r);
   const auto sent = asks_.find(number);
-  if (!r.done() || sent == asks_.end() || held < held_) return;  // not asked for, or overtaken
-  lease_until_ = std::max(lease_until_, sent->second + settings_.lease);  // from the asking: on its way it grew no longer
+  if (!r.done() || sent == asks_.end() || held < held_) {
+    return;  // not asked for, or overtaken
+  }
+  lease_until_ =
+      std::max(lease_until_,
+               sent->second + settings_.lease);  // from the asking: on its way it grew no longer
   asks_.erase(asks_.begin(), std::next(sent));
   leased_once_ = true;
   held_ = held;
   rights_ = std::move(rights);
   const auto own = proxies.find(settings_.self);
-  self_out_ = own != proxies.end() && own->second.barred ? std::optional(own->second.fence) : std::nullopt;
+  self_out_ =
+      own != proxies.end() && own->second.barred ? std::optional(own->second.fence) : std::nullopt;
 }
 
 // ---- What comes
@@ -140,7 +199,9 @@
 void Works::receive(Time now, const std::string& from, Line line, std::string_view bytes) {
   now_ = now;
   if (line == Line::kAgreement) {
-    if (agreement_) agreement_->receive(now, bytes);
+    if (agreement_) {
+      agreement_->receive(now, bytes);
+    }
     due_ = now;
     return;
   }
@@ -158,28 +219,38 @@
     case Word::kElsewhere: {
       const auto number = in.number<std::uint64_t>();
       const std::string leader = in.text(kLongestText);
-      if (!in.done() || !asks_.contains(number)) break;
+      if (!in.done() || !asks_.contains(number)) {
+        break;
+      }
       asks_.erase(number);
       const bool other = leader != leader_;
       leader_ = leader;  // empty: the next voter, at the next turn
-      if (!leader.empty() && other) ask_at_ = now;
+      if (!leader.empty() && other) {
+        ask_at_ = now;
+      }
       break;
     }
     case Word::kVouch: {
       const auto term = in.number<std::uint64_t>(), round = in.number<std::uint64_t>();
-      if (!in.done() || !agreement_ || agreement_->halted() || agreement_->term() != term) break;
+      if (!in.done() || !agreement_ || agreement_->halted() || agreement_->term() != term) {
+        break;
+      }
       say(from, word(Word::kVouched).number(term).number(round).bytes());
       break;
     }
     case Word::kVouched: {
       const auto term = in.number<std::uint64_t>(), round = in.number<std::uint64_t>();
-      if (in.done() && leads() && round_open_ && term == agreement_->term() && round == round_) vouched_.insert(from);
+      if (in.done() && leads() && round_open_ && term == agreement_->term() && round == round_) {
+        vouched_.insert(from);
+      }
       break;
     }
     case Word::kOrder: {
       const auto number = in.number<std::uint64_t>();
       const auto command = decode(in.rest());
-      if (!command || command->what > What::kForget || asked_.size() >= kMostAsked) break;
+      if (!command || command->what > What::kForget || asked_.size() >= kMostAsked) {
+        break;
+      }
       const auto answer = [this, from, number](bool done, const std::string& text) {
         say(from, word(Word::kOrdered).number(number).number(done).text(text).bytes());
       };
@@ -189,9 +260,15 @@
     case Word::kQuestion: {
       const auto number = in.number<std::uint64_t>();
       const std::string request = in.text(kLongestText);
-      if (!in.done()) break;
+      if (!in.done()) {
+        break;
+      }
       const auto answer = [this, from, number](bool done, const std::string& text) {
-        say(from, word(Word::kTold).number(number).number(done).raw(text.substr(0, kMostAnswers)).bytes());
+        say(from, word(Word::kTold)
+                      .number(number)
+                      .number(done)
+                      .raw(text.substr(0, kMostAnswers))
+                      .bytes());
       };
       leads() && in_charge_ ? question(now, request, answer) : answer(false, "no_leader");
       break;
@@ -202,7 +279,9 @@
       const bool done = in.number<bool>();
       const std::string text = w == Word::kOrdered ? in.text(kLongestText) : std::string(in.rest());
       const auto it = asked_.find(number);
-      if (!in.ok() || it == asked_.end()) break;
+      if (!in.ok() || it == asked_.end()) {
+        break;
+      }
       const Answer answer = std::move(it->second.answer);
       asked_.erase(it);
       answer(done, text);
@@ -210,7 +289,9 @@
     }
     case Word::kReadmitted: {
       const auto generation = in.number<std::uint32_t>();
-      if (in.done() && (!agreement_ || halted())) readmitted_ = generation;
+      if (in.done() && (!agreement_ || halted())) {
+        readmitted_ = generation;
+      }
       break;
     }
   }
@@ -221,23 +302,34 @@
 
 void Works::order(Time now, Command command, Answer answer) {
   if (leads()) {
-    if (!in_charge_) return answer(false, "no_leader");
+    if (!in_charge_) {
+      return answer(false, "no_leader");
+    }
     command.at = unix_();
-    if (command.request) command.request->asked = command.at;
+    if (command.request) {
+      command.request->asked = command.at;
+    }
     return agreement_->propose(command, [answer](const char* reason) {
-      const bool again = reason && std::string_view(reason) == "nothing_to_change";  // the same once more is the same
+      const bool again = reason && std::string_view(reason) ==
+                                       "nothing_to_change";  // the same once more is the same
       answer(!reason || again, reason ? reason : "");
     });
   }
-  if (leader_.empty() || leader_ == settings_.self || asked_.size() >= kMostAsked) return answer(false, "no_leader");
+  if (leader_.empty() || leader_ == settings_.self || asked_.size() >= kMostAsked) {
+    return answer(false, "no_leader");
+  }
   const std::uint64_t number = next_number_++;
   asked_[number] = {std::move(answer), now + kAnswerWithin};
   say(leader_, word(Word::kOrder).number(number).raw(encode(command)).bytes());
 }
 
 void Works::question(Time now, const std::string& request, Answer answer) {
-  if (leads() && in_charge_) return answer(true, describe(ledger_, shown(), request, trouble_));
-  if (leader_.empty() || leader_ == settings_.self || asked_.size() >= kMostAsked) return answer(false, "no_leader");
+  if (leads() && in_charge_) {
+    return answer(true, describe(ledger_, shown(), request, trouble_));
+  }
+  if (leader_.empty() || leader_ == settings_.self || asked_.size() >= kMostAsked) {
+    return answer(false, "no_leader");
+  }
   const std::uint64_t number = next_number_++;
   asked_[number] = {std::move(answer), now + kAnswerWithin};
   say(leader_, word(Word::kQuestion).number(number).text(request).bytes());
@@ -247,16 +339,20 @@
 
 std::map<std::string, Index> Works::shown() const {
   std::map<std::string, Index> all;
-  for (const auto& [proxy, s] : seen_) all[proxy] = s.shown;
+  for (const auto& [proxy, s] : seen_) {
+    all[proxy] = s.shown;
+  }
   return all;
 }
 
-// Of leases that another leader gave nothing is known but that they are no longer than all. One that was heard just now is about to have one:
-// it is not silent.
+// Of leases that another leader gave nothing is known but that they are no longer than all. One
+// that was heard just now is about to have one: it is not silent.
 Time Works::lease_ends(const std::string& proxy) const {
   const auto it = seen_.find(proxy);
   const Time others = leads_since_ + longest_lease();
-  return it == seen_.end() ? others : std::max({others, it->second.lease_ends, it->second.heard + longest_lease()});
+  return it == seen_.end()
+             ? others
+             : std::max({others, it->second.lease_ends, it->second.heard + longest_lease()});
 }
 
 // It stopped sending there when its lease ended, and what it had begun has ended since.
@@ -269,7 +365,8 @@
   const auto number = r.number<std::uint64_t>(), life = r.number<std::uint64_t>();
   const auto held = r.number<Index>();
   const std::string zone = r.text(kLongestText);
-  const bool warm = r.number<bool>(), idle = r.number<bool>(), ending = r.number<bool>(), lost = r.number<bool>();
+  const bool warm = r.number<bool>(), idle = r.number<bool>(), ending = r.number<bool>(),
+             lost = r.number<bool>();
   const auto served = r.number<std::uint64_t>(), unserved = r.number<std::uint64_t>();
   std::map<std::string, double> use;
   for (auto n = r.number<std::uint8_t>(); n > 0 && r.ok(); --n) {
@@ -281,20 +378,30 @@
     const std::string id = r.text(kLongestText);
     empty.emplace_back(id, r.number<Fence>());
   }
-  if (!r.done() || empty.size() > kMostRights) return;
+  if (!r.done() || empty.size() > kMostRights) {
+    return;
+  }
   if (!leads() || !in_charge_) {
     const std::string leader = agreement_ && !leads() ? agreement_->leader() : std::string();
-    if (from != settings_.self) return say(from, word(Word::kElsewhere).number(number).text(leader).bytes());
+    if (from != settings_.self) {
+      return say(from, word(Word::kElsewhere).number(number).text(leader).bytes());
+    }
     asks_.erase(number);
     leader_ = leader;
     return;
   }
   if (lost) {
     // Told at each asking: the word may be lost on its way, and the change waits for it.
-    if (agreement_->coming(from) == 0) agreement_->readmit(from);
-    if (const std::uint32_t generation = agreement_->coming(from)) say(from, word(Word::kReadmitted).number(generation).bytes());
+    if (agreement_->coming(from) == 0) {
+      agreement_->readmit(from);
+    }
+    if (const std::uint32_t generation = agreement_->coming(from)) {
+      say(from, word(Word::kReadmitted).number(generation).bytes());
+    }
+  }
+  if (!seen_.contains(from) && seen_.size() >= kMostRoster) {
+    return;
   }
-  if (!seen_.contains(from) && seen_.size() >= kMostRoster) return;
   Seen& s = seen_[from];
   if (s.life != life) {
     const Time ends = s.lease_ends;  // an earlier life's lease may still be in force
@@ -302,36 +409,59 @@
     s.life = life, s.lease_ends = ends;
   }
   s.shown = held;
-  s.heard = now, s.zone = zone, s.warm = warm, s.idle = idle, s.ending = ending, s.use = std::move(use);
-  if (served >= s.served && unserved >= s.unserved) s.served = served, s.unserved = unserved;
+  s.heard = now, s.zone = zone, s.warm = warm, s.idle = idle, s.ending = ending,
+  s.use = std::move(use);
+  if (served >= s.served && unserved >= s.unserved) {
+    s.served = served, s.unserved = unserved;
+  }
   for (const auto& [id, fence] : empty) {
     const auto c = ledger_.courses().find(id);
-    if (c == ledger_.courses().end() || c->second.fence != fence || c->second.step != Step::kEvacuating) continue;
-    if (!c->second.confirmed.contains(from)) propose(What::kConfirm, from, id, fence);
+    if (c == ledger_.courses().end() || c->second.fence != fence ||
+        c->second.step != Step::kEvacuating) {
+      continue;
+    }
+    if (!c->second.confirmed.contains(from)) {
+      propose(What::kConfirm, from, id, fence);
+    }
+  }
+  if (!ledger_.roster().contains(from) && !ending) {
+    return propose(What::kJoin, from);  // its next asking is answered
   }
-  if (!ledger_.roster().contains(from) && !ending) return propose(What::kJoin, from);  // its next asking is answered
   waiting_.push_back({from, number, round_ + 1});
-  if (waiting_.size() > 2 * kMostRoster) waiting_.erase(waiting_.begin());
+  if (waiting_.size() > 2 * kMostRoster) {
+    waiting_.erase(waiting_.begin());
+  }
   vouch(now);
 }
 
-// Whether another leads by now the other voters know: each answer rests on a round of them that began after it was asked for.
+// Whether another leads by now the other voters know: each answer rests on a round of them that
+// began after it was asked for.
 void Works::vouch(Time now) {
-  if (round_open_ || waiting_.empty()) return;
+  if (round_open_ || waiting_.empty()) {
+    return;
+  }
   ++round_;
   round_open_ = true;
   round_until_ = now + 3 * settings_.timing.heartbeat;
   vouched_ = {settings_.self};
-  for (const Voter& v : agreement_->voters())
-    if (v.name != settings_.self) say(v.name, word(Word::kVouch).number(agreement_->term()).number(round_).bytes());
+  for (const Voter& v : agreement_->voters()) {
+    if (v.name != settings_.self) {
+      say(v.name, word(Word::kVouch).number(agreement_->term()).number(round_).bytes());
+    }
+  }
 }
 
 void Works::grant_leases(Time now) {
-  if (!round_open_) return vouch(now);
+  if (!round_open_) {
+    return vouch(now);
+  }
   const std::vector<Voter> voters = agreement_->voters();
-  const auto here = static_cast<std::size_t>(std::count_if(voters.begin(), voters.end(), [this](const Voter& v) { return vouched_.contains(v.name); }));
+  const auto here = static_cast<std::size_t>(std::count_if(
+      voters.begin(), voters.end(), [this](const Voter& v) { return vouched_.contains(v.name); }));
   if (2 * here <= voters.size()) {
-    if (now >= round_until_) round_open_ = false, vouch(now);
+    if (now >= round_until_) {
+      round_open_ = false, vouch(now);
+    }
     return;
   }
   round_open_ = false;
@@ -359,8 +489,11 @@
 }
 
 void Works::propose(What what, const std::string& proxy, const std::string& machine, Fence fence) {
-  const std::string key = std::to_string(static_cast<int>(what)) + "/" + proxy + "/" + machine + "/" + std::to_string(fence);
-  if (!proposing_.insert(key).second) return;
+  const std::string key = std::to_string(static_cast<int>(what)) + "/" + proxy + "/" + machine +
+                          "/" + std::to_string(fence);
+  if (!proposing_.insert(key).second) {
+    return;
+  }
   Command c;
   c.what = what, c.at = unix_(), c.proxy = proxy, c.machine = machine, c.fence = fence;
   agreement_->propose(c, [this, key](const char*) { proposing_.erase(key); });
@@ -368,9 +501,13 @@
 
 std::string Works::trouble(Time now) {
   std::size_t silent = 0;
-  for (const std::string& proxy : ledger_.roster()) silent += now > lease_ends(proxy);
-  if (static_cast<double>(silent) > kSilentProxies * static_cast<double>(ledger_.roster().size()))
-    return "silent_proxies: " + std::to_string(silent) + " of " + std::to_string(ledger_.roster().size());
+  for (const std::string& proxy : ledger_.roster()) {
+    silent += now > lease_ends(proxy);
+  }
+  if (static_cast<double>(silent) > kSilentProxies * static_cast<double>(ledger_.roster().size())) {
+    return "silent_proxies: " + std::to_string(silent) + " of " +
+           std::to_string(ledger_.roster().size());
+  }
   std::map<std::string, std::pair<double, double>> by_zone;  // down, all
   double down = 0, all = 0;
   for (const Machine& m : view_.machines) {
@@ -378,73 +515,128 @@
     auto& zone = by_zone[m.zone];
     down += away, zone.first += away, all += 1, zone.second += 1;
   }
-  for (const auto& [zone, counts] : by_zone)
-    if (counts.first > counts.second / 2) return "zone_lost: " + zone;
-  if (down > kDownMachines * all) return "machines_down: " + std::to_string(static_cast<int>(down)) + " of " + std::to_string(static_cast<int>(all));
+  for (const auto& [zone, counts] : by_zone) {
+    if (counts.first > counts.second / 2) {
+      return "zone_lost: " + zone;
+    }
+  }
+  if (down > kDownMachines * all) {
+    return "machines_down: " + std::to_string(static_cast<int>(down)) + " of " +
+           std::to_string(static_cast<int>(all));
+  }
   std::uint64_t served = 0, unserved = 0;
   for (auto& [proxy, s] : seen_) {
     served += s.served - std::min(s.served, std::exchange(s.served_before, s.served));
     unserved += s.unserved - std::min(s.unserved, std::exchange(s.unserved_before, s.unserved));
   }
-  if (served + unserved < kTellingRequests) return {};
+  if (served + unserved < kTellingRequests) {
+    return {};
+  }
   const double part = static_cast<double>(served) / static_cast<double>(served + unserved);
-  if (part < usual_ - kGoodputFall) return "goodput: " + std::to_string(static_cast<int>(100 * part)) + " of 100 served";
+  if (part < usual_ - kGoodputFall) {
+    return "goodput: " + std::to_string(static_cast<int>(100 * part)) + " of 100 served";
+  }
   const double dt = std::chrono::duration<double>(now - std::exchange(judged_at_, now)).count();
   usual_ += (part - usual_) * std::min(1.0, dt / kUsualSpan);
   return {};
 }
 
-// What the log does not say yet of list and load goes into it; without anything new the time does, where it matters.
+// What the log does not say yet of list and load goes into it; without anything new the time does,
+// where it matters.
 void Works::settle_facts(Time now) {
-  if (now < facts_at_ || proposing_.contains("facts") || !view_.warm) return;
+  if (now < facts_at_ || proposing_.contains("facts") || !view_.warm) {
+    return;
+  }
   facts_at_ = now + kFactsEvery;
   trouble_ = trouble(now);
   Command c;
   c.what = What::kFacts, c.at = unix_(), c.trouble = trouble_.substr(0, kLongestText);
   std::map<std::string, Machine> all;
-  for (const Machine& m : view_.machines) all[m.id] = m;
-  for (const auto& [proxy, s] : seen_)
-    if (ledger_.roster().contains(proxy))
-      all[proxy] = {proxy, s.zone, {}, {}, Role::kProxy, 1, now <= s.lease_ends && !s.ending, s.warm, static_cast<std::int64_t>(s.life >> 1)};
+  for (const Machine& m : view_.machines) {
+    all[m.id] = m;
+  }
+  for (const auto& [proxy, s] : seen_) {
+    if (ledger_.roster().contains(proxy)) {
+      all[proxy] = {proxy,
+                    s.zone,
+                    {},
+                    {},
+                    Role::kProxy,
+                    1,
+                    now <= s.lease_ends && !s.ending,
+                    s.warm,
+                    static_cast<std::int64_t>(s.life >> 1)};
+    }
+  }
   for (const auto& [id, m] : all) {
     const auto held = ledger_.machines().find(id);
-    if (c.machines.size() < kMostFacts && (held == ledger_.machines().end() || !(held->second == m))) c.machines.push_back(m);
+    if (c.machines.size() < kMostFacts &&
+        (held == ledger_.machines().end() || !(held->second == m))) {
+      c.machines.push_back(m);
+    }
+  }
+  for (const auto& [id, m] : ledger_.machines()) {
+    if (c.gone.size() < kMostFacts && !all.contains(id)) {
+      c.gone.insert(id);
+    }
   }
-  for (const auto& [id, m] : ledger_.machines())
-    if (c.gone.size() < kMostFacts && !all.contains(id)) c.gone.insert(id);
   std::map<std::string, std::pair<double, int>> sums;
-  for (const auto& [proxy, s] : seen_)
-    for (const auto& [zone, use] : s.use) sums[zone].first += use, sums[zone].second += 1;
+  for (const auto& [proxy, s] : seen_) {
+    for (const auto& [zone, use] : s.use) {
+      sums[zone].first += use, sums[zone].second += 1;
+    }
+  }
   bool moved = sums.size() != ledger_.use().size();
   for (const auto& [zone, sum] : sums) {
     c.use[zone] = sum.first / sum.second;
     const auto held = ledger_.use().find(zone);
     moved = moved || held == ledger_.use().end() || std::abs(held->second - c.use[zone]) > kUseStep;
   }
-  if (!moved) c.use = ledger_.use();
-  const bool news = moved || !c.machines.empty() || !c.gone.empty() || !c.trouble.empty() || c.trouble != ledger_.trouble();
-  const bool open = !ledger_.courses().empty() || std::any_of(ledger_.requests().begin(), ledger_.requests().end(), [](const auto& q) { return q.second.open(); });
-  if (!news && !open) return;
-  if (!news) c = Command{}, c.what = What::kTime, c.at = unix_();
+  if (!moved) {
+    c.use = ledger_.use();
+  }
+  const bool news = moved || !c.machines.empty() || !c.gone.empty() || !c.trouble.empty() ||
+                    c.trouble != ledger_.trouble();
+  const bool open = !ledger_.courses().empty() ||
+                    std::any_of(ledger_.requests().begin(), ledger_.requests().end(),
+                                [](const auto& q) { return q.second.open(); });
+  if (!news && !open) {
+    return;
+  }
+  if (!news) {
+    c = Command{}, c.what = What::kTime, c.at = unix_();
+  }
   proposing_.insert("facts");
   agreement_->propose(c, [this](const char*) { proposing_.erase("facts"); });
 }
 
 void Works::conduct(Time now) {
   for (const auto& [machine, c] : ledger_.courses()) {
-    if (c.step != Step::kEvacuating) continue;
-    for (const std::string& proxy : ledger_.roster())
-      if (!c.confirmed.contains(proxy) && confirmed_by_lapse(now, proxy)) propose(What::kConfirm, proxy, machine, c.fence);
+    if (c.step != Step::kEvacuating) {
+      continue;
+    }
+    for (const std::string& proxy : ledger_.roster()) {
+      if (!c.confirmed.contains(proxy) && confirmed_by_lapse(now, proxy)) {
+        propose(What::kConfirm, proxy, machine, c.fence);
+      }
+    }
   }
   for (const std::string& proxy : ledger_.roster()) {
     const auto it = seen_.find(proxy);
     const bool left = it != seen_.end() && it->second.ending && it->second.idle;
-    const Duration isolated = settings_.isolated_after + settings_.isolated_after / 50 + settings_.longest_call;
-    if (left || (settings_.isolated_after > Duration{0} && now >= lease_ends(proxy) + isolated)) propose(What::kLeave, proxy);
+    const Duration isolated =
+        settings_.isolated_after + settings_.isolated_after / 50 + settings_.longest_call;
+    if (left || (settings_.isolated_after > Duration{0} && now >= lease_ends(proxy) + isolated)) {
+      propose(What::kLeave, proxy);
+    }
+  }
+  for (const std::string& name : agreement_->unfinished()) {
+    agreement_->readmit(name);
   }
-  for (const std::string& name : agreement_->unfinished()) agreement_->readmit(name);
   settle_facts(now);
-  if (agreement_->proposed() > 0) return;
+  if (agreement_->proposed() > 0) {
+    return;
+  }
   for (Command& c : ledger_.next(shown())) {
     c.at = unix_();
     agreement_->propose(c);
@@ -453,7 +645,9 @@
 
 void Works::tick(Time now) {
   now_ = now;
-  if (agreement_) agreement_->tick(now);
+  if (agreement_) {
+    agreement_->tick(now);
+  }
   if (leads() && !led_) {
     led_ = true, in_charge_ = false;
     leads_since_ = now;
@@ -464,16 +658,23 @@
     c.what = What::kBounds, c.at = unix_(), c.bounds = settings_.bounds;
     const std::uint64_t term = agreement_->term();
     agreement_->propose(c, [this, term](const char* reason) {
-      const bool lost = reason && (std::string_view(reason) == "lost" || std::string_view(reason) == "not_leader");
-      if (!lost && leads() && agreement_->term() == term) in_charge_ = true;
+      const bool lost = reason && (std::string_view(reason) == "lost" ||
+                                   std::string_view(reason) == "not_leader");
+      if (!lost && leads() && agreement_->term() == term) {
+        in_charge_ = true;
+      }
     });
   }
-  if (!leads()) led_ = in_charge_ = false;
+  if (!leads()) {
+    led_ = in_charge_ = false;
+  }
   if (in_charge_) {
     grant_leases(now);
     conduct(now);
   }
-  if (now >= ask_at_) ask_lease(now);
+  if (now >= ask_at_) {
+    ask_lease(now);
+  }
   std::vector<Answer> late;
   for (auto it = asked_.begin(); it != asked_.end();) {
     if (now < it->second.until) {
@@ -483,9 +684,13 @@
     late.push_back(std::move(it->second.answer));
     it = asked_.erase(it);
   }
-  for (const Answer& answer : late) answer(false, "no_answer");
+  for (const Answer& answer : late) {
+    answer(false, "no_answer");
+  }
   due_ = ask_at_;
-  if (agreement_ && !agreement_->halted()) due_ = std::min(due_, agreement_->due());
+  if (agreement_ && !agreement_->halted()) {
+    due_ = std::min(due_, agreement_->due());
+  }
 }
 
 }  // namespace beechhill::maintenance
