--- a/src/maintenance/works.h
+++ b/src/maintenance/works.h
@@ -1,6 +1,7 @@
-// One proxy's part in taking machines out for work: it holds what is settled, a lease on it, and the rights that follow; a voter agrees on it
-// with the others, and the one that leads drives the courses of machines. Free of I/O and clocks; its times are those of a clock that
-// never steps, but for `Unix` ones. docs/design/maintenance.md weighs the ways and gives the invariants.
+// One proxy's part in taking machines out for work: it holds what is settled, a lease on it, and
+// the rights that follow; a voter agrees on it with the others, and the one that leads drives the
+// courses of machines. Free of I/O and clocks; its times are those of a clock that never steps, but
+// for `Unix` ones. docs/design/maintenance.md weighs the ways and gives the invariants.
 #pragma once
 
 #include <functional>
@@ -9,8 +10,8 @@
 #include <optional>
 #include <set>
 #include <string>
-#include <utility>
 #include <string_view>
+#include <utility>
 #include <vector>
 
 #include "maintenance/agreement.h"
@@ -20,28 +21,30 @@
 
 struct WorksSettings {
   std::string self, zone;
-  std::vector<std::string> voters;       // names; 1, 3, 5 or 7
-  Duration lease{5'000'000};             // how long what was settled holds without being told anew
-  // After its lease a proxy uses no machine at all once this has passed: then the others need not wait for it, nor for staff to say that it
-  // is off. 0: it serves on by what it last heard, and they wait.
+  std::vector<std::string> voters;  // names; 1, 3, 5 or 7
+  Duration lease{5'000'000};        // how long what was settled holds without being told anew
+  // After its lease a proxy uses no machine at all once this has passed: then the others need not
+  // wait for it, nor for staff to say that it is off. 0: it serves on by what it last heard, and
+  // they wait.
   Duration isolated_after{0};
-  // A process that has just started uses nothing until it has held a lease; true: it does, after `hear_within`, and a machine that is out
-  // may get calls from it.
+  // A process that has just started uses nothing until it has held a lease; true: it does, after
+  // `hear_within`, and a machine that is out may get calls from it.
   bool serve_unheard = false;
   Duration hear_within{5'000'000};
-  Duration drain_grace{2'000'000};       // for which what was begun may still leave
-  Duration longest_call{10'000'000};     // the longest deadline of a class
+  Duration drain_grace{2'000'000};    // for which what was begun may still leave
+  Duration longest_call{10'000'000};  // the longest deadline of a class
   Bounds bounds;
   Timing timing;
 };
 
-struct View {  // what the proxy itself sees
-  std::vector<Machine> machines;          // its list
-  std::map<std::string, double> use;      // of each zone's servers, as they report it
-  std::uint64_t served = 0, unserved = 0; // requests, since its start
-  std::set<std::string> busy;             // machines with something of its own open, or barred for less than the grace
-  bool idle = false;                      // it takes no clients and has nothing open
-  bool warm = true;                       // it has heard discovery
+struct View {                              // what the proxy itself sees
+  std::vector<Machine> machines;           // its list
+  std::map<std::string, double> use;       // of each zone's servers, as they report it
+  std::uint64_t served = 0, unserved = 0;  // requests, since its start
+  std::set<std::string>
+      busy;           // machines with something of its own open, or barred for less than the grace
+  bool idle = false;  // it takes no clients and has nothing open
+  bool warm = true;   // it has heard discovery
   bool ending = false;
 };
 
@@ -49,10 +52,11 @@
 
 class Works {
  public:
-  // `storage`: a voter's; null where this is none, or where it has lost it. `generation`: of the voter that the storage belongs to.
-  // `unix`: gives Unix time, for windows alone. What is referred to must outlive it.
-  Works(Time now, WorksSettings settings, Storage* storage, std::uint32_t generation, std::uint64_t life, std::uint64_t seed,
-        std::function<Seconds()> unix);
+  // `storage`: a voter's; null where this is none, or where it has lost it. `generation`: of the
+  // voter that the storage belongs to. `unix`: gives Unix time, for windows alone. What is referred
+  // to must outlive it.
+  Works(Time now, WorksSettings settings, Storage* storage, std::uint32_t generation,
+        std::uint64_t life, std::uint64_t seed, std::function<Seconds()> unix);
 
   void tick(Time now);  // at due(), or when the storage has become more durable
   Time due() const { return due_; }
@@ -70,29 +74,36 @@
 
   // ---- Rights
 
-  // When the right to send new work to that machine ends: Time::max() where nothing ends it, Time::min() where there is none.
+  // When the right to send new work to that machine ends: Time::max() where nothing ends it,
+  // Time::min() where there is none.
   Time may_use_until(const std::string& machine) const;
   // When the right to send anything at all ends.
   Time may_serve_until() const;
-  const std::map<std::string, Ledger::Right>& rights() const { return rights_; }  // of machines in a course, as last heard
+  const std::map<std::string, Ledger::Right>& rights() const {
+    return rights_;
+  }  // of machines in a course, as last heard
   bool self_out() const { return self_out_.has_value(); }  // this proxy is to be taken out
   bool leased() const { return leased_once_; }
 
   // ---- Staff
 
   using Answer = std::function<void(bool done, const std::string& text)>;
-  void order(Time now, Command command, Answer answer);               // settled, or the reason
-  void question(Time now, const std::string& request, Answer answer); // JSON: all, or why that request does not go on
+  void order(Time now, Command command, Answer answer);  // settled, or the reason
+  void question(Time now, const std::string& request,
+                Answer answer);  // JSON: all, or why that request does not go on
 
   // ---- A voter's
 
   bool leads() const { return agreement_ && agreement_->leads(); }
   const Ledger& ledger() const { return ledger_; }
-  std::vector<Voter> voters() const { return agreement_ ? agreement_->voters() : std::vector<Voter>{}; }
+  std::vector<Voter> voters() const {
+    return agreement_ ? agreement_->voters() : std::vector<Voter>{};
+  }
   bool votes() const { return agreement_ != nullptr; }
   bool halted() const { return agreement_ && agreement_->halted(); }
   bool rolled_back() const { return agreement_ && agreement_->rolled_back(); }
-  // One that has lost its storage is told which generation it is to found a new one as; then it is made anew with that.
+  // One that has lost its storage is told which generation it is to found a new one as; then it is
+  // made anew with that.
   std::optional<std::uint32_t> readmitted() const { return readmitted_; }
 
  private:
@@ -124,11 +135,16 @@
   std::string trouble(Time now);
   bool confirmed_by_lapse(Time now, const std::string& proxy) const;
   Time lease_ends(const std::string& proxy) const;
-  void propose(What what, const std::string& proxy, const std::string& machine = {}, Fence fence = 0);
-  void say(const std::string& to, std::string bytes) { out_.push_back({to, Line::kSettled, std::move(bytes)}); }
+  void propose(What what, const std::string& proxy, const std::string& machine = {},
+               Fence fence = 0);
+  void say(const std::string& to, std::string bytes) {
+    out_.push_back({to, Line::kSettled, std::move(bytes)});
+  }
   std::map<std::string, Index> shown() const;
   Duration beat() const { return settings_.lease / 5; }
-  Duration longest_lease() const { return settings_.lease + settings_.lease / 50; }  // by a clock that is 2 % slow
+  Duration longest_lease() const {
+    return settings_.lease + settings_.lease / 50;
+  }  // by a clock that is 2 % slow
 
   const WorksSettings settings_;
   const std::uint64_t life_;
@@ -145,7 +161,7 @@
   std::optional<Fence> self_out_;
   bool leased_once_ = false;
   Time lease_until_ = Time::min();
-  std::string leader_;               // whom it asks
+  std::string leader_;  // whom it asks
   std::size_t next_voter_ = 0;
   std::map<std::uint64_t, Time> asks_;  // when each was sent: a lease counts from then
   std::uint64_t next_number_ = 1;
@@ -156,12 +172,12 @@
   Time leads_since_{0};
   std::map<std::string, Seen> seen_;
   std::vector<Waiting> waiting_;
-  std::uint64_t round_ = 0;             // of vouching, under way or over
+  std::uint64_t round_ = 0;  // of vouching, under way or over
   std::set<std::string> vouched_;
   bool round_open_ = false;
   Time round_until_{0};
-  std::set<std::string> proposing_;     // what is on its way into the log
-  double usual_ = 1;                    // part of requests served, over a minute
+  std::set<std::string> proposing_;  // what is on its way into the log
+  double usual_ = 1;                 // part of requests served, over a minute
   Time judged_at_{0};
   std::string trouble_;
   std::optional<std::uint32_t> readmitted_;
--- a/src/membership/bytes.h
+++ b/src/membership/bytes.h
@@ -1,5 +1,6 @@
-// Numbers and short texts as bytes, least byte first, and back: for what proxies tell each other and keep. A reader never goes beyond
-// its end; once something did not fit, all that follows is empty and ok() says so.
+// Numbers and short texts as bytes, least byte first, and back: for what proxies tell each other
+// and keep. A reader never goes beyond its end; once something did not fit, all that follows is
+// empty and ok() says so.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +14,9 @@
   template <typename N>
   Writer& number(N value) {
     const auto v = static_cast<std::uint64_t>(value);
-    for (std::size_t i = 0; i < sizeof(N); ++i) text_ += static_cast<char>(v >> (8 * i));
+    for (std::size_t i = 0; i < sizeof(N); ++i) {
+      text_ += static_cast<char>(v >> (8 * i));
+    }
     return *this;
   }
   Writer& text(std::string_view t) {  // of 65,535 bytes at the most
@@ -21,7 +24,9 @@
     text_ += t.substr(0, 65'535);
     return *this;
   }
-  Writer& blob(std::string_view t) { return number(static_cast<std::uint32_t>(t.size())).raw(t); }  // of 4 GiB at the most
+  Writer& blob(std::string_view t) {
+    return number(static_cast<std::uint32_t>(t.size())).raw(t);
+  }  // of 4 GiB at the most
   Writer& raw(std::string_view t) {
     text_ += t;
     return *this;
@@ -39,12 +44,16 @@
   N number() {
     std::uint64_t v = 0;
     const std::string_view part = take(sizeof(N));
-    for (std::size_t i = 0; i < part.size(); ++i) v |= std::uint64_t{static_cast<unsigned char>(part[i])} << (8 * i);
+    for (std::size_t i = 0; i < part.size(); ++i) {
+      v |= std::uint64_t{static_cast<unsigned char>(part[i])} << (8 * i);
+    }
     return static_cast<N>(v);
   }
   std::string text(std::size_t most) {
     const std::size_t size = number<std::uint16_t>();
-    if (size > most) ok_ = false;
+    if (size > most) {
+      ok_ = false;
+    }
     return std::string(take(size));
   }
   std::string_view blob() {
@@ -57,8 +66,12 @@
 
  private:
   std::string_view take(std::size_t size) {
-    if (size > left_.size()) ok_ = false;
-    if (!ok_) return {};
+    if (size > left_.size()) {
+      ok_ = false;
+    }
+    if (!ok_) {
+      return {};
+    }
     const std::string_view part = left_.substr(0, size);
     left_.remove_prefix(size);
     return part;
--- a/src/membership/gate.cpp
+++ b/src/membership/gate.cpp
@@ -13,14 +13,15 @@
 
 static_assert(crypto_auth_KEYBYTES == sizeof(Key));
 constexpr std::string_view kMagic = "BHT1";
-constexpr std::size_t kKept = 2;          // of the latest sent to an address: a probe and what went with it
+constexpr std::size_t kKept = 2;  // of the latest sent to an address: a probe and what went with it
 constexpr std::size_t kMostKeys = 2;
 constexpr std::size_t kPart = kMostPayload - 16;
-constexpr std::size_t kMostParts = 256;   // 300 kB, several times what is ever agreed on at once
+constexpr std::size_t kMostParts = 256;  // 300 kB, several times what is ever agreed on at once
 
 bool signed_by(const Key& key, std::string_view body, std::string_view mac) {
-  return crypto_auth_verify(reinterpret_cast<const unsigned char*>(mac.data()), reinterpret_cast<const unsigned char*>(body.data()),
-                            body.size(), key.data()) == 0;
+  return crypto_auth_verify(reinterpret_cast<const unsigned char*>(mac.data()),
+                            reinterpret_cast<const unsigned char*>(body.data()), body.size(),
+                            key.data()) == 0;
 }
 
 }  // namespace
@@ -30,34 +31,47 @@
   while (!text.empty()) {
     std::string_view line = text.substr(0, text.find('\n'));
     text.remove_prefix(std::min(text.size(), line.size() + 1));
-    while (!line.empty() && (line.back() == '\r' || line.back() == ' ')) line.remove_suffix(1);
-    if (line.empty()) continue;
+    while (!line.empty() && (line.back() == '\r' || line.back() == ' ')) {
+      line.remove_suffix(1);
+    }
+    if (line.empty()) {
+      continue;
+    }
     Key& key = keys.emplace_back();
     std::size_t size = 0;
     const char* end = nullptr;
-    if (sodium_hex2bin(key.data(), key.size(), line.data(), line.size(), nullptr, &size, &end) != 0 || size != key.size() ||
-        end != line.data() + line.size())
+    if (sodium_hex2bin(key.data(), key.size(), line.data(), line.size(), nullptr, &size, &end) !=
+            0 ||
+        size != key.size() || end != line.data() + line.size()) {
       throw std::invalid_argument("a key is 64 hexadecimal digits on a line of its own");
+    }
+  }
+  if (keys.empty() || keys.size() > kMostKeys) {
+    throw std::invalid_argument("one key, or two while they change");
   }
-  if (keys.empty() || keys.size() > kMostKeys) throw std::invalid_argument("one key, or two while they change");
   return keys;
 }
 
 Gate::Gate(Keys keys, std::string name, std::uint64_t life, std::uint64_t seed)
-    : keys_(std::move(keys)), name_(std::move(name)), life_(life), random_(seed) {}
+    : keys_(std::move(keys)), name_(std::move(name)), life_(life), random_(seed) {
+}
 
 std::string Gate::write(std::uint64_t ticket, Channel channel, std::string_view payload) {
   Writer w;
-  w.raw(kMagic).text(name_).number(life_).number(++number_).number(ticket).number(channel).raw(payload);
+  w.raw(kMagic).text(name_).number(life_).number(++number_).number(ticket).number(channel).raw(
+      payload);
   std::string out = w.bytes();
   unsigned char mac[crypto_auth_BYTES];
-  crypto_auth(mac, reinterpret_cast<const unsigned char*>(out.data()), out.size(), keys_.front().data());
+  crypto_auth(mac, reinterpret_cast<const unsigned char*>(out.data()), out.size(),
+              keys_.front().data());
   return out.append(reinterpret_cast<const char*>(mac), sizeof mac);
 }
 
 // Addresses come from members alone, and are as many; should they be more, all begin again.
 Gate::Link& Gate::link(const std::string& address) {
-  if (links_.size() >= kMostMembers && !links_.contains(address)) links_.clear();
+  if (links_.size() >= kMostMembers && !links_.contains(address)) {
+    links_.clear();
+  }
   return links_[address];
 }
 
@@ -65,7 +79,9 @@
   Link& l = link(to);
   std::string out = write(l.ticket, channel, payload);
   l.last.emplace_back(channel, std::move(payload));
-  if (l.last.size() > kKept) l.last.pop_front();
+  if (l.last.size() > kKept) {
+    l.last.pop_front();
+  }
   return out;
 }
 
@@ -78,7 +94,9 @@
     return true;
   }
   const std::uint64_t back = s.top - number;
-  if (back >= 64 || (s.seen >> back & 1)) return false;
+  if (back >= 64 || (s.seen >> back & 1)) {
+    return false;
+  }
   s.seen |= std::uint64_t{1} << back;
   return true;
 }
@@ -86,40 +104,66 @@
 Gate::Result Gate::open(const std::string& from, std::string_view datagram) {
   Result result;
   const auto refuse = [&result](const char* reason) { return result.refused = reason, result; };
-  if (datagram.size() < kMagic.size() + crypto_auth_BYTES || datagram.size() > kMostDatagram) return refuse("size");
+  if (datagram.size() < kMagic.size() + crypto_auth_BYTES || datagram.size() > kMostDatagram) {
+    return refuse("size");
+  }
   const std::string_view body = datagram.substr(0, datagram.size() - crypto_auth_BYTES);
   const std::string_view mac = datagram.substr(body.size());
   bool known = false;
-  for (const Key& key : keys_) known = known || signed_by(key, body, mac);
-  if (!known) return refuse("key");
+  for (const Key& key : keys_) {
+    known = known || signed_by(key, body, mac);
+  }
+  if (!known) {
+    return refuse("key");
+  }
   Reader r(body);
   const std::uint32_t magic = r.number<std::uint32_t>();
   const std::string name = r.text(kLongestName);
-  const auto life = r.number<std::uint64_t>(), number = r.number<std::uint64_t>(), ticket = r.number<std::uint64_t>();
+  const auto life = r.number<std::uint64_t>(), number = r.number<std::uint64_t>(),
+             ticket = r.number<std::uint64_t>();
   const auto channel = r.number<Channel>();
-  if (!r.ok() || Reader(kMagic).number<std::uint32_t>() != magic || channel > Channel::kSettled) return refuse("form");
-  if (name.empty() || name == name_) return refuse("name");
+  if (!r.ok() || Reader(kMagic).number<std::uint32_t>() != magic || channel > Channel::kSettled) {
+    return refuse("form");
+  }
+  if (name.empty() || name == name_) {
+    return refuse("name");
+  }
   std::string payload(r.rest());
   if (channel == Channel::kHello) {
     Reader hello(payload);
     const auto for_life = hello.number<std::uint64_t>(), drawn = hello.number<std::uint64_t>();
-    if (!hello.done() || for_life != life_) return refuse("hello");
+    if (!hello.done() || for_life != life_) {
+      return refuse("hello");
+    }
     Link& l = link(from);
-    if (std::exchange(l.ticket, drawn) == drawn) return result;
-    for (const auto& [what, text] : l.last) result.replies.push_back(write(drawn, what, text));
+    if (std::exchange(l.ticket, drawn) == drawn) {
+      return result;
+    }
+    for (const auto& [what, text] : l.last) {
+      result.replies.push_back(write(drawn, what, text));
+    }
     return result;
   }
-  if (!senders_.contains(name) && senders_.size() >= kMostMembers) return refuse("members");
+  if (!senders_.contains(name) && senders_.size() >= kMostMembers) {
+    return refuse("members");
+  }
   Sender& s = senders_[name];
-  if (ticket != 0 && life == s.next_life && ticket == s.next_ticket)
+  if (ticket != 0 && life == s.next_life && ticket == s.next_ticket) {
     s = {life, ticket, 0, 0, 0, 0};  // it has shown that it lives now: its earlier life is over
+  }
   if (ticket == 0 || life != s.life || ticket != s.ticket) {
-    if (s.next_life != life || s.next_ticket == 0) s.next_life = life, s.next_ticket = random_() | 1;
+    if (s.next_life != life || s.next_ticket == 0) {
+      s.next_life = life, s.next_ticket = random_() | 1;
+    }
     Writer hello;
-    result.replies.push_back(write(0, Channel::kHello, hello.number(life).number(life == s.life ? s.ticket : s.next_ticket).bytes()));
+    result.replies.push_back(
+        write(0, Channel::kHello,
+              hello.number(life).number(life == s.life ? s.ticket : s.next_ticket).bytes()));
     return refuse("ticket");
   }
-  if (!fresh(s, number)) return refuse("again");
+  if (!fresh(s, number)) {
+    return refuse("again");
+  }
   result.opened = Opened{name, channel, std::move(payload)};
   return result;
 }
@@ -127,10 +171,15 @@
 std::vector<std::string> split(std::uint64_t number, std::string_view whole) {
   std::vector<std::string> parts;
   const std::size_t count = std::max<std::size_t>(1, (whole.size() + kPart - 1) / kPart);
-  if (count > kMostParts) return parts;
+  if (count > kMostParts) {
+    return parts;
+  }
   for (std::size_t i = 0; i < count; ++i) {
     Writer w;
-    w.number(number).number(static_cast<std::uint16_t>(i)).number(static_cast<std::uint16_t>(count)).raw(whole.substr(i * kPart, kPart));
+    w.number(number)
+        .number(static_cast<std::uint16_t>(i))
+        .number(static_cast<std::uint16_t>(count))
+        .raw(whole.substr(i * kPart, kPart));
     parts.push_back(w.bytes());
   }
   return parts;
@@ -140,16 +189,30 @@
   Reader r(part);
   const auto number = r.number<std::uint64_t>();
   const std::size_t place = r.number<std::uint16_t>(), count = r.number<std::uint16_t>();
-  if (!r.ok() || place >= count || count > kMostParts) return std::nullopt;
-  if (count == 1) return std::string(r.rest());
-  if (!open_.contains(from) && open_.size() >= kMostMembers) return std::nullopt;
+  if (!r.ok() || place >= count || count > kMostParts) {
+    return std::nullopt;
+  }
+  if (count == 1) {
+    return std::string(r.rest());
+  }
+  if (!open_.contains(from) && open_.size() >= kMostMembers) {
+    return std::nullopt;
+  }
   Open& o = open_[from];
-  if (o.number != number || o.parts.size() != count) o = {number, std::vector<std::optional<std::string>>(count), 0};
-  if (o.parts[place]) return std::nullopt;
+  if (o.number != number || o.parts.size() != count) {
+    o = {number, std::vector<std::optional<std::string>>(count), 0};
+  }
+  if (o.parts[place]) {
+    return std::nullopt;
+  }
   o.parts[place] = std::string(r.rest());
-  if (++o.there < count) return std::nullopt;
+  if (++o.there < count) {
+    return std::nullopt;
+  }
   std::string whole;
-  for (auto& p : o.parts) whole += *p;
+  for (auto& p : o.parts) {
+    whole += *p;
+  }
   open_.erase(from);
   return whole;
 }
--- a/src/membership/gate.h
+++ b/src/membership/gate.h
@@ -1,6 +1,7 @@
-// What proves that a datagram comes from a member, now: a keyed MAC over all of it (libsodium's crypto_auth), a number that counts up, and a
-// ticket that the receiver drew for this life of the sender. A datagram that was caught and sent again is refused, also by a receiver that has
-// started anew, and whatever the clocks say. Free of I/O and clocks.
+// What proves that a datagram comes from a member, now: a keyed MAC over all of it (libsodium's
+// crypto_auth), a number that counts up, and a ticket that the receiver drew for this life of the
+// sender. A datagram that was caught and sent again is refused, also by a receiver that has started
+// anew, and whatever the clocks say. Free of I/O and clocks.
 #pragma once
 
 #include <array>
@@ -19,7 +20,8 @@
 
 // The first signs; either is believed, so that a key can be changed while all run. Two at the most.
 using Keys = std::vector<Key>;
-// A key for each line of 64 hexadecimal digits; empty lines are passed over. Throws std::invalid_argument that says what is wrong.
+// A key for each line of 64 hexadecimal digits; empty lines are passed over. Throws
+// std::invalid_argument that says what is wrong.
 Keys read_keys(std::string_view text);
 
 enum class Channel : std::uint8_t { kHello, kSwim, kAgreement, kSettled };
@@ -29,7 +31,8 @@
 
 class Gate {
  public:
-  // `life`: this process's, drawn at its start. `seed` draws the tickets: it must not be known to others.
+  // `life`: this process's, drawn at its start. `seed` draws the tickets: it must not be known to
+  // others.
   Gate(Keys keys, std::string name, std::uint64_t life, std::uint64_t seed);
 
   void change_keys(Keys keys) { keys_ = std::move(keys); }
@@ -50,12 +53,15 @@
 
  private:
   struct Sender {
-    std::uint64_t life = 0, ticket = 0, top = 0, seen = 0;  // `seen`: of the 64 numbers up to `top`, a bit each
-    std::uint64_t next_life = 0, next_ticket = 0;           // one that has yet to show the ticket drawn for it
+    std::uint64_t life = 0, ticket = 0, top = 0,
+                  seen = 0;  // `seen`: of the 64 numbers up to `top`, a bit each
+    std::uint64_t next_life = 0,
+                  next_ticket = 0;  // one that has yet to show the ticket drawn for it
   };
   struct Link {
     std::uint64_t ticket = 0;
-    std::deque<std::pair<Channel, std::string>> last;  // to be sent again if the receiver wants another ticket
+    std::deque<std::pair<Channel, std::string>>
+        last;  // to be sent again if the receiver wants another ticket
   };
   std::string write(std::uint64_t ticket, Channel channel, std::string_view payload);
   static bool fresh(Sender& sender, std::uint64_t number);
--- a/src/membership/swim.h
+++ b/src/membership/swim.h
@@ -1,6 +1,8 @@
-// Who the other proxies are, and which of them live: SWIM (Das, Gupta, Motivala 2002) with suspicion, incarnations, indirect probes
-// and news carried on probes, and with Lifeguard's regard for one's own slowness (Dadgar, Phillips, Currey 2018). A state machine: it is told
-// the time and what came, and says what is to be sent. Free of I/O and clocks. docs/design/membership.md weighs the ways.
+// Who the other proxies are, and which of them live: SWIM (Das, Gupta, Motivala 2002) with
+// suspicion, incarnations, indirect probes and news carried on probes, and with Lifeguard's regard
+// for one's own slowness (Dadgar, Phillips, Currey 2018). A state machine: it is told the time and
+// what came, and says what is to be sent. Free of I/O and clocks. docs/design/membership.md weighs
+// the ways.
 #pragma once
 
 #include <cstdint>
@@ -17,26 +19,29 @@
 
 namespace beechhill::membership {
 
-// A member that is dead did not answer; one that left said so. Both may come back, by a higher incarnation.
+// A member that is dead did not answer; one that left said so. Both may come back, by a higher
+// incarnation.
 enum class State : std::uint8_t { kAlive, kSuspect, kDead, kLeft };
 const char* name(State state);
 
 struct Rumour {  // what is said of a member
   std::string name, address;
   State state = State::kAlive;
-  std::uint32_t incarnation = 0;  // counted up by the member alone; of two rumours the higher one holds
-  std::uint64_t life = 0;         // of its process, drawn at its start: another one means that it restarted
-  std::string by;                 // of a suspicion: who holds it
+  std::uint32_t incarnation =
+      0;  // counted up by the member alone; of two rumours the higher one holds
+  std::uint64_t life =
+      0;           // of its process, drawn at its start: another one means that it restarted
+  std::string by;  // of a suspicion: who holds it
 
   bool operator==(const Rumour&) const = default;
 };
 
 enum class Kind : std::uint8_t {
   kPing,
-  kPingFor,   // ping `about` for me
+  kPingFor,  // ping `about` for me
   kAck,
-  kNack,      // `about` did not answer me either: you are heard, at least
-  kListAsk,   // all you know, from the member after `about` on
+  kNack,     // `about` did not answer me either: you are heard, at least
+  kListAsk,  // all you know, from the member after `about` on
   kList,
 };
 
@@ -54,13 +59,14 @@
 };
 
 inline constexpr std::size_t kMostMembers = 2'000;
-inline constexpr std::size_t kMostRumours = 12;         // in one message,
-inline constexpr std::size_t kMostRumourBytes = 1'100;  // and so many bytes of them: a message is one datagram
+inline constexpr std::size_t kMostRumours = 12;  // in one message,
+inline constexpr std::size_t kMostRumourBytes =
+    1'100;  // and so many bytes of them: a message is one datagram
 inline constexpr std::size_t kLongestName = 48;
 inline constexpr unsigned kMostSlowness = 8;
 
 struct Settings {
-  Duration interval{1'000'000};  // between two probes of one member's
+  Duration interval{1'000'000};          // between two probes of one member's
   Duration forget_after{3'600'000'000};  // members that are dead or left
   std::vector<std::string> seeds;        // addresses where others may be found
 };
@@ -68,20 +74,26 @@
 class Swim {
  public:
   // `life`: drawn anew by each process. `self`: its name and address as the others reach it.
-  Swim(Time now, Settings settings, std::uint64_t seed, std::string name, std::string address, std::uint64_t life);
+  Swim(Time now, Settings settings, std::uint64_t seed, std::string name, std::string address,
+       std::uint64_t life);
 
   // A message of a member that has shown who it is. Appends what is to be sent.
-  void receive(Time now, const std::string& from, const std::string& address, const Message& message, std::vector<Outgoing>& out);
+  void receive(Time now, const std::string& from, const std::string& address,
+               const Message& message, std::vector<Outgoing>& out);
   void tick(Time now, std::vector<Outgoing>& out);  // at due(), or later
   Time due() const { return due_; }
-  // The process did not run for a while: what it holds may be old, and others may have declared it dead.
+  // The process did not run for a while: what it holds may be old, and others may have declared it
+  // dead.
   void woke(Time now, std::vector<Outgoing>& out);
   // Says good-bye. Nothing is sent after it but answers.
   void leave(Time now, std::vector<Outgoing>& out);
 
-  // Whether it knows how it stands with the others: not from a gap on until one of them has answered. One that knows no others is sure.
+  // Whether it knows how it stands with the others: not from a gap on until one of them has
+  // answered. One that knows no others is sure.
   bool sure() const { return sure_; }
-  unsigned slowness() const { return slowness_; }  // of its own, as missed answers show it; it probes that much more slowly
+  unsigned slowness() const {
+    return slowness_;
+  }  // of its own, as missed answers show it; it probes that much more slowly
   std::uint32_t incarnation() const { return incarnation_; }
   // How often it was told that it had been declared dead: what it was granted before is void.
   std::uint64_t deaths() const { return deaths_; }
@@ -127,15 +139,18 @@
   void set(Time now, const Rumour& rumour);
   void spread(const Rumour& rumour);
   void carry(Message& message, const std::string& to);
-  void send(const std::string& address, Message message, const std::string& to, std::vector<Outgoing>& out);
+  void send(const std::string& address, Message message, const std::string& to,
+            std::vector<Outgoing>& out);
   void begin_probe(Time now, std::vector<Outgoing>& out);
   void end_probe(Time now);
   void ask_others(std::vector<Outgoing>& out);
   void suspect(Time now, const std::string& name, const std::string& by);
   void ripen(Time now);
   void look_for_lost(std::vector<Outgoing>& out);
-  void ask_list(const std::string& address, const std::string& after, const std::string& to, std::vector<Outgoing>& out);
-  void answer_list(const std::string& address, const std::string& after, std::vector<Outgoing>& out);
+  void ask_list(const std::string& address, const std::string& after, const std::string& to,
+                std::vector<Outgoing>& out);
+  void answer_list(const std::string& address, const std::string& after,
+                   std::vector<Outgoing>& out);
   void shift(int by);
   Duration suspicion_lasts(std::size_t confirmations) const;
   Duration period() const { return settings_.interval * (1 + slowness_); }
@@ -152,7 +167,7 @@
   bool sure_ = false, left_ = false;
   std::uint64_t deaths_ = 0, next_number_ = 1, periods_ = 0;
   std::uint32_t deaths_from_ = 0;  // incarnations whose death is not counted yet
-  std::uint64_t sure_from_ = 0;  // an answer to this ping, or a later one, makes it sure
+  std::uint64_t sure_from_ = 0;    // an answer to this ping, or a later one, makes it sure
   std::map<std::string, Member> members_;
   std::map<std::string, Suspicion> suspicions_;
   std::vector<std::string> round_;  // still to be probed in this round, the next one last
--- a/src/membership/talk_actor.h
+++ b/src/membership/talk_actor.h
@@ -1,5 +1,6 @@
-// This process among the other proxies: sole owner of the socket for talk, the gate and the state machine of membership. Others give it
-// what is to be said, and get what has come for them, by mailboxes.
+// This process among the other proxies: sole owner of the socket for talk, the gate and the state
+// machine of membership. Others give it what is to be said, and get what has come for them, by
+// mailboxes.
 #pragma once
 
 #include <functional>
@@ -38,10 +39,11 @@
 
 class TalkActor {
  public:
-  // Listens on `listen` and is reached by the others at `advertise`. `listener`: where what is not membership's goes.
-  // Throws std::system_error where it cannot listen.
-  TalkActor(runtime::Scheduler& scheduler, Settings settings, const sockaddr_in& listen, const std::string& advertise, const std::string& name,
-            Keys keys, Listener listener = {});
+  // Listens on `listen` and is reached by the others at `advertise`. `listener`: where what is not
+  // membership's goes. Throws std::system_error where it cannot listen.
+  TalkActor(runtime::Scheduler& scheduler, Settings settings, const sockaddr_in& listen,
+            const std::string& advertise, const std::string& name, Keys keys,
+            Listener listener = {});
 
   TalkBox& inbox() { return inbox_; }
   runtime::Task<> run();
--- a/src/membership/wire.cpp
+++ b/src/membership/wire.cpp
@@ -11,8 +11,11 @@
 
 std::string encode(const Message& m) {
   Writer w;
-  w.number(m.kind).number(m.number).text(m.about).number(m.digest).number(static_cast<std::uint8_t>(m.rumours.size()));
-  for (const Rumour& r : m.rumours) w.text(r.name).text(r.address).number(r.state).number(r.incarnation).number(r.life).text(r.by);
+  w.number(m.kind).number(m.number).text(m.about).number(m.digest).number(
+      static_cast<std::uint8_t>(m.rumours.size()));
+  for (const Rumour& r : m.rumours) {
+    w.text(r.name).text(r.address).number(r.state).number(r.incarnation).number(r.life).text(r.by);
+  }
   return w.bytes();
 }
 
@@ -24,7 +27,9 @@
   m.about = r.text(kLongestName);
   m.digest = r.number<std::uint64_t>();
   const std::size_t count = r.number<std::uint8_t>();
-  if (!r.ok() || m.kind > Kind::kList || count > kMostRumours + 2) return std::nullopt;
+  if (!r.ok() || m.kind > Kind::kList || count > kMostRumours + 2) {
+    return std::nullopt;
+  }
   for (std::size_t i = 0; i < count; ++i) {
     Rumour& u = m.rumours.emplace_back();
     u.name = r.text(kLongestName);
@@ -33,9 +38,13 @@
     u.incarnation = r.number<std::uint32_t>();
     u.life = r.number<std::uint64_t>();
     u.by = r.text(kLongestName);
-    if (u.name.empty() || u.state > State::kLeft) return std::nullopt;
+    if (u.name.empty() || u.state > State::kLeft) {
+      return std::nullopt;
+    }
+  }
+  if (!r.done()) {
+    return std::nullopt;
   }
-  if (!r.done()) return std::nullopt;
   return m;
 }
 
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -41,14 +41,16 @@
   Stream(runtime::Scheduler& scheduler, Fd fd);
 
   // Starts a connection and waits until it stands. Null where it does not by the deadline.
-  static runtime::Task<std::unique_ptr<Stream>> connect(runtime::Scheduler& scheduler, sockaddr_in to,
+  static runtime::Task<std::unique_ptr<Stream>> connect(runtime::Scheduler& scheduler,
+                                                        sockaddr_in to,
                                                         runtime::TimePoint deadline);
 
-  // Appends what there is to `buffer`, waiting for it until the deadline or, if given, the notifier.
+  // Appends what there is to `buffer`, waiting for it until the deadline or, if given, the
+  // notifier.
   runtime::Task<Io> read(std::string& buffer, runtime::TimePoint deadline,
                          runtime::Notifier* notifier = nullptr);
-  // Waits, without reading, until the peer has ended (kEof), though bytes may still stand before its end; or until the
-  // deadline or the notifier.
+  // Waits, without reading, until the peer has ended (kEof), though bytes may still stand before
+  // its end; or until the deadline or the notifier.
   runtime::Task<Io> await_end(runtime::TimePoint deadline, runtime::Notifier& notifier);
   // Writes all of `bytes`, which must outlive the call. kOk: the system has taken the last byte.
   runtime::Task<Io> write(std::string_view bytes, runtime::TimePoint deadline);
@@ -56,10 +58,11 @@
   bool stale();
   // While nobody reads: `watcher` is told when stale() may have become true. Null ends it.
   void watch(runtime::IoWatcher* watcher) { io_.watch(watcher); }
-  // Tells the peer that no more comes, then reads until it ends too, or the notifier calls: a reset must not
-  // destroy an answer.
+  // Tells the peer that no more comes, then reads until it ends too, or the notifier calls: a reset
+  // must not destroy an answer.
   runtime::Task<> linger(runtime::TimePoint deadline, runtime::Notifier& notifier);
-  // The same, but what comes meanwhile stays unread: whoever sent it can tell that it was not taken.
+  // The same, but what comes meanwhile stays unread: whoever sent it can tell that it was not
+  // taken.
   runtime::Task<> linger_unread(runtime::TimePoint deadline, runtime::Notifier& notifier);
   void end_sending();
 
@@ -77,11 +80,12 @@
 class Listener {
  public:
   Listener(runtime::Scheduler& scheduler, const sockaddr_in& address);  // throws std::system_error
-  // On a socket that listens already and that other processes hold too: it is made non-blocking, for all of them as there
-  // is one flag, and never shut down. Throws std::invalid_argument where it is no listening TCP socket.
+  // On a socket that listens already and that other processes hold too: it is made non-blocking,
+  // for all of them as there is one flag, and never shut down. Throws std::invalid_argument where
+  // it is no listening TCP socket.
   Listener(runtime::Scheduler& scheduler, Fd listening);
-  // The next connection. kError: one is there and could not be taken now, descriptors being short. kNotified: by
-  // `notifier`, if given.
+  // The next connection. kError: one is there and could not be taken now, descriptors being short.
+  // kNotified: by `notifier`, if given.
   runtime::Task<Io> accept(runtime::TimePoint deadline, Fd& taken, sockaddr_in& from,
                            runtime::Notifier* notifier = nullptr);
   // The same without waiting. kTimeout: none is there.
--- a/src/proxy/body_pipe.h
+++ b/src/proxy/body_pipe.h
@@ -1,5 +1,5 @@
-// A body on its way from one connection to another: bounded, with one writer and one reader. Whoever is slower holds the
-// other back.
+// A body on its way from one connection to another: bounded, with one writer and one reader.
+// Whoever is slower holds the other back.
 #pragma once
 
 #include <cstddef>
@@ -10,7 +10,8 @@
 
 namespace beechhill::proxy {
 
-// Bytes that all pipes together may hold; beyond it new large requests are refused, and answers go in small pieces.
+// Bytes that all pipes together may hold; beyond it new large requests are refused, and answers go
+// in small pieces.
 class BodyBudget {
  public:
   explicit BodyBudget(std::size_t bytes) : limit_(bytes) {}
@@ -32,15 +33,21 @@
   BodyPipe& operator=(const BodyPipe&) = delete;
 
   // ---- The writer's side
-  // For as long as the writer is there: `to_writer` is notified when there is room again or the reader has gone. However
-  // the writer ends, a body that is not whole is broken off then, and the notifier not touched any more.
+  // For as long as the writer is there: `to_writer` is notified when there is room again or the
+  // reader has gone. However the writer ends, a body that is not whole is broken off then, and the
+  // notifier not touched any more.
   class Writing {
    public:
-    Writing(BodyPipe* pipe, runtime::Notifier& to_writer) : pipe_(pipe) {  // null: there is nothing to write
-      if (pipe_) pipe_->to_writer_ = &to_writer;
+    Writing(BodyPipe* pipe, runtime::Notifier& to_writer)
+        : pipe_(pipe) {  // null: there is nothing to write
+      if (pipe_) {
+        pipe_->to_writer_ = &to_writer;
+      }
     }
     ~Writing() {
-      if (!pipe_) return;
+      if (!pipe_) {
+        return;
+      }
       pipe_->break_off();
       pipe_->to_writer_ = nullptr;
     }
@@ -58,7 +65,9 @@
   }
   void finish() { end_ = End::kWhole, to_reader_.notify(); }
   void break_off() {  // it will never be whole; nothing after the first end
-    if (end_ == End::kOpen) end_ = End::kBroken;
+    if (end_ == End::kOpen) {
+      end_ = End::kBroken;
+    }
     to_reader_.notify();
   }
   bool unread() const { return gone_; }  // the reader has gone
@@ -70,7 +79,9 @@
   std::string take() {
     begun_ = true;
     budget_.used_ -= bytes_.size();
-    if (to_writer_) to_writer_->notify();
+    if (to_writer_) {
+      to_writer_->notify();
+    }
     return std::exchange(bytes_, {});
   }
   bool whole() const { return end_ == End::kWhole; }
@@ -78,7 +89,9 @@
   runtime::Notifier& arrived() { return to_reader_; }
   void leave() {
     gone_ = true;
-    if (to_writer_) to_writer_->notify();
+    if (to_writer_) {
+      to_writer_->notify();
+    }
   }
 
  private:
--- a/src/proxy/client_connection.h
+++ b/src/proxy/client_connection.h
@@ -24,7 +24,8 @@
 // The ids of requests that are open, or were a moment ago.
 class OpenIds {
  public:
-  // False where that id is taken. It is kept until then: what was sent for it is over by its deadline.
+  // False where that id is taken. It is kept until then: what was sent for it is over by its
+  // deadline.
   bool take(const std::string& id, Time now, Time until);
 
  private:
@@ -34,8 +35,9 @@
 
 class FrontDoor {
  public:
-  FrontDoor(runtime::Scheduler& scheduler, DecisionBox& decisions, const config::Config& config, Telemetry& telemetry,
-            BodyBudget& bodies, std::size_t descriptors, std::function<bool()> has_list, bool drained = false);
+  FrontDoor(runtime::Scheduler& scheduler, DecisionBox& decisions, const config::Config& config,
+            Telemetry& telemetry, BodyBudget& bodies, std::size_t descriptors,
+            std::function<bool()> has_list, bool drained = false);
 
   sockaddr_in address() const { return listener_->address(); }
   DoorBox& inbox() { return inbox_; }
@@ -48,15 +50,18 @@
 
  private:
   friend class ClientConnection;
-  struct Target {  // an operation as its request line and headers state it, or what to answer instead
+  struct Target {  // an operation as its request line and headers state it, or what to answer
+                   // instead
     int error = 0;
     std::shared_ptr<ClientRequest> operation;
   };
   // `upload`: where the rest of its body will come; null where it is whole.
-  Target target_of(http::Message& request, std::optional<std::uint64_t> length, std::shared_ptr<BodyPipe> upload);
+  Target target_of(http::Message& request, std::optional<std::uint64_t> length,
+                   std::shared_ptr<BodyPipe> upload);
   bool ready() const { return course_.ready() && has_list_(); }
   void admit(net::Fd fd, const sockaddr_in& from);
-  runtime::Task<> room();  // waits for one more descriptor, which may come from a client that nothing is owed to
+  runtime::Task<>
+  room();  // waits for one more descriptor, which may come from a client that nothing is owed to
   void evict();
   void heed(const DoorOrder& order);
 
@@ -71,7 +76,7 @@
   std::unique_ptr<net::Listener> listener_;
   OpenIds ids_;
   std::list<ClientConnection*> sockets_;  // open ones
-  runtime::Notifier left_;           // one of them ended
+  runtime::Notifier left_;                // one of them ended
   DoorBox inbox_;
   DoorCourse course_;
   runtime::Notifier turned_;  // the course has
@@ -86,7 +91,13 @@
   ClientConnection(const ClientConnection&) = delete;
   ClientConnection& operator=(const ClientConnection&) = delete;
 
-  enum class Phase { kSilent, kLingering, kKept, kReading, kBusy };  // the first to be evicted first
+  enum class Phase {
+    kSilent,
+    kLingering,
+    kKept,
+    kReading,
+    kBusy
+  };  // the first to be evicted first
   runtime::Task<> serve();
   Phase phase() const { return asked_ ? Phase::kBusy : phase_; }
   runtime::TimePoint since() const { return since_; }
@@ -98,8 +109,10 @@
   runtime::Task<> turn_away(int status, EndReason reason);
   runtime::Task<Got> read_request(http::Parser& parser);
   runtime::Task<bool> answer_request(http::Parser& parser);
-  runtime::Task<bool> await_answer(const std::shared_ptr<ClientRequest>& operation, http::Parser& parser);
-  runtime::Task<bool> pass_on(const Reply& reply, const std::string& extra, bool close, bool chunks);
+  runtime::Task<bool> await_answer(const std::shared_ptr<ClientRequest>& operation,
+                                   http::Parser& parser);
+  runtime::Task<bool> pass_on(const Reply& reply, const std::string& extra, bool close,
+                              bool chunks);
   runtime::TimePoint whole_by() const;
   bool take_upload(ClientRequest& operation, http::Parser& parser);
   runtime::Task<bool> reply(const std::string& bytes, bool close);
@@ -112,10 +125,10 @@
   std::string buffer_;  // bytes read and not yet used: the next request may come early
   runtime::Notifier wake_;
   bool asked_ = false, probed_ = false;
-  bool large_ = false;            // the request's body is not whole yet, and will not be kept
-  bool spoilt_ = false;           // what still comes can't be told from a request's body
-  runtime::TimePoint begun_{};    // its first byte came
-  std::uint64_t received_ = 0;    // of its bytes, so far
+  bool large_ = false;          // the request's body is not whole yet, and will not be kept
+  bool spoilt_ = false;         // what still comes can't be told from a request's body
+  runtime::TimePoint begun_{};  // its first byte came
+  std::uint64_t received_ = 0;  // of its bytes, so far
   Phase phase_ = Phase::kSilent;
   runtime::TimePoint since_ = runtime::Clock::now();  // when the phase began
   EndReason asked_reason_ = EndReason::kEvicted;
--- a/src/proxy/decision_actor.h
+++ b/src/proxy/decision_actor.h
@@ -1,4 +1,5 @@
-// Sole owner of the decision module: its clock, timers, operations and the numbers that names stand for.
+// Sole owner of the decision module: its clock, timers, operations and the numbers that names stand
+// for.
 #pragma once
 
 #include <deque>
@@ -21,19 +22,22 @@
 
 class DecisionActor {
  public:
-  using PeerFactory = std::function<std::unique_ptr<Peer>(DecisionBox&, ServerId, const sockaddr_in&)>;
+  using PeerFactory =
+      std::function<std::unique_ptr<Peer>(DecisionBox&, ServerId, const sockaddr_in&)>;
 
-  // `watch` is where the module's orders to watch discovery go. With `subset.nodes` 0 the module hears of every node.
-  // `barred`: ids that operators had left out when this process started. `learned`: what an earlier process of this name
-  // had learned, believed only of backends that a list names, in the same start.
-  DecisionActor(runtime::Scheduler& scheduler, const config::Config& config, PeerFactory make_peer, WatchBox& watch,
-                const routing::SubsetSettings& subset = {}, std::set<std::string> barred = {},
-                std::vector<snapshot::Row> learned = {});
+  // `watch` is where the module's orders to watch discovery go. With `subset.nodes` 0 the module
+  // hears of every node. `barred`: ids that operators had left out when this process started.
+  // `learned`: what an earlier process of this name had learned, believed only of backends that a
+  // list names, in the same start.
+  DecisionActor(runtime::Scheduler& scheduler, const config::Config& config, PeerFactory make_peer,
+                WatchBox& watch, const routing::SubsetSettings& subset = {},
+                std::set<std::string> barred = {}, std::vector<snapshot::Row> learned = {});
 
   DecisionBox& inbox() { return inbox_; }
   bool ready() const { return course_.ready(); }
   bool heard() const { return heard_; }  // from discovery, since the start
-  // Whether what is held may decide where something new goes: not within a gap, nor until discovery was heard after it.
+  // Whether what is held may decide where something new goes: not within a gap, nor until discovery
+  // was heard after it.
   bool current() const { return course_.current(now()) && may_serve(); }
   bool may_serve() const { return now() < serve_until_; }
   recovery::Stage stage() const { return course_.stage(); }
@@ -49,7 +53,8 @@
   };
   std::vector<Listed> listed() const;
   std::map<std::string, double> use() const;  // by zone, as reports say
-  // Of those that are left out: with something of this process open there, or in which what was begun may still leave.
+  // Of those that are left out: with something of this process open there, or in which what was
+  // begun may still leave.
   std::set<std::string> busy() const;
   std::vector<snapshot::Row> learned() const;  // so far, with Unix times
   const std::set<std::string>& barred() const { return barred_; }
@@ -63,9 +68,9 @@
   struct Entry {
     std::shared_ptr<ClientRequest> operation;
     std::vector<Sent> sent;  // by attempt
-    int out = 0;                    // attempts without an outcome
+    int out = 0;             // attempts without an outcome
     bool over = false;
-    bool written = false;  // an attempt has reached a backend whole, or may have
+    bool written = false;                     // an attempt has reached a backend whole, or may have
     std::optional<std::size_t> may_have_run;  // the first attempt of which that is so
   };
 
@@ -74,11 +79,11 @@
     ServerState state = ServerState::kRemoved;  // as last told
     bool barred = false;                        // left out by hand, or taken out for work
     Time barred_at{0};
-    Time until = Time::max();                   // of the right to use it
+    Time until = Time::max();  // of the right to use it
     std::uint32_t zone = 0, kind = 0, cell = 0;
     sockaddr_in address{};
     std::chrono::milliseconds born{0};
-    std::size_t used = 0;                       // operations' attempts and probes that refer to it
+    std::size_t used = 0;  // operations' attempts and probes that refer to it
   };
 
   bool returning();
@@ -129,19 +134,23 @@
   std::map<std::uint32_t, double> use_;  // by zone, smoothed
   Duration drain_grace_, cold_span_, advice_;
   std::uint32_t most_tries_;
-  std::vector<std::optional<Duration>> memory_spans_;  // by class, of keyed ones: how long a repeat is known as one
+  std::vector<std::optional<Duration>>
+      memory_spans_;  // by class, of keyed ones: how long a repeat is known as one
   Time unix_offset_;  // Unix time less the module's clock
-  std::unordered_map<std::string, snapshot::Row> claims_;  // of an earlier process, by host, until a list names it
-  std::uint64_t recalled_ = 0, void_ = 0;                  // of them: believed, and not
+  std::unordered_map<std::string, snapshot::Row>
+      claims_;                             // of an earlier process, by host, until a list names it
+  std::uint64_t recalled_ = 0, void_ = 0;  // of them: believed, and not
   bool heard_ = false;
   recovery::Course course_;
   recovery::Stage said_ = recovery::Stage::kEmpty;  // in the log
-  // What came on the way back, in its order: as each message stands for a descriptor's doing, no more than that.
+  // What came on the way back, in its order: as each message stands for a descriptor's doing, no
+  // more than that.
   std::deque<DecisionMessage> late_;
   config::Interner servers_, zones_, kinds_;
   std::vector<Backend> backends_;  // by ServerId
-  std::unordered_set<std::string> gone_;  // ids that a list once named, kMostGone of them at the most
-  std::deque<std::string> gone_order_;    // the longest gone first
+  std::unordered_set<std::string>
+      gone_;                            // ids that a list once named, kMostGone of them at the most
+  std::deque<std::string> gone_order_;  // the longest gone first
   std::unordered_map<RequestId, Entry> entries_;
   std::multimap<Time, TimerToken> timers_;
   std::vector<Action> actions_;
--- a/src/proxy/list_reader.h
+++ b/src/proxy/list_reader.h
@@ -1,5 +1,5 @@
-// Takes what a watch on discovery carries apart: JSON objects, one a line or indented over several, and empty lines, which
-// only say that the watch lives. No I/O.
+// Takes what a watch on discovery carries apart: JSON objects, one a line or indented over several,
+// and empty lines, which only say that the watch lives. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -17,7 +17,8 @@
     kMore,       // nothing whole
     kEmptyLine,  // between two objects
     kObject,     // from its first brace to its last
-    kBad,        // what stands there begins no object, or can't be part of one: all that follows is doubtful
+    kBad,        // what stands there begins no object, or can't be part of one: all that follows is
+                 // doubtful
   };
   void feed(std::string_view bytes) { bytes_ += bytes; }
   // The next of them. `object` lives until the next call of any member.
--- a/src/proxy/log.cpp
+++ b/src/proxy/log.cpp
@@ -54,7 +54,8 @@
   return "unknown";
 }
 
-void log_end(const char* side, const std::string& remote, EndReason reason, std::uint64_t operations) {
+void log_end(const char* side, const std::string& remote, EndReason reason,
+             std::uint64_t operations) {
   log::info("end", {{"side", std::string_view(side)},
                     {"remote", std::string_view(remote)},
                     {"reason", std::string_view(code(reason))},
@@ -65,6 +66,8 @@
   log::warning(name, {{"fault", std::string_view(error.what())}});
 }
 
-void log_lost(const char* what) { log::warning("mailbox_full", {{"lost", std::string_view(what)}}); }
+void log_lost(const char* what) {
+  log::warning("mailbox_full", {{"lost", std::string_view(what)}});
+}
 
 }  // namespace beechhill::proxy
--- a/src/proxy/peer_actor.cpp
+++ b/src/proxy/peer_actor.cpp
@@ -16,14 +16,18 @@
 namespace {
 
 constexpr std::size_t kInboxCapacity = 2048;
-constexpr std::size_t kStepsQueued = 1024;  // the rest of the inbox is for cancels and news of the backend
-constexpr int kIdleShare = 2;               // of idle-close, a connection is kept idle for one part
+constexpr std::size_t kStepsQueued =
+    1024;                        // the rest of the inbox is for cancels and news of the backend
+constexpr int kIdleShare = 2;    // of idle-close, a connection is kept idle for one part
 constexpr auto kSettling = 5ms;  // after an answer
-constexpr int kProbeConnects = 5;  // a probe may take so many times the longest that a connection may
-constexpr int kAnswerPauses = 8;   // of the shortest class's deadline, one part: so long an answer that has begun may
-                                   // pause. Longer, and its length was wrong. 250 ms where a deadline is 2 s
-constexpr auto kStreamPause = 5000ms;      // within what is passed on as it comes, by either side
-constexpr std::size_t kFirstPart = 8 * 1024;  // of an answer stated to be large, before a client gets any of it
+constexpr int kProbeConnects =
+    5;  // a probe may take so many times the longest that a connection may
+constexpr int kAnswerPauses =
+    8;  // of the shortest class's deadline, one part: so long an answer that has begun may
+        // pause. Longer, and its length was wrong. 250 ms where a deadline is 2 s
+constexpr auto kStreamPause = 5000ms;  // within what is passed on as it comes, by either side
+constexpr std::size_t kFirstPart =
+    8 * 1024;  // of an answer stated to be large, before a client gets any of it
 
 class ProbePayload : public Payload {
  public:
@@ -42,19 +46,26 @@
 }
 
 Result result_of(const http::Message& message) {
-  if (message.status == 200) return Result::kOk;
+  if (message.status == 200) {
+    return Result::kOk;
+  }
   const std::string* never_ran = message.headers.find("X-Never-Ran");
-  // Guards against taking an overloaded tier further down for a full backend: only the mark proves it.
-  if ((message.status == 503 || message.status == 504) && never_ran && *never_ran == "1")
+  // Guards against taking an overloaded tier further down for a full backend: only the mark proves
+  // it.
+  if ((message.status == 503 || message.status == 504) && never_ran && *never_ran == "1") {
     return Result::kFull;
+  }
   return Result::kError;
 }
 
 }  // namespace
 
-PeerPool::PeerPool(std::size_t descriptors, BodyBudget& pipes, Telemetry& figures, const Settings& settings)
+PeerPool::PeerPool(std::size_t descriptors, BodyBudget& pipes, Telemetry& figures,
+                   const Settings& settings)
     : budget(descriptors), bodies(pipes), telemetry(figures) {
-  for (const ClassSettings& c : settings.classes) answer_pause = std::min(answer_pause, c.deadline / kAnswerPauses);
+  for (const ClassSettings& c : settings.classes) {
+    answer_pause = std::min(answer_pause, c.deadline / kAnswerPauses);
+  }
 }
 
 PeerActor::PeerActor(runtime::Scheduler& scheduler, DecisionBox& decisions, PeerPool& pool,
@@ -72,13 +83,17 @@
 
 PeerActor::~PeerActor() {
   scheduler_.cancel(actor_);
-  for (const auto& [key, task] : attempts_) scheduler_.cancel(task);
+  for (const auto& [key, task] : attempts_) {
+    scheduler_.cancel(task);
+  }
   drop_all_idle();
   std::erase(pool_.peers, this);
 }
 
 bool PeerActor::post(PeerMessage&& message) {
-  if (std::holds_alternative<Attempt>(message) && inbox_.size() >= kStepsQueued) return false;
+  if (std::holds_alternative<Attempt>(message) && inbox_.size() >= kStepsQueued) {
+    return false;
+  }
   return inbox_.post(std::move(message));
 }
 
@@ -91,7 +106,9 @@
     sweep();
     runtime::Wait wait(scheduler_);
     wait.notified(inbox_.arrived());
-    if (!idle_.empty()) wait.until(oldest_ends());
+    if (!idle_.empty()) {
+      wait.until(oldest_ends());
+    }
     co_await wait;
   }
 }
@@ -103,53 +120,73 @@
 
 void PeerActor::on(CancelAttempt& cancel) {
   const auto it = attempts_.find({cancel.operation, cancel.attempt});
-  if (it == attempts_.end()) return;  // its outcome is under way
-  scheduler_.cancel(it->second);   // closes its connection: nothing else tells a backend
+  if (it == attempts_.end()) {
+    return;  // its outcome is under way
+  }
+  scheduler_.cancel(it->second);  // closes its connection: nothing else tells a backend
   attempts_.erase(it);
   AttemptDone done{cancel.operation, cancel.attempt, Result::kCancelled, {}, {}};
   scheduler_.spawn(deliver(std::move(done)));
 }
 
-void PeerActor::on(ProbePeer&) { scheduler_.spawn(run_probe()); }
+void PeerActor::on(ProbePeer&) {
+  scheduler_.spawn(run_probe());
+}
 
 void PeerActor::on(PeerStatus& status) {
-  if (status.state == ServerState::kRemoved) status.address = status_.address;
-  // Guards against a request on a connection to a process that is gone: written there, it counts as one that may have run.
+  if (status.state == ServerState::kRemoved) {
+    status.address = status_.address;
+  }
+  // Guards against a request on a connection to a process that is gone: written there, it counts as
+  // one that may have run.
   const bool another = !net::same(status.address, status_.address) || status.born != status_.born;
   status_ = status;
-  if (status.state != ServerState::kUp || another) drop_all_idle();
+  if (status.state != ServerState::kUp || another) {
+    drop_all_idle();
+  }
 }
 
-// None of a drain's grace is used: what discovery's agent held counts as told from when it had it, which may be the whole
-// grace before it came here (a start, a watch that broke or fell silent).
+// None of a drain's grace is used: what discovery's agent held counts as told from when it had it,
+// which may be the whole grace before it came here (a start, a watch that broke or fell silent).
 bool PeerActor::may_send() const {
   return pool_.current() && now() < status_.until && status_.state == ServerState::kUp;
 }
 
-// What an attempt is that may not send. After a gap whether the backend still serves is not known: no fault of its own.
-Result PeerActor::unsent() const { return pool_.current() ? Result::kConnectFailed : Result::kMoot; }
+// What an attempt is that may not send. After a gap whether the backend still serves is not known:
+// no fault of its own.
+Result PeerActor::unsent() const {
+  return pool_.current() ? Result::kConnectFailed : Result::kMoot;
+}
 
 // ---- Connections
 
 std::unique_ptr<PeerActor::Connection> PeerActor::take_idle() {
   sweep();
-  // The last used, but for those whose answer came just now: what does not belong to it may be under way. Ordered by
-  // time, so only those of the last few milliseconds are passed over.
+  // The last used, but for those whose answer came just now: what does not belong to it may be
+  // under way. Ordered by time, so only those of the last few milliseconds are passed over.
   const TimePoint settled = Clock::now() - kSettling;
   while (!idle_.empty()) {
     auto it = std::prev(idle_.end());
-    while (it != idle_.begin() && (*it)->idle_since > settled) --it;
-    if ((*it)->idle_since > settled) it = std::prev(idle_.end());
-    // Guards against a request on a connection that the backend has closed, or is about to: that is a reset. The
-    // poll may not have told of it yet.
-    if (!(*it)->stream->stale()) return leave_idle(it);
+    while (it != idle_.begin() && (*it)->idle_since > settled) {
+      --it;
+    }
+    if ((*it)->idle_since > settled) {
+      it = std::prev(idle_.end());
+    }
+    // Guards against a request on a connection that the backend has closed, or is about to: that is
+    // a reset. The poll may not have told of it yet.
+    if (!(*it)->stream->stale()) {
+      return leave_idle(it);
+    }
     drop_idle(it, EndReason::kPeerClosed);
   }
   return nullptr;
 }
 
 void PeerActor::Connection::stirred() {
-  if (stirred_at) return;
+  if (stirred_at) {
+    return;
+  }
   stirred_at = owner.stirred_.size();
   owner.stirred_.push_back(this);
   owner.inbox_.arrived().notify();
@@ -165,14 +202,18 @@
     return;
   }
   c.place = idle_.insert(idle_.end(), std::move(connection));
-  if (idle_.size() == 1) inbox_.arrived().notify();  // there is one whose time will be over
+  if (idle_.size() == 1) {
+    inbox_.arrived().notify();  // there is one whose time will be over
+  }
 }
 
 std::unique_ptr<PeerActor::Connection> PeerActor::leave_idle(IdleList::iterator place) {
   std::unique_ptr<Connection> connection = std::move(*place);
   idle_.erase(place);
   connection->stream->watch(nullptr);
-  if (connection->stirred_at) forget_stirred(*connection);
+  if (connection->stirred_at) {
+    forget_stirred(*connection);
+  }
   return connection;
 }
 
@@ -183,33 +224,50 @@
   connection.stirred_at.reset();
 }
 
-void PeerActor::drop_idle(IdleList::iterator place, EndReason reason) { leave_idle(place)->reason = reason; }
+void PeerActor::drop_idle(IdleList::iterator place, EndReason reason) {
+  leave_idle(place)->reason = reason;
+}
 
 void PeerActor::drop_all_idle() {
-  while (!idle_.empty()) drop_idle(std::prev(idle_.end()), EndReason::kPeerDrained);
+  while (!idle_.empty()) {
+    drop_idle(std::prev(idle_.end()), EndReason::kPeerDrained);
+  }
 }
 
-TimePoint PeerActor::oldest_ends() const { return idle_.front()->idle_since + settings_.idle_close / kIdleShare; }
+TimePoint PeerActor::oldest_ends() const {
+  return idle_.front()->idle_since + settings_.idle_close / kIdleShare;
+}
 
 // Looks at those that epoll has told of and at the oldest, and at no others.
 void PeerActor::sweep() {
   while (!stirred_.empty()) {
     Connection& c = *stirred_.back();
     forget_stirred(c);
-    if (c.stream->stale()) drop_idle(c.place, EndReason::kPeerClosed);
+    if (c.stream->stale()) {
+      drop_idle(c.place, EndReason::kPeerClosed);
+    }
   }
   const TimePoint now = Clock::now();
-  while (!idle_.empty() && oldest_ends() <= now) drop_idle(idle_.begin(), EndReason::kIdle);
+  while (!idle_.empty() && oldest_ends() <= now) {
+    drop_idle(idle_.begin(), EndReason::kIdle);
+  }
 }
 
 // Frees another backend's longest idle connection where descriptors are short.
 bool PeerActor::make_room() {
-  if (pool_.budget.room()) return true;
+  if (pool_.budget.room()) {
+    return true;
+  }
   PeerActor* owner = nullptr;
-  for (PeerActor* peer : pool_.peers)
-    if (!peer->idle_.empty() && (!owner || peer->idle_.front()->idle_since < owner->idle_.front()->idle_since))
+  for (PeerActor* peer : pool_.peers) {
+    if (!peer->idle_.empty() &&
+        (!owner || peer->idle_.front()->idle_since < owner->idle_.front()->idle_since)) {
       owner = peer;
-  if (owner) owner->drop_idle(owner->idle_.begin(), EndReason::kEvicted);
+    }
+  }
+  if (owner) {
+    owner->drop_idle(owner->idle_.begin(), EndReason::kEvicted);
+  }
   return owner != nullptr;
 }
 
@@ -218,7 +276,8 @@
 Task<> PeerActor::run_attempt(Attempt attempt) {
   AttemptDone done{attempt.operation, attempt.number, Result::kConnectFailed, {}, {}};
   try {
-    Exchanged got = co_await exchange(*attempt.payload, attempt.connect_by, attempt.deadline, &attempt);
+    Exchanged got =
+        co_await exchange(*attempt.payload, attempt.connect_by, attempt.deadline, &attempt);
     if (got.told) {
       attempts_.erase({attempt.operation, attempt.number});
       DecisionMessage ended(StreamDone{server_});
@@ -254,16 +313,20 @@
   }
 }
 
-Task<PeerActor::Exchanged> PeerActor::exchange(const Payload& payload, Time connect_by, Time deadline,
-                                                const Attempt* attempt) {
+Task<PeerActor::Exchanged> PeerActor::exchange(const Payload& payload, Time connect_by,
+                                               Time deadline, const Attempt* attempt) {
   Exchanged got;
   const auto wanted = [&] { return !attempt || !attempt->request || attempt->request->wanted(); };
   const Time leave_by = attempt ? std::min(deadline, attempt->leave_by) : deadline;
   got.result = wanted() ? unsent() : Result::kMoot;
-  if (!may_send() || !wanted() || now() >= leave_by) co_return got;
+  if (!may_send() || !wanted() || now() >= leave_by) {
+    co_return got;
+  }
   std::unique_ptr<Connection> connection = take_idle();
   if (!connection) {
-    if (!make_room()) co_return got;
+    if (!make_room()) {
+      co_return got;
+    }
     connection = std::make_unique<Connection>(*this, status_.address);
     const TimePoint until = to_point(std::min(connect_by, now() + settings_.connect_timeout));
     connection->stream = co_await net::Stream::connect(scheduler_, status_.address, until);
@@ -271,13 +334,16 @@
       connection->reason = EndReason::kConnectFailed;
       co_return got;
     }
-    // Guards against work for a backend that drained, or moved, while the connection was still under way; and for a client
-    // that has left, or has its answer, or beyond the time in which a repeat is known as one.
+    // Guards against work for a backend that drained, or moved, while the connection was still
+    // under way; and for a client that has left, or has its answer, or beyond the time in which a
+    // repeat is known as one.
     const bool there = may_send() && net::same(connection->address, status_.address);
     if (!there || !wanted() || now() >= leave_by) {
       connection->reason = there ? EndReason::kStepCancelled : EndReason::kPeerDrained;
       got.result = wanted() ? unsent() : Result::kMoot;
-      if (there) keep_idle(std::move(connection));  // paid for, and unused
+      if (there) {
+        keep_idle(std::move(connection));  // paid for, and unused
+      }
       co_return got;
     }
   }
@@ -292,42 +358,59 @@
     connection->reason = EndReason::kReset;
     co_return got;
   }
-  if (!payload.id().empty()) pool_.telemetry.attempt_written();  // a probe is no attempt
+  if (!payload.id().empty()) {
+    pool_.telemetry.attempt_written();  // a probe is no attempt
+  }
   bool reusable = false;
   got = co_await receive(*connection, payload.id(), deadline, attempt, reusable);
   // Guards against the next request going to where a backend no longer is.
-  if (reusable && status_.state == ServerState::kUp && net::same(connection->address, status_.address))
+  if (reusable && status_.state == ServerState::kUp &&
+      net::same(connection->address, status_.address)) {
     keep_idle(std::move(connection));
+  }
   co_return got;
 }
 
-// The rest of a large request, at the pace of its client. Anything but kOk: its last byte has not left. A backend that
-// ends, or answers before it has all, wants no more of it.
+// The rest of a large request, at the pace of its client. Anything but kOk: its last byte has not
+// left. A backend that ends, or answers before it has all, wants no more of it.
 Task<Io> PeerActor::send_rest(net::Stream& stream, const Payload& payload) {
   BodyPipe& rest = *payload.rest();
   for (;;) {
     std::string bytes;
     const bool last = rest.whole();
-    if (!rest.empty()) bytes = payload.framed(rest.take());
-    if (last) bytes += payload.framed_end();
+    if (!rest.empty()) {
+      bytes = payload.framed(rest.take());
+    }
+    if (last) {
+      bytes += payload.framed_end();
+    }
     const Io io = co_await stream.write(bytes, Clock::now() + kStreamPause);
-    if (io != Io::kOk || last) co_return io;
-    if (rest.broken()) co_return Io::kError;
-    if (!rest.empty() || rest.whole()) continue;
+    if (io != Io::kOk || last) {
+      co_return io;
+    }
+    if (rest.broken()) {
+      co_return Io::kError;
+    }
+    if (!rest.empty() || rest.whole()) {
+      continue;
+    }
     std::string early;
     const Io word = co_await stream.read(early, Clock::now() + kStreamPause, &rest.arrived());
-    if (word != Io::kNotified && word != Io::kTimeout) co_return Io::kError;
+    if (word != Io::kNotified && word != Io::kTimeout) {
+      co_return Io::kError;
+    }
   }
 }
 
-// A large answer, whose first part has come: told at once, and passed on until its end. What the backend still gives is
-// not cut off by the request's deadline. True: it came whole.
-Task<bool> PeerActor::pass_on(Connection& connection, http::Parser& parser, std::string& buffer, Exchanged& got,
-                              const Attempt& attempt) {
+// A large answer, whose first part has come: told at once, and passed on until its end. What the
+// backend still gives is not cut off by the request's deadline. True: it came whole.
+Task<bool> PeerActor::pass_on(Connection& connection, http::Parser& parser, std::string& buffer,
+                              Exchanged& got, const Attempt& attempt) {
   runtime::Notifier room;
   const auto pipe = std::make_shared<BodyPipe>(pool_.bodies);
   const BodyPipe::Writing writing(pipe.get(), room);
-  AttemptDone done{attempt.operation, attempt.number, Result::kOk, got.report, std::move(got.reply)};
+  AttemptDone done{attempt.operation, attempt.number, Result::kOk, got.report,
+                   std::move(got.reply)};
   done.reply.rest = pipe;
   got.told = true;
   DecisionMessage message(std::move(done));
@@ -336,9 +419,15 @@
   std::string bytes;
   while (!pipe->unread()) {
     progress = parser.feed_body(buffer, bytes);
-    if (progress == http::Progress::kBad) break;
-    if (!bytes.empty()) pipe->push(bytes);
-    if (progress == http::Progress::kDone) break;
+    if (progress == http::Progress::kBad) {
+      break;
+    }
+    if (!bytes.empty()) {
+      pipe->push(bytes);
+    }
+    if (progress == http::Progress::kDone) {
+      break;
+    }
     if (pipe->full()) {
       runtime::Wait wait(scheduler_);
       wait.notified(room);
@@ -346,8 +435,12 @@
       continue;
     }
     const Io io = co_await connection.stream->read(buffer, Clock::now() + kStreamPause, &room);
-    if (io == Io::kNotified || io == Io::kOk) continue;
-    if (io == Io::kEof) progress = parser.end();
+    if (io == Io::kNotified || io == Io::kOk) {
+      continue;
+    }
+    if (io == Io::kEof) {
+      progress = parser.end();
+    }
     break;
   }
   if (progress != http::Progress::kDone) {
@@ -358,10 +451,11 @@
   co_return true;
 }
 
-// An answer counts only as a whole one to this request; whatever else comes may have run, and its connection
-// is of no more use.
-Task<PeerActor::Exchanged> PeerActor::receive(Connection& connection, std::string_view id, Time deadline,
-                                              const Attempt* attempt, bool& reusable) {
+// An answer counts only as a whole one to this request; whatever else comes may have run, and its
+// connection is of no more use.
+Task<PeerActor::Exchanged> PeerActor::receive(Connection& connection, std::string_view id,
+                                              Time deadline, const Attempt* attempt,
+                                              bool& reusable) {
   Exchanged got;
   std::string buffer;
   http::Parser parser(http::Parser::Kind::kResponse);
@@ -371,26 +465,36 @@
   const auto advance = [&] {
     progress = parser.feed_part(buffer);
     const bool stated = parser.length().value_or(0) > http::kMaxBody;
-    large = progress == http::Progress::kMore && message.body.size() > (stated ? kFirstPart : http::kMaxBody);
+    large = progress == http::Progress::kMore &&
+            message.body.size() > (stated ? kFirstPart : http::kMaxBody);
   };
   while (progress == http::Progress::kMore && !large) {
     const Time until = begun ? std::min(deadline, now() + pool_.answer_pause) : deadline;
     const Io io = co_await connection.stream->read(buffer, to_point(until));
-    if (io == Io::kOk) advance();
-    if (io == Io::kEof && parser.head_done()) progress = parser.end();
-    if (progress == http::Progress::kDone) break;
+    if (io == Io::kOk) {
+      advance();
+    }
+    if (io == Io::kEof && parser.head_done()) {
+      progress = parser.end();
+    }
+    if (progress == http::Progress::kDone) {
+      break;
+    }
     if (io == Io::kOk && progress != http::Progress::kBad) {
       begun = true;
       continue;
     }
     const bool broke = io == Io::kEof || io == Io::kError;
     const bool late = io == Io::kTimeout && !begun;
-    connection.reason = broke ? EndReason::kReset : late ? EndReason::kStepTimeout : EndReason::kBadReply;
+    connection.reason = broke  ? EndReason::kReset
+                        : late ? EndReason::kStepTimeout
+                               : EndReason::kBadReply;
     got.result = broke ? Result::kReset : late ? Result::kTimeout : Result::kError;
     co_return got;
   }
   const bool named = !id.empty() && message.body.starts_with(id);
-  // Guards against serving a request with what was left over from the one before it on this connection.
+  // Guards against serving a request with what was left over from the one before it on this
+  // connection.
   if (message.status == 200 && !named && std::exchange(connection.names_requests, named)) {
     connection.reason = EndReason::kBadReply;
     got.result = Result::kError;
@@ -400,14 +504,18 @@
   got.result = result_of(message);
   got.report = report_in(message.headers);
   got.reply.body = std::move(message.body);
-  if (const std::string* type = message.headers.find("Content-Type")) got.reply.type = *type;
+  if (const std::string* type = message.headers.find("Content-Type")) {
+    got.reply.type = *type;
+  }
   if (large && (!attempt || got.result != Result::kOk)) {  // nobody is to have it
     connection.reason = EndReason::kBadReply;
     co_return got;
   }
   if (large) {
     got.reply.length = parser.length();
-    if (!co_await pass_on(connection, parser, buffer, got, *attempt)) co_return got;
+    if (!co_await pass_on(connection, parser, buffer, got, *attempt)) {
+      co_return got;
+    }
   }
   reusable = message.keep_alive() && buffer.empty();
   connection.reason = buffer.empty() ? EndReason::kPeerClosed : EndReason::kBadReply;
--- a/src/proxy/peer_actor.h
+++ b/src/proxy/peer_actor.h
@@ -22,19 +22,22 @@
 
 // What all peers share: the descriptors they may hold, and each other's idle connections.
 struct PeerPool {
-  PeerPool(std::size_t descriptors, BodyBudget& pipes, Telemetry& figures, const Settings& settings);
+  PeerPool(std::size_t descriptors, BodyBudget& pipes, Telemetry& figures,
+           const Settings& settings);
   FdBudget budget;
   BodyBudget& bodies;
   Telemetry& telemetry;
   std::vector<PeerActor*> peers;
   Duration answer_pause = Duration::max();  // the longest within an answer that has begun
-  std::function<bool()> current = [] { return true; };  // whether the list held may still be acted on
+  std::function<bool()> current = [] {
+    return true;
+  };  // whether the list held may still be acted on
 };
 
 class PeerActor : public Peer {
  public:
-  PeerActor(runtime::Scheduler& scheduler, DecisionBox& decisions, PeerPool& pool, const Settings& settings,
-            ServerId server, sockaddr_in address);
+  PeerActor(runtime::Scheduler& scheduler, DecisionBox& decisions, PeerPool& pool,
+            const Settings& settings, ServerId server, sockaddr_in address);
   ~PeerActor() override;
 
   [[nodiscard]] bool post(PeerMessage&& message) override;
@@ -44,7 +47,8 @@
   struct Connection;
   using IdleList = std::list<std::unique_ptr<Connection>>;
   struct Connection final : runtime::IoWatcher {  // logs its end
-    Connection(PeerActor& peer, sockaddr_in to) : owner(peer), slot(peer.pool_.budget), address(to) {}
+    Connection(PeerActor& peer, sockaddr_in to)
+        : owner(peer), slot(peer.pool_.budget), address(to) {}
     ~Connection() { log_end("peer", net::to_string(address), reason, operations); }
     Connection(const Connection&) = delete;
     Connection& operator=(const Connection&) = delete;
@@ -58,7 +62,8 @@
     bool names_requests = false;  // its last answer began with its request's id
     runtime::TimePoint idle_since{};
     IdleList::iterator place;  // while it is idle
-    std::optional<std::size_t> stirred_at;  // and has stirred: where it stands in the owner's list of such
+    std::optional<std::size_t>
+        stirred_at;  // and has stirred: where it stands in the owner's list of such
   };
   struct Exchanged {
     Result result = Result::kConnectFailed;
@@ -72,12 +77,13 @@
   runtime::Task<> run_probe();
   runtime::Task<> deliver(DecisionMessage message);
   // `attempt`: whose outcome may be delivered before the answer's end; null for a probe.
-  runtime::Task<Exchanged> exchange(const Payload& payload, Time connect_by, Time deadline, const Attempt* attempt);
+  runtime::Task<Exchanged> exchange(const Payload& payload, Time connect_by, Time deadline,
+                                    const Attempt* attempt);
   runtime::Task<net::Io> send_rest(net::Stream& stream, const Payload& payload);
-  runtime::Task<Exchanged> receive(Connection& connection, std::string_view id, Time deadline, const Attempt* attempt,
-                                   bool& reusable);
-  runtime::Task<bool> pass_on(Connection& connection, http::Parser& parser, std::string& buffer, Exchanged& got,
-                              const Attempt& attempt);
+  runtime::Task<Exchanged> receive(Connection& connection, std::string_view id, Time deadline,
+                                   const Attempt* attempt, bool& reusable);
+  runtime::Task<bool> pass_on(Connection& connection, http::Parser& parser, std::string& buffer,
+                              Exchanged& got, const Attempt& attempt);
 
   void on(Attempt& attempt);
   void on(CancelAttempt& cancel);
--- a/src/proxy/server_list_actor.cpp
+++ b/src/proxy/server_list_actor.cpp
@@ -17,16 +17,18 @@
 namespace {
 
 constexpr auto kConnectLimit = 500ms;
-// Discovery's agent stands on this machine, or near, and answers at once: a call without its answer's head by then was not
-// heard. Every kPatience such calls in a row the next ones wait as much longer, up to kSilence, for an agent that is slow.
+// Discovery's agent stands on this machine, or near, and answers at once: a call without its
+// answer's head by then was not heard. Every kPatience such calls in a row the next ones wait as
+// much longer, up to kSilence, for an agent that is slow.
 constexpr auto kFirstWord = 500ms;
 constexpr int kPatience = 8;
-// After a call that failed sooner than kFirstWord. What discovery learns at its return counts as told at once, so this
-// stays well under a drain's grace, the shortest known of which are 200 ms.
+// After a call that failed sooner than kFirstWord. What discovery learns at its return counts as
+// told at once, so this stays well under a drain's grace, the shortest known of which are 200 ms.
 constexpr auto kLeastPause = 50ms, kMostPause = 100ms;
 constexpr std::size_t kListRate = 100;  // bytes a millisecond of a list under way, at the least
 constexpr std::size_t kInboxCapacity = 16;
-// Of the memory, an object of the list may be one part: read, its rows take some ten times as much. At 192 MB 40,000 rows.
+// Of the memory, an object of the list may be one part: read, its rows take some ten times as much.
+// At 192 MB 40,000 rows.
 constexpr std::size_t kObjectShare = 32;
 
 }  // namespace
@@ -37,7 +39,8 @@
       address_(config.discovery),
       most_object_(std::size_t{config.memory_mb} * 1024 * 1024 / kObjectShare),
       version_(config.known.version),
-      random_(config.named.settings.seed) {}
+      random_(config.named.settings.seed) {
+}
 
 Task<> ServerListActor::run(DecisionBox& decisions) {
   for (;;) {
@@ -52,9 +55,13 @@
       log_fault("discovery_fault", error);
     }
     log_end("discovery", net::to_string(end.address), end.reason, end.lists);
-    if (end.reason == EndReason::kDiscoveryMoved || end.reason == EndReason::kDiscoveryAnew) continue;
+    if (end.reason == EndReason::kDiscoveryMoved || end.reason == EndReason::kDiscoveryAnew) {
+      continue;
+    }
     // What is missed meanwhile counts as told: at once, where that is no busy loop.
-    if (Clock::now() - began >= kFirstWord) continue;
+    if (Clock::now() - began >= kFirstWord) {
+      continue;
+    }
     // Jitter: all proxies lose a discovery that fails at the same moment.
     std::uniform_int_distribution<std::int64_t> pause(kLeastPause.count(), kMostPause.count());
     runtime::Wait wait(scheduler_);
@@ -67,50 +74,68 @@
   bool elsewhere = false;
   while (!inbox_.empty()) {
     const WatchMessage message = inbox_.take();
-    if (const auto* catch_up = std::get_if<CatchUp>(&message)) catching_ = true, anew_ |= catch_up->anew;
-    const auto* move = std::get_if<MoveWatch>(&message);  // an order to watch is met by the watch itself
-    if (!move || net::same(move->address, address_)) continue;
+    if (const auto* catch_up = std::get_if<CatchUp>(&message)) {
+      catching_ = true, anew_ |= catch_up->anew;
+    }
+    const auto* move =
+        std::get_if<MoveWatch>(&message);  // an order to watch is met by the watch itself
+    if (!move || net::same(move->address, address_)) {
+      continue;
+    }
     address_ = move->address;
     elsewhere = true;
-    catching_ = true;  // another discovery may count its versions otherwise: the whole list is asked for
+    catching_ =
+        true;  // another discovery may count its versions otherwise: the whole list is asked for
     mute_ = 0;
   }
   return elsewhere;
 }
 
 void ServerListActor::caught_up(DecisionBox& decisions) {
-  if (!std::exchange(catching_, false)) return;
+  if (!std::exchange(catching_, false)) {
+    return;
+  }
   DecisionMessage word(std::in_place_type<CaughtUp>);
-  if (!decisions.post(std::move(word))) log_lost("caught_up");  // its wait ends by itself
+  if (!decisions.post(std::move(word))) {
+    log_lost("caught_up");  // its wait ends by itself
+  }
 }
 
 Task<> ServerListActor::watch(DecisionBox& decisions, End& end) {
-  const auto stream = co_await net::Stream::connect(scheduler_, address_, Clock::now() + kConnectLimit);
+  const auto stream =
+      co_await net::Stream::connect(scheduler_, address_, Clock::now() + kConnectLimit);
   if (!stream) {
     end.reason = EndReason::kConnectFailed;
     co_return;
   }
   const auto first_word = std::min<Clock::duration>(kFirstWord * (1 + mute_ / kPatience), kSilence);
   ++mute_;
-  // What changed since version 0 is the whole list, and comes at once: where nothing has changed nothing would.
+  // What changed since version 0 is the whole list, and comes at once: where nothing has changed
+  // nothing would.
   const bool whole = catching_;
-  const std::string request =
-      http::write_request("GET", "/registry/instances?watch=1&from=" + std::to_string(whole ? 0 : version_),
-                          net::to_string(address_), "", "");
+  const std::string request = http::write_request(
+      "GET", "/registry/instances?watch=1&from=" + std::to_string(whole ? 0 : version_),
+      net::to_string(address_), "", "");
   TimePoint silent = Clock::now() + first_word;
-  if (co_await stream->write(request, silent) != Io::kOk) co_return;
+  if (co_await stream->write(request, silent) != Io::kOk) {
+    co_return;
+  }
   http::Parser parser(http::Parser::Kind::kResponseHead);
   http::ChunkedDecoder chunked;
   ListReader reader(most_object_);
   std::string buffer, body;
   for (;;) {
-    // What stands in the socket is read up to its end; where the whole list was asked for, once that has come.
+    // What stands in the socket is read up to its end; where the whole list was asked for, once
+    // that has come.
     const bool all = catching_ && (!whole || end.lists > 0);
-    const TimePoint until = all ? Clock::now() : silent + std::chrono::milliseconds(reader.unfinished() / kListRate);
+    const TimePoint until =
+        all ? Clock::now() : silent + std::chrono::milliseconds(reader.unfinished() / kListRate);
     const Io io = co_await stream->read(buffer, until, all ? nullptr : &inbox_.arrived());
     if (io == Io::kNotified) {
       const bool elsewhere = moved();
-      if (!elsewhere && !anew_) continue;
+      if (!elsewhere && !anew_) {
+        continue;
+      }
       end.reason = elsewhere ? EndReason::kDiscoveryMoved : EndReason::kDiscoveryAnew;
       co_return;
     }
@@ -118,14 +143,24 @@
       caught_up(decisions);
       continue;
     }
-    if (io == Io::kTimeout) end.reason = EndReason::kDiscoverySilent;
-    if (io != Io::kOk) co_return;
+    if (io == Io::kTimeout) {
+      end.reason = EndReason::kDiscoverySilent;
+    }
+    if (io != Io::kOk) {
+      co_return;
+    }
     end.reason = EndReason::kDiscoveryBad;
     if (!parser.head_done()) {
       const http::Progress head = parser.feed(buffer);
-      if (head == http::Progress::kMore) continue;
-      if (head == http::Progress::kBad || parser.message().status != 200) co_return;
-      if (!whole) silent = Clock::now() + kSilence;  // nothing may have changed
+      if (head == http::Progress::kMore) {
+        continue;
+      }
+      if (head == http::Progress::kBad || parser.message().status != 200) {
+        co_return;
+      }
+      if (!whole) {
+        silent = Clock::now() + kSilence;  // nothing may have changed
+      }
     }
     http::Progress progress = http::Progress::kMore;
     if (parser.chunked()) {
@@ -134,26 +169,43 @@
       body = std::exchange(buffer, {});
     }
     reader.feed(std::exchange(body, {}));
-    // Only what is whole shows that the watch lives: bytes that complete nothing may come from one that is broken.
+    // Only what is whole shows that the watch lives: bytes that complete nothing may come from one
+    // that is broken.
     const std::optional<bool> said = take_lists(reader, decisions, end.lists);
-    if (!said || progress == http::Progress::kBad) co_return;
-    if (*said) silent = Clock::now() + kSilence, mute_ = 0;
+    if (!said || progress == http::Progress::kBad) {
+      co_return;
+    }
+    if (*said) {
+      silent = Clock::now() + kSilence, mute_ = 0;
+    }
     end.reason = EndReason::kDiscoveryEnded;
-    if (progress == http::Progress::kDone) co_return;
+    if (progress == http::Progress::kDone) {
+      co_return;
+    }
   }
 }
 
 // Whether the watch gave a sign of life; nothing where it can't be read on.
-std::optional<bool> ServerListActor::take_lists(ListReader& reader, DecisionBox& decisions, std::uint64_t& lists) {
+std::optional<bool> ServerListActor::take_lists(ListReader& reader, DecisionBox& decisions,
+                                                std::uint64_t& lists) {
   std::string_view object;
   for (bool said = false;; said = true) {
     const ListReader::Got got = reader.next(object);
-    if (got == ListReader::Got::kBad) return std::nullopt;
-    if (got == ListReader::Got::kMore) return said;
-    if (got == ListReader::Got::kEmptyLine) continue;
-    config::ServerList list = config::read_server_list(config::parse(object.data(), object.data() + object.size(), "server list"));
+    if (got == ListReader::Got::kBad) {
+      return std::nullopt;
+    }
+    if (got == ListReader::Got::kMore) {
+      return said;
+    }
+    if (got == ListReader::Got::kEmptyLine) {
+      continue;
+    }
+    config::ServerList list = config::read_server_list(
+        config::parse(object.data(), object.data() + object.size(), "server list"));
     const std::uint64_t version = list.version;
-    if (!decisions.post(std::move(list))) return std::nullopt;  // asked for again with the same version
+    if (!decisions.post(std::move(list))) {
+      return std::nullopt;  // asked for again with the same version
+    }
     version_ = version;
     ++lists;
   }
--- a/src/proxy/server_list_actor.h
+++ b/src/proxy/server_list_actor.h
@@ -36,10 +36,10 @@
   sockaddr_in address_;
   std::size_t most_object_;  // bytes of one
   std::uint64_t version_;
-  int mute_ = 0;          // calls in a row that were not answered
+  int mute_ = 0;  // calls in a row that were not answered
   // A CaughtUp is owed: at the start too, as what the agent holds is newer than the list last held.
   bool catching_ = true;
-  bool anew_ = false;      // by asking for the whole list on another connection
+  bool anew_ = false;  // by asking for the whole list on another connection
   std::mt19937_64 random_;
 };
 
--- a/src/proxy/telemetry.h
+++ b/src/proxy/telemetry.h
@@ -10,9 +10,15 @@
 
 namespace beechhill::proxy {
 
-// How a request ended. One that is answered at the door for what is wrong with it (400, 404, 405, 409, 413...) is no
-// request of a class and is counted nowhere; one that the door refuses as its queue is full is rejected like any other.
-enum class Ended { kCompleted, kRejected, kFailed, kAbandoned };  // abandoned: its client left before the answer's end
+// How a request ended. One that is answered at the door for what is wrong with it (400, 404, 405,
+// 409, 413...) is no request of a class and is counted nowhere; one that the door refuses as its
+// queue is full is rejected like any other.
+enum class Ended {
+  kCompleted,
+  kRejected,
+  kFailed,
+  kAbandoned
+};  // abandoned: its client left before the answer's end
 
 class Telemetry {
  public:
@@ -22,15 +28,21 @@
 
   explicit Telemetry(std::size_t classes) : by_class_(classes) {}
 
-  // One request, from when it was taken to its one end. It ends as abandoned where nothing else was said.
+  // One request, from when it was taken to its one end. It ends as abandoned where nothing else was
+  // said.
   class Open {
    public:
-    Open(Telemetry& telemetry, ClassId class_id) : telemetry_(&telemetry), class_id_(class_id) { ++telemetry.taken_; }
-    Open(Open&& other) noexcept : telemetry_(std::exchange(other.telemetry_, nullptr)), class_id_(other.class_id_) {}
+    Open(Telemetry& telemetry, ClassId class_id) : telemetry_(&telemetry), class_id_(class_id) {
+      ++telemetry.taken_;
+    }
+    Open(Open&& other) noexcept
+        : telemetry_(std::exchange(other.telemetry_, nullptr)), class_id_(other.class_id_) {}
     Open& operator=(Open&&) = delete;
     ~Open() { end(Ended::kAbandoned); }
     void end(Ended how) {  // the first word counts
-      if (Telemetry* t = std::exchange(telemetry_, nullptr)) t->ended(class_id_, how);
+      if (Telemetry* t = std::exchange(telemetry_, nullptr)) {
+        t->ended(class_id_, how);
+      }
     }
 
    private:
--- a/src/ranked_set.h
+++ b/src/ranked_set.h
@@ -1,4 +1,5 @@
-// Ids in the order of a rank that each keeps for life: the first k of them are the same k while others come and go.
+// Ids in the order of a rank that each keeps for life: the first k of them are the same k while
+// others come and go.
 #pragma once
 
 #include <algorithm>
@@ -11,16 +12,21 @@
 
 class RankedSet {
  public:
-  // O(log n) to find the place, and a move of what stands behind it: 16 bytes each, 10 us at 10,000.
+  // O(log n) to find the place, and a move of what stands behind it: 16 bytes each, 10 us at
+  // 10,000.
   void insert(double rank, ServerId id) {
     const Entry entry{rank, id};
     const auto at = std::lower_bound(entries_.begin(), entries_.end(), entry);
-    if (at == entries_.end() || *at != entry) entries_.insert(at, entry);
+    if (at == entries_.end() || *at != entry) {
+      entries_.insert(at, entry);
+    }
   }
   void erase(double rank, ServerId id) {
     const Entry entry{rank, id};
     const auto at = std::lower_bound(entries_.begin(), entries_.end(), entry);
-    if (at != entries_.end() && *at == entry) entries_.erase(at);
+    if (at != entries_.end() && *at == entry) {
+      entries_.erase(at);
+    }
   }
   // All at once, in any order, each id once: O(n log n).
   void assign(std::vector<std::pair<double, ServerId>> entries) {
--- a/src/recovery/course.cpp
+++ b/src/recovery/course.cpp
@@ -6,12 +6,13 @@
 namespace beechhill::recovery {
 namespace {
 
-// Of the grace, a gap takes one part before it counts: what came at its beginning is then still acted on in time. Where
-// no grace is stated none binds, and a second serves to notice that the process was away.
+// Of the grace, a gap takes one part before it counts: what came at its beginning is then still
+// acted on in time. Where no grace is stated none binds, and a second serves to notice that the
+// process was away.
 constexpr int kGapShare = 2;
 constexpr Duration kNoGrace{2'000'000};
-// Discovery is an agent on this machine, or near: it answers in milliseconds or not soon. Waiting longer would keep
-// clients from their answer for a list that does not come.
+// Discovery is an agent on this machine, or near: it answers in milliseconds or not soon. Waiting
+// longer would keep clients from their answer for a list that does not come.
 constexpr Duration kMostHearing{250'000};
 
 }  // namespace
@@ -36,11 +37,14 @@
       hear_by_(now + kMostHearing),
       has_list_(has_list),
       returning_(has_list),
-      starting_(has_list) {}
+      starting_(has_list) {
+}
 
 bool Course::look(Time now) {
   const Duration since = now - std::exchange(looked_at_, std::max(now, looked_at_));
-  if (since <= away_after_) return false;
+  if (since <= away_after_) {
+    return false;
+  }
   gap_ = since;
   returning_ = has_list_;  // without a list there is nothing to send to, nor to doubt
   hear_by_ = now + hear_within_;
@@ -49,7 +53,9 @@
 
 void Course::listed() {
   has_list_ = true;
-  if (!returning_) heard_ = true;  // after a gap one line of several is not all
+  if (!returning_) {
+    heard_ = true;  // after a gap one line of several is not all
+  }
 }
 
 void Course::caught_up() {
@@ -58,7 +64,9 @@
 }
 
 bool Course::returning(Time now) {
-  if (returning_ && now >= hear_by_) returning_ = starting_ = heard_ = false;  // on with what is held: still hearing
+  if (returning_ && now >= hear_by_) {
+    returning_ = starting_ = heard_ = false;  // on with what is held: still hearing
+  }
   return returning_;
 }
 
--- a/src/recovery/course.h
+++ b/src/recovery/course.h
@@ -1,7 +1,8 @@
-// Where a process stands on its way to full service: after its start, and after a gap in which it did not run (it was
-// stopped, or starved of its core). After a gap nothing that it holds is news any more: it sends nothing until it knows
-// what discovery wrote meanwhile, or until it has waited for that long enough. Free of I/O and clocks: the host tells it
-// the time. docs/design/recovery.md weighs the ways.
+// Where a process stands on its way to full service: after its start, and after a gap in which it
+// did not run (it was stopped, or starved of its core). After a gap nothing that it holds is news
+// any more: it sends nothing until it knows what discovery wrote meanwhile, or until it has waited
+// for that long enough. Free of I/O and clocks: the host tells it the time. docs/design/recovery.md
+// weighs the ways.
 #pragma once
 
 #include "beechhill/balancer.h"
@@ -17,13 +18,14 @@
 
 class Course {
  public:
-  // `drain_grace`: how long after discovery's word work may still go to a backend that drains; zero where none is stated.
-  // `watch_silence`: how long a live watch may say nothing. `has_list`: one is held at the start. It may be old, and what
-  // discovery's agent holds by then counts as told: a start with a list is a return like one after a gap.
+  // `drain_grace`: how long after discovery's word work may still go to a backend that drains; zero
+  // where none is stated. `watch_silence`: how long a live watch may say nothing. `has_list`: one
+  // is held at the start. It may be old, and what discovery's agent holds by then counts as told: a
+  // start with a list is a return like one after a gap.
   Course(Time now, Duration drain_grace, Duration watch_silence, bool has_list);
 
-  // The host looks at its clock: before anything else that it does, and every beat() at the least. True: a gap has
-  // ended just now, and discovery is to be heard, anew where asks_again() says so.
+  // The host looks at its clock: before anything else that it does, and every beat() at the least.
+  // True: a gap has ended just now, and discovery is to be heard, anew where asks_again() says so.
   bool look(Time now);
   Duration beat() const { return away_after_ / 2; }
   // The gap outlasted the watch's own signs of life: what stands in the socket may not be all.
@@ -32,14 +34,18 @@
 
   void listed();     // discovery has spoken: a list, or changes of it
   void caught_up();  // all that it wrote up to now has been heard
-  // Whether what is held may decide where something new goes. False within a gap that nobody has looked at yet.
+  // Whether what is held may decide where something new goes. False within a gap that nobody has
+  // looked at yet.
   bool current(Time now) const { return !returning_ && now - looked_at_ <= away_after_; }
-  // Whether the wait for discovery after a gap, or a start, goes on; it ends by itself at hear_by().
+  // Whether the wait for discovery after a gap, or a start, goes on; it ends by itself at
+  // hear_by().
   bool returning(Time now);
   // Whether the process may be put to use: it has a list, and its start is over.
   bool ready() const { return has_list_ && !starting_; }
   Time hear_by() const { return hear_by_; }
-  Stage stage() const { return !has_list_ ? Stage::kEmpty : heard_ && !returning_ ? Stage::kFull : Stage::kHearing; }
+  Stage stage() const {
+    return !has_list_ ? Stage::kEmpty : heard_ && !returning_ ? Stage::kFull : Stage::kHearing;
+  }
 
  private:
   Duration away_after_, hear_within_, watch_silence_;
--- a/src/runtime/mailbox.h
+++ b/src/runtime/mailbox.h
@@ -13,14 +13,18 @@
  public:
   explicit Mailbox(std::size_t capacity) : capacity_(capacity) {}
 
-  // False, with the message left as it was, when the box is full: the sender decides what that means.
+  // False, with the message left as it was, when the box is full: the sender decides what that
+  // means.
   [[nodiscard]] bool post(T&& message) {
-    if (messages_.size() >= capacity_) return false;
+    if (messages_.size() >= capacity_) {
+      return false;
+    }
     messages_.push_back(std::move(message));
     arrived_.notify();
     return true;
   }
-  // Of the messages that are alike only this one stands, however full the box is: one such more than its capacity at the most.
+  // Of the messages that are alike only this one stands, however full the box is: one such more
+  // than its capacity at the most.
   template <typename Alike>
   void replace(T message, const Alike& alike) {
     std::erase_if(messages_, alike);
--- a/src/runtime/scheduler.cpp
+++ b/src/runtime/scheduler.cpp
@@ -14,24 +14,35 @@
   epoll_event event{};
   event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
   event.data.ptr = this;
-  if (::epoll_ctl(scheduler_.epoll_, EPOLL_CTL_ADD, fd, &event) < 0)
+  if (::epoll_ctl(scheduler_.epoll_, EPOLL_CTL_ADD, fd, &event) < 0) {
     throw std::system_error(errno, std::generic_category(), "epoll_ctl");
+  }
 }
 IoSource::~IoSource() {
   ::epoll_ctl(scheduler_.epoll_, EPOLL_CTL_DEL, fd_, nullptr);
-  if (reader_) reader_->reading_ = nullptr;
-  if (writer_) writer_->writing_ = nullptr;
+  if (reader_) {
+    reader_->reading_ = nullptr;
+  }
+  if (writer_) {
+    writer_->writing_ = nullptr;
+  }
 }
 
 Notifier::~Notifier() {
-  if (waiter_) waiter_->notifier_ = nullptr;
+  if (waiter_) {
+    waiter_->notifier_ = nullptr;
+  }
 }
 void Notifier::notify() {
-  if (waiter_) return waiter_->fire(Wake::kNotified);
+  if (waiter_) {
+    return waiter_->fire(Wake::kNotified);
+  }
   set_ = true;
 }
 
-Wait::~Wait() { withdraw(); }
+Wait::~Wait() {
+  withdraw();
+}
 Wait& Wait::readable(IoSource& io) {
   reading_ = &io;
   return *this;
@@ -50,17 +61,27 @@
 }
 
 bool Wait::await_ready() {
-  if (!notifier_ || !notifier_->set_) return false;
+  if (!notifier_ || !notifier_->set_) {
+    return false;
+  }
   notifier_->set_ = false;
   cause_ = Wake::kNotified;
   return true;
 }
 void Wait::await_suspend(std::coroutine_handle<> handle) {
   due_.handle = handle;
-  if (reading_) reading_->reader_ = this;
-  if (writing_) writing_->writer_ = this;
-  if (notifier_) notifier_->waiter_ = this;
-  if (at_) timer_ = scheduler_.timers_.emplace(*at_, this);
+  if (reading_) {
+    reading_->reader_ = this;
+  }
+  if (writing_) {
+    writing_->writer_ = this;
+  }
+  if (notifier_) {
+    notifier_->waiter_ = this;
+  }
+  if (at_) {
+    timer_ = scheduler_.timers_.emplace(*at_, this);
+  }
 }
 void Wait::fire(Wake cause) {
   withdraw();
@@ -68,19 +89,31 @@
   scheduler_.make_due(due_);
 }
 void Wait::withdraw() {
-  if (reading_ && reading_->reader_ == this) reading_->reader_ = nullptr;
-  if (writing_ && writing_->writer_ == this) writing_->writer_ = nullptr;
-  if (notifier_ && notifier_->waiter_ == this) notifier_->waiter_ = nullptr;
-  if (timer_) scheduler_.timers_.erase(*timer_);
+  if (reading_ && reading_->reader_ == this) {
+    reading_->reader_ = nullptr;
+  }
+  if (writing_ && writing_->writer_ == this) {
+    writing_->writer_ = nullptr;
+  }
+  if (notifier_ && notifier_->waiter_ == this) {
+    notifier_->waiter_ = nullptr;
+  }
+  if (timer_) {
+    scheduler_.timers_.erase(*timer_);
+  }
   timer_.reset();
   scheduler_.withdraw(due_);  // guards against resuming a frame that is gone
 }
 
 Scheduler::Scheduler() : epoll_(::epoll_create1(EPOLL_CLOEXEC)) {
-  if (epoll_ < 0) throw std::system_error(errno, std::generic_category(), "epoll_create1");
+  if (epoll_ < 0) {
+    throw std::system_error(errno, std::generic_category(), "epoll_create1");
+  }
 }
 Scheduler::~Scheduler() {
-  while (!roots_.empty()) cancel(roots_.begin()->first);
+  while (!roots_.empty()) {
+    cancel(roots_.begin()->first);
+  }
   ::close(epoll_);
 }
 
@@ -95,9 +128,12 @@
 
 void Scheduler::cancel(TaskId id) {
   const auto it = roots_.find(id);
-  if (it == roots_.end()) return;
+  if (it == roots_.end()) {
+    return;
+  }
   withdraw(it->second.start);
-  const Task<> task = std::move(it->second.task);  // its frame's end may come back here for other tasks
+  const Task<> task =
+      std::move(it->second.task);  // its frame's end may come back here for other tasks
   roots_.erase(it);
 }
 
@@ -105,10 +141,16 @@
   while (!stopped_) {
     run_ready();
     reap();
-    if (!stopped_) poll();
+    if (!stopped_) {
+      poll();
+    }
+  }
+  while (!roots_.empty()) {
+    cancel(roots_.begin()->first);
+  }
+  if (fault_) {
+    std::rethrow_exception(fault_);
   }
-  while (!roots_.empty()) cancel(roots_.begin()->first);
-  if (fault_) std::rethrow_exception(fault_);
 }
 
 void Scheduler::run_ready() {
@@ -125,10 +167,14 @@
   while (!ended_.empty()) {
     const auto it = roots_.find(ended_.front());
     ended_.pop_front();
-    if (it == roots_.end()) continue;
+    if (it == roots_.end()) {
+      continue;
+    }
     const std::exception_ptr error = it->second.task.handle().promise().error;
     roots_.erase(it);
-    if (!error) continue;
+    if (!error) {
+      continue;
+    }
     fault_ = error;
     stopped_ = true;
   }
@@ -157,10 +203,14 @@
         io.watcher_->stirred();
       }
     }
-    if (io.writer_ && (bits & (EPOLLOUT | EPOLLHUP | EPOLLERR))) io.writer_->fire(Wake::kWritable);
+    if (io.writer_ && (bits & (EPOLLOUT | EPOLLHUP | EPOLLERR))) {
+      io.writer_->fire(Wake::kWritable);
+    }
   }
   const TimePoint now = Clock::now();
-  while (!timers_.empty() && timers_.begin()->first <= now) timers_.begin()->second->fire(Wake::kTime);
+  while (!timers_.empty() && timers_.begin()->first <= now) {
+    timers_.begin()->second->fire(Wake::kTime);
+  }
 }
 
 }  // namespace beechhill::runtime
--- a/src/runtime/scheduler.h
+++ b/src/runtime/scheduler.h
@@ -1,4 +1,5 @@
-// One thread's scheduler: coroutines wait for descriptors, times and notices, and resume from a ready queue.
+// One thread's scheduler: coroutines wait for descriptors, times and notices, and resume from a
+// ready queue.
 #pragma once
 
 #include <chrono>
@@ -20,7 +21,8 @@
 class Scheduler;
 class Wait;
 
-// A coroutine due to be resumed. Its holder clears `entry` when it takes it out or when it is taken.
+// A coroutine due to be resumed. Its holder clears `entry` when it takes it out or when it is
+// taken.
 struct Due;
 using DueList = std::list<Due*>;
 struct Due {
@@ -28,8 +30,9 @@
   std::optional<DueList::iterator> entry;
 };
 
-// Told of a descriptor that has something to read, or has ended, while nobody waits on it. It may note that and
-// notify, but neither resume nor destroy anything: others of the same round are still to come.
+// Told of a descriptor that has something to read, or has ended, while nobody waits on it. It may
+// note that and notify, but neither resume nor destroy anything: others of the same round are still
+// to come.
 class IoWatcher {
  public:
   virtual void stirred() = 0;
@@ -47,7 +50,8 @@
   IoSource& operator=(const IoSource&) = delete;
   // Null: nobody is told. What came before is not told any more: look first, then watch.
   void watch(IoWatcher* watcher) { watcher_ = watcher; }
-  // Whether the other side has ended, or the connection broken, however much of what came before is unread.
+  // Whether the other side has ended, or the connection broken, however much of what came before is
+  // unread.
   bool ended() const { return ended_; }
 
  private:
@@ -78,8 +82,9 @@
 
 enum class Wake { kReadable, kWritable, kTime, kNotified };
 
-// What a coroutine waits for; the first to come ends the wait. It lives in the coroutine's frame as a named
-// local (GCC 12 mishandles non-trivial temporaries in co_await), so ending the frame withdraws it everywhere.
+// What a coroutine waits for; the first to come ends the wait. It lives in the coroutine's frame as
+// a named local (GCC 12 mishandles non-trivial temporaries in co_await), so ending the frame
+// withdraws it everywhere.
 class Wait {
  public:
   explicit Wait(Scheduler& scheduler) : scheduler_(scheduler) {}
@@ -124,8 +129,8 @@
   TaskId spawn(Task<> task);
   // Destroys the task with all that it owns and waits for. Not for a task to call on itself.
   void cancel(TaskId id);
-  // Runs until stop() is called, or a spawned task ends by an exception; then cancels what is left, while all
-  // that it refers to still stands. Throws that exception.
+  // Runs until stop() is called, or a spawned task ends by an exception; then cancels what is left,
+  // while all that it refers to still stands. Throws that exception.
   void run();
   void stop() { stopped_ = true; }
 
@@ -138,7 +143,9 @@
   };
   void make_due(Due& due) { due.entry = ready_.insert(ready_.end(), &due); }
   void withdraw(Due& due) {
-    if (due.entry) ready_.erase(*std::exchange(due.entry, std::nullopt));
+    if (due.entry) {
+      ready_.erase(*std::exchange(due.entry, std::nullopt));
+    }
   }
   void run_ready();
   void reap();
--- a/src/runtime/task.h
+++ b/src/runtime/task.h
@@ -20,7 +20,9 @@
     bool await_ready() noexcept { return false; }
     template <typename Promise>
     std::coroutine_handle<> await_suspend(std::coroutine_handle<Promise> handle) noexcept {
-      if (handle.promise().on_end) handle.promise().on_end();
+      if (handle.promise().on_end) {
+        handle.promise().on_end();
+      }
       const auto next = handle.promise().continuation;
       return next ? next : std::noop_coroutine();
     }
@@ -66,7 +68,9 @@
     return *this;
   }
   ~Task() {
-    if (handle_) handle_.destroy();
+    if (handle_) {
+      handle_.destroy();
+    }
   }
 
   Handle handle() const { return handle_; }
@@ -77,7 +81,9 @@
     return handle_;
   }
   T await_resume() {
-    if (handle_.promise().error) std::rethrow_exception(handle_.promise().error);
+    if (handle_.promise().error) {
+      std::rethrow_exception(handle_.promise().error);
+    }
     return handle_.promise().take();
   }
 
--- a/src/serve/group.h
+++ b/src/serve/group.h
@@ -1,5 +1,5 @@
-// This process among the other proxies: membership, and machines taken out by agreement. Off unless the operator file says so; a build without
-// BEECHHILL_TALK has none.
+// This process among the other proxies: membership, and machines taken out by agreement. Off unless
+// the operator file says so; a build without BEECHHILL_TALK has none.
 #pragma once
 
 #include <functional>
@@ -14,9 +14,9 @@
 class Group {
  public:
   virtual ~Group() = default;
-  virtual admin::Group calls() = 0;                                      // for the operators' door
-  virtual void reload(const config::OperatorSettings& settings) = 0;     // takes over keys
-  virtual void say_good_bye() = 0;                                       // at the process's end
+  virtual admin::Group calls() = 0;                                   // for the operators' door
+  virtual void reload(const config::OperatorSettings& settings) = 0;  // takes over keys
+  virtual void say_good_bye() = 0;                                    // at the process's end
 };
 
 struct GroupParts {  // must outlive the group
--- a/src/serve/no_group.cpp
+++ b/src/serve/no_group.cpp
@@ -2,6 +2,8 @@
 
 namespace beechhill::service {
 
-std::unique_ptr<Group> join_group(const GroupParts&) { return nullptr; }  // the operator file's reader has refused anything else
+std::unique_ptr<Group> join_group(const GroupParts&) {
+  return nullptr;
+}  // the operator file's reader has refused anything else
 
 }  // namespace beechhill::service
--- a/src/serve/serve.cpp
+++ b/src/serve/serve.cpp
@@ -12,10 +12,10 @@
 
 #include "admin/admin_door.h"
 #include "config/operator_file.h"
-#include "log/log.h"
 #include "handover/handover_actor.h"
-#include "proxy/decision_actor.h"
+#include "log/log.h"
 #include "proxy/client_connection.h"
+#include "proxy/decision_actor.h"
 #include "proxy/log.h"
 #include "proxy/peer_actor.h"
 #include "proxy/server_list_actor.h"
@@ -28,11 +28,14 @@
 
 namespace {
 
-constexpr std::size_t kOtherDescriptors = 24;  // standard streams, epoll, signals, listeners, discovery
+constexpr std::size_t kOtherDescriptors =
+    24;  // standard streams, epoll, signals, listeners, discovery
 constexpr std::size_t kFrontPercent = 55;
 constexpr std::size_t kBodyShare = 6;
-constexpr std::size_t kLeastShare = 4;  // of all descriptors, one part is a process's own whatever the others hold
-constexpr std::size_t kMargin = 10;     // one part stays free beside another process: both grow between two looks
+constexpr std::size_t kLeastShare =
+    4;  // of all descriptors, one part is a process's own whatever the others hold
+constexpr std::size_t kMargin =
+    10;  // one part stays free beside another process: both grow between two looks
 constexpr auto kHearDiscovery = std::chrono::milliseconds(1500);
 
 // How the descriptors for connections are divided.
@@ -43,7 +46,9 @@
   std::size_t peers() const { return usable_ - front(); }
   // What is left beside the proxy's other processes: together they hold no more than one may.
   std::size_t beside(const handover::Folder::Others& others) const {
-    if (others.alive == 0) return usable_;
+    if (others.alive == 0) {
+      return usable_;
+    }
     const std::size_t taken = others.descriptors + usable_ / kMargin;
     return std::max(usable_ / kLeastShare, usable_ > taken ? usable_ - taken : 0);
   }
@@ -52,14 +57,21 @@
   std::size_t usable_;
 };
 
-// What bodies that are passed on may hold: a part of the memory, the rest is for requests taken whole and the program.
-std::size_t body_bytes(const config::Config& config) { return std::size_t{config.memory_mb} * 1024 * 1024 / kBodyShare; }
+// What bodies that are passed on may hold: a part of the memory, the rest is for requests taken
+// whole and the program.
+std::size_t body_bytes(const config::Config& config) {
+  return std::size_t{config.memory_mb} * 1024 * 1024 / kBodyShare;
+}
 
 // Null where no other process can share with this one; the service goes on without.
 std::unique_ptr<handover::Folder> join(const config::Config& config) {
-  if (!config.inherited) return nullptr;
+  if (!config.inherited) {
+    return nullptr;
+  }
   try {
-    if (config.shared_folder.empty()) throw std::runtime_error("TMPDIR: not set");
+    if (config.shared_folder.empty()) {
+      throw std::runtime_error("TMPDIR: not set");
+    }
     return std::make_unique<handover::Folder>(config.shared_folder, config.name);
   } catch (const std::exception& error) {
     log_fault("handover_off", error);
@@ -68,19 +80,25 @@
 }
 
 std::chrono::milliseconds unix_now() {
-  return std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::system_clock::now().time_since_epoch());
+  return std::chrono::duration_cast<std::chrono::milliseconds>(
+      std::chrono::system_clock::now().time_since_epoch());
 }
 
 // What learning depends on: under another zone, tier or other classes it says nothing.
 std::string fleet_of(const config::Config& config) {
   std::string text = config.named.zone + "/" + std::to_string(config.named.settings.tier);
-  for (const std::string& name : config.named.classes) text += "/" + name;
+  for (const std::string& name : config.named.classes) {
+    text += "/" + name;
+  }
   return text;
 }
 
 // Null where none are kept; without them the service goes on as from an empty start.
-std::unique_ptr<snapshot::Keeper> open_keeper(const config::Config& config, const config::SnapshotSettings& settings) {
-  if (settings.folder.empty()) return nullptr;
+std::unique_ptr<snapshot::Keeper> open_keeper(const config::Config& config,
+                                              const config::SnapshotSettings& settings) {
+  if (settings.folder.empty()) {
+    return nullptr;
+  }
   try {
     return std::make_unique<snapshot::Keeper>(settings.folder, config.name, fleet_of(config));
   } catch (const std::exception& error) {
@@ -89,8 +107,8 @@
   }
 }
 
-runtime::Task<> keep_snapshots(runtime::Scheduler& scheduler, snapshot::Keeper& keeper, const DecisionActor& decisions,
-                               std::chrono::milliseconds every) {
+runtime::Task<> keep_snapshots(runtime::Scheduler& scheduler, snapshot::Keeper& keeper,
+                               const DecisionActor& decisions, std::chrono::milliseconds every) {
   for (;;) {
     runtime::Wait wait(scheduler);
     wait.until(runtime::Clock::now() + every);
@@ -99,23 +117,30 @@
   }
 }
 
-runtime::Task<> tend(runtime::Scheduler& scheduler, FrontDoor& door, const std::unique_ptr<Group>& group) {
+runtime::Task<> tend(runtime::Scheduler& scheduler, FrontDoor& door,
+                     const std::unique_ptr<Group>& group) {
   co_await door.tend();
-  if (group) group->say_good_bye();
+  if (group) {
+    group->say_good_bye();
+  }
   log::info("ended");
   scheduler.stop();
 }
 
-// Of a new configuration only discovery's address is taken over, of a new operator file the log's level; a faulty
-// one changes nothing.
+// Of a new configuration only discovery's address is taken over, of a new operator file the log's
+// level; a faulty one changes nothing.
 void reload(WatchBox& watch, const std::string& operator_file, Group* group) {
   try {
     const sockaddr_in discovery = config::reload_config().discovery;
     const config::OperatorSettings settings = config::load_operator(operator_file);
-    // Guards against staying with a discovery that is gone, for good, where a call to it holds the mailbox full.
-    watch.replace(MoveWatch{discovery}, [](const WatchMessage& m) { return std::holds_alternative<MoveWatch>(m); });
+    // Guards against staying with a discovery that is gone, for good, where a call to it holds the
+    // mailbox full.
+    watch.replace(MoveWatch{discovery},
+                  [](const WatchMessage& m) { return std::holds_alternative<MoveWatch>(m); });
     log::set_level(settings.log.level);
-    if (group) group->reload(settings);
+    if (group) {
+      group->reload(settings);
+    }
     const std::string address = net::to_string(discovery);
     log::info("configuration_read", {{"discovery", std::string_view(address)}});
   } catch (const std::exception& error) {
@@ -124,7 +149,8 @@
 }
 
 runtime::Task<> heed_signals(runtime::Scheduler& scheduler, net::Fd signals, FrontDoor& door,
-                             handover::HandoverActor& handover, WatchBox& watch, const std::string& operator_file,
+                             handover::HandoverActor& handover, WatchBox& watch,
+                             const std::string& operator_file,
                              const std::unique_ptr<Group>& group) {
   runtime::IoSource io(scheduler, signals.get());
   bool ending = false;
@@ -139,7 +165,9 @@
     } else if (!std::exchange(ending, true)) {
       const bool succeeded = handover.succeeded();
       log::info("ending", {{"succeeded", succeeded}});
-      if (!door.inbox().post({DoorWord::kEnd, succeeded, nullptr})) ending = false, log_lost("end");
+      if (!door.inbox().post({DoorWord::kEnd, succeeded, nullptr})) {
+        ending = false, log_lost("end");
+      }
     }
   }
 }
@@ -147,10 +175,14 @@
 net::Fd block_signals() {
   sigset_t mask;
   sigemptyset(&mask);
-  for (const int number : {SIGTERM, SIGINT, SIGHUP}) sigaddset(&mask, number);
+  for (const int number : {SIGTERM, SIGINT, SIGHUP}) {
+    sigaddset(&mask, number);
+  }
   sigprocmask(SIG_BLOCK, &mask, nullptr);
   net::Fd signals(::signalfd(-1, &mask, SFD_NONBLOCK | SFD_CLOEXEC));
-  if (!signals) throw std::runtime_error("signalfd failed");
+  if (!signals) {
+    throw std::runtime_error("signalfd failed");
+  }
   return signals;
 }
 
@@ -170,56 +202,75 @@
   BodyBudget bodies(body_bytes(config));
   PeerPool pool(shares.peers(), bodies, telemetry, config.named.settings);
   const auto make_peer = [&](DecisionBox& inbox, ServerId server, const sockaddr_in& address) {
-    return std::make_unique<PeerActor>(scheduler, inbox, pool, config.named.settings, server, address);
+    return std::make_unique<PeerActor>(scheduler, inbox, pool, config.named.settings, server,
+                                       address);
   };
   ServerListActor server_list(scheduler, config);
   handover::SharedState before = folder ? folder->state() : handover::SharedState{};
   const std::unique_ptr<snapshot::Keeper> keeper = open_keeper(config, settings.snapshot);
   std::optional<snapshot::Snapshot> found = keeper ? keeper->found(unix_now()) : std::nullopt;
-  if (found) log::info("snapshot_found", {{"rows", static_cast<std::uint64_t>(found->rows.size())}, {"barred", static_cast<std::uint64_t>(found->barred.size())}});
-  if (found && !folder) before.barred = found->barred;  // with a folder, what stands there is newer
-  DecisionActor decisions(scheduler, config, make_peer, server_list.inbox(), settings.subset, before.barred,
+  if (found) {
+    log::info("snapshot_found", {{"rows", static_cast<std::uint64_t>(found->rows.size())},
+                                 {"barred", static_cast<std::uint64_t>(found->barred.size())}});
+  }
+  if (found && !folder) {
+    before.barred = found->barred;  // with a folder, what stands there is newer
+  }
+  DecisionActor decisions(scheduler, config, make_peer, server_list.inbox(), settings.subset,
+                          before.barred,
                           found ? std::move(found->rows) : std::vector<snapshot::Row>{});
   pool.current = [&decisions] { return decisions.current(); };
-  // What the list last held says may be old: with another process there to serve, discovery is heard first.
+  // What the list last held says may be old: with another process there to serve, discovery is
+  // heard first.
   const runtime::TimePoint patience = runtime::Clock::now() + kHearDiscovery;
   const bool patient = folder && folder->others().alive > 0;
   const auto has_list = [&] {
-    return decisions.ready() && decisions.may_serve() && (!patient || decisions.heard() || runtime::Clock::now() >= patience);
+    return decisions.ready() && decisions.may_serve() &&
+           (!patient || decisions.heard() || runtime::Clock::now() >= patience);
   };
-  FrontDoor door(scheduler, decisions.inbox(), config, telemetry, bodies, shares.front(), has_list, before.drained);
+  FrontDoor door(scheduler, decisions.inbox(), config, telemetry, bodies, shares.front(), has_list,
+                 before.drained);
   const auto look = [&](const handover::Folder::Others& others) {
     const Shares now(shares.beside(others));
     door.budget().set_limit(now.front());
     pool.budget.set_limit(now.peers());
     bodies.set_limit(body_bytes(config) / (others.alive > 0 ? 2 : 1));
-    const std::size_t held = door.budget().used() + pool.budget.used() + kOtherDescriptors + admin::kMostCallers;
+    const std::size_t held =
+        door.budget().used() + pool.budget.used() + kOtherDescriptors + admin::kMostCallers;
     return handover::HandoverActor::Own{door.serving(), static_cast<std::uint32_t>(held)};
   };
-  handover::HandoverActor handover(scheduler, std::move(folder), decisions.inbox(), door.inbox(), look);
+  handover::HandoverActor handover(scheduler, std::move(folder), decisions.inbox(), door.inbox(),
+                                   look);
   scheduler.spawn(handover.run());
   scheduler.spawn(decisions.run());
   scheduler.spawn(server_list.run(decisions.inbox()));
   scheduler.spawn(door.run());
   const std::unique_ptr<Group> group =
-      join_group({scheduler, config, settings, decisions, handover.inbox(), telemetry, [&door] { return door.ending(); }});
+      join_group({scheduler, config, settings, decisions, handover.inbox(), telemetry,
+                  [&door] { return door.ending(); }});
   scheduler.spawn(tend(scheduler, door, group));
   std::optional<admin::AdminDoor> operators;
   if (config.admin) {
-    operators.emplace(scheduler, *config.admin, decisions.inbox(), handover.inbox(), telemetry, config.named.classes,
-                      [&] { return door.serving() && handover.told_ready(); }, group ? group->calls() : admin::Group{});
+    operators.emplace(
+        scheduler, *config.admin, decisions.inbox(), handover.inbox(), telemetry,
+        config.named.classes, [&] { return door.serving() && handover.told_ready(); },
+        group ? group->calls() : admin::Group{});
     scheduler.spawn(operators->run());
   }
-  scheduler.spawn(
-      heed_signals(scheduler, std::move(signals), door, handover, server_list.inbox(), operator_file, group));
+  scheduler.spawn(heed_signals(scheduler, std::move(signals), door, handover, server_list.inbox(),
+                               operator_file, group));
   const std::string address = net::to_string(door.address());
   const std::string admin = operators ? net::to_string(operators->address()) : "none";
   log::info("serving", {{"address", std::string_view(address)},
                         {"name", std::string_view(config.name)},
                         {"admin", std::string_view(admin)}});
-  if (keeper) scheduler.spawn(keep_snapshots(scheduler, *keeper, decisions, settings.snapshot.every));
+  if (keeper) {
+    scheduler.spawn(keep_snapshots(scheduler, *keeper, decisions, settings.snapshot.every));
+  }
   scheduler.run();
-  if (keeper) keeper->keep(decisions.learned(), decisions.barred(), unix_now());
+  if (keeper) {
+    keeper->keep(decisions.learned(), decisions.barred(), unix_now());
+  }
 }
 
 }  // namespace beechhill::service
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -7,7 +7,9 @@
 namespace {
 
 void require(bool ok, const char* what) {
-  if (!ok) throw std::invalid_argument(what);
+  if (!ok) {
+    throw std::invalid_argument(what);
+  }
 }
 
 }  // namespace
@@ -22,15 +24,17 @@
     require(c.memory_span >= Duration{0}, "classes.memory_span: must not be negative");
     require(c.aim_stretch >= 0, "classes.aim_stretch: must not be negative");
   }
-  for (const auto& t : s.tenants)
+  for (const auto& t : s.tenants) {
     require(t.allowance_per_s >= 0, "tenants.allowance_per_s: must not be negative");
+  }
   require(s.most_tries >= 1, "most_tries: must be at least 1");
   require(s.replicas >= 1, "replicas: must be at least 1");
   require(s.tier_count >= 1 && s.tier < s.tier_count, "tier: must be one of the tiers");
   require(s.step > Duration{0}, "step: must be above 0");
   require(s.cold_from > 0 && s.cold_from <= 1, "cold_from: must be in (0, 1]");
   require(s.cold_span >= Duration{0}, "cold_span: must not be negative");
-  require(s.over_share_worth >= 0 && s.over_share_worth <= 1, "over_share_worth: must be in [0, 1]");
+  require(s.over_share_worth >= 0 && s.over_share_worth <= 1,
+          "over_share_worth: must be in [0, 1]");
 }
 
 }  // namespace beechhill
--- a/src/snapshot/state.cpp
+++ b/src/snapshot/state.cpp
@@ -11,27 +11,36 @@
 constexpr int kFormat = 2;
 constexpr const char* kMagic = "beechhill-snapshot";
 constexpr int kDigits = 6;  // reports are no truer than that
-// A snapshot fades by e in a minute: load and neighbours change over minutes, machines over days. Nothing under a hundredth of a report
-// or an answer is worth telling.
+// A snapshot fades by e in a minute: load and neighbours change over minutes, machines over days.
+// Nothing under a hundredth of a report or an answer is worth telling.
 constexpr Duration kFades{60'000'000};
 constexpr double kLeast = 0.01;
-// More than the module's own memory of either ever holds, five reports and seven answers at its smoothings, is no snapshot of it; nor is
-// a pace beyond the most that it counts.
+// More than the module's own memory of either ever holds, five reports and seven answers at its
+// smoothings, is no snapshot of it; nor is a pace beyond the most that it counts.
 constexpr double kMostReports = 10, kMostAnswers = 10, kMostPace = 10;
 constexpr double kMostUtilisation = 8, kMostRate = 1e5;  // as the module takes them from a report
-constexpr std::chrono::milliseconds kOldest{300'000};  // five times that: nothing is left
-constexpr std::chrono::milliseconds kClockStep{2'000};  // clocks are set: so much in the future is now
+constexpr std::chrono::milliseconds kOldest{300'000};    // five times that: nothing is left
+constexpr std::chrono::milliseconds kClockStep{
+    2'000};  // clocks are set: so much in the future is now
 
-bool sound(double value) { return std::isfinite(value) && value >= 0; }
+bool sound(double value) {
+  return std::isfinite(value) && value >= 0;
+}
 
 bool read_row(const Json::Value& v, Row& row) {
-  if (!v.isObject() || !v["host"].isString() || !v["born"].isInt64() || !v["at"].isInt64()) return false;
-  for (const char* key : {"util", "rate", "paces", "answers"})
-    if (!v[key].isNumeric() || !sound(v[key].asDouble())) return false;
+  if (!v.isObject() || !v["host"].isString() || !v["born"].isInt64() || !v["at"].isInt64()) {
+    return false;
+  }
+  for (const char* key : {"util", "rate", "paces", "answers"}) {
+    if (!v[key].isNumeric() || !sound(v[key].asDouble())) {
+      return false;
+    }
+  }
   row.host = v["host"].asString();
   row.born = std::chrono::milliseconds(v["born"].asInt64());
   row.at = std::chrono::milliseconds(v["at"].asInt64());
-  row.evidence = {v["rate"].asDouble(), v["util"].asDouble(), v["paces"].asDouble(), v["answers"].asDouble()};
+  row.evidence = {v["rate"].asDouble(), v["util"].asDouble(), v["paces"].asDouble(),
+                  v["answers"].asDouble()};
   return !row.host.empty();
 }
 
@@ -45,7 +54,9 @@
   root["written"] = Json::Int64(s.written.count());
   root["rows"] = Json::Value(Json::arrayValue);
   for (const Row& r : s.rows) {
-    if (root["rows"].size() >= kMostRows) break;
+    if (root["rows"].size() >= kMostRows) {
+      break;
+    }
     Json::Value row;
     row["host"] = r.host;
     row["born"] = Json::Int64(r.born.count());
@@ -57,45 +68,77 @@
     root["rows"].append(std::move(row));
   }
   root["barred"] = Json::Value(Json::arrayValue);
-  for (const std::string& host : s.barred) root["barred"].append(host);
+  for (const std::string& host : s.barred) {
+    root["barred"].append(host);
+  }
   return config::seal(std::move(root), kMagic, kFormat, kDigits);
 }
 
 std::optional<Snapshot> decode(std::string_view text) {
-  if (text.size() > kMostBytes) return std::nullopt;
+  if (text.size() > kMostBytes) {
+    return std::nullopt;
+  }
   const auto sealed = config::unseal(text, kMagic, kFormat);
-  if (!sealed) return std::nullopt;
+  if (!sealed) {
+    return std::nullopt;
+  }
   const Json::Value& root = *sealed;
-  if (!root["name"].isString() || !root["fleet"].isString() || !root["life"].isUInt64()) return std::nullopt;
-  if (!root["written"].isInt64() || !root["rows"].isArray() || root["rows"].size() > kMostRows) return std::nullopt;
+  if (!root["name"].isString() || !root["fleet"].isString() || !root["life"].isUInt64()) {
+    return std::nullopt;
+  }
+  if (!root["written"].isInt64() || !root["rows"].isArray() || root["rows"].size() > kMostRows) {
+    return std::nullopt;
+  }
   Snapshot s;
   s.name = root["name"].asString();
   s.fleet = root["fleet"].asString();
   s.life = root["life"].asUInt64();
   s.written = std::chrono::milliseconds(root["written"].asInt64());
-  if (!root["barred"].isArray() || root["barred"].size() > kMostRows) return std::nullopt;
+  if (!root["barred"].isArray() || root["barred"].size() > kMostRows) {
+    return std::nullopt;
+  }
   for (const Json::Value& host : root["barred"]) {
-    if (!host.isString()) return std::nullopt;
+    if (!host.isString()) {
+      return std::nullopt;
+    }
     s.barred.insert(host.asString());
   }
-  for (const Json::Value& row : root["rows"])
-    if (!read_row(row, s.rows.emplace_back())) return std::nullopt;
+  for (const Json::Value& row : root["rows"]) {
+    if (!read_row(row, s.rows.emplace_back())) {
+      return std::nullopt;
+    }
+  }
   return s;
 }
 
-const char* refusal(const Snapshot& s, std::string_view name, std::string_view fleet, std::chrono::milliseconds now) {
-  if (s.name != name) return "another_process";
-  if (s.fleet != fleet) return "other_settings";
-  if (s.written > now + kClockStep) return "from_the_future";
-  if (s.written + kOldest < now) return "too_old";
+const char* refusal(const Snapshot& s, std::string_view name, std::string_view fleet,
+                    std::chrono::milliseconds now) {
+  if (s.name != name) {
+    return "another_process";
+  }
+  if (s.fleet != fleet) {
+    return "other_settings";
+  }
+  if (s.written > now + kClockStep) {
+    return "from_the_future";
+  }
+  if (s.written + kOldest < now) {
+    return "too_old";
+  }
   return nullptr;
 }
 
 std::optional<Evidence> believed(const Evidence& e, Duration age, bool started) {
-  if (started || e.utils > kMostReports * kMostUtilisation || e.rates > kMostReports * kMostRate) return std::nullopt;
-  if (e.answers > kMostAnswers || e.paces > kMostPace * e.answers) return std::nullopt;
+  if (started || e.utils > kMostReports * kMostUtilisation || e.rates > kMostReports * kMostRate) {
+    return std::nullopt;
+  }
+  if (e.answers > kMostAnswers || e.paces > kMostPace * e.answers) {
+    return std::nullopt;
+  }
   const double kept = std::exp(-std::chrono::duration<double>(std::max(age, Duration{0})) / kFades);
-  if (kept * (e.utils + e.answers) < kLeast) return std::nullopt;
+  if (kept * (e.utils + e.answers) < kLeast) {
+    return std::nullopt;
+  }
   return Evidence{kept * e.rates, kept * e.utils, kept * e.paces, kept * e.answers};
 }
 
--- a/src/snapshot/state.h
+++ b/src/snapshot/state.h
@@ -1,5 +1,6 @@
-// What a process has learned of its backends, kept over a restart: its format, and what may still be believed of it. Free
-// of I/O and clocks. docs/design/recovery.md says what is kept and why no more.
+// What a process has learned of its backends, kept over a restart: its format, and what may still
+// be believed of it. Free of I/O and clocks. docs/design/recovery.md says what is kept and why no
+// more.
 #pragma once
 
 #include <chrono>
@@ -23,7 +24,8 @@
 
 struct Snapshot {
   std::string name;   // the process's
-  std::string fleet;  // the settings it ran under, by their hash: what was learned under others says nothing
+  std::string fleet;  // the settings it ran under, by their hash: what was learned under others
+                      // says nothing
   std::uint64_t life = 0;
   std::chrono::milliseconds written{0};  // Unix time
   std::vector<Row> rows;
@@ -38,10 +40,11 @@
 std::optional<Snapshot> decode(std::string_view text);
 
 // Why its rows may not be used by that process now, as a reason code; null where they may.
-const char* refusal(const Snapshot& snapshot, std::string_view name, std::string_view fleet, std::chrono::milliseconds now);
+const char* refusal(const Snapshot& snapshot, std::string_view name, std::string_view fleet,
+                    std::chrono::milliseconds now);
 
-// What of it is still to be believed at that age; nothing where it says nothing any more, is absurd, or stands for another start of the
-// backend (`started`).
+// What of it is still to be believed at that age; nothing where it says nothing any more, is
+// absurd, or stands for another start of the backend (`started`).
 std::optional<Evidence> believed(const Evidence& evidence, Duration age, bool started);
 
 }  // namespace beechhill::snapshot
--- a/src/state.h
+++ b/src/state.h
@@ -14,10 +14,15 @@
 
 namespace beechhill {
 
-inline double seconds(Duration d) { return std::chrono::duration<double>(d).count(); }
-inline Duration from_seconds(double s) { return Duration(static_cast<std::int64_t>(s * 1e6)); }
+inline double seconds(Duration d) {
+  return std::chrono::duration<double>(d).count();
+}
+inline Duration from_seconds(double s) {
+  return Duration(static_cast<std::int64_t>(s * 1e6));
+}
 
-inline std::uint64_t mix(std::uint64_t x) {  // splitmix64's finaliser: 64 even bits from a small integer
+inline std::uint64_t mix(
+    std::uint64_t x) {  // splitmix64's finaliser: 64 even bits from a small integer
   x += 0x9e3779b97f4a7c15ULL;
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
   x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
@@ -26,8 +31,9 @@
 
 struct Attempt {
   ServerId server = 0;
-  std::uint32_t life = 0;             // of the server, then
-  std::uint32_t zone = 0, cell = 0;  // where the server stood then: its entry may say another place by now
+  std::uint32_t life = 0;  // of the server, then
+  std::uint32_t zone = 0,
+                cell = 0;  // where the server stood then: its entry may say another place by now
   Time sent{0};
 };
 
@@ -40,7 +46,7 @@
   bool held = false;
   bool answered = false;
   bool streaming = false;
-  bool silent = false;    // out for so long that it may never be answered
+  bool silent = false;                   // out for so long that it may never be answered
   std::optional<std::size_t> maybe_ran;  // the first attempt that might have run
   std::vector<Attempt> attempts;
   bool out = false;  // the last attempt has no outcome yet: there is one at a time
@@ -80,13 +86,15 @@
     sum = sum * kept + value, weight = weight * kept + 1, at = now;
   }
   double count(Time now, double span_s) const { return weight * faded(now, span_s); }
-  // A second. Guards against taking a short life's rate for low: what came since `begun` then counts as all there is. A second of it
-  // at the least, or one that came at once would be thousands.
+  // A second. Guards against taking a short life's rate for low: what came since `begun` then
+  // counts as all there is. A second of it at the least, or one that came at once would be
+  // thousands.
   double rate(Time now, double span_s, Time begun) const {
     const double life = std::max(1.0, seconds(now - begun));
     return count(now, span_s) / (span_s * (1 - std::exp(-life / span_s)));
   }
-  double mean(Time now, double span_s) const {  // towards 0 with time, as if one more value had been 0
+  double mean(Time now,
+              double span_s) const {  // towards 0 with time, as if one more value had been 0
     const double kept = faded(now, span_s);
     return sum * kept / (weight * kept + 1);
   }
@@ -107,7 +115,9 @@
 
 inline Tally sum(const std::vector<Tally>& tallies) {
   Tally all;
-  for (const Tally& t : tallies) all += t;
+  for (const Tally& t : tallies) {
+    all += t;
+  }
   return all;
 }
 
@@ -126,12 +136,13 @@
 struct Server : Learned {
   ServerEntry entry;
   bool listed = false;
-  std::uint64_t list = 0;             // that named it last, by number
-  bool barred = false;                // by an operator
-  std::optional<Time> barred_at;      // when an operator last left it out
-  std::optional<Time> back;           // since then let serve again: it may have restarted, and the list not say so yet
-  double order = 0;                   // fixed for life, random: the lowest are used first
-  std::uint32_t life = 0;             // counted up with each start that is told
+  std::uint64_t list = 0;         // that named it last, by number
+  bool barred = false;            // by an operator
+  std::optional<Time> barred_at;  // when an operator last left it out
+  std::optional<Time>
+      back;  // since then let serve again: it may have restarted, and the list not say so yet
+  double order = 0;        // fixed for life, random: the lowest are used first
+  std::uint32_t life = 0;  // counted up with each start that is told
 };
 
 }  // namespace beechhill
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -1,4 +1,5 @@
-// What the mechanism decides: queueing, the limit C, dispatch, lagging and failing servers, discovery.
+// What the mechanism decides: queueing, the limit C, dispatch, lagging and failing servers,
+// discovery.
 #include "driver.h"
 
 namespace beechhill::test {
@@ -7,17 +8,25 @@
 TEST(Ordinary, NothingWaitsWhileServersIdle) {
   Driver d;
   d.servers(4);
-  for (RequestId id = 0; id < 40; ++id) EXPECT_EQ(count<Send>(d.request(id, id % 3)), 1u);
+  for (RequestId id = 0; id < 40; ++id) {
+    EXPECT_EQ(count<Send>(d.request(id, id % 3)), 1u);
+  }
   EXPECT_TRUE(d.answers.empty());
 }
 
 TEST(Ordinary, SpreadsOverEqualServers) {
   Driver d;
   d.servers(4);
-  for (RequestId id = 0; id < 40; ++id) d.request(id);
+  for (RequestId id = 0; id < 40; ++id) {
+    d.request(id);
+  }
   std::map<ServerId, int> per;
-  for (const auto& s : d.sends) ++per[s.server];
-  for (const auto& [server, n] : per) EXPECT_EQ(n, 10) << server;
+  for (const auto& s : d.sends) {
+    ++per[s.server];
+  }
+  for (const auto& [server, n] : per) {
+    EXPECT_EQ(n, 10) << server;
+  }
 }
 
 TEST(Ordinary, WeightsFollowReports) {
@@ -27,8 +36,11 @@
     d.give(ProbeResult{0, Result::kOk, {0.5, 30.0}});
     d.give(ProbeResult{1, Result::kOk, {0.5, 10.0}});
   }
-  for (RequestId id = 0; id < 40; ++id) d.request(id);
-  const auto fast = std::count_if(d.sends.begin(), d.sends.end(), [](auto& s) { return s.server == 0; });
+  for (RequestId id = 0; id < 40; ++id) {
+    d.request(id);
+  }
+  const auto fast =
+      std::count_if(d.sends.begin(), d.sends.end(), [](auto& s) { return s.server == 0; });
   EXPECT_NEAR(static_cast<double>(fast), 29, 2);  // 3 to 1, less a little for the prior
 }
 
@@ -39,8 +51,11 @@
     d.give(ProbeResult{0, Result::kOk, {0.5, 1000.0}});
     d.give(ProbeResult{1, Result::kOk, {0.5, 0.01}});
   }
-  for (RequestId id = 0; id < 100; ++id) d.request(id);
-  EXPECT_GE(std::count_if(d.sends.begin(), d.sends.end(), [](auto& s) { return s.server == 1; }), 3);
+  for (RequestId id = 0; id < 100; ++id) {
+    d.request(id);
+  }
+  EXPECT_GE(std::count_if(d.sends.begin(), d.sends.end(), [](auto& s) { return s.server == 1; }),
+            3);
 }
 
 TEST(Ordinary, NearIdleReportsSayNothing) {
@@ -48,11 +63,15 @@
   d.servers(2);
   d.give(ProbeResult{0, Result::kOk, {0.001, 50.0}});  // would be a weight of 50,000
   d.give(ProbeResult{1, Result::kOk, {0.5, 10.0}});
-  for (RequestId id = 0; id < 20; ++id) d.request(id);
-  EXPECT_NEAR(std::count_if(d.sends.begin(), d.sends.end(), [](auto& s) { return s.server == 1; }), 7, 3);
+  for (RequestId id = 0; id < 20; ++id) {
+    d.request(id);
+  }
+  EXPECT_NEAR(std::count_if(d.sends.begin(), d.sends.end(), [](auto& s) { return s.server == 1; }),
+              7, 3);
 }
 
-// Guards against minutes without weights where an instance can probe little: servers of a kind are alike.
+// Guards against minutes without weights where an instance can probe little: servers of a kind are
+// alike.
 TEST(Ordinary, AServerNotYetReportedStartsFromItsKind) {
   Driver d;
   d.servers_of_kinds(8, [](ServerId i) { return i % 2; });
@@ -60,13 +79,16 @@
     d.give(ProbeResult{0, Result::kOk, {0.5, 30.0}});
     d.give(ProbeResult{1, Result::kOk, {0.5, 10.0}});
   }
-  for (RequestId id = 0; id < 120; ++id) d.request(id);
-  const auto fast = std::count_if(d.sends.begin(), d.sends.end(), [](auto& s) { return s.server % 2 == 0; });
+  for (RequestId id = 0; id < 120; ++id) {
+    d.request(id);
+  }
+  const auto fast =
+      std::count_if(d.sends.begin(), d.sends.end(), [](auto& s) { return s.server % 2 == 0; });
   EXPECT_GT(fast, 80);
 }
 
-// Guards against a slow kind being crowded where an instance meets each of its servers once (incident
-// ic9b421).
+// Guards against a slow kind being crowded where an instance meets each of its servers once
+// (incident ic9b421).
 TEST(Lagging, ASlowAnswerSaysSomethingOfItsKind) {
   std::ptrdiff_t slow = 0;
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
@@ -80,15 +102,17 @@
       d.outcome(id, 0, Result::kOk);
     }
     const std::size_t before = d.sends.size();
-    for (RequestId id = 100; id < 140; ++id) d.request(id);
+    for (RequestId id = 100; id < 140; ++id) {
+      d.request(id);
+    }
     slow += std::count_if(d.sends.begin() + static_cast<std::ptrdiff_t>(before), d.sends.end(),
                           [](auto& s) { return s.server % 5 == 0; });
   }
   EXPECT_LT(slow, 20 * 5);  // an even share is 20 * 8
 }
 
-// Guards against a lone late answer, or a long tail, closing the limit of an instance that runs a call or
-// two.
+// Guards against a lone late answer, or a long tail, closing the limit of an instance that runs a
+// call or two.
 TEST(Limit, ALateAnswerNowAndThenHoldsNothingAtASmallInstance) {
   Driver d;
   d.servers(20);
@@ -119,7 +143,8 @@
   EXPECT_GT(d.sends.size(), 5u);   // but never all
 }
 
-// Guards against meeting each of many servers so seldom that a slow one is never told (incident id9112b).
+// Guards against meeting each of many servers so seldom that a slow one is never told (incident
+// id9112b).
 TEST(Lagging, ARareCallerUsesFewServersAndAFrequentOneAll) {
   std::size_t rare = 0, frequent = 0;
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
@@ -143,7 +168,8 @@
   EXPECT_GT(frequent, 20u * 55);
 }
 
-// Guards against instances that start together and crowd a few servers each, until a rate over five seconds has built up.
+// Guards against instances that start together and crowd a few servers each, until a rate over five
+// seconds has built up.
 TEST(Lagging, ANewInstanceSoonUsesAsManyServersAsItsRateTells) {
   Settings settings = basic_settings();
   settings.replicas = 1000;
@@ -154,7 +180,9 @@
     std::set<ServerId> sent;
     for (RequestId id = 0; id < 100; ++id) {
       d.request(id);
-      if (id >= 64) sent.insert(d.sends.back().server);  // from the second second on
+      if (id >= 64) {
+        sent.insert(d.sends.back().server);  // from the second second on
+      }
       d.pass(milliseconds(10));
       d.outcome(id, 0, Result::kOk);
       d.pass(milliseconds(6));
@@ -176,13 +204,14 @@
   for (int i = 0; i < 200; ++i) {
     const std::size_t seen = d.all.size();
     d.pass(milliseconds(100));
-    for (std::size_t k = seen; k < d.all.size(); ++k)
+    for (std::size_t k = seen; k < d.all.size(); ++k) {
       if (const auto* probe = std::get_if<Probe>(&d.all[k])) {
         ++probes;
         kinds.insert(probe->server / 10);
         d.give(ProbeResult{probe->server, Result::kOk, {1.5, 10.0}});
         d.request(1000 + k);  // each sees what the reports so far say
       }
+    }
   }
   EXPECT_GE(probes, 4u);
   EXPECT_EQ(kinds.size(), 2u);
@@ -196,8 +225,11 @@
     s.seed = seed;
     Driver d(s);
     d.servers(4);
-    for (int i = 0; i < 40; ++i)
-      for (ServerId id = 0; id < 4; ++id) d.give(ProbeResult{id, Result::kOk, {0.5, id == 3 ? 30.0 : 10.0}});
+    for (int i = 0; i < 40; ++i) {
+      for (ServerId id = 0; id < 4; ++id) {
+        d.give(ProbeResult{id, Result::kOk, {0.5, id == 3 ? 30.0 : 10.0}});
+      }
+    }
     d.request(1);
     ++sent[d.sends.at(0).server];
   }
@@ -218,13 +250,19 @@
     d.pass(milliseconds(500));
   }
   EXPECT_EQ(sent.size(), 12u);
-  for (const auto& [server, times] : sent) EXPECT_LE(times, 10) << server;
+  for (const auto& [server, times] : sent) {
+    EXPECT_LE(times, 10) << server;
+  }
 }
 
 // Fills two servers with calls, then has one of them turn calls away until C binds.
 void close_limit(Driver& d, RequestId from) {
-  for (RequestId id = from; id < from + 30; ++id) d.request(id, kRepeatable, 0);
-  for (RequestId id = from; id < from + 20; ++id) d.outcome(id, 0, Result::kFull, true);
+  for (RequestId id = from; id < from + 30; ++id) {
+    d.request(id, kRepeatable, 0);
+  }
+  for (RequestId id = from; id < from + 20; ++id) {
+    d.outcome(id, 0, Result::kFull, true);
+  }
 }
 
 TEST(Limit, FullAnswersBringItDownAndTheNextIsHeld) {
@@ -233,7 +271,9 @@
   close_limit(d, 0);
   d.pass(milliseconds(500));
   std::size_t sent = 0;
-  for (RequestId id = 100; id < 140; ++id) sent += count<Send>(d.request(id));
+  for (RequestId id = 100; id < 140; ++id) {
+    sent += count<Send>(d.request(id));
+  }
   EXPECT_LT(sent, 10u);
 }
 
@@ -241,10 +281,14 @@
   Driver d;
   d.servers(2);
   close_limit(d, 0);
-  for (RequestId id = 20; id < 30; ++id) d.outcome(id, 0, Result::kOk);
+  for (RequestId id = 20; id < 30; ++id) {
+    d.outcome(id, 0, Result::kOk);
+  }
   const auto burst = [&](RequestId from) {
     std::size_t sent = 0;
-    for (RequestId id = from; id < from + 40; ++id) sent += count<Send>(d.request(id));
+    for (RequestId id = from; id < from + 40; ++id) {
+      sent += count<Send>(d.request(id));
+    }
     return sent;
   };
   d.pass(milliseconds(2000));
@@ -252,12 +296,16 @@
   const std::size_t closed = burst(1000);
   for (RequestId next = 2000; next < 12000; next += 100) {  // prompt answers while C binds
     d.pass(milliseconds(50));
-    for (; n < d.sends.size(); ++n) d.outcome(d.sends[n].id, 0, Result::kOk);
+    for (; n < d.sends.size(); ++n) {
+      d.outcome(d.sends[n].id, 0, Result::kOk);
+    }
     burst(next);
   }
   std::size_t out = 0;
   d.pass(milliseconds(50));
-  for (; n < d.sends.size(); ++n, ++out) d.outcome(d.sends[n].id, 0, Result::kOk);
+  for (; n < d.sends.size(); ++n, ++out) {
+    d.outcome(d.sends[n].id, 0, Result::kOk);
+  }
   EXPECT_GT(out, closed);
 }
 
@@ -272,7 +320,9 @@
     d.outcome(id, 0, Result::kOk);
   }
   std::size_t sent = 0;
-  for (RequestId id = 100; id < 140; ++id) sent += count<Send>(d.request(id));
+  for (RequestId id = 100; id < 140; ++id) {
+    sent += count<Send>(d.request(id));
+  }
   EXPECT_EQ(sent, 40u);
 }
 
@@ -282,12 +332,18 @@
   RequestId id = 0;
   for (int round = 0; round < 30; ++round) {
     const RequestId from = id;
-    for (int i = 0; i < 8; ++i) d.request(id++);
+    for (int i = 0; i < 8; ++i) {
+      d.request(id++);
+    }
     d.pass(milliseconds(800));
-    for (RequestId k = from; k < id; ++k) d.outcome(k, 0, Result::kOk);
+    for (RequestId k = from; k < id; ++k) {
+      d.outcome(k, 0, Result::kOk);
+    }
   }
   std::size_t sent = 0;
-  for (int i = 0; i < 60; ++i) sent += count<Send>(d.request(id++));
+  for (int i = 0; i < 60; ++i) {
+    sent += count<Send>(d.request(id++));
+  }
   EXPECT_LT(sent, 30u);
 }
 
@@ -301,7 +357,9 @@
 
 TEST(Queueing, ANewcomerToAFullQueueIsRefused) {
   Driver d;
-  for (RequestId id = 0; id < 400; ++id) d.request(id, kRepeatable, 0);
+  for (RequestId id = 0; id < 400; ++id) {
+    d.request(id, kRepeatable, 0);
+  }
   EXPECT_GT(d.answers.size(), 0u);
   EXPECT_EQ(d.answers.count(0), 0u);
   EXPECT_EQ(d.answers.count(399), 1u);
@@ -311,11 +369,15 @@
   Settings s = basic_settings();
   s.tenants = {{0.5, 0}, {0.5, 0}};
   Driver d(s);
-  for (RequestId id = 0; id < 60; ++id) d.request(id, kRepeatable, 0);
+  for (RequestId id = 0; id < 60; ++id) {
+    d.request(id, kRepeatable, 0);
+  }
   d.request(1000, kRepeatable, 1);
   d.servers(2);  // C is open, so all go out, in the order of release
   std::size_t at = 0;
-  while (at < d.sends.size() && d.sends[at].id != 1000) ++at;
+  while (at < d.sends.size() && d.sends[at].id != 1000) {
+    ++at;
+  }
   EXPECT_LT(at, 5u);
 }
 
@@ -323,7 +385,9 @@
   Settings s = basic_settings();
   s.classes[kKeyed].worth = 5;
   Driver d(s);
-  for (RequestId id = 0; id < 10; ++id) d.request(id, kRepeatable);
+  for (RequestId id = 0; id < 10; ++id) {
+    d.request(id, kRepeatable);
+  }
   d.request(50, kKeyed);
   d.servers(1);
   ASSERT_FALSE(d.sends.empty());
@@ -335,14 +399,21 @@
   s.over_share_worth = 0.1;
   s.tenants = {{0.5, 1}, {0.5, 100}};
   Driver d(s);
-  for (RequestId id = 0; id < 20; ++id) d.request(id, kRepeatable, 0);
-  for (RequestId id = 20; id < 30; ++id) d.request(id, kRepeatable, 1);
+  for (RequestId id = 0; id < 20; ++id) {
+    d.request(id, kRepeatable, 0);
+  }
+  for (RequestId id = 20; id < 30; ++id) {
+    d.request(id, kRepeatable, 1);
+  }
   d.servers(1);
   ASSERT_EQ(d.sends.size(), 30u);
-  for (std::size_t i = 16; i < 30; ++i) EXPECT_LT(d.sends[i].id, 20u) << i;
+  for (std::size_t i = 16; i < 30; ++i) {
+    EXPECT_LT(d.sends[i].id, 20u) << i;
+  }
 }
 
-// Guards against chance marking honest traffic where an instance gets a fraction of a request a second.
+// Guards against chance marking honest traffic where an instance gets a fraction of a request a
+// second.
 TEST(Queueing, FewRequestsOfATenantAreWithinItsShareAtOneOfManyInstances) {
   Settings s = basic_settings();
   s.over_share_worth = 0.1;
@@ -385,7 +456,9 @@
     d.outcome(id, 0, id * 7 % 11 < 5 ? Result::kError : Result::kOk);
   }
   EXPECT_EQ(per.size(), 6u);
-  for (const auto& [server, n] : per) EXPECT_GT(n, 20) << server;
+  for (const auto& [server, n] : per) {
+    EXPECT_GT(n, 20) << server;
+  }
 }
 
 // A third of a last tier fails fast: incident ib44446.
@@ -420,10 +493,13 @@
     d.pass(milliseconds(20));
     d.outcome(id, 0, id % 9 == 4 ? Result::kError : Result::kOk);
   }
-  for (const auto& [server, n] : per) EXPECT_NEAR(n, 100, 25) << server;
+  for (const auto& [server, n] : per) {
+    EXPECT_NEAR(n, 100, 25) << server;
+  }
 }
 
-// Guards against half of the servers failing one class and, all else sent away too, the others jamming.
+// Guards against half of the servers failing one class and, all else sent away too, the others
+// jamming.
 TEST(Failing, OneClassDoesNotCostAServerTheOthers) {
   Driver d;
   d.servers(6);
@@ -433,7 +509,9 @@
     d.request(id, c);
     const Send send = d.sends.back();
     const bool fails = c == kOnce && send.server < 3 && id > 100;
-    if (id > 200) (c == kOnce ? failing : others) += send.server < 3;
+    if (id > 200) {
+      (c == kOnce ? failing : others) += send.server < 3;
+    }
     d.pass(milliseconds(10));
     d.outcome(id, 0, fails ? Result::kError : Result::kOk);
   }
@@ -497,7 +575,9 @@
     d.pass(milliseconds(id < 50 ? 20 : 120));
     d.outcome(id, 0, Result::kOk);
   }
-  for (const auto& [server, n] : per) EXPECT_NEAR(n, 50, 8) << server;
+  for (const auto& [server, n] : per) {
+    EXPECT_NEAR(n, 50, 8) << server;
+  }
 }
 
 // ---- Discovery
@@ -560,21 +640,24 @@
   }
 }
 
-// A client whose call is given up is told at once, and told when to come back, within what clients honour; those who are
-// turned away together are told different times.
+// A client whose call is given up is told at once, and told when to come back, within what clients
+// honour; those who are turned away together are told different times.
 TEST(Refusals, AdviseWhenToComeBack) {
   Settings s = basic_settings();
   s.max_retry_after = milliseconds(1500);
   Driver d(s);
-  for (RequestId id = 0; id < 40; ++id) d.request(id);
+  for (RequestId id = 0; id < 40; ++id) {
+    d.request(id);
+  }
   d.pass(milliseconds(4000));  // no server ever comes
   ASSERT_EQ(count<Refuse>(d.all), 40u);
   Duration least = Duration::max(), most{0};
-  for (const auto& a : d.all)
+  for (const auto& a : d.all) {
     if (const auto* refuse = std::get_if<Refuse>(&a)) {
       least = std::min(least, refuse->retry_after);
       most = std::max(most, refuse->retry_after);
     }
+  }
   EXPECT_GT(least, milliseconds(0));
   EXPECT_GT(most, 2 * least);
   EXPECT_LE(most, s.max_retry_after);
@@ -586,7 +669,9 @@
   for (int i = 0; i < n; ++i) {
     const std::size_t before = d.sends.size();
     d.request(from + i);
-    for (std::size_t k = before; k < d.sends.size(); ++k) got += d.sends[k].server == server;
+    for (std::size_t k = before; k < d.sends.size(); ++k) {
+      got += d.sends[k].server == server;
+    }
     d.pass(milliseconds(10));
     d.outcome(from + i, 0, Result::kOk);
   }
@@ -604,7 +689,8 @@
   EXPECT_EQ(share_of(d, 1, 200, 60), 0u);
 }
 
-// Back from a ban it may have been started anew, and the list may tell that late: it is spared, yet soon in use.
+// Back from a ban it may have been started anew, and the list may tell that late: it is spared, yet
+// soon in use.
 TEST(Barred, ComesBackColdUnlessItsStartIsTold) {
   for (const bool told : {false, true}) {
     Driver d;
@@ -613,7 +699,9 @@
     d.give(Barred{1, true});
     const Time restarted = d.now + milliseconds(100);
     share_of(d, 1, 1000, 900);  // 9 s, most of the cold span
-    if (told) d.change({1, ServerState::kUp, 0, 0, restarted});
+    if (told) {
+      d.change({1, ServerState::kUp, 0, 0, restarted});
+    }
     d.give(Barred{1, false});
     const std::size_t got = share_of(d, 1, 5000, 200);
     EXPECT_GE(got, 2u);
@@ -644,18 +732,24 @@
   settings.cold_span = Duration{0};
   Driver d(settings);
   d.servers(4);
-  for (RequestId id = 0; id < 40; ++id) d.request(id, kOnce);
+  for (RequestId id = 0; id < 40; ++id) {
+    d.request(id, kOnce);
+  }
   d.change({0, ServerState::kUp, 0, 0, d.now});
-  for (const Send& s : std::vector<Send>(d.sends))
+  for (const Send& s : std::vector<Send>(d.sends)) {
     d.outcome(s.id, 0, s.server == 0 ? Result::kReset : Result::kOk);
+  }
   EXPECT_GT(share_of(d, 0, 100, 100), 12u);  // an even share is 25
 }
 
-// Guards against a fleet that came as changes being met as one server, until the next time that all are summed.
+// Guards against a fleet that came as changes being met as one server, until the next time that all
+// are summed.
 TEST(Lists, AFleetThatComesAsChangesIsUsedAtOnce) {
   Driver d;
   Discovery changes{ListKind::kChanges, {}};
-  for (ServerId i = 0; i < 100; ++i) changes.entries.push_back({i, ServerState::kUp, 0, 0, {}});
+  for (ServerId i = 0; i < 100; ++i) {
+    changes.entries.push_back({i, ServerState::kUp, 0, 0, {}});
+  }
   d.give(changes);
   std::set<ServerId> met;
   for (RequestId id = 0; id < 8; ++id) {
@@ -667,28 +761,38 @@
 
 // ---- An empty balancer in mid-trouble
 
-// Guards against a C that, having learned of cold servers only, stays closed for minutes after they are warm.
+// Guards against a C that, having learned of cold servers only, stays closed for minutes after they
+// are warm.
 TEST(Limit, KeepsRoomForCallsOverAColdFleet) {
   Driver d;
   Discovery list{ListKind::kFull, {}};
-  for (ServerId i = 0; i < 4; ++i) list.entries.push_back({i, ServerState::kUp, 0, 0, d.now});
+  for (ServerId i = 0; i < 4; ++i) {
+    list.entries.push_back({i, ServerState::kUp, 0, 0, d.now});
+  }
   d.give(list);
   for (RequestId id = 0; id < 400; ++id) {
     const std::size_t before = d.sends.size();
     d.request(id);
     d.pass(milliseconds(50));
-    if (d.sends.size() > before) d.outcome(d.sends.back().id, 0, Result::kTimeout, true);
+    if (d.sends.size() > before) {
+      d.outcome(d.sends.back().id, 0, Result::kTimeout, true);
+    }
   }
   std::size_t sent = 0;
-  for (RequestId id = 1000; id < 1010; ++id) sent += count<Send>(d.request(id));
+  for (RequestId id = 1000; id < 1010; ++id) {
+    sent += count<Send>(d.request(id));
+  }
   EXPECT_GE(sent, 5u);  // of ten: four widths a server are kept
 }
 
-// Guards against a C that is full of calls to which no answer will come (a zone is cut off, answers get lost) for as long
-// as their deadlines are off, while the servers stand idle (the second variant's split+mass: 0.25 served of 0.96).
+// Guards against a C that is full of calls to which no answer will come (a zone is cut off, answers
+// get lost) for as long as their deadlines are off, while the servers stand idle (the second
+// variant's split+mass: 0.25 served of 0.96).
 TEST(Limit, GivesUpCallsThatNobodyAnswers) {
   Settings s = basic_settings();
-  for (ClassSettings& c : s.classes) c.deadline = std::chrono::seconds(40), c.aim = std::chrono::seconds(4);
+  for (ClassSettings& c : s.classes) {
+    c.deadline = std::chrono::seconds(40), c.aim = std::chrono::seconds(4);
+  }
   Driver d(s);
   d.servers(4);
   RequestId id = 0;
@@ -699,7 +803,9 @@
   };
   const auto play = [&](int n, Result result) {
     for (int i = 0; i < n; ++i) {
-      if (!ask()) continue;
+      if (!ask()) {
+        continue;
+      }
       d.pass(milliseconds(100));
       d.outcome(id, 0, result, true);
     }
@@ -707,33 +813,47 @@
   play(50, Result::kOk);
   play(1, Result::kTimeout);  // C binds from here on
   int out = 0;
-  while (ask()) ++out;
+  while (ask()) {
+    ++out;
+  }
   ASSERT_LT(out, 200);
   d.pass(milliseconds(1500));  // none of them is answered, and the rest is held for 2 s at the most
   const std::size_t before = d.sends.size();
-  for (int i = 0; i < out; ++i) ask();
+  for (int i = 0; i < out; ++i) {
+    ask();
+  }
   EXPECT_GE(d.sends.size(), before + static_cast<std::size_t>(out) / 2);
-  for (RequestId late = 52; late < 52 + static_cast<RequestId>(out); ++late) d.outcome(late, 0, Result::kOk);
+  for (RequestId late = 52; late < 52 + static_cast<RequestId>(out); ++late) {
+    d.outcome(late, 0, Result::kOk);
+  }
   EXPECT_FALSE(d.sends.empty());  // late answers count once: C still binds
   int more = 0;
-  while (ask()) ASSERT_LT(++more, 1000);
+  while (ask()) {
+    ASSERT_LT(++more, 1000);
+  }
 }
 
 // No report, however absurd, takes the weight of its server out of bounds.
 TEST(Ordinary, AbsurdReportsLeaveEachServerItsPart) {
-  constexpr double kNaN = std::numeric_limits<double>::quiet_NaN(), kEndless = std::numeric_limits<double>::infinity();
-  for (const LoadReport& absurd : {LoadReport{kNaN, 10.0}, LoadReport{0.5, kNaN}, LoadReport{0.5, kEndless},
-                                   LoadReport{-1.0, 10.0}, LoadReport{0.5, 1e300}}) {
+  constexpr double kNaN = std::numeric_limits<double>::quiet_NaN(),
+                   kEndless = std::numeric_limits<double>::infinity();
+  for (const LoadReport& absurd :
+       {LoadReport{kNaN, 10.0}, LoadReport{0.5, kNaN}, LoadReport{0.5, kEndless},
+        LoadReport{-1.0, 10.0}, LoadReport{0.5, 1e300}}) {
     Driver d;
     d.servers(4);
-    for (ServerId id = 0; id < 4; ++id) d.give(ProbeResult{id, Result::kOk, {0.5, 10.0}});
+    for (ServerId id = 0; id < 4; ++id) {
+      d.give(ProbeResult{id, Result::kOk, {0.5, 10.0}});
+    }
     d.give(ProbeResult{0, Result::kOk, absurd});
     std::map<ServerId, int> per;
     for (RequestId id = 0; id < 100; ++id) {
       d.request(id);
       ++per[d.sends.back().server];
     }
-    for (ServerId id = 0; id < 4; ++id) EXPECT_GT(per[id], 10) << id;
+    for (ServerId id = 0; id < 4; ++id) {
+      EXPECT_GT(per[id], 10) << id;
+    }
   }
 }
 
@@ -744,7 +864,9 @@
   std::size_t sent = 0;
   for (RequestId id = 1; id <= 10; ++id, d.pass(milliseconds(500))) {
     d.request(id);
-    if (d.sends.size() > sent) d.outcome(d.sends.back().id, 0, Result::kOk);
+    if (d.sends.size() > sent) {
+      d.outcome(d.sends.back().id, 0, Result::kOk);
+    }
     sent = d.sends.size();
   }
   EXPECT_GE(sent, 3u);
@@ -758,11 +880,14 @@
   return s;
 }
 
-// Calls that come at intervals of 20 ms and take 200 ms; what of them crosses where the own zone reports `used`.
+// Calls that come at intervals of 20 ms and take 200 ms; what of them crosses where the own zone
+// reports `used`.
 double crossing_share(double used) {
   Driver d(priced_zones());
   Discovery list{ListKind::kFull, {}};
-  for (ServerId id = 0; id < 8; ++id) list.entries.push_back({id, ServerState::kUp, id % 2, id % 2, {}});
+  for (ServerId id = 0; id < 8; ++id) {
+    list.entries.push_back({id, ServerState::kUp, id % 2, id % 2, {}});
+  }
   d.give(list);
   std::size_t done = 0, crossed = 0;
   for (RequestId id = 1; id <= 600; ++id, d.pass(milliseconds(20))) {
@@ -773,7 +898,9 @@
       d.give(Outcome{s.id, 0, Result::kOk, true, {busy, 10 * busy}});
     }
   }
-  for (const Send& s : d.sends) crossed += s.id > 200 && s.server % 2 == 1;
+  for (const Send& s : d.sends) {
+    crossed += s.id > 200 && s.server % 2 == 1;
+  }
   return static_cast<double>(crossed) / 400;
 }
 
@@ -804,7 +931,9 @@
     d.outcome(late, 0, Result::kOk);
   }
   const std::size_t before = d.sends.size();
-  while (d.request(++id).size() > 0 && id < 100) continue;
+  while (d.request(++id).size() > 0 && id < 100) {
+    continue;
+  }
   EXPECT_GT(d.sends.size() - before, 3u);
   EXPECT_TRUE(std::any_of(d.sends.begin(), d.sends.end(), [](auto& s) { return s.server == 1; }));
 }
--- a/tests/bodies_test.cpp
+++ b/tests/bodies_test.cpp
@@ -9,31 +9,40 @@
 
 namespace {
 
-
 std::string pattern(std::size_t size, const std::string& id) {
   std::string bytes = id + " ";
-  while (bytes.size() < size) bytes += std::to_string(bytes.size()) + ",";
+  while (bytes.size() < size) {
+    bytes += std::to_string(bytes.size()) + ",";
+  }
   bytes.resize(size);
   return bytes;
 }
 
 std::string post_head(const std::string& id, const std::string& framing) {
-  return "POST /ajuste HTTP/1.1\r\nX-Trace-Id: " + id + "\r\nIdempotency-Key: k" + id + "\r\n" + framing + "\r\n";
+  return "POST /ajuste HTTP/1.1\r\nX-Trace-Id: " + id + "\r\nIdempotency-Key: k" + id + "\r\n" +
+         framing + "\r\n";
+}
+std::string length(std::size_t n) {
+  return "Content-Length: " + std::to_string(n) + "\r\n";
 }
-std::string length(std::size_t n) { return "Content-Length: " + std::to_string(n) + "\r\n"; }
 const std::string kChunked = "Transfer-Encoding: chunked\r\n";
 std::string chunked(const std::string& bytes) {
   std::string out;
-  for (std::size_t at = 0; at < bytes.size(); at += 30'000) out += http::write_chunk(bytes.substr(at, 30'000));
+  for (std::size_t at = 0; at < bytes.size(); at += 30'000) {
+    out += http::write_chunk(bytes.substr(at, 30'000));
+  }
   return out + http::write_chunk({});
 }
 
-// Sends from a thread of its own, as either side may hold the other back. Stops where the other side has gone.
+// Sends from a thread of its own, as either side may hold the other back. Stops where the other
+// side has gone.
 std::thread sender(const Wire& wire, std::string bytes) {
   return std::thread([fd = wire.fd(), bytes = std::move(bytes)] {
     for (std::size_t at = 0; at < bytes.size();) {
       const ssize_t n = ::send(fd, bytes.data() + at, bytes.size() - at, MSG_NOSIGNAL);
-      if (n <= 0) return;
+      if (n <= 0) {
+        return;
+      }
       at += static_cast<std::size_t>(n);
     }
   });
@@ -49,11 +58,21 @@
   std::string body;
   http::Progress progress = http::Progress::kMore;
   for (bool open = true; progress == http::Progress::kMore;) {
-    if (!parser.head_done()) progress = parser.feed_head(wire.buffer);
-    if (parser.head_done()) progress = parser.feed_body(wire.buffer, body);
-    if (progress != http::Progress::kMore) break;
-    if (!open) progress = parser.end();
-    if (open) open = wire.fill();
+    if (!parser.head_done()) {
+      progress = parser.feed_head(wire.buffer);
+    }
+    if (parser.head_done()) {
+      progress = parser.feed_body(wire.buffer, body);
+    }
+    if (progress != http::Progress::kMore) {
+      break;
+    }
+    if (!open) {
+      progress = parser.end();
+    }
+    if (open) {
+      open = wire.fill();
+    }
   }
   got.whole = progress == http::Progress::kDone;
   got.message = parser.message();
@@ -75,20 +94,27 @@
       Wire server = backend.accept();
       const Got request = read_large(server, http::Parser::Kind::kRequest);
       sending.join();
-      assert(request.whole && request.message.body == up && *request.message.headers.find("X-Trace-Id") == id);
+      assert(request.whole && request.message.body == up &&
+             *request.message.headers.find("X-Trace-Id") == id);
       const std::string head = "HTTP/1.1 200 OK\r\nConnection: close\r\n";
-      std::thread answering = sender(server, framing == 0   ? head + length(down.size()) + "\r\n" + down
-                                             : framing == 1 ? head + kChunked + "\r\n" + chunked(down)
-                                                            : head + "\r\n" + down);
-      if (framing == 2) answering.join(), ::shutdown(server.fd(), SHUT_WR);  // its end is the body's
+      std::thread answering =
+          sender(server, framing == 0   ? head + length(down.size()) + "\r\n" + down
+                         : framing == 1 ? head + kChunked + "\r\n" + chunked(down)
+                                        : head + "\r\n" + down);
+      if (framing == 2) {
+        answering.join(), ::shutdown(server.fd(), SHUT_WR);  // its end is the body's
+      }
       const Got answer = read_large(client, http::Parser::Kind::kResponse);
       assert(answer.whole && answer.message.status == 200 && answer.message.body == down);
-      if (answering.joinable()) answering.join();
+      if (answering.joinable()) {
+        answering.join();
+      }
     }
   }
 }
 
-// Who writes slowly is waited for, beyond what a head may take; who stops is told so. 100-continue is honoured.
+// Who writes slowly is waited for, beyond what a head may take; who stops is told so. 100-continue
+// is honoured.
 void takes_its_time_and_no_more() {
   const Door backend;
   const Proxy proxy(one_host(backend));
@@ -98,33 +124,45 @@
   other.send(post_head("s3", length(4) + "Expect: 200-ok\r\n"));
   expect_status(other, 400);
   slow.send(post_head("s1", length(body.size()) + "Expect: 100-continue\r\n"));
-  while (slow.buffer.find("\r\n\r\n") == std::string::npos) assert(slow.fill());
+  while (slow.buffer.find("\r\n\r\n") == std::string::npos) {
+    assert(slow.fill());
+  }
   assert(slow.buffer == "HTTP/1.1 100 Continue\r\n\r\n");
   slow.buffer.clear();
   std::thread writing([&] {
-    for (std::size_t at = 0; at < body.size(); at += 6'000) slow.send(body.substr(at, 6'000)), ::usleep(100'000);
+    for (std::size_t at = 0; at < body.size(); at += 6'000) {
+      slow.send(body.substr(at, 6'000)), ::usleep(100'000);
+    }
   });
   int whole = 0;
   const auto play = [&](Wire server) {
     const Got got = read_large(server, http::Parser::Kind::kRequest);
-    if (!got.whole) return;
+    if (!got.whole) {
+      return;
+    }
     assert(got.message.body == body && ++whole == 1);
     server.reply(200, "", "s1");
   };
   std::thread one(play, backend.accept()), two(play, backend.accept());
   assert(slow.answer().body == "s1");
-  for (std::thread* thread : {&writing, &one, &two}) thread->join();
+  for (std::thread* thread : {&writing, &one, &two}) {
+    thread->join();
+  }
   expect_status(stopped, 408);
 }
 
 long peak_kb(pid_t pid) {
   std::ifstream status("/proc/" + std::to_string(pid) + "/status");
-  for (std::string line; std::getline(status, line);)
-    if (line.starts_with("VmHWM:")) return std::atol(line.c_str() + 6);
+  for (std::string line; std::getline(status, line);) {
+    if (line.starts_with("VmHWM:")) {
+      return std::atol(line.c_str() + 6);
+    }
+  }
   return -1;
 }
 
-// Many large answers at once to clients that do not read: what is on its way is bounded, whatever its size.
+// Many large answers at once to clients that do not read: what is on its way is bounded, whatever
+// its size.
 void holds_slow_readers_back() {
   constexpr int kClients = 24;
   constexpr std::size_t kSize = 8'000'000;
@@ -140,11 +178,16 @@
     clients.back().send(Proxy::get("m" + std::to_string(n)));
     servers.push_back(backend.accept());
     servers.back().request();
-    answering.push_back(sender(servers.back(), "HTTP/1.1 200 OK\r\n" + length(kSize) + "\r\n" + down));
+    answering.push_back(
+        sender(servers.back(), "HTTP/1.1 200 OK\r\n" + length(kSize) + "\r\n" + down));
   }
   ::usleep(1'000'000);  // as much is under way as will be
-  for (Wire& client : clients) assert(read_large(client, http::Parser::Kind::kResponse).message.body == down);
-  for (std::thread& thread : answering) thread.join();
+  for (Wire& client : clients) {
+    assert(read_large(client, http::Parser::Kind::kResponse).message.body == down);
+  }
+  for (std::thread& thread : answering) {
+    thread.join();
+  }
   assert(peak_kb(proxy.pid()) - before < 64 * 1024);  // of 192 MB that passed
 }
 
@@ -159,12 +202,14 @@
       Wire server = backend.accept();
       server.request();
       const std::string part = pattern(150'000, "c");
-      server.send("HTTP/1.1 200 OK\r\n" + (stated ? length(500'000) + "\r\n" + part : kChunked + "\r\n" + http::write_chunk(part)));
+      server.send("HTTP/1.1 200 OK\r\n" + (stated ? length(500'000) + "\r\n" + part
+                                                  : kChunked + "\r\n" + http::write_chunk(part)));
     }
     const Got got = read_large(client, http::Parser::Kind::kResponse);
     assert(!got.whole && got.message.status == 200 && got.message.body.size() <= 150'000);
   }
-  assert(proxy.call("GET", "/api/telemetry").body.find("\"failed\":{\"ajuste\":0,\"ver\":2}") != std::string::npos);
+  assert(proxy.call("GET", "/api/telemetry").body.find("\"failed\":{\"ajuste\":0,\"ver\":2}") !=
+         std::string::npos);
 }
 
 // A client that leaves amid a large body or answer takes its attempt with it.
@@ -181,7 +226,8 @@
   client->send(Proxy::get("l2"));
   Wire down = backend.accept();
   down.request();
-  std::thread answering = sender(down, "HTTP/1.1 200 OK\r\n" + length(30'000'000) + "\r\n" + std::string(30'000'000, 'x'));
+  std::thread answering = sender(
+      down, "HTTP/1.1 200 OK\r\n" + length(30'000'000) + "\r\n" + std::string(30'000'000, 'x'));
   assert(client->fill());
   client.reset();
   answering.join();  // it could not write all of it, or could and was closed on
@@ -189,17 +235,20 @@
   assert(proxy.call("GET", "/api/telemetry").body.find("\"pending\":0") != std::string::npos);
 }
 
-// What has gone out in part is not kept: it goes to no other backend, and its client hears that nothing has run.
+// What has gone out in part is not kept: it goes to no other backend, and its client hears that
+// nothing has run.
 void sends_no_part_twice() {
   const Door first, second;
-  Proxy proxy("[" + host_json("s-1", first.address()) + "," + host_json("s-2", second.address()) + "]");
+  Proxy proxy("[" + host_json("s-1", first.address()) + "," + host_json("s-2", second.address()) +
+              "]");
   Wire client = proxy.client();
   client.send(post_head("p1", length(5'000'000)) + std::string(200'000, 'x'));
-  while (!first.pending(5ms) && !second.pending(5ms)) {
-  }
+  while (!first.pending(5ms) && !second.pending(5ms)) {}
   {
     Wire server = (first.pending(0ms) ? first : second).accept();
-    while (server.buffer.size() < 150'000) assert(server.fill());
+    while (server.buffer.size() < 150'000) {
+      assert(server.fill());
+    }
   }  // breaks before the last byte: it has not run
   const http::Message answer = client.answer();
   assert(answer.status == 503 && answer.headers.find("Retry-After") && !answer.keep_alive());
@@ -209,12 +258,13 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  return run_named(argc, argv, {
-    {"passes_large_bodies", passes_large_bodies},
-    {"takes_its_time_and_no_more", takes_its_time_and_no_more},
-    {"holds_slow_readers_back", holds_slow_readers_back},
-    {"shows_a_cut_answer", shows_a_cut_answer},
-    {"ends_with_its_client", ends_with_its_client},
-    {"sends_no_part_twice", sends_no_part_twice},
-  });
+  return run_named(argc, argv,
+                   {
+                       {"passes_large_bodies", passes_large_bodies},
+                       {"takes_its_time_and_no_more", takes_its_time_and_no_more},
+                       {"holds_slow_readers_back", holds_slow_readers_back},
+                       {"shows_a_cut_answer", shows_a_cut_answer},
+                       {"ends_with_its_client", ends_with_its_client},
+                       {"sends_no_part_twice", sends_no_part_twice},
+                   });
 }
--- a/tests/command_test.cpp
+++ b/tests/command_test.cpp
@@ -22,7 +22,9 @@
   assert(pipe);
   Ran ran;
   char chunk[512];
-  while (const std::size_t n = std::fread(chunk, 1, sizeof chunk, pipe)) ran.said.append(chunk, n);
+  while (const std::size_t n = std::fread(chunk, 1, sizeof chunk, pipe)) {
+    ran.said.append(chunk, n);
+  }
   const int status = ::pclose(pipe);
   ran.code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   return ran;
@@ -48,34 +50,53 @@
   using log::Field;
   using log::Format;
   using log::Level;
-  const auto at = std::chrono::system_clock::time_point(std::chrono::milliseconds(1'700'000'000'123));
+  const auto at =
+      std::chrono::system_clock::time_point(std::chrono::milliseconds(1'700'000'000'123));
   const struct {
     Format format;
     Level level;
     std::vector<Field> fields;
     std::string line;
   } cases[] = {
-      {Format::kLogfmt, Level::kInfo, {{"side", std::string_view("front")}, {"operations", std::uint64_t{24}}},
+      {Format::kLogfmt,
+       Level::kInfo,
+       {{"side", std::string_view("front")}, {"operations", std::uint64_t{24}}},
        "end side=front operations=24"},
-      {Format::kLogfmt, Level::kWarning, {{"fault", std::string_view("a \"b\"\nend side=front")}},
+      {Format::kLogfmt,
+       Level::kWarning,
+       {{"fault", std::string_view("a \"b\"\nend side=front")}},
        R"(end level=warning fault="a \"b\"\nend side=front")"},
-      {Format::kLogfmt, Level::kInfo, {{"empty", std::string_view("")}, {"sum", std::string_view("a=b")}},
+      {Format::kLogfmt,
+       Level::kInfo,
+       {{"empty", std::string_view("")}, {"sum", std::string_view("a=b")}},
        R"(end empty="" sum="a=b")"},
-      {Format::kLogfmt, Level::kInfo, {{"nul", std::string_view("a\0b", 3)}}, R"(end nul="a\u0000b")"},
-      {Format::kJson, Level::kInfo,
-       {{"ok", true}, {"n", std::int64_t{-3}}, {"x", 0.5}, {"bad", 1 / std::strtod("0", nullptr)}, {"t", std::string_view("a\"")}},
+      {Format::kLogfmt,
+       Level::kInfo,
+       {{"nul", std::string_view("a\0b", 3)}},
+       R"(end nul="a\u0000b")"},
+      {Format::kJson,
+       Level::kInfo,
+       {{"ok", true},
+        {"n", std::int64_t{-3}},
+        {"x", 0.5},
+        {"bad", 1 / std::strtod("0", nullptr)},
+        {"t", std::string_view("a\"")}},
        R"({"level":"info","event":"end","ok":true,"n":-3,"x":0.5,"bad":null,"t":"a\""})"},
   };
   for (const auto& c : cases) {
-    const std::string line = log::line_of(c.format, c.level, "end", c.fields.data(), c.fields.size(), nullptr);
-    if (line != c.line) std::fprintf(stderr, "%s\n%s\n", line.c_str(), c.line.c_str());
+    const std::string line =
+        log::line_of(c.format, c.level, "end", c.fields.data(), c.fields.size(), nullptr);
+    if (line != c.line) {
+      std::fprintf(stderr, "%s\n%s\n", line.c_str(), c.line.c_str());
+    }
     assert(line == c.line);
   }
-  assert(log::line_of(Format::kLogfmt, Level::kInfo, "x", nullptr, 0, &at) == "2023-11-14T22:13:20.123Z x");
+  assert(log::line_of(Format::kLogfmt, Level::kInfo, "x", nullptr, 0, &at) ==
+         "2023-11-14T22:13:20.123Z x");
 }
 
-// A reader of standard output that stalls for good neither stops the program nor its end, and whoever reads on is
-// told how much is missing.
+// A reader of standard output that stalls for good neither stops the program nor its end, and
+// whoever reads on is told how much is missing.
 void never_blocks() {
   int out[2];
   assert(::pipe(out) == 0);
@@ -87,7 +108,9 @@
     settings.queue = 64;
     log::start(settings);
     const std::string padding(100, 'x');
-    for (int i = 0; i < 20'000; ++i) log::info("line", {{"number", std::int64_t{i}}, {"padding", std::string_view(padding)}});
+    for (int i = 0; i < 20'000; ++i) {
+      log::info("line", {{"number", std::int64_t{i}}, {"padding", std::string_view(padding)}});
+    }
     assert(log::dropped() > 10'000);  // a pipe holds 64 KiB
     log::finish(50ms);                // and ends, though nobody has read yet
     ::raise(SIGSTOP);
@@ -98,12 +121,16 @@
   ::close(out[1]);
   int status = 0;
   const auto end = Clock::now() + kPatience;
-  while (::waitpid(pid, &status, WUNTRACED | WNOHANG) == 0) assert(Clock::now() < end), ::usleep(2000);
+  while (::waitpid(pid, &status, WUNTRACED | WNOHANG) == 0) {
+    assert(Clock::now() < end), ::usleep(2000);
+  }
   assert(WIFSTOPPED(status));
   ::kill(pid, SIGCONT);
   std::string read;
   char chunk[4096];
-  for (ssize_t n = 0; (n = ::read(out[0], chunk, sizeof chunk)) > 0;) read.append(chunk, static_cast<std::size_t>(n));
+  for (ssize_t n = 0; (n = ::read(out[0], chunk, sizeof chunk)) > 0;) {
+    read.append(chunk, static_cast<std::size_t>(n));
+  }
   ::waitpid(pid, &status, 0);
   assert(WIFEXITED(status) && WEXITSTATUS(status) == 0);
   assert(read.ends_with("last\n"));
@@ -121,27 +148,34 @@
   assert(lines + lost == 20'001);
 }
 
-// What is wrong with an operator file is named with file, line and key; its example is good and says the defaults.
+// What is wrong with an operator file is named with file, line and key; its example is good and
+// says the defaults.
 void operator_files() {
   const struct {
     const char *text, *said;
-  } cases[] = {{"[log]\nlevel = \"loud\"", "op:2: log.level: not one of debug, info, warning, error, off"},
-               {"[log]\nlevel = 3", "op:2: log.level: not one of"},
-               {"[log]\nqueue = 4", "op:2: log.queue: not from 16 to 65536"},
-               {"[log]\ntime = 1", "op:2: log.time: not true or false"},
-               {"\n[log]\nlevle = \"info\"", "op:3: log.levle: unknown key"},
-               {"[logs]", "op:1: logs: unknown key"},
-               {"log = 3", "op:1: log: not a table"},
-               {"[log", "op:1: "}};
+  } cases[] = {
+      {"[log]\nlevel = \"loud\"", "op:2: log.level: not one of debug, info, warning, error, off"},
+      {"[log]\nlevel = 3", "op:2: log.level: not one of"},
+      {"[log]\nqueue = 4", "op:2: log.queue: not from 16 to 65536"},
+      {"[log]\ntime = 1", "op:2: log.time: not true or false"},
+      {"\n[log]\nlevle = \"info\"", "op:3: log.levle: unknown key"},
+      {"[logs]", "op:1: logs: unknown key"},
+      {"log = 3", "op:1: log: not a table"},
+      {"[log", "op:1: "}};
   for (const auto& c : cases) {
     std::string what;
     try {
       config::read_operator(config::parse_toml(c.text, "op"), "op");
-    } catch (const config::TomlFault& fault) { what = fault.what(); }
-    if (!what.starts_with(c.said)) std::fprintf(stderr, "%s: %s\n", c.text, what.c_str());
+    } catch (const config::TomlFault& fault) {
+      what = fault.what();
+    }
+    if (!what.starts_with(c.said)) {
+      std::fprintf(stderr, "%s: %s\n", c.text, what.c_str());
+    }
     assert(what.starts_with(c.said));
   }
-  const config::OperatorSettings example = config::load_operator(OPERATOR_EXAMPLE), usual = config::load_operator("");
+  const config::OperatorSettings example = config::load_operator(OPERATOR_EXAMPLE),
+                                 usual = config::load_operator("");
   assert(example.log.level == usual.log.level && example.log.format == usual.log.format);
   assert(example.log.time == usual.log.time && example.log.queue == usual.log.queue);
 }
@@ -173,8 +207,9 @@
   ::unsetenv("BEECHHILL_OPERATOR");
   for (const auto& c : cases) {
     const Ran ran = run(c.arguments);
-    if (ran.code != c.code || ran.said.find(c.said) == std::string::npos)
+    if (ran.code != c.code || ran.said.find(c.said) == std::string::npos) {
       std::fprintf(stderr, "%s: %d: %s\n", c.arguments.c_str(), ran.code, ran.said.c_str());
+    }
     assert(ran.code == c.code && ran.said.find(c.said) != std::string::npos);
   }
 }
