--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -1,4 +1,5 @@
-// Two events that meet, forced by order: what docs/design/crossings.md says of each. Run with a test's name.
+// Two events that meet, forced by order: what docs/design/crossings.md says of each. Run with a
+// test's name.
 #include "proxy/decision_actor.h"
 #include "proxy/peer_actor.h"
 #include "proxy_test.h"
@@ -8,11 +9,12 @@
 
 namespace {
 
-
 // ---- In one process: the actors, on a scheduler that the test stops
 
 class Words : public proxy::Payload {
-  std::string encode(const std::string& host, Duration) const override { return http::write_request("GET", "/ver", host, "", ""); }
+  std::string encode(const std::string& host, Duration) const override {
+    return http::write_request("GET", "/ver", host, "", "");
+  }
   std::string_view id() const override { return "a1"; }
 };
 
@@ -46,7 +48,8 @@
     const Time now = proxy::now();
     return {1, 0, now + 3s, now + 3s, {}, std::make_shared<Words>(), std::move(request)};
   }
-  // Runs until the attempt's outcome is told; `meanwhile`, if any, comes once it waits for its connection.
+  // Runs until the attempt's outcome is told; `meanwhile`, if any, comes once it waits for its
+  // connection.
   Result outcome(const std::function<void()>& meanwhile = {}) {
     const auto run = [&]() -> runtime::Task<> {
       if (meanwhile) {
@@ -69,17 +72,24 @@
   }
 };
 
-// An attempt that waits in a peer's mailbox, or for its connection, when the backend's drain is told leaves no byte there,
-// and is told as one that never ran. Of the grace nothing is used: discovery's agent may have had the word for all of it.
+// An attempt that waits in a peer's mailbox, or for its connection, when the backend's drain is
+// told leaves no byte there, and is told as one that never ran. Of the grace nothing is used:
+// discovery's agent may have had the word for all of it.
 void stops_attempts_of_a_draining_backend() {
   for (const bool connecting : {false, true}) {
     OnePeer one;
     one.settings.drain_grace = 2s;
     assert(one.peer.post(one.attempt(nullptr)));
-    const auto drain = [&] { assert(one.peer.post(proxy::PeerStatus{ServerState::kDraining, one.address, {}})); };
-    if (!connecting) drain();
+    const auto drain = [&] {
+      assert(one.peer.post(proxy::PeerStatus{ServerState::kDraining, one.address, {}}));
+    };
+    if (!connecting) {
+      drain();
+    }
     assert((connecting ? one.outcome(drain) : one.outcome()) == Result::kConnectFailed);
-    if (!connecting) assert(!one.backend.pending(0ms));
+    if (!connecting) {
+      assert(!one.backend.pending(0ms));
+    }
     if (connecting) {
       Wire server = one.backend.accept();
       assert(!server.fill() && server.buffer.empty());
@@ -87,15 +97,17 @@
   }
 }
 
-// Its client leaves, or is answered, while the attempt waits for its connection, and no cancel comes (settings that allow
-// none, a mailbox behind which it waits): no byte goes out.
+// Its client leaves, or is answered, while the attempt waits for its connection, and no cancel
+// comes (settings that allow none, a mailbox behind which it waits): no byte goes out.
 void begins_nothing_for_a_client_that_left() {
   for (const bool answered : {false, true}) {
     OnePeer one;
     const auto request = std::make_shared<proxy::ClientRequest>();
     assert(one.peer.post(one.attempt(request)));
     const auto leave = [&] {
-      if (answered) request->answer = proxy::Failed{};
+      if (answered) {
+        request->answer = proxy::Failed{};
+      }
       request->abandoned = !answered;
     };
     assert(one.outcome(leave) == Result::kMoot);
@@ -104,7 +116,8 @@
   }
 }
 
-// A connection comes up when a repeat would no longer be known as one: no byte goes out, and nothing has run.
+// A connection comes up when a repeat would no longer be known as one: no byte goes out, and
+// nothing has run.
 void sends_no_repeat_past_its_window() {
   OnePeer one;
   proxy::Attempt late = one.attempt(nullptr);
@@ -119,7 +132,9 @@
 class KeptPeer : public proxy::Peer {
  public:
   explicit KeptPeer(std::vector<proxy::PeerMessage>& kept) : kept_(kept) {}
-  bool post(proxy::PeerMessage&& message) override { return kept_.push_back(std::move(message)), true; }
+  bool post(proxy::PeerMessage&& message) override {
+    return kept_.push_back(std::move(message)), true;
+  }
 
  private:
   std::vector<proxy::PeerMessage>& kept_;
@@ -158,15 +173,22 @@
   }
   std::vector<proxy::Attempt> attempts(ServerId server) const {
     std::vector<proxy::Attempt> all;
-    if (server >= kept.size()) return all;
-    for (const auto& message : kept[server])
-      if (const auto* attempt = std::get_if<proxy::Attempt>(&message)) all.push_back(*attempt);
+    if (server >= kept.size()) {
+      return all;
+    }
+    for (const auto& message : kept[server]) {
+      if (const auto* attempt = std::get_if<proxy::Attempt>(&message)) {
+        all.push_back(*attempt);
+      }
+    }
     return all;
   }
   void run(const std::function<void()>& next = {}) {
     const auto play = [&]() -> runtime::Task<> {
       co_await turns(scheduler);
-      if (next) next();
+      if (next) {
+        next();
+      }
       co_await turns(scheduler);
       scheduler.stop();
     };
@@ -177,30 +199,33 @@
   runtime::Scheduler scheduler;
   config::Config config;
   proxy::WatchBox watch{4};
-  std::vector<std::vector<proxy::PeerMessage>> kept = std::vector<std::vector<proxy::PeerMessage>>(4);  // by server
+  std::vector<std::vector<proxy::PeerMessage>> kept =
+      std::vector<std::vector<proxy::PeerMessage>>(4);  // by server
   std::optional<proxy::DecisionActor> actor;
 };
 
-// A process starts on a list by which a backend serves, a request comes, and only then discovery's word that it drains:
-// the agent had it before the process was there, and the grace may be over.
+// A process starts on a list by which a backend serves, a request comes, and only then discovery's
+// word that it drains: the agent had it before the process was there, and the grace may be over.
 void hears_discovery_before_it_decides() {
   Decisions d("[" + host_json("s-1", "127.0.0.1:9") + "]");
   const auto request = Decisions::request(0, 3s);
   d.post(proxy::Arrived{request});
   d.run([&] {
     assert(!d.actor->ready() && d.attempts(0).empty());
-    d.post(Decisions::list("[" + host_json("s-1", "127.0.0.1:9", "terminating") + "," + host_json("s-2", "127.0.0.1:8") + "]"));
+    d.post(Decisions::list("[" + host_json("s-1", "127.0.0.1:9", "terminating") + "," +
+                           host_json("s-2", "127.0.0.1:8") + "]"));
     d.post(proxy::CaughtUp{});
   });
   assert(d.actor->ready() && d.attempts(0).empty() && d.attempts(1).size() == 1);
 }
 
-// The word of a request, and the client's end, both wait in the mailbox: nothing of it is sent on. Held for want of a
-// backend, neither.
+// The word of a request, and the client's end, both wait in the mailbox: nothing of it is sent on.
+// Held for want of a backend, neither.
 void sends_nothing_that_was_left_while_it_waited() {
   Decisions d("[]");
   const auto gone = Decisions::request(0, 3s), stays = Decisions::request(0, 3s);
-  gone->abandoned = true;  // set by its connection; the word of it may come much later, or not find room
+  gone->abandoned =
+      true;  // set by its connection; the word of it may come much later, or not find room
   d.post(proxy::Arrived{gone});
   d.post(proxy::Arrived{stays});
   const auto held = Decisions::request(0, 3s);
@@ -231,7 +256,8 @@
 
 // ---- On sockets
 
-// A client sends much more than it may have out, and goes: its request's attempt ends, though nobody reads up to its end.
+// A client sends much more than it may have out, and goes: its request's attempt ends, though
+// nobody reads up to its end.
 void notices_a_client_behind_its_early_bytes() {
   const Door backend;
   const Proxy proxy(one_host(backend));
@@ -243,7 +269,9 @@
     held.push_back(backend.accept());
     held[0].request();
     std::string early;
-    for (int i = 0; early.size() < 110'000; ++i) early += Proxy::get("b" + std::to_string(i));
+    for (int i = 0; early.size() < 110'000; ++i) {
+      early += Proxy::get("b" + std::to_string(i));
+    }
     client.send(early);
   }
   assert(!held[0].fill());
@@ -251,8 +279,8 @@
   assert(!backend.pending(50ms));
 }
 
-// A gap in which discovery said nothing is over as soon as the watch has been read to its end, also on the first watch, which
-// asked for the whole list.
+// A gap in which discovery said nothing is over as soon as the watch has been read to its end, also
+// on the first watch, which asked for the whole list.
 void returns_where_nothing_was_said() {
   const Door backend;
   Proxy proxy(one_host(backend));
@@ -265,20 +293,24 @@
   server.request();
   server.reply(200, "", "1");
   expect_status(client, 200);
-  assert(proxy.call("GET", "/api/telemetry").body.find("full") != std::string::npos);  // not on what it held before
+  assert(proxy.call("GET", "/api/telemetry").body.find("full") !=
+         std::string::npos);  // not on what it held before
 }
 
-// All that discovery's agent holds counts as told at a process's start, and another may count its versions otherwise.
+// All that discovery's agent holds counts as told at a process's start, and another may count its
+// versions otherwise.
 void asks_for_all_at_its_start() {
   const Proxy proxy("", "[" + host_json("s-1", "127.0.0.1:9") + "]");
   assert(proxy.first_call().ends_with("from=0"));
 }
 
-// A list indented over several lines, with an empty one within and what looks like a line's end in a name, is a list.
+// A list indented over several lines, with an empty one within and what looks like a line's end in
+// a name, is a list.
 void reads_indented_lists() {
   const Door backend;
   Proxy proxy("[]");
-  proxy.chunk("\n{\n  \"seq\": 9,\n  \"whole\": true,\n\n  \"hosts\": [\n    " + host_json("s-}\\\"{", backend.address()) + "\n  ]\n}\n");
+  proxy.chunk("\n{\n  \"seq\": 9,\n  \"whole\": true,\n\n  \"hosts\": [\n    " +
+              host_json("s-}\\\"{", backend.address()) + "\n  ]\n}\n");
   Wire client = proxy.client();
   client.send(Proxy::get("a1"));
   Wire server = backend.accept();
@@ -291,14 +323,16 @@
 void leaves_a_watch_that_completes_nothing() {
   Proxy proxy("[]");
   proxy.chunk("{\"seq\":5,\"whole\":true,\"hosts\":[");
-  for (int i = 0; i < 40 && !proxy.calls(); ++i) {  // 4 s, in which a whole line would have had to come
+  for (int i = 0; i < 40 && !proxy.calls();
+       ++i) {  // 4 s, in which a whole line would have had to come
     proxy.chunk(" ");
     ::usleep(100'000);
   }
   assert(proxy.calls());
 }
 
-// Junk ends a watch at its first byte, though no line ends, and a list cut within a word at its line's end.
+// Junk ends a watch at its first byte, though no line ends, and a list cut within a word at its
+// line's end.
 void leaves_junk_at_once() {
   Proxy proxy("[]");
   const auto began = Clock::now();
@@ -309,15 +343,17 @@
   assert(Clock::now() - began < 2s);  // a silent one is left after 2.5 s
 }
 
-// A call that is accepted and never answered is one of several within what a silence may take; the list of the first that
-// is answered is taken, and whoever waits for it gets a backend.
+// A call that is accepted and never answered is one of several within what a silence may take; the
+// list of the first that is answered is taken, and whoever waits for it gets a backend.
 void calls_again_where_nobody_answers() {
   const Door backend;
   Proxy proxy("[]");
   proxy.list("[]");
   proxy.say("0\r\n\r\n");  // ends it
   const auto began = Clock::now();
-  for (int i = 0; i < 3; ++i) proxy.leave_mute();
+  for (int i = 0; i < 3; ++i) {
+    proxy.leave_mute();
+  }
   assert(proxy.watch_again().ends_with("from=3"));
   assert(Clock::now() - began < 2500ms);
   proxy.list(one_host(backend), false);
@@ -326,13 +362,16 @@
   backend.accept().request();
 }
 
-// SIGTERM, and until the last moment in which the machine accepts connections come that nobody has taken: each is answered.
+// SIGTERM, and until the last moment in which the machine accepts connections come that nobody has
+// taken: each is answered.
 void empties_its_backlog() {
   const Door backend;
   Proxy proxy("[]");
   proxy.list("[]");
   proxy.signal(SIGTERM);
-  while (proxy.ready() != 503) ::usleep(1000);
+  while (proxy.ready() != 503) {
+    ::usleep(1000);
+  }
   proxy.signal(SIGSTOP);
   std::vector<Wire> clients;
   for (int i = 0; i < 20; ++i) {
@@ -341,16 +380,21 @@
   }
   ::usleep(1'200'000);  // past the second for which it accepts
   proxy.signal(SIGCONT);
-  for (Wire& client : clients) expect_status(client, 503);
+  for (Wire& client : clients) {
+    expect_status(client, 503);
+  }
   assert(proxy.exit_status() == 0);
 }
 
-// The next request has been read already when its connection's last answer goes out: it is answered too, and first.
+// The next request has been read already when its connection's last answer goes out: it is answered
+// too, and first.
 void answers_what_it_has_read_at_its_end() {
   const Door backend;
   Proxy proxy(one_host(backend));
   proxy.signal(SIGTERM);
-  while (proxy.ready() != 503) ::usleep(1000);
+  while (proxy.ready() != 503) {
+    ::usleep(1000);
+  }
   Wire client = proxy.client();  // came after the signal: its answers are its last
   client.send(Proxy::get("a1") + Proxy::get("a2"));
   Wire server = backend.accept();
@@ -362,13 +406,15 @@
   }
 }
 
-// A request that comes on a connection whose last answer has gone out is left unread, so that its client can tell: the
-// connection is reset, and never ended in order over it.
+// A request that comes on a connection whose last answer has gone out is left unread, so that its
+// client can tell: the connection is reset, and never ended in order over it.
 void leaves_unread_what_it_does_not_answer() {
   const Door backend;
   Proxy proxy(one_host(backend));
   proxy.signal(SIGTERM);
-  while (proxy.ready() != 503) ::usleep(1000);
+  while (proxy.ready() != 503) {
+    ::usleep(1000);
+  }
   Wire client = proxy.client();
   client.send(Proxy::get("a1"));
   Wire server = backend.accept();
@@ -377,7 +423,8 @@
   assert(!client.answer().keep_alive());
   client.send(Proxy::get("a2"));
   char byte = 0;
-  assert(client.readable(kPatience) && ::recv(client.fd(), &byte, 1, 0) == 0);  // it has ended its sending
+  assert(client.readable(kPatience) &&
+         ::recv(client.fd(), &byte, 1, 0) == 0);  // it has ended its sending
   const auto end = Clock::now() + kPatience;
   int error = 0;
   socklen_t size = sizeof error;
@@ -390,10 +437,11 @@
   assert(!server.readable(0ms) || !server.fill());  // and nothing of it was sent on
 }
 
-// What a backend says on a resting connection, half a line or a second answer, is nobody's answer: the next request goes on
-// another connection.
+// What a backend says on a resting connection, half a line or a second answer, is nobody's answer:
+// the next request goes on another connection.
 void takes_no_word_from_a_resting_connection() {
-  for (const std::string& late : {std::string("HTTP/1.1 2"), http::write_response(200, "", "second", false)}) {
+  for (const std::string& late :
+       {std::string("HTTP/1.1 2"), http::write_response(200, "", "second", false)}) {
     const Door backend;
     const Proxy proxy(one_host(backend));
     Wire client = proxy.client();
@@ -430,15 +478,19 @@
   assert(!backend.pending(0ms));
 }
 
-// Idle clients hold every descriptor of theirs while discovery is gone: the watch is opened again, its list taken, and a new
-// client gets its answer from a backend.
+// Idle clients hold every descriptor of theirs while discovery is gone: the watch is opened again,
+// its list taken, and a new client gets its answer from a backend.
 void serves_while_idle_clients_hold_all() {
   const Door backend;
   Proxy proxy("[]");
   std::vector<Wire> idle;
-  for (int i = 0; i < 300; ++i) idle.push_back(proxy.client());  // the program may hold 256 descriptors
+  for (int i = 0; i < 300; ++i) {
+    idle.push_back(proxy.client());  // the program may hold 256 descriptors
+  }
   proxy.say("0\r\n\r\n");
-  for (int i = 0; i < 100; ++i) idle.push_back(proxy.client());
+  for (int i = 0; i < 100; ++i) {
+    idle.push_back(proxy.client());
+  }
   proxy.watch_again();
   proxy.list(one_host(backend), false);
   Wire client = proxy.client();
@@ -449,8 +501,8 @@
   assert(client.answer().body == "1");
 }
 
-// The end meets a faulty configuration, a move of discovery that is gone, and the order to end once more: what runs is
-// answered, and the program ends as ordered.
+// The end meets a faulty configuration, a move of discovery that is gone, and the order to end once
+// more: what runs is answered, and the program ends as ordered.
 void signals_meet_at_the_end() {
   const Door backend, elsewhere;
   Proxy proxy(one_host(backend));
@@ -459,7 +511,9 @@
   Wire server = backend.accept();
   server.request();
   proxy.signal(SIGTERM);
-  while (proxy.ready() != 503) ::usleep(1000);
+  while (proxy.ready() != 503) {
+    ::usleep(1000);
+  }
   proxy.reconfigure("nowhere");
   proxy.signal(SIGTERM);
   proxy.reconfigure(elsewhere.address());
@@ -474,26 +528,29 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  return run_named(argc, argv, {
-    {"stops_attempts_of_a_draining_backend", stops_attempts_of_a_draining_backend},
-    {"begins_nothing_for_a_client_that_left", begins_nothing_for_a_client_that_left},
-    {"sends_no_repeat_past_its_window", sends_no_repeat_past_its_window},
-    {"hears_discovery_before_it_decides", hears_discovery_before_it_decides},
-    {"sends_nothing_that_was_left_while_it_waited", sends_nothing_that_was_left_while_it_waited},
-    {"repeats_carry_their_window", repeats_carry_their_window},
-    {"notices_a_client_behind_its_early_bytes", notices_a_client_behind_its_early_bytes},
-    {"returns_where_nothing_was_said", returns_where_nothing_was_said},
-    {"asks_for_all_at_its_start", asks_for_all_at_its_start},
-    {"reads_indented_lists", reads_indented_lists},
-    {"leaves_a_watch_that_completes_nothing", leaves_a_watch_that_completes_nothing},
-    {"leaves_junk_at_once", leaves_junk_at_once},
-    {"calls_again_where_nobody_answers", calls_again_where_nobody_answers},
-    {"empties_its_backlog", empties_its_backlog},
-    {"answers_what_it_has_read_at_its_end", answers_what_it_has_read_at_its_end},
-    {"leaves_unread_what_it_does_not_answer", leaves_unread_what_it_does_not_answer},
-    {"takes_no_word_from_a_resting_connection", takes_no_word_from_a_resting_connection},
-    {"takes_no_reset_for_an_end", takes_no_reset_for_an_end},
-    {"serves_while_idle_clients_hold_all", serves_while_idle_clients_hold_all},
-    {"signals_meet_at_the_end", signals_meet_at_the_end},
-  });
+  return run_named(
+      argc, argv,
+      {
+          {"stops_attempts_of_a_draining_backend", stops_attempts_of_a_draining_backend},
+          {"begins_nothing_for_a_client_that_left", begins_nothing_for_a_client_that_left},
+          {"sends_no_repeat_past_its_window", sends_no_repeat_past_its_window},
+          {"hears_discovery_before_it_decides", hears_discovery_before_it_decides},
+          {"sends_nothing_that_was_left_while_it_waited",
+           sends_nothing_that_was_left_while_it_waited},
+          {"repeats_carry_their_window", repeats_carry_their_window},
+          {"notices_a_client_behind_its_early_bytes", notices_a_client_behind_its_early_bytes},
+          {"returns_where_nothing_was_said", returns_where_nothing_was_said},
+          {"asks_for_all_at_its_start", asks_for_all_at_its_start},
+          {"reads_indented_lists", reads_indented_lists},
+          {"leaves_a_watch_that_completes_nothing", leaves_a_watch_that_completes_nothing},
+          {"leaves_junk_at_once", leaves_junk_at_once},
+          {"calls_again_where_nobody_answers", calls_again_where_nobody_answers},
+          {"empties_its_backlog", empties_its_backlog},
+          {"answers_what_it_has_read_at_its_end", answers_what_it_has_read_at_its_end},
+          {"leaves_unread_what_it_does_not_answer", leaves_unread_what_it_does_not_answer},
+          {"takes_no_word_from_a_resting_connection", takes_no_word_from_a_resting_connection},
+          {"takes_no_reset_for_an_end", takes_no_reset_for_an_end},
+          {"serves_while_idle_clients_hold_all", serves_while_idle_clients_hold_all},
+          {"signals_meet_at_the_end", signals_meet_at_the_end},
+      });
 }
--- a/tests/driver.h
+++ b/tests/driver.h
@@ -52,22 +52,34 @@
     balancer_.handle(now, event, out);
     all.insert(all.end(), out.begin(), out.end());
     note(out);
-    if (seen) seen(out);
+    if (seen) {
+      seen(out);
+    }
     return out;
   }
 
   void note(const std::vector<Action>& out) {
     for (const auto& a : out) {
-      if (const auto* send = std::get_if<Send>(&a)) sends.push_back(*send);
-      if (const auto* timer = std::get_if<SetTimer>(&a)) timers_.emplace(timer->at, timer->token);
-      if (const auto* refuse = std::get_if<Refuse>(&a)) answers.insert(refuse->id);
-      if (const auto* fail = std::get_if<Fail>(&a)) answers.insert(fail->id);
+      if (const auto* send = std::get_if<Send>(&a)) {
+        sends.push_back(*send);
+      }
+      if (const auto* timer = std::get_if<SetTimer>(&a)) {
+        timers_.emplace(timer->at, timer->token);
+      }
+      if (const auto* refuse = std::get_if<Refuse>(&a)) {
+        answers.insert(refuse->id);
+      }
+      if (const auto* fail = std::get_if<Fail>(&a)) {
+        answers.insert(fail->id);
+      }
     }
   }
 
   void servers(std::uint32_t n, ListKind kind = ListKind::kFull) {
     Discovery d{kind, {}};
-    for (ServerId i = 0; i < n; ++i) d.entries.push_back({i, ServerState::kUp, 0, i / 2, {}});
+    for (ServerId i = 0; i < n; ++i) {
+      d.entries.push_back({i, ServerState::kUp, 0, i / 2, {}});
+    }
     give(d);
   }
   template <typename KindOf>
@@ -81,10 +93,12 @@
   }
   void change(ServerEntry entry) { give(Discovery{ListKind::kChanges, {entry}}); }
 
-  std::vector<Action> request(RequestId id, ClassId class_id = kRepeatable, TenantId tenant = kNoTenant) {
+  std::vector<Action> request(RequestId id, ClassId class_id = kRepeatable,
+                              TenantId tenant = kNoTenant) {
     return give(Request{id, class_id, tenant, now + milliseconds(4000), {}});
   }
-  std::vector<Action> outcome(RequestId id, std::uint32_t attempt, Result result, bool final = false) {
+  std::vector<Action> outcome(RequestId id, std::uint32_t attempt, Result result,
+                              bool final = false) {
     return give(Outcome{id, attempt, result, final || result == Result::kOk, {}});
   }
 
@@ -114,7 +128,9 @@
 template <typename A>
 std::size_t count(const std::vector<Action>& actions) {
   std::size_t n = 0;
-  for (const auto& a : actions) n += std::holds_alternative<A>(a);
+  for (const auto& a : actions) {
+    n += std::holds_alternative<A>(a);
+  }
   return n;
 }
 
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -1,5 +1,5 @@
-// The emulator against theory, its rule checker against policies broken on purpose, and its promise that equal
-// seeds give equal bytes.
+// The emulator against theory, its rule checker against policies broken on purpose, and its promise
+// that equal seeds give equal bytes.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -13,7 +13,9 @@
 namespace beechhill::emulator {
 namespace {
 
-Scenario scenario_of(const std::string& text) { return read_scenario(config::parse_toml(text, "test"), "test"); }
+Scenario scenario_of(const std::string& text) {
+  return read_scenario(config::parse_toml(text, "test"), "test");
+}
 Scenario shipped(const std::string& name) {
   const std::string path = std::string(EXPERIMENTS) + "/" + name + ".toml";
   return read_scenario(load_scenario(path), path);
@@ -31,17 +33,23 @@
 // Nothing but queues: no network, no handshake, endless patience and room.
 std::string queue_only(int nodes, int cores, double load, int requests) {
   const double rate = load * nodes * cores / 0.01;
-  return "length = \"" + std::to_string(requests / rate) + "s\"\nwarm_up = \"1ms\"\n[load]\nrate = " + std::to_string(rate) +
-         "\n[network]\none_way = \"0us\"\n[clients]\nretry = \"never\"\n[proxies]\nlongest_advice = \"0s\"\n"
-         "[[class]]\nname = \"c\"\nrepeat = \"repeatable\"\nwork = \"10ms\"\naim = \"1h\"\ndeadline = \"2h\"\n"
-         "[[tier]]\nname = \"t\"\nnodes = " + std::to_string(nodes) + "\ncores = " + std::to_string(cores) +
+  return "length = \"" + std::to_string(requests / rate) +
+         "s\"\nwarm_up = \"1ms\"\n[load]\nrate = " + std::to_string(rate) +
+         "\n[network]\none_way = \"0us\"\n[clients]\nretry = \"never\"\n[proxies]\nlongest_advice "
+         "= \"0s\"\n"
+         "[[class]]\nname = \"c\"\nrepeat = \"repeatable\"\nwork = \"10ms\"\naim = "
+         "\"1h\"\ndeadline = \"2h\"\n"
+         "[[tier]]\nname = \"t\"\nnodes = " +
+         std::to_string(nodes) + "\ncores = " + std::to_string(cores) +
          "\nroom = 10000000\nconnection = { handshake = \"0us\", work = \"0us\" }\n";
 }
 
 double erlang_c(int c, double load) {  // the chance to wait in M/M/c
   const double a = c * load;
   double term = 1, sum = 1;
-  for (int k = 1; k < c; ++k) term *= a / k, sum += term;
+  for (int k = 1; k < c; ++k) {
+    term *= a / k, sum += term;
+  }
   const double last = term * a / c / (1 - load);
   return last / (sum + last);
 }
@@ -50,12 +58,16 @@
   int cores;
   double load;
 };
-void PrintTo(const Queue& q, std::ostream* out) { *out << q.cores << " cores at " << q.load; }
+void PrintTo(const Queue& q, std::ostream* out) {
+  *out << q.cores << " cores at " << q.load;
+}
 class QueueTheory : public testing::TestWithParam<Queue> {};
 
 TEST_P(QueueTheory, WaitsAsItShould) {
   const auto [cores, load] = GetParam();
-  const Json::Value r = experiments::run_scenario(scenario_of(queue_only(1, cores, load, 1'000'000)), "random", false).result;
+  const Json::Value r =
+      experiments::run_scenario(scenario_of(queue_only(1, cores, load, 1'000'000)), "random", false)
+          .result;
   const Json::Value& tier = r["tiers"][0];
   const double wait = erlang_c(cores, load) * 0.01 / (cores * (1 - load));
   EXPECT_NEAR(tier["mean_wait_s"].asDouble() / wait, 1, 0.02);
@@ -102,8 +114,10 @@
   Spoil spoil_;
 };
 
-RuleChecker const& rules_after(std::optional<World>& world, const Scenario& s, Broken::Spoil spoil) {
-  world.emplace(s, [spoil](Time now, const Settings& settings, const TrueState&, std::vector<Action>& actions) {
+RuleChecker const& rules_after(std::optional<World>& world, const Scenario& s,
+                               Broken::Spoil spoil) {
+  world.emplace(s, [spoil](Time now, const Settings& settings, const TrueState&,
+                           std::vector<Action>& actions) {
     return std::make_unique<Broken>(now, settings, actions, spoil);
   });
   world->run();
@@ -111,8 +125,9 @@
 }
 
 void expect_only(const RuleChecker& rules, Rule broken) {
-  for (const Rule r : {Rule::kOneAnswer, Rule::kEffects, Rule::kDrains, Rule::kCold})
+  for (const Rule r : {Rule::kOneAnswer, Rule::kEffects, Rule::kDrains, Rule::kCold}) {
     EXPECT_EQ(rules.count(r) > 0, r == broken) << name_of(r);
+  }
   ASSERT_FALSE(rules.violations().empty());
   EXPECT_NE(rules.violations()[0].what, "");
 }
@@ -120,74 +135,114 @@
 TEST(RuleChecker, CatchesAnAnswerThatNeverComes) {
   std::optional<World> world;
   const Scenario s = shipped("calm");
-  expect_only(rules_after(world, s, [](const Event& e, std::vector<Action>& actions) {
-                if (const auto* r = std::get_if<Request>(&e); r && r->id % 100 == 0) actions.clear();
-              }), Rule::kOneAnswer);
+  expect_only(rules_after(world, s,
+                          [](const Event& e, std::vector<Action>& actions) {
+                            if (const auto* r = std::get_if<Request>(&e); r && r->id % 100 == 0) {
+                              actions.clear();
+                            }
+                          }),
+              Rule::kOneAnswer);
   EXPECT_NE(world->rules().violations()[0].trace.find("taken"), std::string::npos);
   EXPECT_EQ(world->left_over(), 0u);
 }
 
 TEST(RuleChecker, CatchesASecondAnswer) {
   std::optional<World> world;
-  expect_only(rules_after(world, shipped("calm"), [](const Event& e, std::vector<Action>& actions) {
-                if (const auto* o = std::get_if<Outcome>(&e); o && o->final) actions.push_back(Fail{o->id});
-              }), Rule::kOneAnswer);
+  expect_only(rules_after(world, shipped("calm"),
+                          [](const Event& e, std::vector<Action>& actions) {
+                            if (const auto* o = std::get_if<Outcome>(&e); o && o->final) {
+                              actions.push_back(Fail{o->id});
+                            }
+                          }),
+              Rule::kOneAnswer);
 }
 
 TEST(RuleChecker, CatchesAnEffectSentAgain) {
   std::optional<World> world;
   Scenario s = shipped("fast-errors");
   s.classes[1].settings.effect = Effect::kOnce;
-  expect_only(rules_after(world, s, [](const Event& e, std::vector<Action>& actions) {
-                const auto* o = std::get_if<Outcome>(&e);
-                if (!o || o->result != Result::kError || o->final) return;
-                for (Action& a : actions)
-                  if (const auto* f = std::get_if<Fail>(&a); f && f->id == o->id) a = Send{o->id, 0};
-              }), Rule::kEffects);
+  expect_only(rules_after(world, s,
+                          [](const Event& e, std::vector<Action>& actions) {
+                            const auto* o = std::get_if<Outcome>(&e);
+                            if (!o || o->result != Result::kError || o->final) {
+                              return;
+                            }
+                            for (Action& a : actions) {
+                              if (const auto* f = std::get_if<Fail>(&a); f && f->id == o->id) {
+                                a = Send{o->id, 0};
+                              }
+                            }
+                          }),
+              Rule::kEffects);
 }
 
 TEST(RuleChecker, CatchesARefusalOfWhatMayHaveRun) {
   std::optional<World> world;
   Scenario s = shipped("fast-errors");
   s.classes[1].settings.effect = Effect::kOnce;
-  expect_only(rules_after(world, s, [](const Event&, std::vector<Action>& actions) {
-                for (Action& a : actions)
-                  if (const auto* f = std::get_if<Fail>(&a)) a = Refuse{f->id, Duration{0}};
-              }), Rule::kEffects);
+  expect_only(rules_after(world, s,
+                          [](const Event&, std::vector<Action>& actions) {
+                            for (Action& a : actions) {
+                              if (const auto* f = std::get_if<Fail>(&a)) {
+                                a = Refuse{f->id, Duration{0}};
+                              }
+                            }
+                          }),
+              Rule::kEffects);
 }
 
 TEST(RuleChecker, CatchesADrainForgotten) {
   std::optional<World> world;
   const Scenario s = shipped("stale-churn");
   std::set<ServerId> draining;
-  expect_only(rules_after(world, s, [&draining](const Event& e, std::vector<Action>& actions) {
-                if (const auto* d = std::get_if<Discovery>(&e))
-                  for (const ServerEntry& entry : d->entries)
-                    if (entry.state == ServerState::kDraining) draining.insert(entry.server);
-                for (Action& a : actions)
-                  if (auto* send = std::get_if<Send>(&a); send && !draining.empty()) send->server = *draining.begin();
-              }), Rule::kDrains);
+  expect_only(rules_after(world, s,
+                          [&draining](const Event& e, std::vector<Action>& actions) {
+                            if (const auto* d = std::get_if<Discovery>(&e)) {
+                              for (const ServerEntry& entry : d->entries) {
+                                if (entry.state == ServerState::kDraining) {
+                                  draining.insert(entry.server);
+                                }
+                              }
+                            }
+                            for (Action& a : actions) {
+                              if (auto* send = std::get_if<Send>(&a); send && !draining.empty()) {
+                                send->server = *draining.begin();
+                              }
+                            }
+                          }),
+              Rule::kDrains);
 }
 
 TEST(RuleChecker, CatchesAColdNodePushedOver) {
   std::optional<World> world;
   Scenario s = shipped("vanish");
   std::optional<ServerId> cold;
-  expect_only(rules_after(world, s, [&cold](const Event& e, std::vector<Action>& actions) {
-                if (const auto* d = std::get_if<Discovery>(&e))
-                  for (const ServerEntry& entry : d->entries)
-                    if (entry.born) cold = entry.server;
-                for (Action& a : actions)
-                  if (auto* send = std::get_if<Send>(&a); send && cold) send->server = *cold;
-              }), Rule::kCold);
+  expect_only(rules_after(world, s,
+                          [&cold](const Event& e, std::vector<Action>& actions) {
+                            if (const auto* d = std::get_if<Discovery>(&e)) {
+                              for (const ServerEntry& entry : d->entries) {
+                                if (entry.born) {
+                                  cold = entry.server;
+                                }
+                              }
+                            }
+                            for (Action& a : actions) {
+                              if (auto* send = std::get_if<Send>(&a); send && cold) {
+                                send->server = *cold;
+                              }
+                            }
+                          }),
+              Rule::kCold);
   EXPECT_GT(world->metrics().tipped, 0u);
 }
 
-// Whatever goes wrong, and in whatever order: the module keeps the rules and nothing stays on the books.
+// Whatever goes wrong, and in whatever order: the module keeps the rules and nothing stays on the
+// books.
 TEST(RuleChecker, FindsNothingAgainstTheModuleOnDaysOfRandomFaults) {
-  const std::vector<FaultKind> kinds{FaultKind::kSilent, FaultKind::kErrors, FaultKind::kSlow, FaultKind::kLateReports,
-                                     FaultKind::kStaleList, FaultKind::kCrash, FaultKind::kDrain, FaultKind::kReplace,
-                                     FaultKind::kProxyCrash, FaultKind::kPartition, FaultKind::kBurst, FaultKind::kTenantBurst};
+  const std::vector<FaultKind> kinds{
+      FaultKind::kSilent,     FaultKind::kErrors,    FaultKind::kSlow,  FaultKind::kLateReports,
+      FaultKind::kStaleList,  FaultKind::kCrash,     FaultKind::kDrain, FaultKind::kReplace,
+      FaultKind::kProxyCrash, FaultKind::kPartition, FaultKind::kBurst, FaultKind::kTenantBurst};
   for (std::uint64_t seed = 1; seed <= 15; ++seed) {
     Scenario s = shipped(seed % 3 ? "calm" : "three-tiers");
     Stream random(seed, Actor::kFaults, 1'000'000);
@@ -208,12 +263,14 @@
       f.delay = Duration(static_cast<std::int64_t>(5e6 * random.uniform()));
       s.faults.push_back(f);
     }
-    World world(s, [](Time now, const Settings& settings, const TrueState& truth, std::vector<Action>& actions) {
+    World world(s, [](Time now, const Settings& settings, const TrueState& truth,
+                      std::vector<Action>& actions) {
       return make_policy("module", now, settings, truth, actions);
     });
     world.run();
-    EXPECT_EQ(world.rules().all(), 0u) << "seed " << seed << ": " << world.rules().violations()[0].what << "\n"
-                                       << world.rules().violations()[0].trace;
+    EXPECT_EQ(world.rules().all(), 0u)
+        << "seed " << seed << ": " << world.rules().violations()[0].what << "\n"
+        << world.rules().violations()[0].trace;
     EXPECT_EQ(world.left_over(), 0u) << "seed " << seed;
     EXPECT_EQ(world.rules().open(), 0u) << "seed " << seed;
     EXPECT_EQ(world.metrics().all.unanswered, 0u) << "seed " << seed;
@@ -224,7 +281,8 @@
 TEST(Emulator, ShowsAFailureThatOutlivesItsCause) {
   const Scenario s = shipped("metastable");
   EXPECT_LT(experiments::run_scenario(s, "two_choices", false).result["recovery_s"].asDouble(), 0);
-  const double module = experiments::run_scenario(s, "module", false).result["recovery_s"].asDouble();
+  const double module =
+      experiments::run_scenario(s, "module", false).result["recovery_s"].asDouble();
   EXPECT_GE(module, 0);
   EXPECT_LE(module, 5);
 }
@@ -258,8 +316,11 @@
   ASSERT_TRUE(node.take(Time{0}, 1, 100.0, starts));  // busy for long
   EXPECT_FALSE(node.report(Time{0}, Duration{0}).utilisation);
   EXPECT_EQ(node.report(Time{5'000'000}, Duration{0}).utilisation, 1.0);
-  EXPECT_FALSE(node.report(Time{5'000'000}, Duration{60'000'000}).utilisation);  // later than all it has
-  for (JobId id = 2; id < 6; ++id) node.take(Time{5'000'000}, id, 0.1, starts);
+  EXPECT_FALSE(
+      node.report(Time{5'000'000}, Duration{60'000'000}).utilisation);  // later than all it has
+  for (JobId id = 2; id < 6; ++id) {
+    node.take(Time{5'000'000}, id, 0.1, starts);
+  }
   node.take(Time{5'000'000} + t.choke_after / 2, 7, 0.1, starts);
   EXPECT_FALSE(node.choked());
   node.take(Time{5'000'000} + 2 * t.choke_after, 8, 0.1, starts);
@@ -293,7 +354,8 @@
       {"[[fault]]\nkind = \"silent\"", "fault[0].kind: says no nodes"},
       {"[[fault]]\nkind = \"silent\"\nnodes = 2", "fault[0].nodes: not from 0 to 1"},
       {"[[fault]]\nkind = \"tenant_burst\"\ntenant = \"x\"", "fault[0].tenant: unknown: x"},
-      {"[[class]]\nname = \"d\"\naim = \"2s\"\ndeadline = \"1s\"", "class[1].deadline: shorter than the aim"},
+      {"[[class]]\nname = \"d\"\naim = \"2s\"\ndeadline = \"1s\"",
+       "class[1].deadline: shorter than the aim"},
       {"[[class]]\npart = 1", "class[1].name: missing"},
       {"clients = 3", "clients: "},
       {"= 3", "test:6: "},
@@ -304,32 +366,36 @@
       scenario_of(whole + b.change);
       ADD_FAILURE() << b.change;
     } catch (const config::TomlFault& fault) {
-      EXPECT_NE(std::string(fault.what()).find(b.said), std::string::npos) << b.change << ": " << fault.what();
+      EXPECT_NE(std::string(fault.what()).find(b.said), std::string::npos)
+          << b.change << ": " << fault.what();
     }
   }
   EXPECT_THROW(scenario_of(""), config::TomlFault);
 }
 
-// Two data centres with four fifths of the traffic in one: calls stay while it has room, and help comes as it fills.
+// Two data centres with four fifths of the traffic in one: calls stay while it has room, and help
+// comes as it fills.
 TEST(TwoCentres, CallsCrossAsTheirOwnFills) {
   const auto played = [](double load) {
     Scenario s = shipped("two-centres");
     s.length = std::chrono::seconds(15);
     s.load.utilisation = load;
-    World world(s, [](Time now, const Settings& settings, const TrueState& truth, std::vector<Action>& actions) {
+    World world(s, [](Time now, const Settings& settings, const TrueState& truth,
+                      std::vector<Action>& actions) {
       return make_policy("module", now, settings, truth, actions);
     });
     world.run();
     EXPECT_EQ(world.rules().all(), 0u);
     EXPECT_GT(world.metrics().goodput(), 0.97) << load;
-    return static_cast<double>(world.metrics().crossings) / static_cast<double>(world.metrics().all.asked);
+    return static_cast<double>(world.metrics().crossings) /
+           static_cast<double>(world.metrics().all.asked);
   };
   EXPECT_LT(played(0.3), 0.1);  // 1.1 where calls go where they find least
   EXPECT_GT(played(0.8), 0.1);  // its own can do 0.63 of what comes
 }
 
-// Many proxies before many nodes, each pair meeting seldom: the slow ones must be told all the same. 0.87 and 0.90 where each
-// proxy uses all of them.
+// Many proxies before many nodes, each pair meeting seldom: the slow ones must be told all the
+// same. 0.87 and 0.90 where each proxy uses all of them.
 TEST(ManyProxies, TellSlowNodesApart) {
   for (const std::uint64_t seed : {1, 2}) {
     Scenario s = shipped("coming-back");
@@ -338,7 +404,8 @@
     s.load.utilisation = 0.5;
     s.proxies = 200, s.tiers[0].nodes = 160, s.clients.connections = 2000;
     std::erase_if(s.faults, [](const FaultSpec& f) { return f.kind != FaultKind::kSlow; });
-    World world(s, [](Time now, const Settings& settings, const TrueState& truth, std::vector<Action>& actions) {
+    World world(s, [](Time now, const Settings& settings, const TrueState& truth,
+                      std::vector<Action>& actions) {
       return make_policy("module", now, settings, truth, actions);
     });
     world.run();
@@ -350,8 +417,11 @@
 // Bytes changed, cut and doubled at random: a scenario or a fault with a text, never anything else.
 TEST(ScenarioReader, OutlivesDamage) {
   std::vector<std::string> texts;
-  for (const auto& file : std::filesystem::directory_iterator(EXPERIMENTS))
-    if (file.path().extension() == ".toml") texts.push_back(bytes_of(file.path().string()));
+  for (const auto& file : std::filesystem::directory_iterator(EXPERIMENTS)) {
+    if (file.path().extension() == ".toml") {
+      texts.push_back(bytes_of(file.path().string()));
+    }
+  }
   ASSERT_GT(texts.size(), 10u);
   std::mt19937 random(7);
   int read = 0, refused = 0;
@@ -360,10 +430,17 @@
     for (int n = static_cast<int>(random() % 4); n >= 0 && !text.empty(); --n) {
       const std::size_t at = random() % text.size();
       switch (random() % 4) {
-        case 0: text[at] = static_cast<char>(random()); break;
-        case 1: text.erase(at, random() % 20); break;
-        case 2: text.insert(at, text.substr(random() % text.size(), random() % 40)); break;
-        default: text[at] = "0123456789.-[]\"="[random() % 16];
+        case 0:
+          text[at] = static_cast<char>(random());
+          break;
+        case 1:
+          text.erase(at, random() % 20);
+          break;
+        case 2:
+          text.insert(at, text.substr(random() % text.size(), random() % 40));
+          break;
+        default:
+          text[at] = "0123456789.-[]\"="[random() % 16];
       }
     }
     try {
@@ -386,9 +463,12 @@
     std::string path = (std::filesystem::temp_directory_path() / "experiments-XXXXXX").string();
     ASSERT_NE(::mkdtemp(path.data()), nullptr);
     dir_ = path;
-    std::ofstream(dir_ + "/s.toml") << "length = \"3s\"\n[load]\nutilisation = 0.5\n[[class]]\nname = \"c\"\n[[tier]]\nname = \"t\"\nnodes = 4\n";
-    std::ofstream(dir_ + "/e.toml") << "scenario = \"s.toml\"\npolicies = [\"module\", \"random\"]\nseeds = [1, 2, 3]\n"
-                                       "[grid]\n\"load.utilisation\" = [0.5, 0.9]\n\"tier.0.nodes\" = [3, 5]\n";
+    std::ofstream(dir_ + "/s.toml")
+        << "length = \"3s\"\n[load]\nutilisation = 0.5\n[[class]]\nname = \"c\"\n[[tier]]\nname = "
+           "\"t\"\nnodes = 4\n";
+    std::ofstream(dir_ + "/e.toml")
+        << "scenario = \"s.toml\"\npolicies = [\"module\", \"random\"]\nseeds = [1, 2, 3]\n"
+           "[grid]\n\"load.utilisation\" = [0.5, 0.9]\n\"tier.0.nodes\" = [3, 5]\n";
     experiment_ = experiments::load_experiment(dir_ + "/e.toml");
   }
   void TearDown() override { std::filesystem::remove_all(dir_); }
@@ -409,7 +489,8 @@
 TEST_F(Experiments, GoOnAfterAnInterruptionAndNoticeATornLine) {
   const std::string whole = run("whole", 4);
   int started = 0;
-  experiments::run_experiment(experiment_, dir_ + "/cut", 1, {}, [&started] { return ++started > 10; });
+  experiments::run_experiment(experiment_, dir_ + "/cut", 1, {},
+                              [&started] { return ++started > 10; });
   EXPECT_FALSE(std::filesystem::exists(dir_ + "/cut"));
   const std::string partial = bytes_of(dir_ + "/cut.partial");
   EXPECT_EQ(std::count(partial.begin(), partial.end(), '\n'), 10);
--- a/tests/fuzz_snapshot.cpp
+++ b/tests/fuzz_snapshot.cpp
@@ -1,5 +1,5 @@
-// A target for libFuzzer (clang++ -fsanitize=fuzzer): whatever stands in a snapshot's file is read whole or not at all.
-// snapshot_test drives it with mutations of a good one.
+// A target for libFuzzer (clang++ -fsanitize=fuzzer): whatever stands in a snapshot's file is read
+// whole or not at all. snapshot_test drives it with mutations of a good one.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -9,6 +9,8 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace beechhill::snapshot;
   const auto read = decode({reinterpret_cast<const char*>(data), size});
-  if (read && decode(encode(*read))->rows.size() != read->rows.size()) std::abort();  // what is read can be kept again
+  if (read && decode(encode(*read))->rows.size() != read->rows.size()) {
+    std::abort();  // what is read can be kept again
+  }
   return read ? 1 : 0;
 }
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -1,4 +1,5 @@
-// The lab on sockets: the real proxy before stand-in nodes, against the emulator's word for the same day.
+// The lab on sockets: the real proxy before stand-in nodes, against the emulator's word for the
+// same day.
 #undef NDEBUG
 #include <cassert>
 #include <cmath>
@@ -51,7 +52,8 @@
   const Json::Value model = experiments::run_scenario(s, "module", false).result;
   const lab::SocketRun run = lab::play_on_sockets(s, PROXY_PROGRAM);
   const Json::Value& real = run.result;
-  std::fprintf(stderr, "goodput %.4f on sockets, %.4f in the model\n", real["goodput"].asDouble(), model["goodput"].asDouble());
+  std::fprintf(stderr, "goodput %.4f on sockets, %.4f in the model\n", real["goodput"].asDouble(),
+               model["goodput"].asDouble());
   assert(run.asked > 200 && run.wrong_answers == 0);
   assert(real["all"]["asked"] == model["all"]["asked"]);  // the same clients
   assert(real["all"]["unanswered"].asUInt64() == 0);
@@ -65,15 +67,19 @@
   const lab::SocketRun calm = agree(day(""));
   assert(calm.result["attempts"].asUInt64() == calm.asked);  // nothing was sent twice
   // A crashed node, a silent one and one that drains; then the proxy itself, for a second.
-  agree(day("[[fault]]\nkind = \"crash\"\nat = \"1500ms\"\nfor = \"1500ms\"\nnodes = 1\n"
-            "[[fault]]\nkind = \"drain\"\nat = \"1s\"\nfor = \"3s\"\nnodes = 1\n"
-            "[[fault]]\nkind = \"errors\"\nat = \"3s\"\nfor = \"1s\"\nnodes = 1\nfactor = 0.5\n"));
-  const lab::SocketRun restart = agree(day("[[fault]]\nkind = \"proxy_crash\"\nat = \"3s\"\nfor = \"800ms\"\npart = 1.0\n"));
+  agree(
+      day("[[fault]]\nkind = \"crash\"\nat = \"1500ms\"\nfor = \"1500ms\"\nnodes = 1\n"
+          "[[fault]]\nkind = \"drain\"\nat = \"1s\"\nfor = \"3s\"\nnodes = 1\n"
+          "[[fault]]\nkind = \"errors\"\nat = \"3s\"\nfor = \"1s\"\nnodes = 1\nfactor = 0.5\n"));
+  const lab::SocketRun restart =
+      agree(day("[[fault]]\nkind = \"proxy_crash\"\nat = \"3s\"\nfor = \"800ms\"\npart = 1.0\n"));
   assert(restart.result["unreachable"].asUInt64() > 0);
   // What sockets cannot play is said, not left out.
   bool refused = false;
   try {
     lab::play_on_sockets(day("[[fault]]\nkind = \"replace\"\nat = \"1s\"\n"), PROXY_PROGRAM);
-  } catch (const std::invalid_argument&) { refused = true; }
+  } catch (const std::invalid_argument&) {
+    refused = true;
+  }
   assert(refused);
 }
--- a/tests/maintenance_test.cpp
+++ b/tests/maintenance_test.cpp
@@ -1,4 +1,5 @@
-// Machines taken out for work: the ledger and its order, the agreement, and whole rounds of work under faults in simulated time.
+// Machines taken out for work: the ledger and its order, the agreement, and whole rounds of work
+// under faults in simulated time.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -15,16 +16,19 @@
 using emulator::WorksSpec;
 using emulator::WorksWorld;
 
-Command ask_for(const std::string& id, std::set<std::string> machines, std::uint32_t at_once = 1, std::int32_t priority = 0) {
+Command ask_for(const std::string& id, std::set<std::string> machines, std::uint32_t at_once = 1,
+                std::int32_t priority = 0) {
   Command c;
   c.what = What::kAsk;
   c.request.emplace();
-  c.request->id = id, c.request->by = "ana", c.request->why = "kernel", c.request->select.ids = std::move(machines);
+  c.request->id = id, c.request->by = "ana", c.request->why = "kernel",
+  c.request->select.ids = std::move(machines);
   c.request->at_once = at_once, c.request->priority = priority;
   return c;
 }
 
-Command word(What what, const std::string& id, const std::string& machine = {}, const std::string& proxy = {}, Fence fence = 0) {
+Command word(What what, const std::string& id, const std::string& machine = {},
+             const std::string& proxy = {}, Fence fence = 0) {
   Command c;
   c.what = what, c.id = id, c.machine = machine, c.proxy = proxy, c.fence = fence;
   return c;
@@ -36,7 +40,9 @@
     Command c;
     c.what = What::kBounds, c.bounds = bounds;
     give(c);
-    for (const char* p : {"p-1", "p-2"}) give(word(What::kJoin, {}, {}, p));
+    for (const char* p : {"p-1", "p-2"}) {
+      give(word(What::kJoin, {}, {}, p));
+    }
     facts();
   }
   void facts(double use = 0.4, const std::string& trouble = {}) {
@@ -44,8 +50,11 @@
     c.what = What::kFacts, c.use = {{"a", use}, {"b", use}}, c.trouble = trouble;
     for (int i = 0; i < 8; ++i) {
       Machine m;
-      m.id = "m-" + std::to_string(i), m.zone = i < 4 ? "a" : "b", m.cell = "c" + std::to_string(i / 2), m.kind = i % 2 ? "x" : "y";
-      if (changed.contains(m.id)) m = changed[m.id];
+      m.id = "m-" + std::to_string(i), m.zone = i < 4 ? "a" : "b",
+      m.cell = "c" + std::to_string(i / 2), m.kind = i % 2 ? "x" : "y";
+      if (changed.contains(m.id)) {
+        m = changed[m.id];
+      }
       c.machines.push_back(m);
     }
     give(c);
@@ -58,13 +67,17 @@
   // The next step of the order is settled; what it was.
   std::optional<Command> go() {
     const auto next = ledger.next(shown);
-    if (next.empty()) return std::nullopt;
+    if (next.empty()) {
+      return std::nullopt;
+    }
     give(next.front());
     return next.front();
   }
   std::string why(const std::string& id) {
     std::string all;
-    for (const std::string& line : ledger.explain(id, shown)) all += line + "\n";
+    for (const std::string& line : ledger.explain(id, shown)) {
+      all += line + "\n";
+    }
     return all;
   }
   void both_show() { shown = {{"p-1", index}, {"p-2", index}}; }
@@ -74,7 +87,9 @@
     both_show();
     go();
     const Fence fence = ledger.courses().at(announced->machine).fence;
-    for (const char* p : {"p-1", "p-2"}) give(word(What::kConfirm, {}, announced->machine, p, fence));
+    for (const char* p : {"p-1", "p-2"}) {
+      give(word(What::kConfirm, {}, announced->machine, p, fence));
+    }
     go();
     return announced->machine;
   }
@@ -116,7 +131,8 @@
   EXPECT_EQ(s.go()->what, What::kOut);
   EXPECT_EQ(s.give(word(What::kDone, "r", "m-1")), nullptr);
   EXPECT_EQ(s.step("m-1"), Step::kWarming);
-  EXPECT_TRUE(s.ledger.rights(Role::kBackend).empty());  // it serves again, and counts as out until it is warm
+  EXPECT_TRUE(s.ledger.rights(Role::kBackend)
+                  .empty());  // it serves again, and counts as out until it is warm
   EXPECT_EQ(s.go()->what, What::kWarm);
   EXPECT_TRUE(s.ledger.requests().at("r").ended);
 }
@@ -134,7 +150,9 @@
     b.needs_approval = false;
     Settled s(b);
     s.facts(use);
-    if (before) before(s);
+    if (before) {
+      before(s);
+    }
     s.give(ask_for("r", {"m-1"}));
     EXPECT_FALSE(s.go().has_value());
     const std::string why = s.why("r");
@@ -156,12 +174,13 @@
   EXPECT_EQ(reason(b, 0.1, other_out("m-0")), "keep_cell");
   EXPECT_EQ(reason(many, 0.4, [](Settled& s) { s.facts(0.4, "goodput"); }), "an incident");
   // A cold successor counts as out until it is warm.
-  EXPECT_EQ(reason(many, 0.55, [](Settled& s) {
-              Machine cold;
-              cold.id = "m-2", cold.zone = "a", cold.warm = false;
-              s.changed["m-2"] = cold;
-              s.facts(0.55);
-            }),
+  EXPECT_EQ(reason(many, 0.55,
+                   [](Settled& s) {
+                     Machine cold;
+                     cold.id = "m-2", cold.zone = "a", cold.warm = false;
+                     s.changed["m-2"] = cold;
+                     s.facts(0.55);
+                   }),
             "reserve");
 }
 
@@ -241,7 +260,8 @@
   s.give(ask_for("urgent", {"m-0", "m-1", "m-2", "m-3"}, 1, 3));
   s.give(ask_for("patient", {"m-4"}));
   EXPECT_EQ(s.take_one(), "m-0");
-  s.time += 4 * b.age_step;  // both age alike, so the patient one stays behind: what makes it go is what is over
+  s.time += 4 * b.age_step;  // both age alike, so the patient one stays behind: what makes it go is
+                             // what is over
   s.give(ask_for("late", {"m-5"}, 1, 3));
   s.give(word(What::kDone, "urgent", "m-0"));
   s.facts();
@@ -282,11 +302,15 @@
   ASSERT_TRUE(read.restore(good));
   EXPECT_EQ(read.snapshot(), good);
   EXPECT_EQ(describe(read, {}, "r", ""), describe(s.ledger, {}, "r", ""));
-  for (std::size_t i = 0; i < good.size(); ++i) EXPECT_FALSE(Ledger().restore(good.substr(0, i)));
+  for (std::size_t i = 0; i < good.size(); ++i) {
+    EXPECT_FALSE(Ledger().restore(good.substr(0, i)));
+  }
   std::mt19937 random(5);
   for (int i = 0; i < 20'000; ++i) {
     std::string bad = good;
-    for (unsigned n = 1 + random() % 3; n > 0; --n) bad[random() % bad.size()] = static_cast<char>(random());
+    for (unsigned n = 1 + random() % 3; n > 0; --n) {
+      bad[random() % bad.size()] = static_cast<char>(random());
+    }
     Ledger l;
     EXPECT_TRUE(!l.restore(bad) || Ledger().restore(l.snapshot()));
     decode(bad);
@@ -305,15 +329,22 @@
 }
 
 void ask_all(WorksWorld& w, std::size_t at = 0) {
-  for (int i = 0; i < 3; ++i) w.order(at, ask_for("all", {}, 2)), w.run(500ms);
+  for (int i = 0; i < 3; ++i) {
+    w.order(at, ask_for("all", {}, 2)), w.run(500ms);
+  }
 }
 
 bool done_within(WorksWorld& w, Duration most) {
-  for (const Time end = w.now() + most; w.now() < end && (!w.leader() || !w.open_requests().empty());) w.run(1s);
+  for (const Time end = w.now() + most;
+       w.now() < end && (!w.leader() || !w.open_requests().empty());) {
+    w.run(1s);
+  }
   return w.leader() && w.open_requests().empty();
 }
 
-void expect_kept(const WorksWorld& w) { EXPECT_EQ(w.verdict().all(), 0u) << w.verdict().text; }
+void expect_kept(const WorksWorld& w) {
+  EXPECT_EQ(w.verdict().all(), 0u) << w.verdict().text;
+}
 
 TEST(Works, AllMachinesGoOnce) {
   WorksWorld w(spec());
@@ -344,14 +375,17 @@
   w.run(3s);
   ask_all(w, 4);
   w.run(2s);
-  for (std::size_t i = 0; i < 3; ++i) w.kill(i), w.start(i);
+  for (std::size_t i = 0; i < 3; ++i) {
+    w.kill(i), w.start(i);
+  }
   w.run(4s);
   EXPECT_TRUE(w.leader());
   EXPECT_TRUE(done_within(w, 180s));
   expect_kept(w);
 }
 
-// With the quorum lost the followers serve on, by what they last held; what was announced they leave aside.
+// With the quorum lost the followers serve on, by what they last held; what was announced they
+// leave aside.
 TEST(Works, ServesOnWithoutAQuorum) {
   WorksWorld w(spec());
   w.run(3s);
@@ -367,12 +401,16 @@
 TEST(Works, AStartWithoutWordSendsNothing) {
   WorksWorld w(spec());
   w.run(3s);
-  for (std::size_t i = 0; i < 3; ++i) w.kill(i);
+  for (std::size_t i = 0; i < 3; ++i) {
+    w.kill(i);
+  }
   w.kill(5), w.start(5);
   w.run(5s);
   EXPECT_FALSE(w.works(5).leased());
   EXPECT_EQ(w.works(5).may_use_until("backend-00001"), Time::min());
-  for (std::size_t i = 0; i < 3; ++i) w.start(i);
+  for (std::size_t i = 0; i < 3; ++i) {
+    w.start(i);
+  }
   w.run(10s);
   EXPECT_TRUE(w.works(5).leased());
 }
@@ -391,11 +429,14 @@
   }
 }
 
-// Cut off from the rest with traffic on its side: where isolation ends serving, work goes on without it; else it waits and says for whom.
+// Cut off from the rest with traffic on its side: where isolation ends serving, work goes on
+// without it; else it waits and says for whom.
 TEST(Works, ASplitWithTrafficOnTheOtherSide) {
   for (const bool ends : {false, true}) {
     WorksSpec s = spec();
-    if (ends) s.isolated_after = 4s;
+    if (ends) {
+      s.isolated_after = 4s;
+    }
     WorksWorld w(s);
     w.run(3s);
     w.cut([](std::size_t a, std::size_t b) { return (a == 5) == (b == 5); });
@@ -482,21 +523,24 @@
 
 // Drawn plans of faults: what never may be is not, and each request ends or says why it waits.
 TEST(Works, DrawnPlansKeepWhatNeverMayBeBroken) {
-  for (std::uint64_t seed = 1; seed <= 12; ++seed) {  // `beechhill-lab works` plays as many as are asked for
+  for (std::uint64_t seed = 1; seed <= 12;
+       ++seed) {  // `beechhill-lab works` plays as many as are asked for
     const emulator::WorksPlay p = emulator::play_drawn_works(seed, 4);
     EXPECT_EQ(p.verdict.all(), 0u) << "seed " << seed << "\n" << p.plan << p.verdict.text;
     EXPECT_TRUE(p.silent.empty()) << "seed " << seed << ": " << p.silent.front() << "\n" << p.plan;
   }
 }
 
-// The course of two machines with three voters, and a crash, a stop or a split of each at every step of it.
+// The course of two machines with three voters, and a crash, a stop or a split of each at every
+// step of it.
 std::uint64_t explore(WorksBug bug, Duration every) {
   std::uint64_t broken = 0;
-  for (Duration at{0}; at < Duration(9s); at += every)
-    for (int fault = 0; fault < 4; ++fault)
+  for (Duration at{0}; at < Duration(9s); at += every) {
+    for (int fault = 0; fault < 4; ++fault) {
       for (std::size_t who = 0; who < 3; ++who) {
         WorksSpec s = spec();
-        s.followers = 0, s.backends = 2, s.zones = 1, s.use = 0.1, s.isolated_after = 3s, s.bug = bug;
+        s.followers = 0, s.backends = 2, s.zones = 1, s.use = 0.1, s.isolated_after = 3s,
+        s.bug = bug;
         s.call = 1s, s.work = 2s;
         s.voters = 3;
         s.bounds.most_out = 1;
@@ -505,28 +549,60 @@
         w.order(w.leader().value_or(0), ask_for("both", {}));
         w.run(at);
         const auto isolated = [who](std::size_t a, std::size_t b) { return a != who && b != who; };
-        if (fault == 0) w.kill(who);
-        if (fault == 1) w.stop(who);
-        if (fault == 2) w.cut(isolated);
-        if (fault == 3) w.cut([who](std::size_t, std::size_t b) { return b != who; });
+        if (fault == 0) {
+          w.kill(who);
+        }
+        if (fault == 1) {
+          w.stop(who);
+        }
+        if (fault == 2) {
+          w.cut(isolated);
+        }
+        if (fault == 3) {
+          w.cut([who](std::size_t, std::size_t b) { return b != who; });
+        }
         w.run(13s);
-        if (fault == 0) w.start(who);
-        if (fault == 1) w.go_on(who);
+        if (fault == 0) {
+          w.start(who);
+        }
+        if (fault == 1) {
+          w.go_on(who);
+        }
         w.cut({});
-        if (bug == WorksBug::kNone && !done_within(w, 120s)) ADD_FAILURE() << "stuck: fault " << fault << " of " << who << " at " << at.count() << (w.leader() ? describe(w.works(*w.leader()).ledger(), {}, "both", "") : " nobody leads");
-        if (bug != WorksBug::kNone) w.run(10s);
-        if (bug == WorksBug::kNone && w.verdict().all() > 0)
-          ADD_FAILURE() << "fault " << fault << " of " << who << " at " << at.count() << "\n" << w.verdict().text;
+        if (bug == WorksBug::kNone && !done_within(w, 120s)) {
+          ADD_FAILURE() << "stuck: fault " << fault << " of " << who << " at " << at.count()
+                        << (w.leader() ? describe(w.works(*w.leader()).ledger(), {}, "both", "")
+                                       : " nobody leads");
+        }
+        if (bug != WorksBug::kNone) {
+          w.run(10s);
+        }
+        if (bug == WorksBug::kNone && w.verdict().all() > 0) {
+          ADD_FAILURE() << "fault " << fault << " of " << who << " at " << at.count() << "\n"
+                        << w.verdict().text;
+        }
         broken += w.verdict().all();
-        if (broken > 0) return broken;
+        if (broken > 0) {
+          return broken;
+        }
       }
+    }
+  }
   return broken;
 }
 
-TEST(Works, NoFaultAtAnyStepOfACourseBreaksIt) { EXPECT_EQ(explore(WorksBug::kNone, 400ms), 0u); }
-TEST(Works, TheExplorationFindsALeaseHeldTooLong) { EXPECT_GT(explore(WorksBug::kLongLease, 100ms), 0u); }
-TEST(Works, TheExplorationFindsAMachineConfirmedBusy) { EXPECT_GT(explore(WorksBug::kConfirmsBusy, 100ms), 0u); }
-TEST(Works, TheExplorationFindsAMissingLease) { EXPECT_GT(explore(WorksBug::kNoLease, 100ms), 0u); }
+TEST(Works, NoFaultAtAnyStepOfACourseBreaksIt) {
+  EXPECT_EQ(explore(WorksBug::kNone, 400ms), 0u);
+}
+TEST(Works, TheExplorationFindsALeaseHeldTooLong) {
+  EXPECT_GT(explore(WorksBug::kLongLease, 100ms), 0u);
+}
+TEST(Works, TheExplorationFindsAMachineConfirmedBusy) {
+  EXPECT_GT(explore(WorksBug::kConfirmsBusy, 100ms), 0u);
+}
+TEST(Works, TheExplorationFindsAMissingLease) {
+  EXPECT_GT(explore(WorksBug::kNoLease, 100ms), 0u);
+}
 
 }  // namespace
 }  // namespace beechhill::test
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,4 +1,5 @@
-// Membership: the state machine over a simulated network, and what proves where a datagram comes from.
+// Membership: the state machine over a simulated network, and what proves where a datagram comes
+// from.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -25,10 +26,14 @@
   return s;
 }
 
-State held(const TalkWorld& w, std::size_t by, std::size_t other) { return w.swim(by).members().at(TalkWorld::name_of(other)).rumour.state; }
+State held(const TalkWorld& w, std::size_t by, std::size_t other) {
+  return w.swim(by).members().at(TalkWorld::name_of(other)).rumour.state;
+}
 
 bool agree_within(TalkWorld& w, Duration most) {
-  for (const Time end = w.now() + most; w.now() < end && !w.agreed();) w.run(100ms);
+  for (const Time end = w.now() + most; w.now() < end && !w.agreed();) {
+    w.run(100ms);
+  }
   return w.agreed();
 }
 
@@ -55,7 +60,8 @@
   w.start(5);
   w.run(20s);
   EXPECT_TRUE(w.agreed() && held(w, 0, 7) == State::kAlive);
-  EXPECT_GE(w.books().restarts_seen, 10u);  // the others, but for whoever heard of it from the newcomer itself as new
+  EXPECT_GE(w.books().restarts_seen,
+            10u);  // the others, but for whoever heard of it from the newcomer itself as new
 }
 
 TEST(Membership, OneThatWakesLearnsThatItWasDeclaredDeadBeforeItIsSure) {
@@ -67,7 +73,9 @@
   const std::uint64_t deaths = w.swim(3).deaths();
   w.go_on(3);
   EXPECT_FALSE(w.swim(3).sure());
-  for (int i = 0; i < 1000 && !w.swim(3).sure(); ++i) w.run(1ms);
+  for (int i = 0; i < 1000 && !w.swim(3).sure(); ++i) {
+    w.run(1ms);
+  }
   EXPECT_TRUE(w.swim(3).sure());
   EXPECT_EQ(w.swim(3).deaths(), deaths + 1);
   EXPECT_TRUE(agree_within(w, 10s));
@@ -93,7 +101,8 @@
   EXPECT_EQ(w.books().false_deaths, 0u);
 }
 
-// One on a bad line blames itself: it probes more slowly, and none of the others is held for dead on its word.
+// One on a bad line blames itself: it probes more slowly, and none of the others is held for dead
+// on its word.
 TEST(Membership, OneOnABadLineBlamesItself) {
   TalkWorld w(spec(12));
   ASSERT_TRUE(agree_within(w, 10s));
@@ -105,7 +114,9 @@
     slowness = std::max(slowness, w.swim(11).slowness());
   }
   EXPECT_GT(slowness, 0u);
-  for (std::size_t i = 0; i < 11; ++i) EXPECT_EQ(w.swim(i).deaths(), 0u) << i;
+  for (std::size_t i = 0; i < 11; ++i) {
+    EXPECT_EQ(w.swim(i).deaths(), 0u) << i;
+  }
 }
 
 TEST(Membership, AHealedSplitIsFound) {
@@ -139,40 +150,69 @@
       const std::size_t i = dice() % s.members;
       const std::size_t half = 1 + dice() % (s.members - 1);
       switch (dice() % 5) {
-        case 0: w.kill(i); break;
-        case 1: if (!w.running(i)) w.start(i); break;
-        case 2: if (w.running(i)) w.stop(i); break;
-        case 3: w.cut([half](std::size_t a, std::size_t b) { return (a < half) == (b < half); }); break;
-        case 4: w.cut([half](std::size_t a, std::size_t b) { return a < half || b >= half; }); break;  // one way
+        case 0:
+          w.kill(i);
+          break;
+        case 1:
+          if (!w.running(i)) {
+            w.start(i);
+          }
+          break;
+        case 2:
+          if (w.running(i)) {
+            w.stop(i);
+          }
+          break;
+        case 3:
+          w.cut([half](std::size_t a, std::size_t b) { return (a < half) == (b < half); });
+          break;
+        case 4:
+          w.cut([half](std::size_t a, std::size_t b) { return a < half || b >= half; });
+          break;  // one way
       }
       w.run(std::chrono::milliseconds(dice() % 20'000));
     }
     w.cut({});
-    for (std::size_t i = 0; i < s.members; ++i) w.running(i) ? void() : (w.go_on(i), w.running(i) ? void() : w.start(i));
+    for (std::size_t i = 0; i < s.members; ++i) {
+      w.running(i) ? void() : (w.go_on(i), w.running(i) ? void() : w.start(i));
+    }
     EXPECT_TRUE(agree_within(w, 200s)) << "seed " << seed << " members " << s.members;
   }
 }
 
 TEST(MembershipWire, ReadsWhatItWroteAndNothingElse) {
-  membership::Message m{membership::Kind::kPingFor, 77, "member-9", 123, {{"a", "127.0.0.1:1", State::kSuspect, 4, 9, "b"}, {"c", "", State::kLeft, 0, 0, ""}}};
+  membership::Message m{
+      membership::Kind::kPingFor,
+      77,
+      "member-9",
+      123,
+      {{"a", "127.0.0.1:1", State::kSuspect, 4, 9, "b"}, {"c", "", State::kLeft, 0, 0, ""}}};
   const std::string good = membership::encode(m);
   const auto read = membership::decode(good);
-  ASSERT_TRUE(read && read->kind == m.kind && read->number == 77 && read->about == m.about && read->rumours == m.rumours);
-  for (std::size_t i = 0; i < good.size(); ++i) EXPECT_FALSE(membership::decode(good.substr(0, i)));
+  ASSERT_TRUE(read && read->kind == m.kind && read->number == 77 && read->about == m.about &&
+              read->rumours == m.rumours);
+  for (std::size_t i = 0; i < good.size(); ++i) {
+    EXPECT_FALSE(membership::decode(good.substr(0, i)));
+  }
   EXPECT_FALSE(membership::decode(good + "x"));
   std::mt19937 random(3);
   for (int i = 0; i < 100'000; ++i) {
     std::string bad = good;
-    for (unsigned n = 1 + random() % 3; n > 0; --n) bad[random() % bad.size()] = static_cast<char>(random());
+    for (unsigned n = 1 + random() % 3; n > 0; --n) {
+      bad[random() % bad.size()] = static_cast<char>(random());
+    }
     const auto got = membership::decode(bad);
     EXPECT_TRUE(!got || membership::decode(membership::encode(*got)));
   }
 }
 
-membership::Keys keys(char digit) { return membership::read_keys(std::string(64, digit)); }
+membership::Keys keys(char digit) {
+  return membership::read_keys(std::string(64, digit));
+}
 
 struct Two {  // members with a gate each, and what is on its way between them
-  Two(membership::Keys a, membership::Keys b) : one(std::move(a), "one", 11, 1), two(std::move(b), "two", 22, 2) {}
+  Two(membership::Keys a, membership::Keys b)
+      : one(std::move(a), "one", 11, 1), two(std::move(b), "two", 22, 2) {}
   // The payloads that arrive at `to`, with hellos carried both ways.
   std::vector<std::string> pass(Gate& from, Gate& to, std::string datagram) {
     std::vector<std::string> arrived;
@@ -180,7 +220,9 @@
     for (int i = 0; i < 4; ++i) {
       for (const std::string& d : std::exchange(going, {})) {
         const Gate::Result r = to.open("from", d);
-        if (r.opened) arrived.push_back(r.opened->payload);
+        if (r.opened) {
+          arrived.push_back(r.opened->payload);
+        }
         coming.insert(coming.end(), r.replies.begin(), r.replies.end());
       }
       for (const std::string& d : std::exchange(coming, {})) {
@@ -219,8 +261,10 @@
 TEST(MembershipGate, RefusesWhatWasCaughtAndSentAgain) {
   Two t(keys('a'), keys('a'));
   t.pass(t.one, t.two, t.one.seal("to", Channel::kSwim, "x"));
-  const std::string caught = t.one.seal("to", Channel::kSwim, "y"), later = t.one.seal("to", Channel::kSwim, "z");
-  EXPECT_TRUE(t.two.open("from", later).opened && t.two.open("from", caught).opened);  // out of order is no harm
+  const std::string caught = t.one.seal("to", Channel::kSwim, "y"),
+                    later = t.one.seal("to", Channel::kSwim, "z");
+  EXPECT_TRUE(t.two.open("from", later).opened &&
+              t.two.open("from", caught).opened);  // out of order is no harm
   EXPECT_STREQ(t.two.open("from", caught).refused, "again");
   EXPECT_STREQ(t.two.open("from", later).refused, "again");
   // A receiver that starts anew knows no numbers, but drew no such ticket.
@@ -237,8 +281,13 @@
 
 TEST(MembershipGate, ChangesItsKeyWhileAllRun) {
   Two t(keys('a'), keys('a'));
-  const auto both = [](char first, char second) { return membership::read_keys(std::string(64, first) + "\n" + std::string(64, second) + "\n"); };
-  const auto passes = [&t] { return t.pass(t.one, t.two, t.one.seal("to", Channel::kSwim, "x")).size() + t.pass(t.two, t.one, t.two.seal("to", Channel::kSwim, "x")).size(); };
+  const auto both = [](char first, char second) {
+    return membership::read_keys(std::string(64, first) + "\n" + std::string(64, second) + "\n");
+  };
+  const auto passes = [&t] {
+    return t.pass(t.one, t.two, t.one.seal("to", Channel::kSwim, "x")).size() +
+           t.pass(t.two, t.one, t.two.seal("to", Channel::kSwim, "x")).size();
+  };
   EXPECT_EQ(passes(), 2u);
   t.one.change_keys(both('a', 'b'));
   EXPECT_EQ(passes(), 2u);
@@ -250,17 +299,23 @@
   EXPECT_EQ(passes(), 2u);
   EXPECT_THROW(membership::read_keys("12"), std::invalid_argument);
   EXPECT_THROW(membership::read_keys(""), std::invalid_argument);
-  EXPECT_THROW(membership::read_keys(std::string(64, 'a') + "\n" + std::string(64, 'b') + "\n" + std::string(64, 'c')), std::invalid_argument);
+  EXPECT_THROW(membership::read_keys(std::string(64, 'a') + "\n" + std::string(64, 'b') + "\n" +
+                                     std::string(64, 'c')),
+               std::invalid_argument);
 }
 
 TEST(MembershipGate, PutsPartsTogetherInAnyOrder) {
   std::string whole;
-  for (int i = 0; i < 20'000; ++i) whole += static_cast<char>(i * 7);
+  for (int i = 0; i < 20'000; ++i) {
+    whole += static_cast<char>(i * 7);
+  }
   auto parts = membership::split(5, whole);
   ASSERT_GT(parts.size(), 10u);
   std::shuffle(parts.begin(), parts.end(), std::mt19937(1));
   membership::Assembler a;
-  for (std::size_t i = 0; i + 1 < parts.size(); ++i) EXPECT_FALSE(a.add("m", parts[i])) << i;
+  for (std::size_t i = 0; i + 1 < parts.size(); ++i) {
+    EXPECT_FALSE(a.add("m", parts[i])) << i;
+  }
   EXPECT_FALSE(a.add("m", parts.front()));  // twice
   EXPECT_EQ(a.add("m", parts.back()), whole);
   EXPECT_FALSE(a.add("m", "short"));
--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -22,7 +22,8 @@
   std::string errors;
   const std::unique_ptr<Json::CharReader> reader(Json::CharReaderBuilder().newCharReader());
   assert(answer.status == 200);
-  assert(reader->parse(answer.body.data(), answer.body.data() + answer.body.size(), &root, &errors));
+  assert(
+      reader->parse(answer.body.data(), answer.body.data() + answer.body.size(), &root, &errors));
   return root;
 }
 
@@ -56,7 +57,9 @@
   for (const auto& c : cases) {
     const admin::Call call = admin::read_call(c.method, c.target);
     assert(call.error == c.error);
-    if (call.error == 0) assert(call.what == c.what && call.target == c.id);
+    if (call.error == 0) {
+      assert(call.what == c.what && call.target == c.id);
+    }
   }
 }
 
@@ -75,19 +78,23 @@
   DoorCourse alone{Duration(3s)}, succeeded{Duration(3s)};
   alone.end(t0, false);
   alone.evacuate(t0 + 100ms);
-  assert(!alone.ready() && alone.accepts(t0 + 500ms) && !alone.accepts(t0 + 1100ms) && alone.clears(t0 + 2s));
+  assert(!alone.ready() && alone.accepts(t0 + 500ms) && !alone.accepts(t0 + 1100ms) &&
+         alone.clears(t0 + 2s));
   assert(alone.answer_by() > t0 + 3s && alone.answer_by() < t0 + 3700ms);
   succeeded.end(t0, true);
-  assert(succeeded.ready() && !succeeded.accepts(t0) && succeeded.parts(t0 - 1s, t0) && !succeeded.clears(t0 + 1s));
+  assert(succeeded.ready() && !succeeded.accepts(t0) && succeeded.parts(t0 - 1s, t0) &&
+         !succeeded.clears(t0 + 1s));
 }
 
-// Callers that say nothing, or half of it, fill the door; a real call is answered meanwhile, also while the clients'
-// side is full.
+// Callers that say nothing, or half of it, fill the door; a real call is answered meanwhile, also
+// while the clients' side is full.
 void answers_operators_in_a_crowd() {
   const Door a, b;
   const Proxy proxy(hosts_json(a, b));
   std::vector<Wire> silent, half, clients;
-  for (int i = 0; i < 250; ++i) clients.push_back(proxy.client());
+  for (int i = 0; i < 250; ++i) {
+    clients.push_back(proxy.client());
+  }
   for (int i = 0; i < 40; ++i) {
     silent.push_back(proxy.caller());
     half.push_back(proxy.caller());
@@ -95,16 +102,20 @@
   }
   const auto sent = Clock::now();
   assert(proxy.call("GET", "/api/ready").status == 200 && Clock::now() - sent < 5s);
-  for (Wire& caller : silent) assert(!caller.fill());
+  for (Wire& caller : silent) {
+    assert(!caller.fill());
+  }
   assert(proxy.call("DELETE", "/api/ready").status == 405 && proxy.call("GET", "/").status == 404);
 }
 
-// What was taken is completed, rejected, failed or abandoned, or still pending; every class is there from the start.
+// What was taken is completed, rejected, failed or abandoned, or still pending; every class is
+// there from the start.
 void counts_each_request_once() {
   const Door backend;
   const Proxy proxy("[" + host_json("s-1", backend.address()) + "]");
   Json::Value f = figures(proxy);
-  assert(f["completed"]["ver"] == 0 && f["failed"]["ajuste"] == 0 && f["pending"] == 0 && f["members"] == 1);
+  assert(f["completed"]["ver"] == 0 && f["failed"]["ajuste"] == 0 && f["pending"] == 0 &&
+         f["members"] == 1);
   Wire client = proxy.client();
   client.send(Proxy::get("a1"));
   Wire server = backend.accept();
@@ -142,25 +153,30 @@
   expect_status(client, 200);
 }
 
-// A backend that is back is cold: a client may be told to come again before it gets its first request.
+// A backend that is back is cold: a client may be told to come again before it gets its first
+// request.
 void answer_soon(const Door& backend, Wire& client, const std::string& id) {
   for (int n = 0;; ++n) {
     client.send(Proxy::get(id + std::to_string(n)));
-    while (!client.readable(5ms) && !backend.pending(0ms)) {
+    while (!client.readable(5ms) && !backend.pending(0ms)) {}
+    if (backend.pending(0ms)) {
+      return answer_next(backend, client);
     }
-    if (backend.pending(0ms)) return answer_next(backend, client);
     expect_status(client, 503);
     assert(n < 8);  // 5 s at the most
   }
 }
 
-// A backend left out by hand gets nothing new, whatever the list says of it meanwhile, until one call back.
+// A backend left out by hand gets nothing new, whatever the list says of it meanwhile, until one
+// call back.
 void keeps_bans() {
   const Door first, second;
   Proxy proxy(hosts_json(first, second));
   assert(proxy.call("PUT", "/api/exclude?target=nobody").status == 404);
   assert(proxy.call("PUT", "/api/include?target=nobody").status == 404);
-  for (int i = 0; i < 2; ++i) assert(proxy.call("PUT", "/api/exclude?target=s-1").status == 200);
+  for (int i = 0; i < 2; ++i) {
+    assert(proxy.call("PUT", "/api/exclude?target=s-1").status == 200);
+  }
   const Json::Value f = figures(proxy);
   assert(f["members"] == 2 && f["members_unavailable"] == 1);
   Wire client = proxy.client();
@@ -173,7 +189,8 @@
     assert(!other.pending(0ms));
   };
   all_go_to(second, first);
-  proxy.list("[" + host_json("s-1", first.address(), "terminated") + "]", false);  // gone, and back as another start
+  proxy.list("[" + host_json("s-1", first.address(), "terminated") + "]",
+             false);  // gone, and back as another start
   proxy.list("[" + host_json("s-1", first.address(), "in_service", 1) + "]", false);
   all_go_to(second, first);
   proxy.list("[" + host_json("s-1", first.address(), "terminated") + "]", false);
@@ -205,8 +222,8 @@
   answer_soon(backend, client, "c");
 }
 
-// Sent away: not ready, new clients still served, answers say close, idle connections go; the process runs on and is
-// taken back.
+// Sent away: not ready, new clients still served, answers say close, idle connections go; the
+// process runs on and is taken back.
 void drains_and_rejoins() {
   const Door backend;
   Proxy proxy("[" + host_json("s-1", backend.address()) + "]");
@@ -218,10 +235,14 @@
   busy.send(Proxy::get("a1"));
   Wire server = backend.accept();
   server.request();
-  for (int i = 0; i < 2; ++i) assert(proxy.call("PUT", "/api/evacuate").status == 200);
+  for (int i = 0; i < 2; ++i) {
+    assert(proxy.call("PUT", "/api/evacuate").status == 200);
+  }
   assert(proxy.ready() == 503 && proxy.call("GET", "/api/ready").status == 200);
   ::usleep(350'000);
-  asker.send(Proxy::get("a2") + Proxy::get("a3"));  // the second has been read when the close comes: it is answered first
+  asker.send(
+      Proxy::get("a2") +
+      Proxy::get("a3"));  // the second has been read when the close comes: it is answered first
   Wire other = backend.accept();
   other.request();
   other.reply(200, "", "2");
@@ -240,7 +261,8 @@
   server.reply(200, "", "1");
   answer = busy.answer();
   assert(answer.body == "1" && !answer.keep_alive());
-  assert(proxy.call("PUT", "/api/rejoin").status == 200 && proxy.call("PUT", "/api/rejoin").status == 200);
+  assert(proxy.call("PUT", "/api/rejoin").status == 200 &&
+         proxy.call("PUT", "/api/rejoin").status == 200);
   assert(proxy.ready() == 200);
   Wire back = proxy.client();
   back.send(Proxy::get("a5"));
@@ -257,13 +279,14 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  return run_named(argc, argv, {
-    {"reads_calls", reads_calls},
-    {"follows_its_course", follows_its_course},
-    {"answers_operators_in_a_crowd", answers_operators_in_a_crowd},
-    {"counts_each_request_once", counts_each_request_once},
-    {"keeps_bans", keeps_bans},
-    {"refuses_when_all_are_out", refuses_when_all_are_out},
-    {"drains_and_rejoins", drains_and_rejoins},
-  });
+  return run_named(argc, argv,
+                   {
+                       {"reads_calls", reads_calls},
+                       {"follows_its_course", follows_its_course},
+                       {"answers_operators_in_a_crowd", answers_operators_in_a_crowd},
+                       {"counts_each_request_once", counts_each_request_once},
+                       {"keeps_bans", keeps_bans},
+                       {"refuses_when_all_are_out", refuses_when_all_are_out},
+                       {"drains_and_rejoins", drains_and_rejoins},
+                   });
 }
--- a/tests/properties_test.cpp
+++ b/tests/properties_test.cpp
@@ -1,6 +1,7 @@
-// Random runs of the real module, from fixed seeds and over drawn deployments, against the rules of the brief and
-// against what must always be true of it from outside. What the rules say stands in emulator::RuleChecker alone. A run
-// that fails prints its seed, its last events and the history of the request.
+// Random runs of the real module, from fixed seeds and over drawn deployments, against the rules of
+// the brief and against what must always be true of it from outside. What the rules say stands in
+// emulator::RuleChecker alone. A run that fails prints its seed, its last events and the history of
+// the request.
 #include <cmath>
 #include <deque>
 #include <functional>
@@ -24,7 +25,9 @@
 constexpr std::size_t kScript = 24;  // events that a failing run prints
 constexpr ServerId kFew = 5;         // servers that are left when all is over
 
-double log_uniform(Stream& dice, double from, double to) { return from * std::pow(to / from, dice.uniform()); }
+double log_uniform(Stream& dice, double from, double to) {
+  return from * std::pow(to / from, dice.uniform());
+}
 template <typename T>
 T one_of(Stream& dice, std::initializer_list<T> of) {
   return *(of.begin() + static_cast<std::ptrdiff_t>(dice.below(of.size())));
@@ -50,7 +53,11 @@
 class Play {
  public:
   explicit Play(std::uint64_t seed)
-      : seed_(seed), dice_(seed, Actor::kClients, 0), told_(deployment()), rules_(told_), driver_(settings()) {
+      : seed_(seed),
+        dice_(seed, Actor::kClients, 0),
+        told_(deployment()),
+        rules_(told_),
+        driver_(settings()) {
     driver_.seen = [this](const std::vector<Action>& actions) { carry_out(actions); };
     servers_.resize(one_of<std::size_t>(dice_, {1, 2, 6, 20, 60, 300}));
     for (ServerId id = 0; id < servers_.size(); ++id) {
@@ -61,18 +68,26 @@
 
   // The text of all actions.
   std::string run() {
-    if (dice_.below(4) > 0) whole_list(ListKind::kLastHeld);  // else it knows none yet
+    if (dice_.below(4) > 0) {
+      whole_list(ListKind::kLastHeld);  // else it knows none yet
+    }
     const Duration longest = emulator::longest_deadline(told_);
     const double gap = to_s(longest) / log_uniform(dice_, 20, 400);
     for (int i = 0; i < 400; ++i) {
       advance(driver_.now + to_span(dice_.exponential(gap)));
       arrive();
-      if (dice_.below(8) == 0) disturb();
+      if (dice_.below(8) == 0) {
+        disturb();
+      }
     }
     advance(driver_.now + 2 * longest);
     for (const auto& [id, c] : calls_) {
-      if (!c.over) fail("request " + std::to_string(id) + " has no answer");
-      if (c.out > 0) fail("request " + std::to_string(id) + " has an attempt without an outcome");
+      if (!c.over) {
+        fail("request " + std::to_string(id) + " has no answer");
+      }
+      if (c.out > 0) {
+        fail("request " + std::to_string(id) + " has an attempt without an outcome");
+      }
     }
     aftermath();
     return text_.str();
@@ -102,7 +117,9 @@
   Scenario deployment() {
     Scenario s;
     const std::size_t classes = one_of<std::size_t>(dice_, {1, 2, 3, 10});
-    for (std::size_t i = 0; i < classes; ++i) s.classes.push_back(drawn_class(dice_, i));
+    for (std::size_t i = 0; i < classes; ++i) {
+      s.classes.push_back(drawn_class(dice_, i));
+    }
     s.drain_grace = Duration{-1};  // of the module itself: it sends nothing new from the word on
     s.answer_grace = Duration{0};
     s.parallel_tries = dice_.below(2) == 0;
@@ -112,9 +129,13 @@
   Settings settings() {
     Settings s;
     s.seed = dice_.bits();
-    for (const auto& c : told_.classes) s.classes.push_back(c.settings);
+    for (const auto& c : told_.classes) {
+      s.classes.push_back(c.settings);
+    }
     const std::size_t tenants = one_of<std::size_t>(dice_, {0, 1, 7, 40});
-    for (std::size_t i = 0; i < tenants; ++i) s.tenants.push_back({1, one_of(dice_, {0.0, 0.1, 5.0})});
+    for (std::size_t i = 0; i < tenants; ++i) {
+      s.tenants.push_back({1, one_of(dice_, {0.0, 0.1, 5.0})});
+    }
     s.over_share_worth = dice_.uniform();
     s.tier_count = 1 + static_cast<std::uint32_t>(dice_.below(3));
     s.tier = static_cast<std::uint32_t>(dice_.below(s.tier_count));
@@ -144,18 +165,27 @@
     e.cell = static_cast<std::uint32_t>(dice_.below(4));
     e.kind = static_cast<std::uint32_t>(dice_.below(3));
     e.born.reset();
-    if (dice_.below(2) == 0) e.born = driver_.now - to_span(20 * dice_.uniform());
+    if (dice_.below(2) == 0) {
+      e.born = driver_.now - to_span(20 * dice_.uniform());
+    }
     e.state = ServerState::kUp;
   }
 
   double absurd() {
     using Limits = std::numeric_limits<double>;
-    return one_of(dice_, {Limits::quiet_NaN(), Limits::infinity(), -Limits::infinity(), -1.0, 0.0, 1e-300, 1e308, 1e5});
+    return one_of(dice_, {Limits::quiet_NaN(), Limits::infinity(), -Limits::infinity(), -1.0, 0.0,
+                          1e-300, 1e308, 1e5});
   }
   LoadReport report() {
-    if (quiet_) return {};
-    if (dice_.below(3) == 0) return {};
-    if (dice_.below(10) == 0) return {absurd(), absurd()};
+    if (quiet_) {
+      return {};
+    }
+    if (dice_.below(3) == 0) {
+      return {};
+    }
+    if (dice_.below(10) == 0) {
+      return {absurd(), absurd()};
+    }
     return {dice_.uniform(), 100 * dice_.uniform()};
   }
 
@@ -176,7 +206,9 @@
 
   void give(const Event& event, const std::string& what) {
     script_.push_back(std::to_string(to_s(driver_.now)) + " " + what);
-    if (script_.size() > kScript) script_.pop_front();
+    if (script_.size() > kScript) {
+      script_.pop_front();
+    }
     driver_.give(event);
   }
 
@@ -193,20 +225,27 @@
     Request r;
     r.id = id;
     r.class_id = made.c;
-    if (!settings_.tenants.empty() && dice_.below(10) > 0)
+    if (!settings_.tenants.empty() && dice_.below(10) > 0) {
       r.tenant = static_cast<TenantId>(dice_.below(settings_.tenants.size()));
+    }
     r.deadline = made.deadline;
     r.large = made.large;
-    if (dice_.below(2) == 0) r.work_hint = to_span(to_s(all) / 20);
+    if (dice_.below(2) == 0) {
+      r.work_hint = to_span(to_s(all) / 20);
+    }
     rules_.taken(driver_.now, id, r.class_id, r.deadline);
     at(r.deadline, [this, id] { deadline(id); });
-    if (dice_.below(12) == 0) at(driver_.now + to_span(to_s(all) * dice_.uniform()), [this, id] { leave(id); });
+    if (dice_.below(12) == 0) {
+      at(driver_.now + to_span(to_s(all) * dice_.uniform()), [this, id] { leave(id); });
+    }
     give(r, "request " + std::to_string(id) + " class " + std::to_string(r.class_id));
   }
 
   void leave(RequestId id) {
     Made& made = calls_.at(id);
-    if (made.over) return;
+    if (made.over) {
+      return;
+    }
     made.over = true;
     rules_.answered(driver_.now, id, false);  // nothing is owed any more
     give(ClientGone{id}, "client of " + std::to_string(id) + " leaves");
@@ -214,8 +253,9 @@
 
   // The embedder stops waiting; what has no answer by now is late.
   void deadline(RequestId id) {
-    for (std::uint32_t i = 0; i < calls_.at(id).attempts.size(); ++i)
+    for (std::uint32_t i = 0; i < calls_.at(id).attempts.size(); ++i) {
       outcome(id, i, calls_.at(id).over ? Result::kCancelled : Result::kTimeout);
+    }
     rules_.overdue(driver_.now, id);
     check();
   }
@@ -225,9 +265,12 @@
   void outcome(RequestId id, std::uint32_t attempt, Result result) {
     Made& made = calls_.at(id);
     Attempt& a = made.attempts[attempt];
-    if (!a.open) return;
+    if (!a.open) {
+      return;
+    }
     a.open = false;
-    a.maybe = result != Result::kFull && result != Result::kConnectFailed && result != Result::kMoot;
+    a.maybe =
+        result != Result::kFull && result != Result::kConnectFailed && result != Result::kMoot;
     --made.out;
     rules_.ended(driver_.now, id, attempt, result);
     if (result == Result::kOk && !made.over) {
@@ -238,9 +281,13 @@
     give(Outcome{id, attempt, result, made.over, report(), made.spent},
          "outcome " + std::to_string(static_cast<int>(result)) + " of " + std::to_string(id) + "." +
              std::to_string(attempt));
-    // What is neither out nor over is held, and that only while nothing may have run: to give up is to answer now.
-    const bool maybe = std::any_of(made.attempts.begin(), made.attempts.end(), [](auto& x) { return x.maybe; });
-    if (!made.over && made.out == 0 && (maybe || made.spent)) fail("request " + std::to_string(id) + " is parked");
+    // What is neither out nor over is held, and that only while nothing may have run: to give up is
+    // to answer now.
+    const bool maybe =
+        std::any_of(made.attempts.begin(), made.attempts.end(), [](auto& x) { return x.maybe; });
+    if (!made.over && made.out == 0 && (maybe || made.spent)) {
+      fail("request " + std::to_string(id) + " is parked");
+    }
   }
 
   void carry_out(const std::vector<Action>& actions) {
@@ -256,34 +303,53 @@
     Made& made = calls_.at(a.id);
     const Server& s = servers_.at(a.server);
     rules_.sent(driver_.now, a.id, 0, a.server, s.entry, s.away);
-    if (made.spent) fail("request " + std::to_string(a.id) + " sent again, its body gone in part");
-    if (made.attempts.size() >= settings_.most_tries) fail("too many attempts of " + std::to_string(a.id));
+    if (made.spent) {
+      fail("request " + std::to_string(a.id) + " sent again, its body gone in part");
+    }
+    if (made.attempts.size() >= settings_.most_tries) {
+      fail("too many attempts of " + std::to_string(a.id));
+    }
     const auto attempt = static_cast<std::uint32_t>(made.attempts.size());
     made.attempts.push_back({a.server});
     ++made.out;
     const double chance = dice_.uniform();
     Result result = Result::kOk;
     double takes = s.pace;
-    if (chance < s.silent) return;  // until the deadline
-    if (chance < s.silent + s.errors) result = one_of(dice_, {Result::kError, Result::kReset}), takes = 1e-3;
-    else if (chance < s.silent + s.errors + s.full) result = Result::kFull, takes = 1e-3;
-    else if (dice_.below(25) == 0) result = static_cast<Result>(dice_.below(8));
-    const Duration after = to_span(dice_.exponential(takes * to_s(told_.classes[made.c].settings.aim)));
+    if (chance < s.silent) {
+      return;  // until the deadline
+    }
+    if (chance < s.silent + s.errors) {
+      result = one_of(dice_, {Result::kError, Result::kReset}), takes = 1e-3;
+    } else if (chance < s.silent + s.errors + s.full) {
+      result = Result::kFull, takes = 1e-3;
+    } else if (dice_.below(25) == 0) {
+      result = static_cast<Result>(dice_.below(8));
+    }
+    const Duration after =
+        to_span(dice_.exponential(takes * to_s(told_.classes[made.c].settings.aim)));
     const RequestId id = a.id;
-    if (driver_.now + after < made.deadline)
+    if (driver_.now + after < made.deadline) {
       at(driver_.now + after, [this, id, attempt, result] { outcome(id, attempt, result); });
-    if (told_.classes[made.c].settings.streaming && result == Result::kOk)
+    }
+    if (told_.classes[made.c].settings.streaming && result == Result::kOk) {
       at(driver_.now + after / 2, [this, id, attempt] {
         Made& m = calls_.at(id);
-        if (m.over || !m.attempts[attempt].open) return;
+        if (m.over || !m.attempts[attempt].open) {
+          return;
+        }
         m.attempts[attempt].streamed = true;
         give(FirstByte{id, attempt}, "first byte of " + std::to_string(id));
       });
+    }
   }
   void act(const Cancel& a) {
     const Attempt& attempt = calls_.at(a.id).attempts.at(a.attempt);
-    if (!attempt.open || attempt.streamed) fail("cancel of what is over or streams: " + std::to_string(a.id));
-    if (!settings_.may_cancel) fail("cancel where none is allowed");
+    if (!attempt.open || attempt.streamed) {
+      fail("cancel of what is over or streams: " + std::to_string(a.id));
+    }
+    if (!settings_.may_cancel) {
+      fail("cancel where none is allowed");
+    }
     at(driver_.now, [this, a] { outcome(a.id, a.attempt, Result::kCancelled); });
   }
   void act(const Refuse& a) { answered(a.id, true); }
@@ -295,28 +361,42 @@
     made.over = true;
     // At the first tier a client that gets nothing hears so before half of its own time is over.
     const Duration half = (made.deadline - made.came) / 2 + settings_.step;
-    if (made.attempts.empty() && settings_.tier == 0 && driver_.now > made.came + half)
+    if (made.attempts.empty() && settings_.tier == 0 && driver_.now > made.came + half) {
       fail("request " + std::to_string(id) + " was kept waiting, unsent");
+    }
   }
   void act(const Probe& a) {
-    if (!settings_.may_probe) fail("probe where none is allowed");
-    if (servers_.at(a.server).away) fail("probe of a server that is away");
+    if (!settings_.may_probe) {
+      fail("probe where none is allowed");
+    }
+    if (servers_.at(a.server).away) {
+      fail("probe of a server that is away");
+    }
     const Result result = dice_.below(5) == 0 ? Result::kTimeout : Result::kOk;
-    at(driver_.now + milliseconds(5), [this, a, result] { give(ProbeResult{a.server, result, report()}, "probed"); });
+    at(driver_.now + milliseconds(5),
+       [this, a, result] { give(ProbeResult{a.server, result, report()}, "probed"); });
   }
   void act(const SetTimer& a) {
-    if (a.at < driver_.now) fail("a timer in the past");
+    if (a.at < driver_.now) {
+      fail("a timer in the past");
+    }
   }
   void act(const Watch&) {
-    if (dice_.below(2) == 0) at(driver_.now, [this] { give(Discovery{ListKind::kFailed, {}}, "list fails"); });
+    if (dice_.below(2) == 0) {
+      at(driver_.now, [this] { give(Discovery{ListKind::kFailed, {}}, "list fails"); });
+    }
   }
 
   // ---- Servers and their list
 
   void tell(Server& s) {
     const bool may = s.entry.state == ServerState::kUp && !s.barred;
-    if (may) s.away.reset();
-    if (!may && !s.away) s.away = driver_.now;
+    if (may) {
+      s.away.reset();
+    }
+    if (!may && !s.away) {
+      s.away = driver_.now;
+    }
   }
 
   Server& any() { return servers_[dice_.below(servers_.size())]; }
@@ -327,11 +407,14 @@
     for (Server& s : servers_) {
       s.entry.state = ServerState::kRemoved;
       if (dice_.uniform() < part) {
-        s.entry.state = one_of(dice_, {ServerState::kUp, ServerState::kUp, ServerState::kUp, ServerState::kDraining});
+        s.entry.state = one_of(
+            dice_, {ServerState::kUp, ServerState::kUp, ServerState::kUp, ServerState::kDraining});
         d.entries.push_back(s.entry);
       }
     }
-    for (Server& s : servers_) tell(s);
+    for (Server& s : servers_) {
+      tell(s);
+    }
     give(d, "whole list of " + std::to_string(d.entries.size()));
   }
 
@@ -341,7 +424,9 @@
     std::set<ServerId> named;
     for (std::size_t i = 0; i < most; ++i) {
       Server& s = any();
-      if (!named.insert(s.entry.server).second) continue;
+      if (!named.insert(s.entry.server).second) {
+        continue;
+      }
       switch (dice_.below(4)) {
         case 0:
           s.entry.state = ServerState::kDraining;
@@ -359,7 +444,9 @@
       tell(s);
       d.entries.push_back(s.entry);
       // Of one that has gone a list may leave out where it stood.
-      if (s.entry.state == ServerState::kRemoved && dice_.below(2) == 0) d.entries.back().zone = d.entries.back().cell = 0;
+      if (s.entry.state == ServerState::kRemoved && dice_.below(2) == 0) {
+        d.entries.back().zone = d.entries.back().cell = 0;
+      }
     }
     give(d, std::to_string(d.entries.size()) + " changes");
   }
@@ -374,8 +461,8 @@
         Server& s = any();
         s.barred = !s.barred;
         tell(s);
-        return give(Barred{s.entry.server, s.barred}, (s.barred ? "ban of " : "end of ban of ") +
-                                                          std::to_string(s.entry.server));
+        return give(Barred{s.entry.server, s.barred},
+                    (s.barred ? "ban of " : "end of ban of ") + std::to_string(s.entry.server));
       }
       case 3: {
         Server& s = any();
@@ -384,10 +471,14 @@
         return;
       }
       case 4:
-        for (Server& s : servers_) s.pace = one_of(dice_, {0.1, 0.1, 2.0});
+        for (Server& s : servers_) {
+          s.pace = one_of(dice_, {0.1, 0.1, 2.0});
+        }
         return;
       default:
-        return advance(driver_.now + to_span(one_of(dice_, {0.001, 1.0, 100.0})));  // nobody calls; the clock goes on
+        return advance(
+            driver_.now +
+            to_span(one_of(dice_, {0.001, 1.0, 100.0})));  // nobody calls; the clock goes on
     }
   }
 
@@ -403,7 +494,9 @@
       rules_.taken(driver_.now, id, 0, made.deadline);
       at(made.deadline, [this, id] { deadline(id); });
       give(Request{id, 0, kNoTenant, made.deadline, {}}, "request " + std::to_string(id));
-      if (ids) ids->push_back(id);
+      if (ids) {
+        ids->push_back(id);
+      }
     }
     return driver_.sends.size() - before;
   }
@@ -413,7 +506,9 @@
     for (ServerId id = 0; id < servers_.size(); ++id) {
       Server& s = servers_[id];
       s.entry.server = id;
-      if (s.barred) s.barred = false, give(Barred{id, false}, "end of ban");
+      if (s.barred) {
+        s.barred = false, give(Barred{id, false}, "end of ban");
+      }
       s.entry.state = id < kFew ? ServerState::kUp : ServerState::kRemoved;
       s.entry.born.reset();
       s.errors = s.full = 0, s.silent = 1;
@@ -428,46 +523,71 @@
     advance(driver_.now + std::chrono::hours(2));
     quiet_ = true;  // only plain reports from here on
     std::vector<RequestId> ids;
-    if (send_all(1, &ids) != 1) fail("a lone call is held with all servers idle");
-    if (!calls_.at(ids[0]).attempts.empty()) outcome(ids[0], 0, Result::kOk);
-    // No report, however absurd, outlives sixty plain ones: each of five equal servers has its part. Where crossing has
-    // a price and home has servers, the others may get none: home is half used.
-    for (int i = 0; i < 60; ++i)
-      for (ServerId id = 0; id < kFew; ++id) give(ProbeResult{id, Result::kOk, {0.5, 10.0}}, "plain report");
+    if (send_all(1, &ids) != 1) {
+      fail("a lone call is held with all servers idle");
+    }
+    if (!calls_.at(ids[0]).attempts.empty()) {
+      outcome(ids[0], 0, Result::kOk);
+    }
+    // No report, however absurd, outlives sixty plain ones: each of five equal servers has its
+    // part. Where crossing has a price and home has servers, the others may get none: home is half
+    // used.
+    for (int i = 0; i < 60; ++i) {
+      for (ServerId id = 0; id < kFew; ++id) {
+        give(ProbeResult{id, Result::kOk, {0.5, 10.0}}, "plain report");
+      }
+    }
     std::map<ServerId, int> got;
     int sent = 0;
     for (int i = 0; i < 100; ++i) {
       const std::size_t before = driver_.sends.size();
       ids.clear();
       send_all(1, &ids);
-      if (driver_.sends.size() > before) ++sent, ++got[driver_.sends.back().server];
+      if (driver_.sends.size() > before) {
+        ++sent, ++got[driver_.sends.back().server];
+      }
       advance(driver_.now + told_.classes[0].settings.aim / 20);
-      if (!calls_.at(ids[0]).attempts.empty()) outcome(ids[0], 0, Result::kOk);
+      if (!calls_.at(ids[0]).attempts.empty()) {
+        outcome(ids[0], 0, Result::kOk);
+      }
     }
     const auto home = [&](ServerId id) { return servers_[id].entry.zone == settings_.zone; };
     bool all = true;
-    for (ServerId id = 0; id < kFew; ++id) all &= settings_.cross_zone_price == 0 || !home(id);
-    for (ServerId id = 0; id < kFew; ++id)
-      if ((all || home(id)) && 20 * got[id] < sent - 20)  // a closed C lets few calls through
-        fail("server " + std::to_string(id) + " gets " + std::to_string(got[id]) + " of " + std::to_string(sent) + " calls");
+    for (ServerId id = 0; id < kFew; ++id) {
+      all &= settings_.cross_zone_price == 0 || !home(id);
+    }
+    for (ServerId id = 0; id < kFew; ++id) {
+      if ((all || home(id)) && 20 * got[id] < sent - 20) {  // a closed C lets few calls through
+        fail("server " + std::to_string(id) + " gets " + std::to_string(got[id]) + " of " +
+             std::to_string(sent) + " calls");
+      }
+    }
     // C is finite once calls have timed out.
     send_all(300);
     advance(driver_.now + 2 * emulator::longest_deadline(told_));
-    if (send_all(300) >= 300) fail("C stays open after nothing was answered");
+    if (send_all(300) >= 300) {
+      fail("C stays open after nothing was answered");
+    }
     advance(driver_.now + 2 * emulator::longest_deadline(told_));
   }
 
   // ---- Verdict
 
   void check() {
-    if (rules_.all() == 0 || failed_) return;
+    if (rules_.all() == 0 || failed_) {
+      return;
+    }
     const auto& v = rules_.violations().front();
     fail(std::string(name_of(v.rule)) + ": " + v.what + "\n" + v.trace);
   }
   void fail(const std::string& what) {
-    if (std::exchange(failed_, true)) return;
+    if (std::exchange(failed_, true)) {
+      return;
+    }
     std::string script;
-    for (const std::string& line : script_) script += "  " + line + "\n";
+    for (const std::string& line : script_) {
+      script += "  " + line + "\n";
+    }
     ADD_FAILURE() << "seed " << seed_ << ": " << what << "\nlast events:\n" << script;
   }
 
@@ -489,12 +609,16 @@
 class Runs : public testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(Runs, KeepTheRules) {
-  for (std::uint64_t i = 0; i < 50 && !HasFailure(); ++i) Play(50 * GetParam() + i).run();
+  for (std::uint64_t i = 0; i < 50 && !HasFailure(); ++i) {
+    Play(50 * GetParam() + i).run();
+  }
 }
 INSTANTIATE_TEST_SUITE_P(Random, Runs, testing::Range<std::uint64_t>(0, 12));
 
 TEST(Runs, EqualEventsGiveEqualActions) {
-  for (std::uint64_t seed = 1; seed <= 8; ++seed) EXPECT_EQ(Play(seed).run(), Play(seed).run());
+  for (std::uint64_t seed = 1; seed <= 8; ++seed) {
+    EXPECT_EQ(Play(seed).run(), Play(seed).run());
+  }
 }
 
 // ---- Whole worlds, where what servers can do is known: the fourth rule needs that
@@ -518,8 +642,10 @@
   s.proxies = one_of<std::uint32_t>(dice, {1, 4, 30});
   s.load.utilisation = 0.3 + 0.6 * dice.uniform();
   const std::size_t classes = one_of<std::size_t>(dice, {1, 2, 4});
-  // So much work a call that a minute holds some ten thousand of them, and the rule's window more than a few.
-  const double work = std::clamp(60.0 * tier.nodes * tier.cores / 12'000 * log_uniform(dice, 0.7, 2), 0.002, 0.25);
+  // So much work a call that a minute holds some ten thousand of them, and the rule's window more
+  // than a few.
+  const double work =
+      std::clamp(60.0 * tier.nodes * tier.cores / 12'000 * log_uniform(dice, 0.7, 2), 0.002, 0.25);
   for (std::size_t i = 0; i < classes; ++i) {
     emulator::ClassSpec c = drawn_class(dice, i);
     c.work_s = work * log_uniform(dice, 0.7, 1.4);
@@ -534,8 +660,9 @@
   for (int i = 0; i < 3; ++i) {
     using Kind = emulator::FaultKind;
     emulator::FaultSpec f;
-    f.kind = one_of(dice, {Kind::kSilent, Kind::kCrash, Kind::kCrash, Kind::kDrain, Kind::kReplace, Kind::kProxyCrash,
-                           Kind::kStaleList, Kind::kErrors, Kind::kSlow, Kind::kLateReports});
+    f.kind = one_of(dice, {Kind::kSilent, Kind::kCrash, Kind::kCrash, Kind::kDrain, Kind::kReplace,
+                           Kind::kProxyCrash, Kind::kStaleList, Kind::kErrors, Kind::kSlow,
+                           Kind::kLateReports});
     f.at = to_span(5 + 10 * i + 5 * dice.uniform());
     f.length = to_span(4 + 6 * dice.uniform());
     f.part = one_of(dice, {0.1, 0.3, 0.5});
@@ -551,14 +678,17 @@
 TEST_P(Worlds, KeepTheRules) {
   for (std::uint64_t i = 0; i < 6; ++i) {
     const std::uint64_t seed = 6 * GetParam() + i;
-    emulator::World world(drawn_world(seed), [](Time now, const Settings& settings, const emulator::TrueState& truth,
-                                                std::vector<Action>& actions) {
-      return emulator::make_policy("module", now, settings, truth, actions);
-    });
+    emulator::World world(drawn_world(seed),
+                          [](Time now, const Settings& settings, const emulator::TrueState& truth,
+                             std::vector<Action>& actions) {
+                            return emulator::make_policy("module", now, settings, truth, actions);
+                          });
     world.run();
-    for (const auto& v : world.rules().violations())
-      ADD_FAILURE() << "seed " << seed << ": " << name_of(v.rule) << " at " << to_s(v.at) << " s: " << v.what << "\n"
+    for (const auto& v : world.rules().violations()) {
+      ADD_FAILURE() << "seed " << seed << ": " << name_of(v.rule) << " at " << to_s(v.at)
+                    << " s: " << v.what << "\n"
                     << v.trace;
+    }
     EXPECT_EQ(world.left_over(), 0u) << "seed " << seed;
   }
 }
--- a/tests/proxy_rules.cpp
+++ b/tests/proxy_rules.cpp
@@ -16,8 +16,8 @@
       .count();
 }
 
-// What a client asked reaches a backend unchanged, and so does the body on its way back; twice on one
-// connection.
+// What a client asked reaches a backend unchanged, and so does the body on its way back; twice on
+// one connection.
 void serves_unchanged() {
   const Door backend;
   const Proxy proxy(one_host(backend));
@@ -31,15 +31,16 @@
   assert(left && *left > 0 && *left <= 2000);
   server.reply(200, "Content-Type: text/x\r\n", "answer");
   const http::Message answer = client.answer();
-  assert(answer.status == 200 && answer.body == "answer" && *answer.headers.find("Content-Type") == "text/x");
+  assert(answer.status == 200 && answer.body == "answer" &&
+         *answer.headers.find("Content-Type") == "text/x");
   client.send(Proxy::get("a2"));
   assert(server.request().target == "/ver/x?user=1");  // the connection is used again
   server.reply(200, "", "more");
   assert(client.answer().body == "more");
 }
 
-// Rule 1: a request is answered even where a backend never does, and no later than its deadline and the
-// slack.
+// Rule 1: a request is answered even where a backend never does, and no later than its deadline and
+// the slack.
 void answers_every_request() {
   const Door backend;
   const Proxy proxy(one_host(backend));
@@ -52,7 +53,8 @@
   assert(!server.fill());  // the step's connection is closed: that is how a backend hears of it
 }
 
-// Rule 2: a request that may have run is not sent again on the network's own account, nor called refused.
+// Rule 2: a request that may have run is not sent again on the network's own account, nor called
+// refused.
 void never_runs_twice() {
   for (const bool answered : {false, true}) {
     const Door backend;
@@ -62,8 +64,10 @@
     {
       Wire server = backend.accept();
       server.request();
-      if (answered) server.reply(503, "", "");  // without the mark: it may have run
-    }                                           // breaks after the whole request
+      if (answered) {
+        server.reply(503, "", "");  // without the mark: it may have run
+      }
+    }  // breaks after the whole request
     expect_status(client, 502);
     assert(!backend.pending(0ms));
   }
@@ -79,7 +83,8 @@
   server.request();
   server.reply(503, "X-Never-Ran: 1\r\n", "");
   const http::Message answer = client.answer();
-  const double advice = std::stod(*answer.headers.find("Retry-After"));  // about a fifth of what clients honour
+  const double advice =
+      std::stod(*answer.headers.find("Retry-After"));  // about a fifth of what clients honour
   assert(answer.status == 503 && advice >= 0.15 && advice <= 0.45);
 }
 
@@ -93,9 +98,9 @@
   server.request();
   server.reply(200, "", "1");
   expect_status(client, 200);
-  proxy.list(
-      "[" + host_json("s-1", first.address(), "terminating") + "," + host_json("s-2", second.address()) + "]",
-      false);
+  proxy.list("[" + host_json("s-1", first.address(), "terminating") + "," +
+                 host_json("s-2", second.address()) + "]",
+             false);
   assert(!server.fill());
   for (const char* id : {"a2", "a3"}) {
     client.send(Proxy::get(id));
@@ -178,14 +183,17 @@
       {"GET /ver HTTP/1.1\r\nX-Trace-Id: a\r\nX-Customer: nobody\r\n\r\n", 400},
       {"GET /ver HTTP/1.1\r\nX-Trace-Id: a\r\nX-Expires-In-Ms: soon\r\n\r\n", 400},
       {"GET /ver HTTP/1.1\r\nX-Trace-Id: a\r\nX-Expires-In-Ms: 0\r\n\r\n", 400},
-      {"GET /ver HTTP/1.1\r\nX-Trace-Id: a\r\nX-Expires-In-Ms: 9\r\nX-Expires-In-Ms: 900\r\n\r\n", 400},
+      {"GET /ver HTTP/1.1\r\nX-Trace-Id: a\r\nX-Expires-In-Ms: 9\r\nX-Expires-In-Ms: 900\r\n\r\n",
+       400},
       {"GET /ver HTTP/1.1\r\nX-Trace-Id:\r\n\r\n", 400},
       {"GET /ver HTTP/1.1\r\nX-Trace-Id: a\r\nX-Trace-Id: b\r\n\r\n", 400},
       {"GET /ver HTTP/1.1\r\nX-Trace-Id: a\r\nX-Customer: \r\n\r\n", 400},
       {"GET /ver HTTP/1.1\r\nX-Trace-Id: a\r\nContent-Length: 4\r\n\r\nGET ", 400},
       {"GET /ajuste HTTP/1.1\r\nX-Trace-Id: a\r\nIdempotency-Key: k\r\n\r\n", 405},
       {"POST /ver HTTP/1.1\r\nX-Trace-Id: a\r\nContent-Length: 0\r\n\r\n", 405},
-      {"POST /ajuste HTTP/1.1\r\nX-Trace-Id: a\r\nIdempotency-Key: k\r\nContent-Length: 1\r\n\r\nabc", 400},
+      {"POST /ajuste HTTP/1.1\r\nX-Trace-Id: a\r\nIdempotency-Key: k\r\nContent-Length: "
+       "1\r\n\r\nabc",
+       400},
   };
   for (const auto& c : cases) {
     Wire client = proxy.client();
@@ -196,8 +204,8 @@
   assert(!backend.pending(0ms) && proxy.ready() == 200);
 }
 
-// Whoever says nothing, or half of it, hears of it soon; a silent crowd larger than the descriptors does not
-// keep a new client waiting.
+// Whoever says nothing, or half of it, hears of it soon; a silent crowd larger than the descriptors
+// does not keep a new client waiting.
 void hurries_silent_clients() {
   const Door backend;
   const Proxy proxy(one_host(backend));
@@ -205,14 +213,19 @@
   half.send(Proxy::get("a0").substr(0, 30));
   expect_status(half, 408);
   std::vector<Wire> silent;
-  for (int i = 0; i < 300; ++i) silent.push_back(proxy.client());
+  for (int i = 0; i < 300; ++i) {
+    silent.push_back(proxy.client());
+  }
   Wire usual = proxy.client();
   usual.send("GET /health/ready HTTP/1.1\r\n\r\n");
   expect_status(usual, 200);
-  for (Wire& client : silent) assert(!client.fill());
+  for (Wire& client : silent) {
+    assert(!client.fill());
+  }
 }
 
-// Clients that ask once and stay for good make room for new ones, also while silent ones keep coming.
+// Clients that ask once and stay for good make room for new ones, also while silent ones keep
+// coming.
 void makes_room_among_kept_clients() {
   const Door backend;
   const Proxy proxy(one_host(backend));
@@ -223,11 +236,14 @@
     expect_status(kept.back(), 200);
   }
   ::usleep(300'000);  // past the age up to which they are spared
-  for (int i = 0; i < 60; ++i) silent.push_back(proxy.client());
+  for (int i = 0; i < 60; ++i) {
+    silent.push_back(proxy.client());
+  }
   Wire usual = proxy.client();
   usual.send("GET /health/ready HTTP/1.1\r\n\r\n");
   expect_status(usual, 200);
-  const auto closed = std::count_if(kept.begin(), kept.end(), [](const Wire& w) { return w.readable(0ms); });
+  const auto closed =
+      std::count_if(kept.begin(), kept.end(), [](const Wire& w) { return w.readable(0ms); });
   assert(closed >= 10);
 }
 
@@ -245,7 +261,8 @@
   assert(client.answer().body == "first" && !backend.pending(0ms));
 }
 
-// What follows a request and is no request shows that its length was wrong, also where it comes late.
+// What follows a request and is no request shows that its length was wrong, also where it comes
+// late.
 void gives_up_a_request_of_wrong_length() {
   const Door backend;
   const Proxy proxy(one_host(backend));
@@ -268,9 +285,13 @@
     Wire client = proxy.client();
     client.send(Proxy::post("a" + std::to_string(bytes.size()), "x", 300));
     while (!client.readable(5ms)) {
-      if (!backend.pending(0ms)) continue;
+      if (!backend.pending(0ms)) {
+        continue;
+      }
       Wire server = backend.accept();
-      if (server.fill()) ::send(server.fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
+      if (server.fill()) {
+        ::send(server.fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
+      }
     }
     expect_status(client, 502);
   }
@@ -291,7 +312,8 @@
   assert(client.answer().status != 200 && Clock::now() - sent < 2500ms);
 }
 
-// What was left over from one answer is not served as the next, and its connection is not used again.
+// What was left over from one answer is not served as the next, and its connection is not used
+// again.
 void ties_answers_to_requests() {
   const Door backend;
   const Proxy proxy(one_host(backend));
@@ -312,7 +334,8 @@
 void survives_bad_discovery() {
   const Door backend;
   Proxy proxy("[]");
-  for (const std::string bad : {"{\n", "[1]\n", "{\"seq\":9,\"whole\":true,\"hosts\":[{\"host\":3}]}\n"}) {
+  for (const std::string bad :
+       {"{\n", "[1]\n", "{\"seq\":9,\"whole\":true,\"hosts\":[{\"host\":3}]}\n"}) {
     proxy.chunk(bad);
     proxy.watch_again();
   }
@@ -332,8 +355,8 @@
   assert(proxy.ready() == 200);
 }
 
-// SIGHUP: a faulty file changes nothing; a good one moves the watch at once, to the whole list as another discovery may
-// count its versions otherwise, and a planned end goes on working after it.
+// SIGHUP: a faulty file changes nothing; a good one moves the watch at once, to the whole list as
+// another discovery may count its versions otherwise, and a planned end goes on working after it.
 void moves_with_its_configuration() {
   const Door first, second, elsewhere;
   Proxy proxy(one_host(first));
@@ -425,7 +448,8 @@
   assert(client.answer().body == "new");
 }
 
-// A backend that moves, or is started anew, while a call to it is out: its old connections serve no other call.
+// A backend that moves, or is started anew, while a call to it is out: its old connections serve no
+// other call.
 void leaves_connections_of_a_former_life() {
   for (const bool moves : {true, false}) {
     const Door first, second;
@@ -438,7 +462,10 @@
       former.reply(200, "", "1");
       expect_status(client, 200);
     }
-    proxy.list("[" + host_json("s-1", (moves ? second : first).address(), "in_service", moves ? 0 : unix_ms() - 60'000) + "]",
+    proxy.list("[" +
+                   host_json("s-1", (moves ? second : first).address(), "in_service",
+                             moves ? 0 : unix_ms() - 60'000) +
+                   "]",
                false);
     if (moves) {  // it is still out
       Wire other = proxy.client();
@@ -464,14 +491,19 @@
   const Door backend;
   Proxy proxy("[]");
   std::string hosts = "[";
-  for (int i = 0; i < 12'000; ++i) hosts += host_json("far-" + std::to_string(i), "127.0.0.1:9", "terminating") + ",";
+  for (int i = 0; i < 12'000; ++i) {
+    hosts += host_json("far-" + std::to_string(i), "127.0.0.1:9", "terminating") + ",";
+  }
   proxy.list(hosts + host_json("s-1", backend.address()) + "]");
   Wire client = proxy.client();
   client.send(Proxy::get("a1"));
   const auto end = Clock::now() + kPatience;
-  for (int i = 2; !backend.pending(10ms); ++i) {  // on a busy machine the list takes longer than a request is held for it
+  for (int i = 2; !backend.pending(10ms);
+       ++i) {  // on a busy machine the list takes longer than a request is held for it
     assert(Clock::now() < end);
-    if (!client.readable(0ms)) continue;
+    if (!client.readable(0ms)) {
+      continue;
+    }
     expect_status(client, 503);
     client.send(Proxy::get("a" + std::to_string(i)));
   }
@@ -500,8 +532,8 @@
   assert(client.answer().body == "fresh");
 }
 
-// SIGTERM: no longer ready, what runs and what still comes is answered, kept connections serve on for a
-// while, then exit 0.
+// SIGTERM: no longer ready, what runs and what still comes is answered, kept connections serve on
+// for a while, then exit 0.
 void ends_in_good_order() {
   const Door backend;
   Proxy proxy(one_host(backend));
@@ -512,7 +544,9 @@
   server.request();
   proxy.signal(SIGTERM);
   const auto end = Clock::now() + kPatience;
-  while (proxy.ready() != 503) assert(Clock::now() < end);
+  while (proxy.ready() != 503) {
+    assert(Clock::now() < end);
+  }
   Wire late = proxy.client();
   late.send(Proxy::get("a2"));
   Wire second = backend.accept();
@@ -546,32 +580,33 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  return run_named(argc, argv, {
-    {"serves_unchanged", serves_unchanged},
-    {"answers_every_request", answers_every_request},
-    {"never_runs_twice", never_runs_twice},
-    {"full_needs_its_mark", full_needs_its_mark},
-    {"keeps_drains", keeps_drains},
-    {"spares_cold_backends", spares_cold_backends},
-    {"follows_a_client_that_leaves", follows_a_client_that_leaves},
-    {"keeps_pipelined_requests", keeps_pipelined_requests},
-    {"refuses_malformed_requests", refuses_malformed_requests},
-    {"hurries_silent_clients", hurries_silent_clients},
-    {"makes_room_among_kept_clients", makes_room_among_kept_clients},
-    {"refuses_an_open_id", refuses_an_open_id},
-    {"gives_up_a_request_of_wrong_length", gives_up_a_request_of_wrong_length},
-    {"survives_bad_backends", survives_bad_backends},
-    {"gives_up_a_spoilt_answer", gives_up_a_spoilt_answer},
-    {"ties_answers_to_requests", ties_answers_to_requests},
-    {"survives_bad_discovery", survives_bad_discovery},
-    {"leaves_a_silent_discovery", leaves_a_silent_discovery},
-    {"moves_with_its_configuration", moves_with_its_configuration},
-    {"lets_gone_backends_go", lets_gone_backends_go},
-    {"parts_backends_at_one_address", parts_backends_at_one_address},
-    {"leaves_connections_of_a_former_life", leaves_connections_of_a_former_life},
-    {"takes_a_long_list", takes_a_long_list},
-    {"drops_stale_connections", drops_stale_connections},
-    {"outlives_a_shortage_of_descriptors", outlives_a_shortage_of_descriptors},
-    {"ends_in_good_order", ends_in_good_order},
-  });
+  return run_named(argc, argv,
+                   {
+                       {"serves_unchanged", serves_unchanged},
+                       {"answers_every_request", answers_every_request},
+                       {"never_runs_twice", never_runs_twice},
+                       {"full_needs_its_mark", full_needs_its_mark},
+                       {"keeps_drains", keeps_drains},
+                       {"spares_cold_backends", spares_cold_backends},
+                       {"follows_a_client_that_leaves", follows_a_client_that_leaves},
+                       {"keeps_pipelined_requests", keeps_pipelined_requests},
+                       {"refuses_malformed_requests", refuses_malformed_requests},
+                       {"hurries_silent_clients", hurries_silent_clients},
+                       {"makes_room_among_kept_clients", makes_room_among_kept_clients},
+                       {"refuses_an_open_id", refuses_an_open_id},
+                       {"gives_up_a_request_of_wrong_length", gives_up_a_request_of_wrong_length},
+                       {"survives_bad_backends", survives_bad_backends},
+                       {"gives_up_a_spoilt_answer", gives_up_a_spoilt_answer},
+                       {"ties_answers_to_requests", ties_answers_to_requests},
+                       {"survives_bad_discovery", survives_bad_discovery},
+                       {"leaves_a_silent_discovery", leaves_a_silent_discovery},
+                       {"moves_with_its_configuration", moves_with_its_configuration},
+                       {"lets_gone_backends_go", lets_gone_backends_go},
+                       {"parts_backends_at_one_address", parts_backends_at_one_address},
+                       {"leaves_connections_of_a_former_life", leaves_connections_of_a_former_life},
+                       {"takes_a_long_list", takes_a_long_list},
+                       {"drops_stale_connections", drops_stale_connections},
+                       {"outlives_a_shortage_of_descriptors", outlives_a_shortage_of_descriptors},
+                       {"ends_in_good_order", ends_in_good_order},
+                   });
 }
--- a/tests/proxy_test.h
+++ b/tests/proxy_test.h
@@ -1,5 +1,6 @@
-// The one helper of the proxy's tests: a proxy started as a program, its discovery and backends played here
-// over loopback on ports that the system picks. Every wait is bounded; asserts hold in Release too.
+// The one helper of the proxy's tests: a proxy started as a program, its discovery and backends
+// played here over loopback on ports that the system picks. Every wait is bounded; asserts hold in
+// Release too.
 #pragma once
 
 #undef NDEBUG
@@ -44,8 +45,9 @@
 
 inline std::string host_json(const std::string& host, const std::string& dial,
                              const char* health = "in_service", long long born_ms = 0) {
-  return R"({"host":")" + host + R"(","dial":")" + dial + R"(","site":"z","class":"k","block":1,"health":")" +
-         health + R"(","share":1.0,"born_ms":)" + std::to_string(born_ms) + "}";
+  return R"({"host":")" + host + R"(","dial":")" + dial +
+         R"(","site":"z","class":"k","block":1,"health":")" + health +
+         R"(","share":1.0,"born_ms":)" + std::to_string(born_ms) + "}";
 }
 
 // A connected socket with blocking, bounded reads.
@@ -53,12 +55,14 @@
  public:
   explicit Wire(net::Fd fd) : fd_(std::move(fd)) {}
   static Wire to(const sockaddr_in& address) {
-    net::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));  // a program started later must not hold it too
+    net::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC,
+                        0));  // a program started later must not hold it too
     assert(::connect(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0);
     return Wire(std::move(fd));
   }
   void send(const std::string& bytes) const {
-    assert(::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size()));
+    assert(::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL) ==
+           static_cast<ssize_t>(bytes.size()));
   }
   bool readable(std::chrono::milliseconds within) const {
     pollfd p{fd_.get(), POLLIN, 0};
@@ -69,13 +73,17 @@
     assert(readable(kPatience));
     char chunk[4096];
     const ssize_t n = ::recv(fd_.get(), chunk, sizeof chunk, 0);
-    if (n > 0) buffer.append(chunk, static_cast<std::size_t>(n));
+    if (n > 0) {
+      buffer.append(chunk, static_cast<std::size_t>(n));
+    }
     return n > 0;
   }
   http::Message message(http::Parser::Kind kind) {
     http::Parser parser(kind);
     http::Progress progress = parser.feed(buffer);
-    while (progress == http::Progress::kMore) progress = fill() ? parser.feed(buffer) : parser.end();
+    while (progress == http::Progress::kMore) {
+      progress = fill() ? parser.feed(buffer) : parser.end();
+    }
     assert(progress == http::Progress::kDone);
     return parser.message();
   }
@@ -92,13 +100,19 @@
 };
 
 // Runs the test that the one argument names.
-inline int run_named(int argc, char** argv, std::initializer_list<std::pair<std::string_view, void (*)()>> tests) {
-  for (const auto& [name, run] : tests)
-    if (argc == 2 && name == argv[1]) return run(), 0;
+inline int run_named(int argc, char** argv,
+                     std::initializer_list<std::pair<std::string_view, void (*)()>> tests) {
+  for (const auto& [name, run] : tests) {
+    if (argc == 2 && name == argv[1]) {
+      return run(), 0;
+    }
+  }
   return 2;
 }
 
-inline void expect_status(Wire& client, int status) { assert(client.answer().status == status); }
+inline void expect_status(Wire& client, int status) {
+  assert(client.answer().status == status);
+}
 
 class Door {  // where a backend or discovery listens
  public:
@@ -127,7 +141,9 @@
   net::Fd fd_;
 };
 
-inline std::string one_host(const Door& backend) { return "[" + host_json("s-1", backend.address()) + "]"; }
+inline std::string one_host(const Door& backend) {
+  return "[" + host_json("s-1", backend.address()) + "]";
+}
 
 struct Folder {  // of the test's own, gone with it
   Folder() {
@@ -157,16 +173,21 @@
 // The program under test, with a discovery that has taken its watch.
 class Proxy {
  public:
-  explicit Proxy(const std::string& hosts, const std::string& known = "[]", const Shared* shared = nullptr)
+  explicit Proxy(const std::string& hosts, const std::string& known = "[]",
+                 const Shared* shared = nullptr)
       : shared_(shared), watch_((start(known), discovery_.accept())) {
     first_call_ = watch_.request().target;
     watch_.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    if (hosts.empty()) return;  // it hears nothing yet
+    if (hosts.empty()) {
+      return;  // it hears nothing yet
+    }
     list(hosts);
     wait_ready();
   }
   ~Proxy() {
-    if (pid_ > 0) ::kill(pid_, SIGKILL), ::waitpid(pid_, nullptr, 0);
+    if (pid_ > 0) {
+      ::kill(pid_, SIGKILL), ::waitpid(pid_, nullptr, 0);
+    }
     std::remove(path_.c_str());
   }
   void chunk(const std::string& text) const {
@@ -182,7 +203,7 @@
   // Takes the next call to discovery and says nothing on it; those before stay open.
   void leave_mute() { mute_.push_back(discovery_.accept()); }
   const std::string& first_call() const { return first_call_; }  // of discovery, after its start
-  bool calls() const { return discovery_.pending(0ms); }  // discovery anew
+  bool calls() const { return discovery_.pending(0ms); }         // discovery anew
   std::string watch_again() { return watch_again(discovery_); }
   // The proxy has come back to discovery, there; returns what it asks for.
   std::string watch_again(const Door& discovery) {
@@ -204,7 +225,8 @@
   }
   static std::string get(const std::string& id, int ms = 3000, const std::string& extra = "") {
     return "GET /ver/x?user=1 HTTP/1.1\r\nX-Trace-Id: " + id +
-           "\r\nX-Customer: telnorte\r\nX-Expires-In-Ms: " + std::to_string(ms) + "\r\n" + extra + "\r\n";
+           "\r\nX-Customer: telnorte\r\nX-Expires-In-Ms: " + std::to_string(ms) + "\r\n" + extra +
+           "\r\n";
   }
   static std::string post(const std::string& id, const std::string& body, int ms = 2000) {
     return "POST /ajuste HTTP/1.1\r\nX-Trace-Id: " + id + "\r\nIdempotency-Key: k" + id +
@@ -221,7 +243,9 @@
   int exit_status() {
     int status = 0;
     const auto end = Clock::now() + kPatience;
-    while (::waitpid(pid_, &status, WNOHANG) == 0) assert(Clock::now() < end), ::usleep(5000);
+    while (::waitpid(pid_, &status, WNOHANG) == 0) {
+      assert(Clock::now() < end), ::usleep(5000);
+    }
     pid_ = 0;
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   }
@@ -239,7 +263,9 @@
       ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // a failed test must not leave it running
       ::dup2(out[1], 1);
       ::setenv("GW_CONFIG", path, 1);
-      for (const char* name : {"GW_NAME", "GW_LISTEN"}) ::unsetenv(name);
+      for (const char* name : {"GW_NAME", "GW_LISTEN"}) {
+        ::unsetenv(name);
+      }
       ::setenv("GW_DISCOVERY", discovery_.address().c_str(), 1);
       ::setenv("GW_ADMIN_ADDR", "127.0.0.1:0", 1);
       if (shared_) {
@@ -255,7 +281,9 @@
     std::string line;
     while (!line.starts_with("serving ")) {
       line.clear();
-      for (char c = 0; c != '\n'; line += c) assert(::read(out[0], &c, 1) == 1);
+      for (char c = 0; c != '\n'; line += c) {
+        assert(::read(out[0], &c, 1) == 1);
+      }
     }
     const auto address = [&line](const std::string& field) {
       const auto from = line.find(field) + field.size();
@@ -266,7 +294,9 @@
   }
   void wait_ready() const {
     const auto end = Clock::now() + kPatience;
-    while ((shared_ ? call("GET", "/api/ready").status : ready()) != 200) assert(Clock::now() < end), ::usleep(5000);
+    while ((shared_ ? call("GET", "/api/ready").status : ready()) != 200) {
+      assert(Clock::now() < end), ::usleep(5000);
+    }
   }
 
   const Shared* shared_;
--- a/tests/ramp_test.cpp
+++ b/tests/ramp_test.cpp
@@ -1,5 +1,6 @@
-// Cold servers under the sum of what all instances send: past the N calls that the settings allow one within their window,
-// only 2 roots of N and 2 more are chance, however many instances there are. By the books of the servers.
+// Cold servers under the sum of what all instances send: past the N calls that the settings allow
+// one within their window, only 2 roots of N and 2 more are chance, however many instances there
+// are. By the books of the servers.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -22,21 +23,27 @@
 
 struct Fleet {
   int instances = 1;
-  double rate = 15;        // that a server can do, a second
-  double multiple = 3;     // of it, at which a cold one falls
-  double window = 3;       // seconds
-  ServerId cold = 1;       // of the servers
-  double most = 1;         // times what another instance sees, the first does
-  double restarted = 0;    // of the instances, the moment the servers are
-  double burst = 1;        // for 3 s, two after it
+  double rate = 15;             // that a server can do, a second
+  double multiple = 3;          // of it, at which a cold one falls
+  double window = 3;            // seconds
+  ServerId cold = 1;            // of the servers
+  double most = 1;              // times what another instance sees, the first does
+  double restarted = 0;         // of the instances, the moment the servers are
+  double burst = 1;             // for 3 s, two after it
   double errors = 0, full = 0;  // answers; of cold servers
 };
 
-Duration from_s(double s) { return Duration(static_cast<std::int64_t>(s * 1e6)); }
+Duration from_s(double s) {
+  return Duration(static_cast<std::int64_t>(s * 1e6));
+}
 
 class Play {
  public:
-  Play(const Fleet& fleet, std::uint64_t seed) : f_(fleet), random_(seed), balancers_(static_cast<std::size_t>(f_.instances)), tries_(balancers_.size()) {
+  Play(const Fleet& fleet, std::uint64_t seed)
+      : f_(fleet),
+        random_(seed),
+        balancers_(static_cast<std::size_t>(f_.instances)),
+        tries_(balancers_.size()) {
     settings_.replicas = static_cast<std::uint32_t>(f_.instances);
     settings_.classes.resize(1);
     settings_.classes[0].effect = Effect::kRepeatable;
@@ -48,14 +55,20 @@
     settings_.tip_after = from_s(f_.window);
     settings_.most_tries = 4;
     settings_.may_cancel = true;
-    for (std::size_t i = 0; i < balancers_.size(); ++i) parts_.push_back((0.5 + uniform()) * (i == 0 ? f_.most : 1));
+    for (std::size_t i = 0; i < balancers_.size(); ++i) {
+      parts_.push_back((0.5 + uniform()) * (i == 0 ? f_.most : 1));
+    }
   }
 
   // The most that a cold server got beyond its N, over what may be chance.
   double worst() {
-    for (std::size_t i = 0; i < balancers_.size(); ++i) start(i, false), next_arrival(i);
+    for (std::size_t i = 0; i < balancers_.size(); ++i) {
+      start(i, false), next_arrival(i);
+    }
     at(kColdAt, [this] {
-      for (std::size_t i = 0; i < balancers_.size(); ++i) uniform() < f_.restarted ? start(i, true) : list(i, true);
+      for (std::size_t i = 0; i < balancers_.size(); ++i) {
+        uniform() < f_.restarted ? start(i, true) : list(i, true);
+      }
     });
     while (!events_.empty() && events_.top().at < kColdAt + settings_.cold_span) {
       const Happening next = events_.top();
@@ -71,10 +84,14 @@
     Time at;
     std::uint64_t order;
     std::function<void()> what;
-    bool operator<(const Happening& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
+    bool operator<(const Happening& o) const {
+      return std::tie(at, order) > std::tie(o.at, o.order);
+    }
   };
   double uniform() { return std::uniform_real_distribution<>(0, 1)(random_); }
-  void at(Time when, std::function<void()> what) { events_.push({when, ++order_, std::move(what)}); }
+  void at(Time when, std::function<void()> what) {
+    events_.push({when, ++order_, std::move(what)});
+  }
 
   void start(std::size_t i, bool cold) {
     Settings mine = settings_;
@@ -90,15 +107,20 @@
     for (ServerId id = 0; id < kServers; ++id) {
       ServerEntry e;
       e.server = id;
-      if (cold && id < f_.cold) e.born = kColdAt;
+      if (cold && id < f_.cold) {
+        e.born = kColdAt;
+      }
       d.entries.push_back(e);
     }
     give(i, d);
   }
   void next_arrival(std::size_t i) {
     double all = 0;
-    for (double part : parts_) all += part;
-    const bool more = now_ > kColdAt + std::chrono::seconds(2) && now_ < kColdAt + std::chrono::seconds(5);
+    for (double part : parts_) {
+      all += part;
+    }
+    const bool more =
+        now_ > kColdAt + std::chrono::seconds(2) && now_ < kColdAt + std::chrono::seconds(5);
     const double rate = f_.rate * kServers * kLoad * parts_[i] / all * (more ? f_.burst : 1);
     at(now_ + from_s(-std::log(1 - uniform()) / rate), [this, i] {
       Request r;
@@ -116,29 +138,42 @@
   void perform(std::size_t i, const std::vector<Action>& actions) {
     const Balancer* const life = balancers_[i].get();
     for (const Action& a : actions) {
-      if (const auto* timer = std::get_if<SetTimer>(&a))
+      if (const auto* timer = std::get_if<SetTimer>(&a)) {
         at(timer->at, [this, i, life, token = timer->token] {
-          if (balancers_[i].get() == life) give(i, Timer{token});
+          if (balancers_[i].get() == life) {
+            give(i, Timer{token});
+          }
         });
+      }
       const auto* send = std::get_if<Send>(&a);
-      if (!send) continue;
+      if (!send) {
+        continue;
+      }
       const bool cold = send->server < f_.cold && now_ >= kColdAt;
-      if (cold) press(send->server);
+      if (cold) {
+        press(send->server);
+      }
       const Result result = uniform() < f_.errors         ? Result::kError
                             : cold && uniform() < f_.full ? Result::kFull
                                                           : Result::kOk;
       const Outcome outcome{send->id, tries_[i][send->id]++, result, result == Result::kOk, {}};
-      at(now_ + from_s(result == Result::kOk ? 0.05 + 0.1 * uniform() : 0.005), [this, i, life, outcome] {
-        if (balancers_[i].get() == life) give(i, outcome);
-      });
+      at(now_ + from_s(result == Result::kOk ? 0.05 + 0.1 * uniform() : 0.005),
+         [this, i, life, outcome] {
+           if (balancers_[i].get() == life) {
+             give(i, outcome);
+           }
+         });
     }
   }
   void press(ServerId server) {
     std::deque<Time>& window = windows_[server];
     window.push_back(now_);
-    while (window.front() + settings_.tip_after < now_) window.pop_front();
+    while (window.front() + settings_.tip_after < now_) {
+      window.pop_front();
+    }
     const double age = std::chrono::duration<double>(now_ - kColdAt).count();
-    const double n = f_.multiple * (kColdFrom + (1 - kColdFrom) * age / kColdSpan) * f_.rate * f_.window;
+    const double n =
+        f_.multiple * (kColdFrom + (1 - kColdFrom) * age / kColdSpan) * f_.rate * f_.window;
     worst_ = std::max(worst_, (static_cast<double>(window.size()) - n) / (2 * std::sqrt(n) + 2));
   }
 
@@ -160,12 +195,16 @@
 
 TEST_P(Ramp, HoldsForTheFleet) {
   std::uint64_t seed = 0;
-  for (const double rate : {4.0, 15.0})
-    for (const ServerId cold : {ServerId{1}, ServerId{12}})
+  for (const double rate : {4.0, 15.0}) {
+    for (const ServerId cold : {ServerId{1}, ServerId{12}}) {
       for (const auto& [multiple, window] : {std::pair{3.0, 3.0}, std::pair{2.0, 1.5}}) {
         Fleet f;
-        f.instances = GetParam(), f.rate = rate, f.cold = cold, f.multiple = multiple, f.window = window;
-        const auto holds = [&](const char* what) { EXPECT_LE(Play(f, ++seed).worst(), 1) << what << ": rate " << rate << ", cold " << cold << ", multiple " << multiple; };
+        f.instances = GetParam(), f.rate = rate, f.cold = cold, f.multiple = multiple,
+        f.window = window;
+        const auto holds = [&](const char* what) {
+          EXPECT_LE(Play(f, ++seed).worst(), 1)
+              << what << ": rate " << rate << ", cold " << cold << ", multiple " << multiple;
+        };
         f.most = 8;
         holds("one instance sees eight times what others do");
         f.restarted = 0.5, f.most = 1;
@@ -173,6 +212,8 @@
         f.burst = 1.5, f.errors = 0.1, f.full = 0.3;
         holds("a burst, errors, and cold servers that turn calls away");
       }
+    }
+  }
 }
 INSTANTIATE_TEST_SUITE_P(Instances, Ramp, testing::Values(1, 5, 30, 300));
 
--- a/tests/readme_example_test.cpp
+++ b/tests/readme_example_test.cpp
@@ -27,7 +27,9 @@
   request.deadline = now + milliseconds(2000);
   balancer.handle(now, request, actions);
   std::size_t sends = 0;
-  for (const Action& action : actions) sends += std::holds_alternative<Send>(action);
+  for (const Action& action : actions) {
+    sends += std::holds_alternative<Send>(action);
+  }
   return sends;
 }
 // [/example]
@@ -39,7 +41,9 @@
   return text.str();
 }
 
-TEST(ReadmeExample, ASingleRequestIsSentOnce) { EXPECT_EQ(sends_of_one_request(), 1u); }
+TEST(ReadmeExample, ASingleRequestIsSentOnce) {
+  EXPECT_EQ(sends_of_one_request(), 1u);
+}
 
 TEST(ReadmeExample, StandsInTheReadmeWordForWord) {
   const std::string self = contents(README_TEST_SOURCE), readme = contents(README_FILE);
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -25,8 +25,8 @@
   EXPECT_TRUE(empty.ready());
 }
 
-// What an agent holds counts as told from a process's first moment: the list of its configuration decides nothing before
-// discovery has spoken, or has not for long enough.
+// What an agent holds counts as told from a process's first moment: the list of its configuration
+// decides nothing before discovery has spoken, or has not for long enough.
 TEST(Course, AStartWithAListHearsDiscoveryFirst) {
   Course held(kStart, kGrace, kSilence, true);
   EXPECT_EQ(held.stage(), Stage::kHearing);
@@ -55,7 +55,8 @@
   }
 }
 
-// News written as the gap began must still be acted on within the grace: it ends what is held at half of it.
+// News written as the gap began must still be acted on within the grace: it ends what is held at
+// half of it.
 TEST(Course, AGapOfHalfTheGraceEndsWhatIsHeld) {
   Course c = full();
   EXPECT_FALSE(c.current(kStart + milliseconds(151)));  // also where nobody has looked yet
@@ -94,7 +95,8 @@
   EXPECT_TRUE(c.asks_again());
 }
 
-// A second gap on the way back begins the wait again; a clock that stands still or goes back makes none.
+// A second gap on the way back begins the wait again; a clock that stands still or goes back makes
+// none.
 TEST(Course, GapsOnTheWayBackAndOddClocks) {
   Course c = full();
   EXPECT_TRUE(c.look(kStart + milliseconds(1000)));
--- a/tests/rig_test.h
+++ b/tests/rig_test.h
@@ -5,8 +5,10 @@
 
 namespace beechhill::test {
 
-inline std::string fault(const std::string& kind, const std::string& at, const std::string& length, const std::string& more) {
-  return "[[fault]]\nkind = \"" + kind + "\"\nat = \"" + at + "\"\nfor = \"" + length + "\"\n" + more + "\n";
+inline std::string fault(const std::string& kind, const std::string& at, const std::string& length,
+                         const std::string& more) {
+  return "[[fault]]\nkind = \"" + kind + "\"\nat = \"" + at + "\"\nfor = \"" + length + "\"\n" +
+         more + "\n";
 }
 
 }  // namespace beechhill::test
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -22,18 +22,23 @@
 }
 struct Fleet {
   explicit Fleet(ServerId nodes, std::uint64_t seed = 0) : salt(seed << 32) {
-    for (ServerId id = 0; id < nodes; ++id) list.entries.push_back(entry(id));
+    for (ServerId id = 0; id < nodes; ++id) {
+      list.entries.push_back(entry(id));
+    }
   }
   std::vector<std::uint64_t> hashes(const Discovery& d) const {
     std::vector<std::uint64_t> all;
-    for (const ServerEntry& e : d.entries) all.push_back(salt + e.server + 1);
+    for (const ServerEntry& e : d.entries) {
+      all.push_back(salt + e.server + 1);
+    }
     return all;
   }
   Discovery list{ListKind::kFull, {}};
   std::uint64_t salt;
 };
 
-std::vector<SubsetView> proxies_of(std::uint32_t count, SubsetSettings s, const Fleet& fleet, Unit unit = Unit::kNode) {
+std::vector<SubsetView> proxies_of(std::uint32_t count, SubsetSettings s, const Fleet& fleet,
+                                   Unit unit = Unit::kNode) {
   std::vector<SubsetView> all;
   for (std::uint32_t i = 0; i < count; ++i) {
     s.place = i;
@@ -44,8 +49,11 @@
 }
 std::vector<int> users_of(const std::vector<SubsetView>& proxies, ServerId nodes) {
   std::vector<int> users(nodes, 0);
-  for (const SubsetView& p : proxies)
-    for (ServerId id = 0; id < nodes; ++id) users[id] += p.uses(id);
+  for (const SubsetView& p : proxies) {
+    for (ServerId id = 0; id < nodes; ++id) {
+      users[id] += p.uses(id);
+    }
+  }
   return users;
 }
 
@@ -55,13 +63,19 @@
     SubsetView view({nodes, 8, 10, 3u}, Unit::kCell, "p");
     const Discovery out = view.apply(fleet.list, fleet.hashes(fleet.list));
     ASSERT_EQ(out.entries.size(), 60u);
-    for (std::size_t i = 0; i < 60; ++i) EXPECT_EQ(out.entries[i].server, i);
+    for (std::size_t i = 0; i < 60; ++i) {
+      EXPECT_EQ(out.entries[i].server, i);
+    }
   }
 }
 
-// Every node has nearly as many proxies as any other, even where the number of proxies is told wrong by two.
+// Every node has nearly as many proxies as any other, even where the number of proxies is told
+// wrong by two.
 TEST(Subset, IsBalanced) {
-  for (const auto& [nodes, count, told] : {std::tuple{1000u, 50u, 50u}, {1000u, 50u, 25u}, {1000u, 50u, 100u}, {10'000u, 100u, 100u}}) {
+  for (const auto& [nodes, count, told] : {std::tuple{1000u, 50u, 50u},
+                                           {1000u, 50u, 25u},
+                                           {1000u, 50u, 100u},
+                                           {10'000u, 100u, 100u}}) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       const Fleet fleet(nodes, seed);
       SubsetSettings s{100, 8, told, std::nullopt};
@@ -72,12 +86,15 @@
       EXPECT_GE(*least, mean - 3) << nodes << " told " << told;
       EXPECT_LE(*most, mean + 3) << nodes << " told " << told;
       EXPECT_GE(*least, 1);
-      for (const SubsetView& p : proxies) EXPECT_GE(p.used(), 60u);
+      for (const SubsetView& p : proxies) {
+        EXPECT_GE(p.used(), 60u);
+      }
     }
   }
 }
 
-// A node that comes or goes changes only the proxies that use it; a proxy that comes changes no other.
+// A node that comes or goes changes only the proxies that use it; a proxy that comes changes no
+// other.
 TEST(Subset, OneChangeMovesLittle) {
   std::mt19937_64 random(3);
   for (int round = 0; round < 20; ++round) {
@@ -91,10 +108,14 @@
       change.entries[0].state = ServerState::kRemoved;
     }
     std::size_t told = 0;
-    for (SubsetView& p : proxies) told += p.apply(change, fleet.hashes(change)).entries.size();
+    for (SubsetView& p : proxies) {
+      told += p.apply(change, fleet.hashes(change)).entries.size();
+    }
     const auto after = users_of(proxies, nodes + 1);
     const ServerId touched = change.entries[0].server;
-    for (ServerId id = 0; id <= nodes; ++id) EXPECT_TRUE(id == touched || before[id] == after[id]) << id;
+    for (ServerId id = 0; id <= nodes; ++id) {
+      EXPECT_TRUE(id == touched || before[id] == after[id]) << id;
+    }
     EXPECT_EQ(told, static_cast<std::size_t>(std::abs(after[touched] - before[touched])));
   }
 }
@@ -107,22 +128,31 @@
       EXPECT_EQ(p.uses(id), p.uses(id / kCell * kCell)) << "cell " << id / kCell;
       by_zone[entry(id).zone] += p.uses(id);
     }
-    for (const int n : by_zone) EXPECT_NEAR(static_cast<double>(n) / static_cast<double>(p.used()), 0.25, 0.12);
+    for (const int n : by_zone) {
+      EXPECT_NEAR(static_cast<double>(n) / static_cast<double>(p.used()), 0.25, 0.12);
+    }
   }
 }
 
 TEST(Subset, TellsTheModuleOfItsPartAlone) {
   const Fleet fleet(1000);
-  SubsetView view({100, 8, 0, std::nullopt}, Unit::kNode, "proxy-a"), twin({100, 8, 0, std::nullopt}, Unit::kNode, "proxy-a");
+  SubsetView view({100, 8, 0, std::nullopt}, Unit::kNode, "proxy-a"),
+      twin({100, 8, 0, std::nullopt}, Unit::kNode, "proxy-a");
   const Discovery out = view.apply(fleet.list, fleet.hashes(fleet.list));
   twin.apply(fleet.list, fleet.hashes(fleet.list));
   EXPECT_EQ(out.entries.size(), view.used());
-  for (ServerId id = 0; id < 1000; ++id) EXPECT_EQ(view.uses(id), twin.uses(id));  // two of one name: the same part
+  for (ServerId id = 0; id < 1000; ++id) {
+    EXPECT_EQ(view.uses(id), twin.uses(id));  // two of one name: the same part
+  }
   const ServerId mine = out.entries[0].server;
   ServerId other = 0;
-  while (view.uses(other)) ++other;
+  while (view.uses(other)) {
+    ++other;
+  }
   Discovery drain{ListKind::kChanges, {entry(mine), entry(other)}};
-  for (ServerEntry& e : drain.entries) e.state = ServerState::kDraining;
+  for (ServerEntry& e : drain.entries) {
+    e.state = ServerState::kDraining;
+  }
   const Discovery told = view.apply(drain, fleet.hashes(drain));
   ASSERT_EQ(told.entries.size(), 1u);
   EXPECT_EQ(told.entries[0].server, mine);
@@ -137,38 +167,51 @@
   view.apply(fleet.list, fleet.hashes(fleet.list));
   std::vector<ServerId> mine;
   Discovery down{ListKind::kChanges, {}}, back{ListKind::kChanges, {}};
-  for (ServerId id = 0; id < 1000; ++id)
+  for (ServerId id = 0; id < 1000; ++id) {
     if (view.uses(id)) {
       mine.push_back(id);
       down.entries.push_back(entry(id));
       back.entries.push_back(entry(id));
       down.entries.back().state = ServerState::kDraining;
     }
+  }
   const Discovery told = view.apply(down, fleet.hashes(down));
   std::size_t up = 0;
-  for (const ServerEntry& e : told.entries) up += e.state == ServerState::kUp;
+  for (const ServerEntry& e : told.entries) {
+    up += e.state == ServerState::kUp;
+  }
   EXPECT_GE(up, mine.size() / 2);
   view.apply(back, fleet.hashes(back));
   EXPECT_EQ(view.used(), mine.size());
-  for (const ServerId id : mine) EXPECT_TRUE(view.uses(id));
+  for (const ServerId id : mine) {
+    EXPECT_TRUE(view.uses(id));
+  }
 }
 
-// Half of the fleet is replaced, node by node: what the module was told, all in all, is what the view says.
+// Half of the fleet is replaced, node by node: what the module was told, all in all, is what the
+// view says.
 TEST(Subset, WhatIsToldAddsUp) {
   std::mt19937_64 random(11);
   Fleet fleet(800);
   SubsetView view({120, 8, 20, 7u}, Unit::kNode, "p");
   std::set<ServerId> known;
   const auto take = [&](const Discovery& told) {
-    if (told.kind == ListKind::kFull) known.clear();
-    for (const ServerEntry& e : told.entries) e.state == ServerState::kRemoved ? known.erase(e.server) : known.insert(e.server).second;
+    if (told.kind == ListKind::kFull) {
+      known.clear();
+    }
+    for (const ServerEntry& e : told.entries) {
+      e.state == ServerState::kRemoved ? known.erase(e.server) : known.insert(e.server).second;
+    }
   };
   take(view.apply(fleet.list, fleet.hashes(fleet.list)));
   for (ServerId i = 0; i < 400; ++i) {
-    Discovery change{ListKind::kChanges, {entry(800 + i), entry(static_cast<ServerId>(random() % 800))}};
+    Discovery change{ListKind::kChanges,
+                     {entry(800 + i), entry(static_cast<ServerId>(random() % 800))}};
     change.entries[1].state = ServerState::kRemoved;
     take(view.apply(change, fleet.hashes(change)));
-    for (ServerId id = 0; i % 40 == 0 && id < 1200; ++id) ASSERT_EQ(known.count(id) > 0, view.uses(id)) << id;
+    for (ServerId id = 0; i % 40 == 0 && id < 1200; ++id) {
+      ASSERT_EQ(known.count(id) > 0, view.uses(id)) << id;
+    }
   }
 }
 
@@ -176,7 +219,9 @@
   std::mt19937_64 random(5);
   std::uniform_real_distribution<double> rank;
   std::vector<std::pair<double, ServerId>> all;
-  for (ServerId id = 0; id < 300; ++id) all.emplace_back(rank(random), id);
+  for (ServerId id = 0; id < 300; ++id) {
+    all.emplace_back(rank(random), id);
+  }
   RankedSet set;
   set.assign(all);
   std::set<std::pair<double, ServerId>> model(all.begin(), all.end());
@@ -191,7 +236,9 @@
     }
     ASSERT_EQ(set.size(), model.size());
     std::size_t k = 0;
-    for (const auto& m : model) ASSERT_EQ(set[k++], m.second);
+    for (const auto& m : model) {
+      ASSERT_EQ(set[k++], m.second);
+    }
   }
 }
 
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -4,7 +4,8 @@
 namespace beechhill::test {
 namespace {
 
-constexpr Result kMaybeRan[] = {Result::kError, Result::kTimeout, Result::kReset, Result::kCancelled};
+constexpr Result kMaybeRan[] = {Result::kError, Result::kTimeout, Result::kReset,
+                                Result::kCancelled};
 constexpr Result kNeverRan[] = {Result::kFull, Result::kConnectFailed, Result::kMoot};
 
 TEST(Effects, OnceIsFailedNeverRepeatedOrRefusedAfterItMayHaveRun) {
@@ -51,7 +52,8 @@
   EXPECT_EQ(count<Fail>(out), 1u);
 }
 
-// A repeat may leave a connect time-out after it is sent: the group must remember the first attempt then, too.
+// A repeat may leave a connect time-out after it is sent: the group must remember the first attempt
+// then, too.
 TEST(Effects, KeyedIsNotSentAgainWhereItsConnectionCouldStandTooLate) {
   Driver d;
   d.servers(6);
@@ -60,13 +62,15 @@
   EXPECT_EQ(count<Fail>(d.outcome(1, 0, Result::kError)), 1u);
 }
 
-// The group is that of the machine that got the first attempt, wherever the list says by now that its number stands.
+// The group is that of the machine that got the first attempt, wherever the list says by now that
+// its number stands.
 TEST(Effects, KeyedStaysWhereItsFirstAttemptWentWhenTheListMoves) {
   Driver d;
   d.servers(6);  // cells of two
   d.request(1, kKeyed);
   const ServerId first = d.sends[0].server, other = (first + 2) % 6;
-  d.give(Discovery{ListKind::kChanges, {{first, ServerState::kUp, 0, 77, {}}, {other, ServerState::kUp, 0, 77, {}}}});
+  d.give(Discovery{ListKind::kChanges,
+                   {{first, ServerState::kUp, 0, 77, {}}, {other, ServerState::kUp, 0, 77, {}}}});
   d.outcome(1, 0, Result::kError);
   ASSERT_EQ(d.sends.size(), 2u);
   EXPECT_EQ(d.sends[1].server, first ^ 1);
@@ -91,8 +95,12 @@
     Driver d;
     d.servers(2);
     d.change({0, state, 0, 0, {}});
-    for (RequestId id = 0; id < 20; ++id) d.request(id);
-    for (const auto& s : d.sends) EXPECT_EQ(s.server, 1u);
+    for (RequestId id = 0; id < 20; ++id) {
+      d.request(id);
+    }
+    for (const auto& s : d.sends) {
+      EXPECT_EQ(s.server, 1u);
+    }
   }
 }
 
@@ -100,8 +108,12 @@
   Driver d;
   d.servers(3);
   d.give(Discovery{ListKind::kFull, {{2, ServerState::kUp, 0, 1, {}}}});
-  for (RequestId id = 0; id < 20; ++id) d.request(id);
-  for (const auto& s : d.sends) EXPECT_EQ(s.server, 2u);
+  for (RequestId id = 0; id < 20; ++id) {
+    d.request(id);
+  }
+  for (const auto& s : d.sends) {
+    EXPECT_EQ(s.server, 2u);
+  }
 }
 
 TEST(Cold, AFreshServerGetsItsWarmthsShareOfAWarmOnesIntake) {
@@ -115,18 +127,26 @@
       d.outcome(id++, 0, Result::kOk);
     }
   };
-  for (int i = 0; i < 10; ++i) second();
+  for (int i = 0; i < 10; ++i) {
+    second();
+  }
   d.change({0, ServerState::kUp, 0, 0, d.now});
   const std::size_t before = d.sends.size();
   second();
   std::size_t to_cold = 0;
-  for (std::size_t i = before; i < d.sends.size(); ++i) to_cold += d.sends[i].server == 0;
+  for (std::size_t i = before; i < d.sends.size(); ++i) {
+    to_cold += d.sends[i].server == 0;
+  }
   EXPECT_LE(to_cold, 4u);  // a warm one takes 13; the server starts at a fifth of that
-  for (int i = 0; i < 12; ++i) second();
+  for (int i = 0; i < 12; ++i) {
+    second();
+  }
   const std::size_t later = d.sends.size();
   second();
   to_cold = 0;
-  for (std::size_t i = later; i < d.sends.size(); ++i) to_cold += d.sends[i].server == 0;
+  for (std::size_t i = later; i < d.sends.size(); ++i) {
+    to_cold += d.sends[i].server == 0;
+  }
   EXPECT_GE(to_cold, 8u);
 }
 
--- a/tests/snapshot_test.cpp
+++ b/tests/snapshot_test.cpp
@@ -1,4 +1,5 @@
-// Snapshots: what may be believed of one, what a damaged one does, and what becomes of processes that find one.
+// Snapshots: what may be believed of one, what a damaged one does, and what becomes of processes
+// that find one.
 #include <atomic>
 #include <map>
 #include <memory>
@@ -19,35 +20,53 @@
 
 const std::string kFile = "beechhill-t.snapshot";
 
-Snapshot sample() { return {"t", "z/0/ver", 7, 1'000'000ms, {{"s-1", 5ms, 999'000ms, {12.25, 0.5, 3, 2}}, {"s \"2\"", 0ms, 1ms, {}}}, {"s-9"}}; }
+Snapshot sample() {
+  return {"t",
+          "z/0/ver",
+          7,
+          1'000'000ms,
+          {{"s-1", 5ms, 999'000ms, {12.25, 0.5, 3, 2}}, {"s \"2\"", 0ms, 1ms, {}}},
+          {"s-9"}};
+}
 
 void is_believed_only_where_it_may() {
   const Snapshot s = sample();
   const auto read = snapshot::decode(snapshot::encode(s));
-  assert(read && read->name == s.name && read->fleet == s.fleet && read->life == 7 && read->written == s.written);
-  assert(read->rows.size() == 2 && read->rows[0].evidence.rates == 12.25 && read->rows[0].evidence.paces == 3 && read->rows[1].host == "s \"2\"");
+  assert(read && read->name == s.name && read->fleet == s.fleet && read->life == 7 &&
+         read->written == s.written);
+  assert(read->rows.size() == 2 && read->rows[0].evidence.rates == 12.25 &&
+         read->rows[0].evidence.paces == 3 && read->rows[1].host == "s \"2\"");
   const auto why = [&s](const char* name, const char* fleet, std::chrono::milliseconds now) {
     const char* reason = snapshot::refusal(s, name, fleet, now);
     return std::string(reason ? reason : "");
   };
-  assert(why("t", "z/0/ver", s.written + 5s).empty() && why("t", "z/0/ver", s.written - 1s).empty());
-  assert(why("u", "z/0/ver", s.written) == "another_process" && why("t", "z/1/ver", s.written) == "other_settings");
-  assert(why("t", "z/0/ver", s.written - 1min) == "from_the_future" && why("t", "z/0/ver", s.written + 1h) == "too_old");
+  assert(why("t", "z/0/ver", s.written + 5s).empty() &&
+         why("t", "z/0/ver", s.written - 1s).empty());
+  assert(why("u", "z/0/ver", s.written) == "another_process" &&
+         why("t", "z/1/ver", s.written) == "other_settings");
+  assert(why("t", "z/0/ver", s.written - 1min) == "from_the_future" &&
+         why("t", "z/0/ver", s.written + 1h) == "too_old");
   const Evidence e{40, 2, 6, 3};
   const auto left = [&e](std::chrono::seconds age) { return snapshot::believed(e, age, false); };
-  assert(left(0s)->utils == 2 && left(-1s)->answers == 3 && std::abs(left(60s)->rates - 40 / std::exp(1)) < 1e-9);
+  assert(left(0s)->utils == 2 && left(-1s)->answers == 3 &&
+         std::abs(left(60s)->rates - 40 / std::exp(1)) < 1e-9);
   assert(!left(10min) && !snapshot::believed(e, 0s, true));
-  assert(!snapshot::believed({1e9, 2, 0, 0}, 0s, false) && !snapshot::believed({40, 2, 300, 3}, 0s, false));  // absurd
+  assert(!snapshot::believed({1e9, 2, 0, 0}, 0s, false) &&
+         !snapshot::believed({40, 2, 300, 3}, 0s, false));  // absurd
 }
 
-// Cut at every byte, bits turned over, parts doubled and versions swapped: none is taken, not by half, and none crashes.
+// Cut at every byte, bits turned over, parts doubled and versions swapped: none is taken, not by
+// half, and none crashes.
 void damage_is_never_taken() {
   const std::string good = snapshot::encode(sample());
   const auto taken = [](const std::string& text) {
-    return LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t*>(text.data()), text.size()) == 1;
+    return LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t*>(text.data()),
+                                  text.size()) == 1;
   };
   assert(taken(good));
-  for (std::size_t i = 0; i < good.size(); ++i) assert(!taken(good.substr(0, i)));
+  for (std::size_t i = 0; i < good.size(); ++i) {
+    assert(!taken(good.substr(0, i)));
+  }
   std::mt19937 random(11);
   for (int i = 0; i < 100'000; ++i) {
     std::string bad = good;
@@ -66,7 +85,8 @@
   assert(!taken(other));
 }
 
-// The second of two that claim one name serves without; what cannot be used is set aside once; lives are counted.
+// The second of two that claim one name serves without; what cannot be used is set aside once;
+// lives are counted.
 void keeps_one_process_apart() {
   const Folder folder;
   {
@@ -75,7 +95,9 @@
     bool refused = false;
     try {
       const Keeper second(folder.path, "t", "f");
-    } catch (const std::runtime_error&) { refused = true; }
+    } catch (const std::runtime_error&) {
+      refused = true;
+    }
     assert(refused);
     keeper.keep({{"s-1", 0ms, 900ms, {10, 0.5, 0, 0}}}, {"s-7"}, 1000ms);
   }  // its end writes what waits
@@ -84,10 +106,12 @@
   assert(found && found->life == 1 && found->rows.size() == 1);
   const auto old = keeper.found(10h);
   assert(old && old->rows.empty() && old->barred.contains("s-7"));  // a ban does not age
-  assert(!std::filesystem::exists(folder.file(kFile)) && std::filesystem::exists(folder.file(kFile) + ".aside"));
+  assert(!std::filesystem::exists(folder.file(kFile)) &&
+         std::filesystem::exists(folder.file(kFile) + ".aside"));
 }
 
-// A disk that hangs, then is full: keep() comes back at once, only the newest is written, and the end does not wait.
+// A disk that hangs, then is full: keep() comes back at once, only the newest is written, and the
+// end does not wait.
 void a_bad_disk_costs_snapshots_only() {
   const Folder folder;
   const auto held = std::make_shared<std::counting_semaphore<8>>(0);
@@ -101,26 +125,35 @@
     });
     keeper.keep({}, {}, 1ms);
     const auto end = Clock::now() + kPatience;
-    while (*calls == 0) assert(Clock::now() < end), ::usleep(1000);
-    for (int i = 0; i < 1000; ++i) keeper.keep({}, {}, 2ms);  // would hang here if one waited for the disk
+    while (*calls == 0) {
+      assert(Clock::now() < end), ::usleep(1000);
+    }
+    for (int i = 0; i < 1000; ++i) {
+      keeper.keep({}, {}, 2ms);  // would hang here if one waited for the disk
+    }
     assert(*calls == 1);
     held->release();
-    while (*calls < 2) assert(Clock::now() < end), ::usleep(1000);
+    while (*calls < 2) {
+      assert(Clock::now() < end), ::usleep(1000);
+    }
   }
   assert(*calls == 2);
   held->release(4);
   assert(!std::filesystem::exists(folder.file(kFile)));
 }
 
-// Processes of one name, one after another, each killed: before backends of which the first says that it is full and slow.
+// Processes of one name, one after another, each killed: before backends of which the first says
+// that it is full and slow.
 struct Lives {
   explicit Lives(bool kept) {
-    std::ofstream(folder.path + "/op.toml") << "[snapshot]\nfolder = \"" << (kept ? folder.path : "") << "\"\nevery = \"100ms\"\n";
+    std::ofstream(folder.path + "/op.toml")
+        << "[snapshot]\nfolder = \"" << (kept ? folder.path : "") << "\"\nevery = \"100ms\"\n";
     ::setenv("BEECHHILL_OPERATOR", (folder.path + "/op.toml").c_str(), 1);
   }
   ~Lives() { ::unsetenv("BEECHHILL_OPERATOR"); }
-  // Where the requests of a life go, one after another. With `reports` the backends tell their load, and it ends once a snapshot of that
-  // stands; without, the process has only what it began with.
+  // Where the requests of a life go, one after another. With `reports` the backends tell their
+  // load, and it ends once a snapshot of that stands; without, the process has only what it began
+  // with.
   std::string life(bool reports) {
     Proxy proxy(hosts());
     Wire client = proxy.client();
@@ -131,21 +164,33 @@
       const Door* door = nullptr;
       while (!door) {
         assert(Clock::now() < end);
-        if (slow.pending(1ms)) door = &slow;
-        if (!door && quick.pending(1ms)) door = &quick;
+        if (slow.pending(1ms)) {
+          door = &slow;
+        }
+        if (!door && quick.pending(1ms)) {
+          door = &quick;
+        }
       }
       went += door == &slow ? 's' : 'q';
       Wire wire = door->accept();
       wire.request();
       const std::string load = door == &slow ? "0.95, served_ps=2" : "0.50, served_ps=20";
-      wire.reply(200, "Connection: close\r\n" + (reports ? "Endpoint-Load-Metrics: TEXT cpu_share=" + load + ", pending=0\r\n" : ""), "");
+      wire.reply(
+          200,
+          "Connection: close\r\n" +
+              (reports ? "Endpoint-Load-Metrics: TEXT cpu_share=" + load + ", pending=0\r\n" : ""),
+          "");
       expect_status(client, 200);
     }
     const auto end = Clock::now() + kPatience;
-    while (reports && left().rows.size() != 2) assert(Clock::now() < end), ::usleep(5000);
+    while (reports && left().rows.size() != 2) {
+      assert(Clock::now() < end), ::usleep(5000);
+    }
     return went;
   }
-  std::string hosts() const { return "[" + host_json("s-1", slow.address()) + "," + host_json("s-2", quick.address()) + "]"; }
+  std::string hosts() const {
+    return "[" + host_json("s-1", slow.address()) + "," + host_json("s-2", quick.address()) + "]";
+  }
   Snapshot left() const {  // what stands there, as far as it is whole
     return snapshot::decode(contents(folder.file(kFile))).value_or(Snapshot{});
   }
@@ -153,8 +198,8 @@
   Door slow, quick;
 };
 
-// What was learned spares the slow one from the first request on, over several lives; a torn state is set aside, and it and a lost one
-// are the same as none.
+// What was learned spares the slow one from the first request on, over several lives; a torn state
+// is set aside, and it and a lost one are the same as none.
 void a_killed_process_remembers() {
   Lives lives(true);
   const std::string file = lives.folder.file(kFile);
@@ -176,14 +221,17 @@
   assert(3 * kept < 2 * lost && 3 * kept < 2 * torn);
 }
 
-// What an operator left out stays so through a kill, even where all else that was kept is too old; and comes back by one call.
+// What an operator left out stays so through a kill, even where all else that was kept is too old;
+// and comes back by one call.
 void a_ban_outlasts_a_kill() {
   Lives lives(true);
   const auto end = Clock::now() + kPatience;
   {
     const Proxy proxy(lives.hosts());
     assert(proxy.call("PUT", "/api/exclude?target=s-1").status == 200);
-    while (!lives.left().barred.contains("s-1")) assert(Clock::now() < end), ::usleep(5000);
+    while (!lives.left().barred.contains("s-1")) {
+      assert(Clock::now() < end), ::usleep(5000);
+    }
   }
   Snapshot old = lives.left();
   old.written -= 1h;
@@ -197,9 +245,12 @@
     wire.reply(200, "Connection: close\r\n", "");
     expect_status(client, 200);
   };
-  for (int i = 0; i < 8; ++i) ask(lives.quick, "b" + std::to_string(i));
+  for (int i = 0; i < 8; ++i) {
+    ask(lives.quick, "b" + std::to_string(i));
+  }
   assert(!lives.slow.pending(0ms));
-  assert(proxy.call("PUT", "/api/include?target=s-1").status == 200 && proxy.call("PUT", "/api/exclude?target=s-2").status == 200);
+  assert(proxy.call("PUT", "/api/include?target=s-1").status == 200 &&
+         proxy.call("PUT", "/api/exclude?target=s-2").status == 200);
   ask(lives.slow, "c");
 }
 
@@ -214,13 +265,14 @@
 
 int main(int argc, char** argv) {
   using namespace beechhill::test;
-  return run_named(argc, argv, {
-    {"is_believed_only_where_it_may", is_believed_only_where_it_may},
-    {"damage_is_never_taken", damage_is_never_taken},
-    {"keeps_one_process_apart", keeps_one_process_apart},
-    {"a_bad_disk_costs_snapshots_only", a_bad_disk_costs_snapshots_only},
-    {"a_killed_process_remembers", a_killed_process_remembers},
-    {"a_ban_outlasts_a_kill", a_ban_outlasts_a_kill},
-    {"is_off_unless_asked_for", is_off_unless_asked_for},
-  });
+  return run_named(argc, argv,
+                   {
+                       {"is_believed_only_where_it_may", is_believed_only_where_it_may},
+                       {"damage_is_never_taken", damage_is_never_taken},
+                       {"keeps_one_process_apart", keeps_one_process_apart},
+                       {"a_bad_disk_costs_snapshots_only", a_bad_disk_costs_snapshots_only},
+                       {"a_killed_process_remembers", a_killed_process_remembers},
+                       {"a_ban_outlasts_a_kill", a_ban_outlasts_a_kill},
+                       {"is_off_unless_asked_for", is_off_unless_asked_for},
+                   });
 }
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -1,4 +1,5 @@
-// Upgrades: two processes on one inherited socket, with a folder that they share. Run with a test's name.
+// Upgrades: two processes on one inherited socket, with a folder that they share. Run with a test's
+// name.
 #include <sys/stat.h>
 
 #include <atomic>
@@ -30,8 +31,12 @@
     std::list<Wire> wires;
     while (!over_) {
       std::vector<pollfd> polled{{door_.fd(), POLLIN, 0}};
-      for (const Wire& wire : wires) polled.push_back({wire.fd(), POLLIN, 0});
-      if (::poll(polled.data(), polled.size(), 20) <= 0) continue;
+      for (const Wire& wire : wires) {
+        polled.push_back({wire.fd(), POLLIN, 0});
+      }
+      if (::poll(polled.data(), polled.size(), 20) <= 0) {
+        continue;
+      }
       std::size_t n = 1;
       for (auto it = wires.begin(); it != wires.end(); ++n) {
         if (polled[n].revents == 0) {
@@ -49,7 +54,9 @@
           (it++)->reply(200, "", *parser.message().headers.find("X-Trace-Id") + " " + name_);
         }
       }
-      if (polled[0].revents != 0) wires.push_back(door_.accept());
+      if (polled[0].revents != 0) {
+        wires.push_back(door_.accept());
+      }
     }
   }
 
@@ -60,8 +67,12 @@
   std::thread thread_;
 };
 
-std::string hosts(const Backend& a) { return "[" + a.host() + "]"; }
-std::string hosts(const Backend& a, const Backend& b) { return "[" + a.host() + "," + b.host() + "]"; }
+std::string hosts(const Backend& a) {
+  return "[" + a.host() + "]";
+}
+std::string hosts(const Backend& a, const Backend& b) {
+  return "[" + a.host() + "," + b.host() + "]";
+}
 
 // One request on a connection of its own: what served it.
 std::string ask(const Proxy& proxy, const std::string& id) {
@@ -75,7 +86,9 @@
 template <typename Condition>
 void eventually(const Condition& holds) {
   const auto end = Clock::now() + kPatience;
-  while (!holds()) assert(Clock::now() < end), ::usleep(10'000);
+  while (!holds()) {
+    assert(Clock::now() < end), ::usleep(10'000);
+  }
 }
 
 void reads_its_state_or_nothing() {
@@ -88,7 +101,9 @@
   apply(s, Change::kEvacuate, "");
   const std::string text = encode(s);
   assert(decode(text) == s && s.drained && s.barred.size() == 2);
-  for (std::size_t n = 0; n < text.size(); ++n) assert(!decode(text.substr(0, n)));  // torn
+  for (std::size_t n = 0; n < text.size(); ++n) {
+    assert(!decode(text.substr(0, n)));  // torn
+  }
   for (std::size_t n = 0; n < text.size(); ++n) {
     std::string changed = text;
     changed[n] ^= 1;
@@ -115,12 +130,18 @@
       std::optional<Wire> kept;
       for (int n = 0; !over; ++n) {
         const std::string id = "l" + std::to_string(t) + "-" + std::to_string(n);
-        if (!kept || t % 2 == 0) kept = proxy->client();
-        if (kept->readable(0ms)) kept = proxy->client();  // closed between requests
+        if (!kept || t % 2 == 0) {
+          kept = proxy->client();
+        }
+        if (kept->readable(0ms)) {
+          kept = proxy->client();  // closed between requests
+        }
         kept->send(Proxy::get(id));
         const http::Message answer = kept->answer();
         assert(answer.status == 200 && answer.body.starts_with(id));
-        if (!answer.keep_alive()) kept.reset();
+        if (!answer.keep_alive()) {
+          kept.reset();
+        }
         ++served;
         ::usleep(2000);
       }
@@ -139,7 +160,9 @@
   }
   eventually([&, before = served.load()] { return served > before + 50; });
   over = true;
-  for (std::thread& thread : load) thread.join();
+  for (std::thread& thread : load) {
+    thread.join();
+  }
 }
 
 // What operators order at either process binds both, and the one that comes after.
@@ -150,7 +173,9 @@
   assert(old.call("PUT", "/api/exclude?target=s-1").status == 200);
   assert(old.call("PUT", "/api/evacuate").status == 200);
   Proxy fresh(hosts(a, b), "[]", &shared);  // ready, drained as it is
-  for (int n = 0; n < 6; ++n) assert(ask(fresh, "a" + std::to_string(n)) == "s-2" && fresh.ready() == 503);
+  for (int n = 0; n < 6; ++n) {
+    assert(ask(fresh, "a" + std::to_string(n)) == "s-2" && fresh.ready() == 503);
+  }
   assert(fresh.call("PUT", "/api/rejoin").status == 200);
   assert(fresh.call("PUT", "/api/exclude?target=s-2").status == 200);
   const auto unavailable = [](const Proxy& proxy, int n) {
@@ -176,7 +201,9 @@
   {
     Proxy stillborn("", "[]", &shared);
     assert(stillborn.call("GET", "/api/ready").status == 503);
-    for (int n = 0; n < 4; ++n) assert(ask(old, "a" + std::to_string(n)) == "s-1");
+    for (int n = 0; n < 4; ++n) {
+      assert(ask(old, "a" + std::to_string(n)) == "s-1");
+    }
   }  // killed
   old.signal(SIGTERM);
   ::usleep(200'000);
@@ -193,7 +220,9 @@
   old.reset();  // killed amid the upgrade
   assert(fresh.call("GET", "/api/ready").status == 200 && fresh.ready() == 503);
   assert(fresh.call("PUT", "/api/rejoin").status == 200);
-  for (int n = 0; n < 4; ++n) assert(ask(fresh, "a" + std::to_string(n)) == "s-1");
+  for (int n = 0; n < 4; ++n) {
+    assert(ask(fresh, "a" + std::to_string(n)) == "s-1");
+  }
 }
 
 // What cannot be read in the shared folder is set aside; the service goes on, and so does sharing.
@@ -214,7 +243,9 @@
   if (pid == 0) {
     const std::string path = "/tmp/proxy_fd_" + std::to_string(::getpid());
     std::ofstream(path) << config_json("127.0.0.1:0", "127.0.0.1:1", "[]");
-    if (as_3 >= 0) ::dup2(as_3, 3);
+    if (as_3 >= 0) {
+      ::dup2(as_3, 3);
+    }
     ::close(2);
     ::setenv("GW_CONFIG", path.c_str(), 1);
     ::setenv("GW_FD", descriptor, 1);
@@ -229,21 +260,24 @@
 }
 
 void refuses_a_wrong_descriptor() {
-  const net::Fd plain(::socket(AF_INET, SOCK_STREAM, 0)), datagrams(::socket(AF_INET, SOCK_DGRAM, 0));
+  const net::Fd plain(::socket(AF_INET, SOCK_STREAM, 0)),
+      datagrams(::socket(AF_INET, SOCK_DGRAM, 0));
   assert(status_with("3", plain.get()) == 1 && status_with("3", datagrams.get()) == 1);
-  assert(status_with("300", -1) == 1 && status_with("three", -1) == 1 && status_with("-1", -1) == 1);
+  assert(status_with("300", -1) == 1 && status_with("three", -1) == 1 &&
+         status_with("-1", -1) == 1);
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  return run_named(argc, argv, {
-    {"reads_its_state_or_nothing", reads_its_state_or_nothing},
-    {"loses_no_request", loses_no_request},
-    {"binds_both_processes", binds_both_processes},
-    {"outlives_a_stillborn_successor", outlives_a_stillborn_successor},
-    {"outlives_a_killed_predecessor", outlives_a_killed_predecessor},
-    {"sets_a_torn_state_aside", sets_a_torn_state_aside},
-    {"refuses_a_wrong_descriptor", refuses_a_wrong_descriptor},
-  });
+  return run_named(argc, argv,
+                   {
+                       {"reads_its_state_or_nothing", reads_its_state_or_nothing},
+                       {"loses_no_request", loses_no_request},
+                       {"binds_both_processes", binds_both_processes},
+                       {"outlives_a_stillborn_successor", outlives_a_stillborn_successor},
+                       {"outlives_a_killed_predecessor", outlives_a_killed_predecessor},
+                       {"sets_a_torn_state_aside", sets_a_torn_state_aside},
+                       {"refuses_a_wrong_descriptor", refuses_a_wrong_descriptor},
+                   });
 }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -22,8 +22,8 @@
     R"(,{"event_type":"Request","id":"req-1","drop-dead":3000000,"kind":"k","retry":false,"write":false})";
 
 std::string one(const std::string& event) {
-  return R"({"moment":1100000,"serial":2,"balancers":[{"balancer-id":"balancer-1","events":[)" + event +
-         "]}]}";
+  return R"({"moment":1100000,"serial":2,"balancers":[{"balancer-id":"balancer-1","events":[)" +
+         event + "]}]}";
 }
 
 // JSON objects have no order: replies are compared as values.
@@ -37,7 +37,8 @@
 
 TEST(Wire, AnEmptyBatchIsEchoed) {
   Host host;
-  expect_reply(host.reply_to(R"({"moment":1,"serial":9,"balancers":[]})"), R"({"serial":9,"balancers":[]})");
+  expect_reply(host.reply_to(R"({"moment":1,"serial":9,"balancers":[]})"),
+               R"({"serial":9,"balancers":[]})");
 }
 
 TEST(Wire, ARequestIsRelayedUnderItsOwnNames) {
@@ -53,7 +54,8 @@
   host.reply_to(begin(kList + kRequest));
   const std::string reply = host.reply_to(one(
       R"({"event_type":"Done","id":"req-1","send-no":0,"upstream":"upstream-a","result":5,"lag":1,"final":false})"));
-  EXPECT_EQ(json(reply)["balancers"][0]["out"][0], json(R"({"event_type":"ReportFailure","id":"req-1"})"))
+  EXPECT_EQ(json(reply)["balancers"][0]["out"][0],
+            json(R"({"event_type":"ReportFailure","id":"req-1"})"))
       << reply;
 }
 
@@ -78,7 +80,9 @@
   try {
     host.reply_to(line);
     FAIL() << "accepted: " << line;
-  } catch (const WireError& e) { EXPECT_NE(std::string(e.what()).find(part), std::string::npos) << e.what(); }
+  } catch (const WireError& e) {
+    EXPECT_NE(std::string(e.what()).find(part), std::string::npos) << e.what();
+  }
 }
 
 TEST(Wire, BadLinesAreNamed) {
@@ -89,8 +93,10 @@
   expect_fault(one(R"({"event_type":"Wakeup","tag":7})"), "tag: not a string");
   expect_fault(one(R"({"event_type":"Request","id":"x","kind":"k","drop-dead":"soon"})"),
                "drop-dead: not an integer");
-  expect_fault(one(R"({"event_type":"Request","id":"x","kind":"other","drop-dead":5})"), "kind: not listed");
-  expect_fault(one(R"({"event_type":"Discovery","mode":"F","serial":1,"slot":16})"), "slot: not in 0 to 15");
+  expect_fault(one(R"({"event_type":"Request","id":"x","kind":"other","drop-dead":5})"),
+               "kind: not listed");
+  expect_fault(one(R"({"event_type":"Discovery","mode":"F","serial":1,"slot":16})"),
+               "slot: not in 0 to 15");
   expect_fault(
       R"({"moment":1,"serial":2,"balancers":[{"balancer-id":"balancer-7","events":[{"event_type":"PowerOff"}]}]})",
       "balancer-id: names an instance");
