--- a/adapter/wire.cpp
+++ b/adapter/wire.cpp
@@ -17,46 +17,46 @@
 namespace beechhill::wire {
 namespace {
 
-using config::array_in;
-using config::as;
-using config::fault;
-using config::find;
-using config::get;
-using config::need;
-using config::object_in;
+using config::require_array;
+using config::convert;
+using config::throw_json_error;
+using config::find_member;
+using config::get_member;
+using config::require_member;
+using config::require_object;
 
 constexpr std::size_t kSlots = 16;
 
 struct ListEntry {
   std::string upstream, zone, kind;
-  ServerState state = ServerState::kUp;
+  EndpointStatus state = EndpointStatus::kUp;
   std::uint32_t cell = 0;
   std::optional<Time> born;
 };
 
-ServerState state_from(std::string_view word) {
+EndpointStatus state_from(std::string_view word) {
   if (word == "up") {
-    return ServerState::kUp;
+    return EndpointStatus::kUp;
   }
   if (word == "draining") {
-    return ServerState::kDraining;
+    return EndpointStatus::kDraining;
   }
   if (word == "removed") {
-    return ServerState::kRemoved;
+    return EndpointStatus::kRemoved;
   }
-  fault("state", "not one of up, draining, removed");
+  throw_json_error("state", "not one of up, draining, removed");
 }
 
 std::vector<ListEntry> read_directory(const Json::Value& event) {
   std::vector<ListEntry> list;
-  for (const Json::Value& row : array_in(event, "entries")) {
+  for (const Json::Value& row : require_array(event, "entries")) {
     ListEntry e;
-    e.upstream = get<std::string>(row, "upstream");
-    e.zone = get<std::string>(row, "az", "");
-    e.kind = get<std::string>(row, "kind", "");
-    e.state = state_from(get<std::string>(row, "state"));
-    e.cell = get<std::uint32_t>(row, "unit-group", 0);
-    const auto born = get<Duration>(row, "born", Duration{0});
+    e.upstream = get_member<std::string>(row, "upstream");
+    e.zone = get_member<std::string>(row, "az", "");
+    e.kind = get_member<std::string>(row, "kind", "");
+    e.state = state_from(get_member<std::string>(row, "state"));
+    e.cell = get_member<std::uint32_t>(row, "unit-group", 0);
+    const auto born = get_member<Duration>(row, "born", Duration{0});
     if (born > Duration{0}) {
       e.born = born;
     }
@@ -66,13 +66,13 @@
 }
 
 Result result_from(const Json::Value& event) {
-  switch (get<std::uint32_t>(event, "result")) {
+  switch (get_member<std::uint32_t>(event, "result")) {
     case 0:
       return Result::kOk;
     case 5:
       return Result::kError;
     case 11:
-      return Result::kFull;
+      return Result::kOverloaded;
     case 110:
       return Result::kTimeout;
     case 111:
@@ -82,26 +82,26 @@
     case 125:
       return Result::kCancelled;
     case 114:
-      return Result::kMoot;
+      return Result::kSkipped;
     default:
-      fault("result", "not a known code");
+      throw_json_error("result", "not a known code");
   }
 }
 
 LoadReport report_in(const Json::Value& event) {
   LoadReport report;
-  const Json::Value* info = find(event, "health-info");
+  const Json::Value* info = find_member(event, "health-info");
   if (!info) {
     return report;
   }
   if (!info->isObject()) {
-    fault("health-info", "not an object");
+    throw_json_error("health-info", "not an object");
   }
-  if (const Json::Value* v = find(*info, "cpu_share")) {
-    report.utilisation = as<double>(*v, "cpu_share");
+  if (const Json::Value* v = find_member(*info, "cpu_share")) {
+    report.utilization = convert<double>(*v, "cpu_share");
   }
-  if (const Json::Value* v = find(*info, "served_ps")) {
-    report.rate_per_s = as<double>(*v, "served_ps");
+  if (const Json::Value* v = find_member(*info, "served_ps")) {
+    report.requests_per_s = convert<double>(*v, "served_ps");
   }
   return report;
 }
@@ -127,11 +127,11 @@
       return timer_from(e);
     }
     if (type == "StatusBack") {
-      const auto server = servers_.known(get<std::string>(e, "upstream"));
+      const auto server = servers_.known(get_member<std::string>(e, "upstream"));
       if (!server) {
-        fault("upstream", "not on any list of this instance");
+        throw_json_error("upstream", "not on any list of this instance");
       }
-      return ProbeResult{*server, result_from(e), report_in(e)};
+      return HealthCheckResult{*server, result_from(e), report_in(e)};
     }
     if (type == "Discovery") {
       return discovery_from(e, lists);
@@ -141,7 +141,7 @@
       if (!id) {
         return std::nullopt;
       }
-      return FirstByte{*id, get<std::uint32_t>(e, "send-no")};
+      return FirstByte{*id, get_member<std::uint32_t>(e, "send-no")};
     }
     if (type == "CancelledByClient") {
       const auto id = request(e);
@@ -149,12 +149,12 @@
         return std::nullopt;
       }
       open_.at(*id).over = true;
-      return ClientGone{*id};
+      return ClientDisconnected{*id};
     }
     if (type == "Message") {
       return std::nullopt;  // this module sends none, so none is for it
     }
-    fault("event_type", "not a known event");
+    throw_json_error("event_type", "not a known event");
   }
 
   Json::Value json_of(const Action& action) {
@@ -182,7 +182,7 @@
 
   Settings settings_from(const Json::Value& begin) {
     config::NamedSettings named =
-        config::read_settings(object_in(begin, "env"), get<std::uint64_t>(begin, "prng"));
+        config::read_settings(require_object(begin, "env"), get_member<std::uint64_t>(begin, "prng"));
     for (const auto& name : named.classes) {
       classes_.id(name);
     }
@@ -195,28 +195,28 @@
 
   Event request_from(const Json::Value& e) {
     Request r;
-    const auto name = get<std::string>(e, "id");
+    const auto name = get_member<std::string>(e, "id");
     r.id = next_request_++;
     if (!requests_.try_emplace(std::string(name), r.id).second) {
-      fault("id", "came before");
+      throw_json_error("id", "came before");
     }
     open_[r.id].name = name;
-    const auto class_id = classes_.known(get<std::string>(e, "kind"));
+    const auto class_id = classes_.known(get_member<std::string>(e, "kind"));
     if (!class_id) {
-      fault("kind", "not listed in profiles");
+      throw_json_error("kind", "not listed in profiles");
     }
     r.class_id = *class_id;
-    const Json::Value* account = find(e, "account");
+    const Json::Value* account = find_member(e, "account");
     if (account && account->isString()) {
       const auto tenant = tenants_.known(account->asString());
       if (!tenant) {
-        fault("account", "not listed in tenants");
+        throw_json_error("account", "not listed in tenants");
       }
       r.tenant = *tenant;
     }
-    r.deadline = get<Duration>(e, "drop-dead");
-    if (find(e, "hint")) {
-      r.work_hint = get<Duration>(e, "hint");
+    r.deadline = get_member<Duration>(e, "drop-dead");
+    if (find_member(e, "hint")) {
+      r.work_hint = get_member<Duration>(e, "hint");
     }
     return r;
   }
@@ -224,54 +224,54 @@
   std::optional<Event> outcome_from(const Json::Value& e) {
     const auto id = request(e);
     if (!id) {
-      fault("id", "has no attempt out");
+      throw_json_error("id", "has no attempt out");
     }
     Open& open = open_.at(*id);
     --open.attempts;
-    Outcome o{*id, get<std::uint32_t>(e, "send-no"), result_from(e), get<bool>(e, "final"),
+    Outcome o{*id, get_member<std::uint32_t>(e, "send-no"), result_from(e), get_member<bool>(e, "final"),
               report_in(e)};
-    open.over |= o.final;
+    open.over |= o.is_final;
     return o;
   }
 
   Event timer_from(const Json::Value& e) const {
-    const std::string tag(get<std::string>(e, "tag"));
+    const std::string tag(get_member<std::string>(e, "tag"));
     if (tag.empty() || tag.size() > 19 ||
         tag.find_first_not_of("0123456789") != std::string::npos) {
-      fault("tag", "not one that was set");
+      throw_json_error("tag", "not one that was set");
     }
     return Timer{std::stoull(tag)};
   }
 
   Event discovery_from(const Json::Value& e,
                        const std::array<std::vector<ListEntry>, kSlots>& lists) {
-    Discovery d;
-    const auto mode = get<std::string>(e, "mode");
+    EndpointUpdate d;
+    const auto mode = get_member<std::string>(e, "mode");
     if (mode == "D") {
-      d.kind = ListKind::kChanges;
+      d.kind = UpdateKind::kDelta;
     } else if (mode == "F") {
-      d.kind = ListKind::kFull;
+      d.kind = UpdateKind::kSnapshot;
     } else if (mode == "C") {
-      d.kind = ListKind::kLastHeld;
+      d.kind = UpdateKind::kCached;
     } else if (mode == "X") {
-      d.kind = ListKind::kFailed;
+      d.kind = UpdateKind::kFailed;
       return d;
     } else {
-      fault("mode", "not one of D, F, C, X");
+      throw_json_error("mode", "not one of D, F, C, X");
     }
-    const auto slot = get<std::uint32_t>(e, "slot");
+    const auto slot = get_member<std::uint32_t>(e, "slot");
     if (slot >= kSlots) {
-      fault("slot", "not in 0 to 15");
+      throw_json_error("slot", "not in 0 to 15");
     }
     for (const ListEntry& row : lists[slot]) {
-      d.entries.push_back({servers_.id(row.upstream), row.state, zones_.id(row.zone), row.cell,
+      d.endpoints.push_back({servers_.id(row.upstream), row.state, zones_.id(row.zone), row.cell,
                            row.born, kinds_.id(row.kind)});
     }
     return d;
   }
 
   std::optional<RequestId> request(const Json::Value& e) {
-    const auto it = requests_.find(std::string(get<std::string>(e, "id")));
+    const auto it = requests_.find(std::string(get_member<std::string>(e, "id")));
     if (it == requests_.end()) {
       return std::nullopt;
     }
@@ -291,10 +291,10 @@
     out["id"] = open_.at(id).name;
     return out;
   }
-  Json::Value put(const Send& a) {
+  Json::Value put(const StartAttempt& a) {
     Json::Value out = row("Relay", a.id);
     ++open_.at(a.id).attempts;
-    out["upstream"] = servers_.name(a.server);
+    out["upstream"] = servers_.name(a.endpoint);
     return out;
   }
   Json::Value put(const Cancel& a) {
@@ -302,7 +302,7 @@
     out["send-no"] = a.attempt;
     return out;
   }
-  Json::Value put(const Refuse& a) {
+  Json::Value put(const Reject& a) {
     Json::Value out = row("PushBack", a.id);
     out["cool-down"] = Json::Int64(a.retry_after.count());
     end(a.id);
@@ -313,9 +313,9 @@
     end(a.id);
     return out;
   }
-  Json::Value put(const Probe& a) {
+  Json::Value put(const HealthCheck& a) {
     Json::Value out = row("Sample");
-    out["upstream"] = servers_.name(a.server);
+    out["upstream"] = servers_.name(a.endpoint);
     return out;
   }
   Json::Value put(const SetTimer& a) {
@@ -324,7 +324,7 @@
     out["alarm-time"] = Json::Int64(a.at.count());
     return out;
   }
-  Json::Value put(const Watch&) {
+  Json::Value put(const WatchEndpoints&) {
     Json::Value out = row("Listen");
     out["want"] = true;
     return out;
@@ -360,36 +360,36 @@
     try {
       const Json::Value batch = config::parse(line.data(), line.data() + line.size(), "line");
       if (!batch.isObject()) {
-        fault("line", "not a JSON object");
+        throw_json_error("line", "not a JSON object");
       }
-      const auto serial = get<std::uint64_t>(batch, "serial");
+      const auto serial = get_member<std::uint64_t>(batch, "serial");
       where = "batch " + std::to_string(serial) + ": ";
-      const Time now = get<Duration>(batch, "moment");
+      const Time now = get_member<Duration>(batch, "moment");
       Json::Value reply(Json::objectValue);
       reply["serial"] = Json::UInt64(serial);
       Json::Value& groups = reply["balancers"] = Json::Value(Json::arrayValue);
-      for (const Json::Value& group : array_in(batch, "balancers")) {
+      for (const Json::Value& group : require_array(batch, "balancers")) {
         play(now, group, groups);
       }
       std::ostringstream text;
       writer_->write(reply, &text);
       return text.str();
-    } catch (const config::JsonFault& error) {
+    } catch (const config::JsonError& error) {
       throw WireError(where + error.what());
     }
   }
 
  private:
   void play(Time now, const Json::Value& group, Json::Value& groups) {
-    const auto name = get<std::string>(group, "balancer-id");
+    const auto name = get_member<std::string>(group, "balancer-id");
     Json::Value out(Json::arrayValue);
-    for (const Json::Value& e : array_in(group, "events")) {
-      const auto type = get<std::string>(e, "event_type");
+    for (const Json::Value& e : require_array(group, "events")) {
+      const auto type = get_member<std::string>(e, "event_type");
       actions_.clear();
       std::string failure;
       try {
         step(now, name, type, e);
-      } catch (const config::JsonFault&) {
+      } catch (const config::JsonError&) {
         throw;
       } catch (const std::exception& error) {
         failure = error.what();
@@ -418,9 +418,9 @@
 
   void step(Time now, const std::string& name, std::string_view type, const Json::Value& e) {
     if (type == "Directory") {
-      const auto slot = get<std::uint32_t>(e, "slot");
+      const auto slot = get_member<std::uint32_t>(e, "slot");
       if (slot >= kSlots) {
-        fault("slot", "not in 0 to 15");
+        throw_json_error("slot", "not in 0 to 15");
       }
       lists_[slot] = read_directory(e);
     } else if (type == "Begin") {
@@ -428,7 +428,7 @@
     } else {
       const auto it = instances_.find(name);
       if (it == instances_.end()) {
-        fault("balancer-id", "names an instance that has not begun");
+        throw_json_error("balancer-id", "names an instance that has not begun");
       }
       if (type == "PowerOff") {
         instances_.erase(it);
--- a/src/admin/admin_door.cpp
+++ b/src/admin/admin_door.cpp
@@ -30,10 +30,10 @@
 
 }  // namespace
 
-AdminDoor::AdminDoor(runtime::Scheduler& scheduler, const sockaddr_in& address,
-                     proxy::DecisionBox& decisions, handover::OrderBox& orders,
+AdminServer::AdminServer(runtime::Scheduler& scheduler, const sockaddr_in& address,
+                     proxy::DecisionMailbox& decisions, handover::OperatorCommandMailbox& orders,
                      const proxy::Telemetry& telemetry, const std::vector<std::string>& classes,
-                     std::function<bool()> serving, Group group)
+                     std::function<bool()> serving, ClusterHandler group)
     : scheduler_(scheduler),
       decisions_(decisions),
       orders_(orders),
@@ -44,9 +44,9 @@
       listener_(scheduler, address) {
 }
 
-Task<> AdminDoor::run() {
+Task<> AdminServer::run() {
   for (;;) {
-    const bool full = callers_.size() >= kMostCallers && !let_one_go();
+    const bool full = callers_.size() >= kMaxConnections && !let_one_go();
     Io io = Io::kError;
     if (!full) {
       sockaddr_in from{};
@@ -72,7 +72,7 @@
 }
 
 // True where there is a place now: callers that say nothing must not keep out one that does.
-bool AdminDoor::let_one_go() {
+bool AdminServer::let_one_go() {
   const auto now = Clock::now();
   for (const auto& caller : callers_) {
     if (!caller->asking || now - caller->came < kSilentAge) {
@@ -85,7 +85,7 @@
   return false;
 }
 
-Task<> AdminDoor::serve(std::shared_ptr<Caller> caller) {
+Task<> AdminServer::serve(std::shared_ptr<Caller> caller) {
   try {
     co_await converse(*caller);
   } catch (const std::exception& error) {
@@ -95,7 +95,7 @@
   left_.notify();
 }
 
-Task<> AdminDoor::converse(Caller& caller) {
+Task<> AdminServer::converse(Caller& caller) {
   http::Parser parser(http::Parser::Kind::kRequest);
   http::Progress progress = http::Progress::kMore;
   std::string buffer, answer;
@@ -125,30 +125,30 @@
   }
 }
 
-Task<std::string> AdminDoor::answer_to(const std::string& method, const std::string& target) {
+Task<std::string> AdminServer::answer_to(const std::string& method, const std::string& target) {
   using handover::Change;
-  const Call call = read_call(method, target);
-  int status = call.error;
-  if (status == 0 && call.what == What::kTelemetry) {
+  const Command call = parse_command(method, target);
+  int status = call.error_status;
+  if (status == 0 && call.type == CommandType::kTelemetry) {
     std::string answer = co_await figures();
     co_return answer;
   }
-  if (status == 0 && call.what >= What::kMembers) {
+  if (status == 0 && call.type >= CommandType::kMembers) {
     std::string answer = co_await of_group(call);
     co_return answer;
   }
-  if (status == 0 && call.what == What::kReady) {
+  if (status == 0 && call.type == CommandType::kReady) {
     status = serving_() ? 200 : 503;
   } else if (status == 0) {
     const auto asked = std::make_shared<Asked>();
-    handover::Order order{call.what == What::kExclude    ? Change::kExclude
-                          : call.what == What::kInclude  ? Change::kInclude
-                          : call.what == What::kEvacuate ? Change::kEvacuate
-                                                         : Change::kRejoin,
+    handover::OperatorCommand order{call.type == CommandType::kExclude    ? StateChange::kExclude
+                          : call.type == CommandType::kInclude  ? StateChange::kInclude
+                          : call.type == CommandType::kDrain ? StateChange::kDrain
+                                                         : StateChange::kResume,
                           call.target, asked};
     status = 503;
     if (orders_.post(std::move(order))) {
-      status = co_await proxy::settled(scheduler_, asked, kAnswerLimit);
+      status = co_await proxy::await_reply(scheduler_, asked, kAnswerLimit);
     }
     log::info("operator",
               {{"call", std::string_view(target)}, {"status", static_cast<std::int64_t>(status)}});
@@ -157,26 +157,26 @@
   co_return answer;
 }
 
-Task<std::string> AdminDoor::of_group(const Call& call) {
+Task<std::string> AdminServer::of_group(const Command& call) {
   int status = 404;
-  const auto asked = std::make_shared<proxy::AskedText>();
+  const auto asked = std::make_shared<proxy::PendingTextReply>();
   if (group_) {
     group_(call, asked);
     const std::shared_ptr<Asked> base = asked;
-    status = co_await proxy::settled(scheduler_, base, kGroupLimit);
+    status = co_await proxy::await_reply(scheduler_, base, kGroupLimit);
   }
-  const bool json = status == 200 && call.what != What::kWorksOrder;
+  const bool json = status == 200 && call.type != CommandType::kMaintenanceCommand;
   std::string answer = http::write_response(
       status, json ? "Content-Type: application/json\r\n" : "", asked->text, true);
   co_return answer;
 }
 
-Task<std::string> AdminDoor::figures() {
+Task<std::string> AdminServer::figures() {
   const auto asked = std::make_shared<Asked>();
   int status = 503;
-  proxy::DecisionMessage question(std::in_place_type<proxy::Census>, asked);
+  proxy::DecisionMessage question(std::in_place_type<proxy::GetEndpointCounts>, asked);
   if (decisions_.post(std::move(question))) {
-    status = co_await proxy::settled(scheduler_, asked, kAnswerLimit);
+    status = co_await proxy::await_reply(scheduler_, asked, kAnswerLimit);
   }
   Json::Value root(Json::objectValue);
   for (const char* name : {"completed", "rejected", "failed"}) {
@@ -189,10 +189,10 @@
     root["failed"][classes_[id]] = Json::UInt64(c.failed);
   }
   root["upstream_requests"] = Json::UInt64(telemetry_.upstream_requests());
-  root["pending"] = Json::UInt64(telemetry_.pending());
-  root["members"] = Json::UInt64(asked->members);
-  root["members_unavailable"] = Json::UInt64(asked->unavailable);
-  root["stage"] = asked->stage;
+  root["pending"] = Json::UInt64(telemetry_.pending_requests());
+  root["members"] = Json::UInt64(asked->endpoint_count);
+  root["members_unavailable"] = Json::UInt64(asked->avoided_endpoint_count);
+  root["stage"] = asked->recovery_stage;
   Json::StreamWriterBuilder writer;
   writer["indentation"] = "";
   std::string body = Json::writeString(writer, root) + "\n";
--- a/src/admin/admin_door.h
+++ b/src/admin/admin_door.h
@@ -18,21 +18,21 @@
 
 // Callers that the door holds at a time; further ones wait in the backlog until the longest silent
 // one is let go.
-inline constexpr std::size_t kMostCallers = 16;
+inline constexpr std::size_t kMaxConnections = 16;
 
 // Calls on membership and maintenance, where this process has them: answers `asked`, with a body.
 // Null: they are unknown here.
-using Group = std::function<void(const Call& call, std::shared_ptr<proxy::AskedText> asked)>;
+using ClusterHandler = std::function<void(const Command& call, std::shared_ptr<proxy::PendingTextReply> asked)>;
 
-class AdminDoor {
+class AdminServer {
  public:
   // What is referred to must outlive the door. `classes` names them by ClassId; `serving` says
   // whether this process takes clients. Throws std::system_error where the address cannot be
   // listened on.
-  AdminDoor(runtime::Scheduler& scheduler, const sockaddr_in& address,
-            proxy::DecisionBox& decisions, handover::OrderBox& orders,
+  AdminServer(runtime::Scheduler& scheduler, const sockaddr_in& address,
+            proxy::DecisionMailbox& decisions, handover::OperatorCommandMailbox& orders,
             const proxy::Telemetry& telemetry, const std::vector<std::string>& classes,
-            std::function<bool()> serving, Group group = {});
+            std::function<bool()> serving, ClusterHandler group = {});
 
   sockaddr_in address() const { return listener_.address(); }
   runtime::Task<> run();
@@ -50,16 +50,16 @@
   runtime::Task<> converse(Caller& caller);
   runtime::Task<std::string> answer_to(const std::string& method, const std::string& target);
   runtime::Task<std::string> figures();
-  runtime::Task<std::string> of_group(const Call& call);
+  runtime::Task<std::string> of_group(const Command& call);
   bool let_one_go();
 
   runtime::Scheduler& scheduler_;
-  proxy::DecisionBox& decisions_;
-  handover::OrderBox& orders_;
+  proxy::DecisionMailbox& decisions_;
+  handover::OperatorCommandMailbox& orders_;
   const proxy::Telemetry& telemetry_;
   const std::vector<std::string>& classes_;
   std::function<bool()> serving_;
-  const Group group_;
+  const ClusterHandler group_;
   net::Listener listener_;
   std::list<std::shared_ptr<Caller>> callers_;  // the longest here first
   runtime::Notifier left_;
--- a/src/admin/call.cpp
+++ b/src/admin/call.cpp
@@ -7,17 +7,17 @@
 
 struct Row {
   std::string_view method, path;
-  What what;
+  CommandType what;
   bool takes_target;
 };
 constexpr Row kCalls[] = {
-    {"GET", "/api/ready", What::kReady, false},
-    {"GET", "/api/telemetry", What::kTelemetry, false},
-    {"PUT", "/api/exclude", What::kExclude, true},
-    {"PUT", "/api/include", What::kInclude, true},
-    {"PUT", "/api/evacuate", What::kEvacuate, false},
-    {"PUT", "/api/rejoin", What::kRejoin, false},
-    {"GET", "/api/members", What::kMembers, false},
+    {"GET", "/api/ready", CommandType::kReady, false},
+    {"GET", "/api/telemetry", CommandType::kTelemetry, false},
+    {"PUT", "/api/exclude", CommandType::kExclude, true},
+    {"PUT", "/api/include", CommandType::kInclude, true},
+    {"PUT", "/api/evacuate", CommandType::kDrain, false},
+    {"PUT", "/api/rejoin", CommandType::kResume, false},
+    {"GET", "/api/members", CommandType::kMembers, false},
 };
 
 // Nothing where a part has no name, comes twice or is wrongly encoded.
@@ -30,7 +30,7 @@
     if (equals == std::string_view::npos || equals == 0) {
       return std::nullopt;
     }
-    auto value = percent_decoded(part.substr(equals + 1));
+    auto value = percent_decode(part.substr(equals + 1));
     if (!value || !all.emplace(std::string(part.substr(0, equals)), std::move(*value)).second) {
       return std::nullopt;
     }
@@ -51,7 +51,7 @@
     if (found || equals == std::string_view::npos) {
       return std::nullopt;
     }
-    found = percent_decoded(part.substr(equals + 1));
+    found = percent_decode(part.substr(equals + 1));
     if (!found || found->empty()) {
       return std::nullopt;
     }
@@ -61,7 +61,7 @@
 
 }  // namespace
 
-std::optional<std::string> percent_decoded(std::string_view text) {
+std::optional<std::string> percent_decode(std::string_view text) {
   std::string out;
   for (std::size_t i = 0; i < text.size(); ++i) {
     if (text[i] != '%') {
@@ -83,18 +83,18 @@
   return out;
 }
 
-Call read_call(std::string_view method, std::string_view target) {
+Command parse_command(std::string_view method, std::string_view target) {
   const auto question = target.find('?');
   const std::string_view path = target.substr(0, question);
-  Call call;
-  call.error = 404;
+  Command call;
+  call.error_status = 404;
   constexpr std::string_view kWorks = "/api/maintenance";
   if (path.starts_with(kWorks) && (path.size() == kWorks.size() || path[kWorks.size()] == '/')) {
-    call.what = path.size() == kWorks.size() ? What::kWorks : What::kWorksOrder;
-    call.verb = call.what == What::kWorks ? "" : std::string(path.substr(kWorks.size() + 1));
+    call.type = path.size() == kWorks.size() ? CommandType::kMaintenanceStatus : CommandType::kMaintenanceCommand;
+    call.action = call.type == CommandType::kMaintenanceStatus ? "" : std::string(path.substr(kWorks.size() + 1));
     auto query = parts_of(question == std::string_view::npos ? std::string_view{}
                                                              : target.substr(question + 1));
-    call.error = method != (call.what == What::kWorks ? "GET" : "PUT") ? 405 : query ? 0 : 400;
+    call.error_status = method != (call.type == CommandType::kMaintenanceStatus ? "GET" : "PUT") ? 405 : query ? 0 : 400;
     if (query) {
       call.query = std::move(*query);
     }
@@ -104,14 +104,14 @@
     if (path != row.path) {
       continue;
     }
-    call.error = method == row.method ? 0 : 405;
-    call.what = row.what;
-    if (call.error != 0 || !row.takes_target) {
+    call.error_status = method == row.method ? 0 : 405;
+    call.type = row.what;
+    if (call.error_status != 0 || !row.takes_target) {
       return call;
     }
     auto id = target_in(question == std::string_view::npos ? std::string_view{}
                                                            : target.substr(question + 1));
-    call.error = id ? 0 : 400;
+    call.error_status = id ? 0 : 400;
     if (id) {
       call.target = std::move(*id);
     }
--- a/src/admin/call.h
+++ b/src/admin/call.h
@@ -9,30 +9,30 @@
 
 namespace beechhill::admin {
 
-enum class What {
+enum class CommandType {
   kReady,
   kTelemetry,
   kExclude,
   kInclude,
-  kEvacuate,
-  kRejoin,
+  kDrain,
+  kResume,
   kMembers,
-  kWorks,
-  kWorksOrder
+  kMaintenanceStatus,
+  kMaintenanceCommand
 };
 
-struct Call {
-  int error = 0;  // 0: it can be carried out; else 400, 404 or 405
-  What what = What::kReady;
+struct Command {
+  int error_status = 0;  // 0: it can be carried out; else 400, 404 or 405
+  CommandType type = CommandType::kReady;
   std::string target;                        // a backend's id, for kExclude and kInclude
-  std::string verb;                          // of kWorksOrder: the last part of its path
+  std::string action;                          // of kWorksOrder: the last part of its path
   std::map<std::string, std::string> query;  // of kWorks and kWorksOrder
 };
 
 // `target` in origin form: path and query.
-Call read_call(std::string_view method, std::string_view target);
+Command parse_command(std::string_view method, std::string_view target);
 
 // RFC 3986, section 2.1. Nothing where an escape is cut short or holds no hexadecimal digits.
-std::optional<std::string> percent_decoded(std::string_view text);
+std::optional<std::string> percent_decode(std::string_view text);
 
 }  // namespace beechhill::admin
--- a/src/balancer.cpp
+++ b/src/balancer.cpp
@@ -73,13 +73,13 @@
       : s_(std::move(settings)), now_(now), random_(s_.seed), out_(&out) {
     validate(s_);
     make_levels();
-    for (const auto& c : s_.classes) guess_ = std::min(guess_, seconds(c.aim));
+    for (const auto& c : s_.classes) guess_ = std::min(guess_, seconds(c.latency_objective));
     tallies_.resize(s_.classes.size());
     latency_ = slow_latency_ = std::vector<double>(s_.classes.size(), 0);
     reserves_.assign(s_.tenants.size(), {kOpen, now});  // full
     // Instances often start together: each asks discovery at a moment of its own.
-    if (s_.must_ask_discovery) timer(kWatchTimer, from_seconds(uniform() * seconds(s_.ask_within) / 4));
-    if (s_.reports_need_probes && s_.may_probe) timer(kProbeTimer, from_seconds(uniform()));
+    if (s_.discovery_polling_required) timer(kWatchTimer, from_seconds(uniform() * seconds(s_.discovery_poll_interval) / 4));
+    if (s_.load_reports_require_health_checks && s_.health_checks_allowed) timer(kProbeTimer, from_seconds(uniform()));
   }
 
   void handle(Time now, const Event& event, std::vector<Action>& out) {
@@ -89,22 +89,22 @@
     note_silent();
     drop_overdue();
     dispatch();
-    const Time sweep = std::min(now_ + std::max(s_.step, from_seconds(guess_ / 40)), next_drop_);
+    const Time sweep = std::min(now_ + std::max(s_.time_step, from_seconds(guess_ / 40)), next_drop_);
     if (held_ == 0 || (sweep_at_ > now_ && sweep_at_ <= sweep)) return;
     sweep_at_ = sweep;
     timer(kSweepTimer, sweep - now_);
   }
 
-  Evidence known(ServerId id) const { return id < servers_.size() ? servers_[id].own : Evidence{}; }
-  Census census(Time now) const {
-    Census c;
+  EndpointStats known(EndpointId id) const { return id < servers_.size() ? servers_[id].own : EndpointStats{}; }
+  EndpointCounts census(Time now) const {
+    EndpointCounts c;
     for (const Server& s : servers_)
       if (s.listed) ++c.listed, c.avoided += !up(s) || now < s.full_until;
     return c;
   }
 
  private:
-  double worth(ClassId c, bool over) const { return s_.classes[c].worth * (over ? s_.over_share_worth : 1); }
+  double worth(ClassId c, bool over) const { return s_.classes[c].priority_weight * (over ? s_.over_quota_priority_factor : 1); }
 
   // A level for each distinct worth, the highest first. No class is exempt: any can be the overload.
   void make_levels() {
@@ -130,8 +130,8 @@
 
   Duration aim(const Call& c) const {
     const auto& k = settings(c);
-    const double stretch = c.request.work_hint ? k.aim_stretch * seconds(*c.request.work_hint) : 0;
-    return std::min(k.deadline, k.aim + from_seconds(stretch));
+    const double stretch = c.request.work_hint ? k.latency_objective_work_factor * seconds(*c.request.work_hint) : 0;
+    return std::min(k.deadline, k.latency_objective + from_seconds(stretch));
   }
 
   // Virtual time runs at min(sum of calls, C) / non-empty queues, width 2 counting twice in both.
@@ -151,8 +151,8 @@
 
   // Judged once, at the first tier. The reserve is some requests deep: chance must not mark honest traffic.
   bool over_share(TenantId tenant) {
-    if (s_.tier != 0 || tenant >= reserves_.size() || s_.tenants[tenant].allowance_per_s <= 0) return false;
-    const double rate = s_.tenants[tenant].allowance_per_s / s_.replicas;
+    if (s_.tier != 0 || tenant >= reserves_.size() || s_.tenants[tenant].quota_per_s <= 0) return false;
+    const double rate = s_.tenants[tenant].quota_per_s / s_.replicas;
     Bucket& reserve = reserves_[tenant];
     reserve.fill(now_, rate, kReserve + 2 * rate);
     return !reserve.take();
@@ -165,14 +165,14 @@
     c.request = r;
     const double w = worth(r.class_id, over_share(r.tenant));
     while (levels_[c.level].worth > w) ++c.level;
-    c.width = settings(c).effect == Effect::kRepeatable ? 1 : 2;
+    c.width = settings(c).idempotency == Idempotency::kIdempotent ? 1 : 2;
     // Hold only what can still be answered in time. At the first tier a short while does: a client that is
     // refused early has time for another try. Below it a refusal wastes the work done above: be patient.
-    const Time last = s_.tier > 0 && settings(c).late_worth > 0 ? r.deadline : now_ + aim(c);
+    const Time last = s_.tier > 0 && settings(c).late_priority_factor > 0 ? r.deadline : now_ + aim(c);
     const Duration patience = s_.tier > 0 ? settings(c).deadline : aim(c) / kHoldShare;
     c.hold_until =
-        std::min({now_ + patience, last - from_seconds(slow_latency_[r.class_id]), r.deadline - s_.step});
-    c.hold_until = std::max(c.hold_until, std::min(now_ + aim(c) / 10, r.deadline - s_.step));
+        std::min({now_ + patience, last - from_seconds(slow_latency_[r.class_id]), r.deadline - s_.time_step});
+    c.hold_until = std::max(c.hold_until, std::min(now_ + aim(c) / 10, r.deadline - s_.time_step));
     // A client that is refused unsent after half of its own time, often less than its class's, pays for it.
     if (s_.tier == 0) c.hold_until = std::min(c.hold_until, now_ + (r.deadline - now_) * 9 / 20);
     hold(calls_[r.id] = std::move(c));
@@ -247,13 +247,13 @@
 
   // ---- Dispatch: the server with the least own work per reported weight
 
-  static bool up(const Server& s) { return s.listed && !s.barred && s.entry.state == ServerState::kUp; }
-  static std::optional<Time> born(const Server& s) { return std::max(s.entry.born, s.back); }
-  bool cold(const Server& s) const { return born(s) && now_ < *born(s) + s_.cold_span; }
+  static bool up(const Server& s) { return s.listed && !s.barred && s.entry.status == EndpointStatus::kUp; }
+  static std::optional<Time> born(const Server& s) { return std::max(s.entry.started_at, s.back); }
+  bool cold(const Server& s) const { return born(s) && now_ < *born(s) + s_.slow_start_window; }
   double warmth(const Server& s) const {  // the least share of its capacity that a server has by now
     if (!cold(s)) return 1;
     const double age = std::max(0.0, seconds(now_ - *born(s)));
-    return s_.cold_from + (1 - s_.cold_from) * age / seconds(s_.cold_span);
+    return s_.slow_start_initial_weight + (1 - s_.slow_start_initial_weight) * age / seconds(s_.slow_start_window);
   }
 
   bool usable(Server& s) {
@@ -262,25 +262,25 @@
     // Guards against pushing a cold server over: each instance sends it at most its warmth's share of what
     // a warm peer gets from here, so all together stay under what such a peer takes, let alone the multiple.
     // Few warm ones may be sent more than they can do: two thirds of the multiple of an even part at most.
-    const double peers = static_cast<double>(ups()) * 1.5 / std::max(1.5, s_.fall_multiple);
+    const double peers = static_cast<double>(ups()) * 1.5 / std::max(1.5, s_.overload_collapse_ratio);
     const double share = warmth(s) * send_rate() / std::max<double>(warm_servers_, peers);
     s.budget.fill(now_, std::max(share, kTrickle / s_.replicas), 1);
     return s.budget.tokens >= 1;
   }
 
-  bool anywhere(const Call& c) const { return !c.maybe_ran || settings(c).effect == Effect::kRepeatable; }
+  bool anywhere(const Call& c) const { return !c.maybe_ran || settings(c).idempotency == Idempotency::kIdempotent; }
   bool group_allows(const Call& c, const Server& s) const {
     if (anywhere(c)) return true;
     const auto& k = settings(c);
     const Attempt& first = c.attempts[*c.maybe_ran];
     // What is sent now may leave only once a connection stands: then, too, the group must remember the first.
-    if (k.effect == Effect::kOnce || now_ + s_.connect_timeout >= first.sent + k.memory_span) return false;
-    if (k.group == Group::kAll) return true;
-    return first.zone == s.entry.zone && (k.group == Group::kZone || first.cell == s.entry.cell);
+    if (k.idempotency == Idempotency::kNonIdempotent || now_ + s_.connect_timeout >= first.sent + k.deduplication_window) return false;
+    if (k.deduplication_scope == DeduplicationScope::kAll) return true;
+    return first.zone == s.entry.zone && (k.deduplication_scope == DeduplicationScope::kZone || first.cell == s.entry.cell);
   }
 
   // Guards against meeting each server so seldom that a slow one is never told: few of many are in use.
-  std::optional<ServerId> pick(const Call& c) {
+  std::optional<EndpointId> pick(const Call& c) {
     survey_now_and_then();
     const double met = seconds(kEvidenceSpan) * send_rate();
     const double even = std::max(met / kAnswers, kCover * static_cast<double>(ups()) / s_.replicas);
@@ -303,34 +303,34 @@
   void survey_now_and_then() {  // what the servers show together
     if (!few() && choices_++ < ups() / kSurveyShare) return;
     choices_ = 0;
-    Evidence all;
+    EndpointStats all;
     warm_servers_ = 0;
-    std::fill(kinds_.begin(), kinds_.end(), Evidence{});
+    std::fill(kinds_.begin(), kinds_.end(), EndpointStats{});
     std::fill(tallies_.begin(), tallies_.end(), Tally{});
     const auto each = [&](const auto& look) { look_at(ranked_.size(), true, look); };
     each([&](Server& s) {
       decay(s);
       warm_servers_ += !cold(s);
       all += s.own;
-      kinds_[s.entry.kind] += s.own;
+      kinds_[s.entry.instance_type] += s.own;
       for (ClassId c = 0; c < tallies_.size(); ++c) tallies_[c] += s.tallies[c];
     });
     const Tally total = sum(tallies_);
     mean_errors_ = total.errors / (total.tries + 1);
-    mean_weight_ = all.utils > 0 && all.rates > 0 ? all.rates / all.utils : 1;
+    mean_weight_ = all.weighted_utilizations > 0 && all.weighted_rates > 0 ? all.weighted_rates / all.weighted_utilizations : 1;
     mean_excess_ = ranked_.size() > 0 ? 0 : 1;
     each([&](const Server& s) { mean_excess_ += excess(s) / static_cast<double>(ups()); });
   }
 
-  std::optional<ServerId> least_loaded(const Call& c, double reach) {
-    std::optional<ServerId> best;
+  std::optional<EndpointId> least_loaded(const Call& c, double reach) {
+    std::optional<EndpointId> best;
     double least = kOpen;
     const double far = detour();
     const auto consider = [&](Server& s) {
       if (!usable(s) || !group_allows(c, s)) return;
       decay(s);
       double load = s.open + s.recent + s.turn;
-      for (const auto& a : c.attempts) load += a.server == s.entry.server ? 4 : 0;
+      for (const auto& a : c.attempts) load += a.server == s.entry.id ? 4 : 0;
       // Guards against a frozen server holding calls: the longer it says nothing, the more it must be behind.
       const double silence = s.open > 0 ? seconds(now_ - s.waiting_since) / (2 * typical()) : 0;
       load *= (1 + silence * silence) * lag(s) * lag(s);
@@ -341,7 +341,7 @@
       load /= relative_weight(s) * warmth(s);
       if (s.entry.zone != s_.zone) load += far;  // after what scales: it tells zones apart, not their servers
       if (load >= least) return;
-      best = s.entry.server, least = load;
+      best = s.entry.id, least = load;
     };
     // Guards against walking a whole big fleet, and against all running to one that looks idle to each.
     look_at(std::min<double>(ranked_.size(), std::ceil(reach)), few() || !anywhere(c), consider);
@@ -351,7 +351,7 @@
   // What a server of another zone weighs more where crossing has a price; a fixed step sends a part across
   // always. Calls stay while home has room, and spread evenly once it is full, as C's binding tells too.
   double detour() const {
-    if (s_.cross_zone_price <= 0) return 0;
+    if (s_.cross_zone_cost <= 0) return 0;
     const double busy = std::max(home_.mean(now_, kHomeSpan), (running_ + 1) / limit_);
     return kStay * std::clamp((1 - busy) / (1 - kRoomy), 0.0, 1.0);
   }
@@ -371,18 +371,18 @@
   // many times over it is behind its peers; 1 up to kSlow, so that ordinary spread does not count.
   double lag(const Server& s) const { return std::max(1.0, excess(s) / (kSlow * mean_excess_)); }
   double excess(const Server& s) const {
-    const Evidence& k = kinds_[s.entry.kind];
-    const double kind_pace = (k.paces + kPrior) / (k.answers + kPrior);
-    const double pace = (s.own.paces + kPacePrior * kind_pace) / (s.own.answers + kPacePrior);
+    const EndpointStats& k = kinds_[s.entry.instance_type];
+    const double kind_pace = (k.weighted_latency_ratios + kPrior) / (k.response_weight + kPrior);
+    const double pace = (s.own.weighted_latency_ratios + kPacePrior * kind_pace) / (s.own.response_weight + kPacePrior);
     return pace * relative_weight(s);
   }
 
   // Reported rate over reported utilisation, over the mean of all. A report says as much as its server was
   // busy, and one alone is far off. So each starts from what its kind reported, and each kind from the mean.
   double relative_weight(const Server& s) const {
-    const Evidence& k = kinds_[s.entry.kind];
-    const double kind_weight = (k.rates / mean_weight_ + kKindPrior) / (k.utils + kKindPrior);
-    const double weight = (s.own.rates / mean_weight_ + kPrior * kind_weight) / (s.own.utils + kPrior);
+    const EndpointStats& k = kinds_[s.entry.instance_type];
+    const double kind_weight = (k.weighted_rates / mean_weight_ + kKindPrior) / (k.weighted_utilizations + kKindPrior);
+    const double weight = (s.own.weighted_rates / mean_weight_ + kPrior * kind_weight) / (s.own.weighted_utilizations + kPrior);
     return std::clamp(weight, kWeightFloor, 1 / kWeightFloor);
   }
 
@@ -391,12 +391,12 @@
     if (dt <= 0) return;
     s.recent *= std::exp(-dt / std::max(4 * typical(), kRounds * in_use_ / std::max(send_rate(), 0.01)));
     const double fading = std::exp(-dt / seconds(kEvidenceSpan));
-    s.own.paces *= fading, s.own.answers *= fading;
+    s.own.weighted_latency_ratios *= fading, s.own.response_weight *= fading;
     for (Tally& t : s.tallies) t.tries *= fading, t.errors *= fading;
     s.decayed_at = now_;
   }
 
-  void send(Call& c, ServerId id) {
+  void send(Call& c, EndpointId id) {
     Server& s = servers_[id];
     if (s.open++ == 0) s.waiting_since = now_;
     s.recent += 1;
@@ -405,7 +405,7 @@
     if (cold(s)) s.budget.tokens -= 1;
     sends_.add(now_, kRateSpan, 1);
     retry_tokens_ = std::min(10.0, retry_tokens_ + kRetryShare);
-    const double credit = s_.probe_price > 0 ? kProbeCost / s_.probe_price / s_.tier_count : 10;
+    const double credit = s_.health_check_cost > 0 ? kProbeCost / s_.health_check_cost / s_.tier_count : 10;
     probe_credit_ = std::min(10.0, probe_credit_ + credit);
     Queue& q = queue(c);
     q.running += 1, q.start += guess_;
@@ -414,7 +414,7 @@
     c.out = true;
     sent_.emplace(silent_at(c), c.request.id);
     // No time-out short of the client's: servers go on with abandoned work, which C would then not count.
-    out_->push_back(Send{c.request.id, id});
+    out_->push_back(StartAttempt{c.request.id, id});
   }
 
   // Own sends a second. Decays between sends too: guards against a rare sender's share of a cold server.
@@ -445,7 +445,7 @@
     const Attempt a = c.attempts.back();
     c.out = false;
     Server& s = servers_[a.server];
-    const double took = c.request.large ? latency_[c.request.class_id] : seconds(now_ - a.sent);
+    const double took = c.request.streams_body ? latency_[c.request.class_id] : seconds(now_ - a.sent);
     running_ -= c.width, (c.silent ? silent_ : levels_[c.level].running) -= c.width, c.silent = false;
     Queue& q = queue(c);
     q.running -= 1, q.start -= guess_ - took;
@@ -454,12 +454,12 @@
       judge(s, c, o.result, took);
     }
     const bool never_ran =
-        o.result == Result::kFull || o.result == Result::kConnectFailed || o.result == Result::kMoot;
+        o.result == Result::kOverloaded || o.result == Result::kConnectFailed || o.result == Result::kSkipped;
     if (!never_ran && !c.maybe_ran) c.maybe_ran = o.attempt;
-    if (o.final || c.answered || o.result == Result::kOk) {
+    if (o.is_final || c.answered || o.result == Result::kOk) {
       finish(c);
     } else {
-      again(c, never_ran, o.spent);
+      again(c, never_ran, o.body_consumed);
     }
     present_ -= c.width;
     settle(c);
@@ -471,7 +471,7 @@
     const bool ok = result == Result::kOk;
     double& class_latency = latency_[c.request.class_id];
     const double usual = class_latency;
-    if (usual > 0 && (ok || took > usual)) s.own.add_pace(std::min(took / usual, kMostPace), kPaceSmoothing);
+    if (usual > 0 && (ok || took > usual)) s.own.add_latency_ratio(std::min(took / usual, kMostPace), kPaceSmoothing);
     if (ok) {
       class_latency += (usual > 0 ? kSmoothing : 1) * (took - class_latency);
       auto& slow = slow_latency_[c.request.class_id];  // settles where one answer in ten is slower
@@ -481,7 +481,7 @@
     // Lateness has no vote below the first tier: what is held there holds a slot above. Shed at the top.
     const double busy = std::max<double>(running_ + c.width, ordinary(c));  // C binds, and may grow, below
     const double share = (took / seconds(aim(c)) - kLateShareOfAim) / (1 - kLateShareOfAim);
-    if (result == Result::kFull || result == Result::kTimeout || (s_.tier == 0 && ok && share > 0)) {
+    if (result == Result::kOverloaded || result == Result::kTimeout || (s_.tier == 0 && ok && share > 0)) {
       limit_ = std::min(limit_, busy);
       const double lateness = ok ? std::min(1.0, share) : 1;  // graded: a long tail must not close C
       // What is this server's own costs it traffic instead. Not all: where many lag, C must not stay open.
@@ -490,9 +490,9 @@
       limit_ += kLimitGrowth * c.width * step();
     }
     limit_ = std::max(limit_, kFloor * static_cast<double>(ups()) / s_.replicas);
-    if (result == Result::kFull) s.full_until = now_ + from_seconds(typical());
+    if (result == Result::kOverloaded) s.full_until = now_ + from_seconds(typical());
     s.tallies[c.request.class_id].errors +=
-        !ok && result != Result::kFull && result != Result::kCancelled && result != Result::kMoot;
+        !ok && result != Result::kOverloaded && result != Result::kCancelled && result != Result::kSkipped;
   }
 
   // What runs by chance at the mean of late: guards against a C that one late answer closes on a lull.
@@ -504,7 +504,7 @@
   double step() const { return std::min(1.0, limit_ / kSmallLimit); }
 
   void again(Call& c, bool never_ran, bool spent) {
-    const bool worth_it = !spent && c.attempts.size() < s_.most_tries &&
+    const bool worth_it = !spent && c.attempts.size() < s_.max_attempts &&
                           now_ + from_seconds(latency_[c.request.class_id]) < c.request.deadline;
     if (worth_it && !c.maybe_ran && never_ran && now_ < c.hold_until) {
       present_ += c.width, queue(c).held.push_front(c.request.id);
@@ -523,16 +523,16 @@
   // Refuses where the client may safely try again, else reports failure.
   void refuse(Call& c) {
     const auto& k = settings(c);
-    const bool safe = k.effect == Effect::kRepeatable || !c.maybe_ran ||
-                      (k.effect == Effect::kKeyed && k.group == Group::kAll);
+    const bool safe = k.idempotency == Idempotency::kIdempotent || !c.maybe_ran ||
+                      (k.idempotency == Idempotency::kIdempotencyKey && k.deduplication_scope == DeduplicationScope::kAll);
     const Duration advice = from_seconds(seconds(s_.max_retry_after) / kAdvice * (0.5 + uniform()));
-    out_->push_back(safe ? Action(Refuse{c.request.id, advice}) : Fail{c.request.id});
+    out_->push_back(safe ? Action(Reject{c.request.id, advice}) : Fail{c.request.id});
     finish(c);
   }
 
   void finish(Call& c) {  // nothing more is owed: what is still out is cancelled where that is allowed
     c.answered = true;
-    if (!c.out || !s_.may_cancel || c.streaming) return;
+    if (!c.out || !s_.cancellation_allowed || c.streaming) return;
     out_->push_back(Cancel{c.request.id, static_cast<std::uint32_t>(c.attempts.size() - 1)});
   }
 
@@ -545,7 +545,7 @@
     if (const auto it = calls_.find(f.id); it != calls_.end()) it->second.streaming = true;
   }
 
-  void on(const ClientGone& g) {
+  void on(const ClientDisconnected& g) {
     const auto it = calls_.find(g.id);
     if (it == calls_.end() || it->second.answered) return;
     Call& c = it->second;
@@ -580,32 +580,32 @@
 
   // ---- Discovery, reports and timers
 
-  void on(const Discovery& d) {
-    if (d.kind == ListKind::kFailed) {
+  void on(const EndpointUpdate& d) {
+    if (d.kind == UpdateKind::kFailed) {
       // Guards against a herd on a discovery that is down: back off, jittered, and stay within ask_within.
       watch_failures_ = std::min(watch_failures_ + 1, 3);
-      const double wait = seconds(s_.ask_within) / 8 * watch_failures_;
+      const double wait = seconds(s_.discovery_poll_interval) / 8 * watch_failures_;
       return timer(kWatchTimer, from_seconds((0.5 + uniform()) * wait));
     }
-    if (d.kind != ListKind::kLastHeld) watch_failures_ = 0;
-    const bool whole = d.kind != ListKind::kChanges;
+    if (d.kind != UpdateKind::kCached) watch_failures_ = 0;
+    const bool whole = d.kind != UpdateKind::kDelta;
     ++lists_;
-    choices_ += whole ? servers_.size() + 1 : d.entries.size();  // a list that changes much is summed anew
-    for (const auto& e : d.entries) {
-      Server& s = server(e.server);
-      const bool reborn = e.born && (!s.entry.born || *e.born != *s.entry.born);
+    choices_ += whole ? servers_.size() + 1 : d.endpoints.size();  // a list that changes much is summed anew
+    for (const auto& e : d.endpoints) {
+      Server& s = server(e.id);
+      const bool reborn = e.started_at && (!s.entry.started_at || *e.started_at != *s.entry.started_at);
       // Numbers are given out again: what comes back after it had gone may be another machine.
       if (reborn || !s.listed) restarted(s);
       s.entry = e;
       s.list = lists_;
-      if (kinds_.size() <= e.kind) kinds_.resize(e.kind + 1);
-      if (e.born >= s.barred_at) s.back.reset();  // the start after the ban is told
-      s.listed = e.state != ServerState::kRemoved;
-      if (!whole) rank(e.server);
+      if (kinds_.size() <= e.instance_type) kinds_.resize(e.instance_type + 1);
+      if (e.started_at >= s.barred_at) s.back.reset();  // the start after the ban is told
+      s.listed = e.status != EndpointStatus::kRemoved;
+      if (!whole) rank(e.id);
     }
     if (!whole) return;
-    std::vector<std::pair<double, ServerId>> all;
-    for (ServerId id = 0; id < servers_.size(); ++id) {
+    std::vector<std::pair<double, EndpointId>> all;
+    for (EndpointId id = 0; id < servers_.size(); ++id) {
       Server& s = servers_[id];
       s.listed = s.listed && s.list == lists_;  // absent from a whole list: gone
       if (up(s)) all.emplace_back(s.order, id);
@@ -613,28 +613,28 @@
     ranked_.assign(std::move(all));
   }
 
-  Server& server(ServerId id) {
+  Server& server(EndpointId id) {
     while (servers_.size() <= id) {
       Server& s = servers_.emplace_back();
-      restarted(s), s.order = uniform(), s.entry.server = static_cast<ServerId>(servers_.size() - 1);
+      restarted(s), s.order = uniform(), s.entry.id = static_cast<EndpointId>(servers_.size() - 1);
     }
     return servers_[id];
   }
 
-  void rank(ServerId id) {
+  void rank(EndpointId id) {
     const Server& s = servers_[id];
     up(s) ? ranked_.insert(s.order, id) : ranked_.erase(s.order, id);
   }
 
-  void on(const Barred& b) {
-    Server& s = server(b.server);
-    if (s.barred && !b.barred) {  // it was out of use, and may have been started anew: what was known is void
+  void on(const EndpointExclusion& b) {
+    Server& s = server(b.endpoint);
+    if (s.barred && !b.excluded) {  // it was out of use, and may have been started anew: what was known is void
       restarted(s);
-      if (s.entry.born < s.barred_at) s.back = now_;  // no start since is told: it may have been just now
+      if (s.entry.started_at < s.barred_at) s.back = now_;  // no start since is told: it may have been just now
     }
-    if (b.barred && !std::exchange(s.barred, b.barred)) s.barred_at = now_;
-    s.barred = b.barred;
-    rank(b.server);
+    if (b.excluded && !std::exchange(s.barred, b.excluded)) s.barred_at = now_;
+    s.barred = b.excluded;
+    rank(b.endpoint);
     if (!forsaken()) return;
     for (auto& [id, c] : calls_)
       if (c.held) c.hold_until = now_;
@@ -655,21 +655,21 @@
     s.turn = uniform(), s.waiting_since = now_, s.budget = {uniform(), now_};
   }
 
-  void on(const ProbeResult& p) { if (p.result == Result::kOk) observe(p.server, p.report); }
-  void on(const Recalled& r) { server(r.server).own += r.evidence; }
+  void on(const HealthCheckResult& p) { if (p.result == Result::kOk) observe(p.endpoint, p.report); }
+  void on(const RestoredStats& r) { server(r.endpoint).own += r.stats; }
 
-  void observe(ServerId id, const LoadReport& r) {
+  void observe(EndpointId id, const LoadReport& r) {
     const auto within = [](auto& v, double most) { return v && *v >= 0 && *v <= most; };  // no NaN is
-    if (id >= servers_.size() || !within(r.rate_per_s, kMostRate)) return;
-    if (!within(r.utilisation, kMostUtilisation)) return;
+    if (id >= servers_.size() || !within(r.requests_per_s, kMostRate)) return;
+    if (!within(r.utilization, kMostUtilisation)) return;
     Server& s = servers_[id];
-    if (s.entry.zone == s_.zone) home_.add(now_, kHomeSpan, *r.utilisation);
-    s.own.rates += *r.rate_per_s - kSmoothing * s.own.rates;
-    s.own.utils += *r.utilisation - kSmoothing * s.own.utils;
+    if (s.entry.zone == s_.zone) home_.add(now_, kHomeSpan, *r.utilization);
+    s.own.weighted_rates += *r.requests_per_s - kSmoothing * s.own.weighted_rates;
+    s.own.weighted_utilizations += *r.utilization - kSmoothing * s.own.weighted_utilizations;
   }
 
   void on(const Timer& t) {
-    if (t.token == kWatchTimer) out_->push_back(Watch{});
+    if (t.token == kWatchTimer) out_->push_back(WatchEndpoints{});
     if (t.token == kProbeTimer) probe();
   }
 
@@ -677,14 +677,14 @@
   void probe() {
     Server* oldest = nullptr;
     const auto rank = [&](auto& s) {
-      return std::tuple(kinds_[s.entry.kind].utils > kPrior, s.probed_at, s.order);
+      return std::tuple(kinds_[s.entry.instance_type].weighted_utilizations > kPrior, s.probed_at, s.order);
     };
     const auto consider = [&](Server& s) { if (!oldest || rank(s) < rank(*oldest)) oldest = &s; };
     look_at(ranked_.size(), few(), consider);
     if (oldest && probe_credit_ >= 1) {
       probe_credit_ -= 1;
       oldest->probed_at = now_;
-      out_->push_back(Probe{oldest->entry.server});
+      out_->push_back(HealthCheck{oldest->entry.id});
     }
     timer(kProbeTimer, from_seconds((0.5 + uniform()) * seconds(kProbeEvery) / static_cast<double>(ups())));
   }
@@ -698,7 +698,7 @@
   std::vector<Server> servers_;
   Gauge home_, sends_;  // utilisation that the servers of the own zone report; own sends
   RankedSet ranked_;  // those that are up, by their order
-  std::vector<Evidence> kinds_;                // by kind, summed
+  std::vector<EndpointStats> kinds_;                // by kind, summed
   std::vector<Tally> tallies_;                 // by class, summed
   std::multimap<Time, RequestId> sent_;        // when to look whether it is silent
   std::unordered_map<RequestId, Call> calls_;  // never walked where order could tell
@@ -720,7 +720,7 @@
 Balancer::~Balancer() = default;
 
 void Balancer::handle(Time now, const Event& e, std::vector<Action>& out) { impl_->handle(now, e, out); }
-Balancer::Census Balancer::census(Time now) const { return impl_->census(now); }
-Evidence Balancer::known(ServerId server) const { return impl_->known(server); }
+Balancer::EndpointCounts Balancer::endpoint_counts(Time now) const { return impl_->census(now); }
+EndpointStats Balancer::endpoint_stats(EndpointId server) const { return impl_->known(server); }
 
 }  // namespace beechhill
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -16,64 +16,64 @@
 constexpr std::uint32_t kLeastMemory = 16;
 
 sockaddr_in address_in(const Json::Value& object, const char* key) {
-  const auto text = get<std::string>(object, key);
+  const auto text = get_member<std::string>(object, key);
   const auto address = net::parse_address(text);
   if (!address) {
-    fault(key, "not an address and port: " + text, find(object, key));
+    throw_json_error(key, "not an address and port: " + text, find_member(object, key));
   }
   return *address;
 }
 
 // "8c1f30d27a5be964": hexadecimal where it is text.
 std::uint64_t seed_in(const Json::Value& root) {
-  const Json::Value& value = need(root, "seed");
+  const Json::Value& value = require_member(root, "seed");
   if (!value.isString()) {
-    return as<std::uint64_t>(value, "seed");
+    return convert<std::uint64_t>(value, "seed");
   }
   const std::string text = value.asString();
   if (text.empty() || text.size() > 16 ||
       text.find_first_not_of("0123456789abcdefABCDEF") != std::string::npos) {
-    fault("seed", "not up to 16 hexadecimal digits", &value);
+    throw_json_error("seed", "not up to 16 hexadecimal digits", &value);
   }
   return std::stoull(text, nullptr, 16);
 }
 
-ServerState state_in(const Json::Value& row) {
-  const auto word = get<std::string>(row, "health");
+EndpointStatus state_in(const Json::Value& row) {
+  const auto word = get_member<std::string>(row, "health");
   if (word == "in_service") {
-    return ServerState::kUp;
+    return EndpointStatus::kUp;
   }
   if (word == "terminating") {
-    return ServerState::kDraining;
+    return EndpointStatus::kDraining;
   }
   if (word == "terminated") {
-    return ServerState::kRemoved;
+    return EndpointStatus::kRemoved;
   }
-  fault("health", "not one of in_service, terminating, terminated", find(row, "health"));
+  throw_json_error("health", "not one of in_service, terminating, terminated", find_member(row, "health"));
 }
 
 }  // namespace
 
-ServerList read_server_list(const Json::Value& list) {
-  ServerList pool;
-  pool.version = get<std::uint64_t>(list, "seq");
-  pool.whole = get<bool>(list, "whole");
-  for (const Json::Value& row : array_in(list, "hosts")) {
-    ServerListEntry e;
-    e.host = get<std::string>(row, "host");
-    e.state = state_in(row);
-    if (e.state != ServerState::kRemoved) {
+EndpointList read_endpoint_list(const Json::Value& list) {
+  EndpointList pool;
+  pool.version = get_member<std::uint64_t>(list, "seq");
+  pool.complete = get_member<bool>(list, "whole");
+  for (const Json::Value& row : require_array(list, "hosts")) {
+    EndpointListEntry e;
+    e.host = get_member<std::string>(row, "host");
+    e.status = state_in(row);
+    if (e.status != EndpointStatus::kRemoved) {
       e.address = address_in(row, "dial");
     }
-    e.zone = get<std::string>(row, "site", "");
-    e.kind = get<std::string>(row, "class", "");
-    e.cell = get<std::uint32_t>(row, "block", 0);
-    const auto born = get<Duration>(row, "born_ms", Duration{0}).count();
+    e.zone = get_member<std::string>(row, "site", "");
+    e.instance_type = get_member<std::string>(row, "class", "");
+    e.cell = get_member<std::uint32_t>(row, "block", 0);
+    const auto born = get_member<Duration>(row, "born_ms", Duration{0}).count();
     // Guards against an overflow when the milliseconds become the module's microseconds.
     if (born < 0 || born > 100'000'000'000'000) {
-      fault("born_ms", "not a time", find(row, "born_ms"));
+      throw_json_error("born_ms", "not a time", find_member(row, "born_ms"));
     }
-    e.born = std::chrono::milliseconds(born);
+    e.started_at = std::chrono::milliseconds(born);
     pool.entries.push_back(std::move(e));
   }
   return pool;
@@ -81,34 +81,34 @@
 
 Config read_config(const Json::Value& root) {
   Config c;
-  c.name = get<std::string>(root, "name", "");
+  c.name = get_member<std::string>(root, "name", "");
   c.listen = address_in(root, "listen");
   c.discovery = address_in(root, "discovery");
-  if (find(root, "admin_addr")) {
+  if (find_member(root, "admin_addr")) {
     c.admin = address_in(root, "admin_addr");
   }
-  if (find(root, "limits")) {
-    const Json::Value& limits = object_in(root, "limits");
-    c.sockets = get<std::uint32_t>(limits, "sockets", c.sockets);
-    c.memory_mb = get<std::uint32_t>(limits, "memory_mb", c.memory_mb);
+  if (find_member(root, "limits")) {
+    const Json::Value& limits = require_object(root, "limits");
+    c.max_descriptors = get_member<std::uint32_t>(limits, "sockets", c.max_descriptors);
+    c.memory_mb = get_member<std::uint32_t>(limits, "memory_mb", c.memory_mb);
   }
   if (c.memory_mb < kLeastMemory) {
-    fault("limits.memory_mb", "under " + std::to_string(kLeastMemory), find(root, "limits"));
+    throw_json_error("limits.memory_mb", "under " + std::to_string(kLeastMemory), find_member(root, "limits"));
   }
-  if (c.sockets < kFewestSockets) {
-    fault("limits.sockets", "under " + std::to_string(kFewestSockets), find(root, "limits"));
+  if (c.max_descriptors < kFewestSockets) {
+    throw_json_error("limits.sockets", "under " + std::to_string(kFewestSockets), find_member(root, "limits"));
   }
-  if (find(root, "known")) {
-    c.known = read_server_list(object_in(root, "known"));
+  if (find_member(root, "known")) {
+    c.cached_endpoints = read_endpoint_list(require_object(root, "known"));
   }
-  c.named = read_settings(object_in(root, "settings"), seed_in(root));
-  if (c.named.settings.connect_timeout <= Duration{0}) {
-    fault("connect-timeout", "must be above 0");
+  c.named_settings = read_settings(require_object(root, "settings"), seed_in(root));
+  if (c.named_settings.settings.connect_timeout <= Duration{0}) {
+    throw_json_error("connect-timeout", "must be above 0");
   }
-  if (c.named.settings.idle_close <= Duration{0}) {
-    fault("idle-close", "must be above 0");
+  if (c.named_settings.settings.backend_idle_timeout <= Duration{0}) {
+    throw_json_error("idle-close", "must be above 0");
   }
-  validate(c.named.settings);
+  validate(c.named_settings.settings);
   return c;
 }
 
@@ -120,18 +120,18 @@
 Config load(std::initializer_list<Override> overrides) {
   const char* path = std::getenv("GW_CONFIG");
   if (!path) {
-    fault("GW_CONFIG", "not set");
+    throw_json_error("GW_CONFIG", "not set");
   }
   std::ifstream file(path, std::ios::binary);
   if (!file) {
-    fault("GW_CONFIG", std::string("cannot be read: ") + path);
+    throw_json_error("GW_CONFIG", std::string("cannot be read: ") + path);
   }
   std::stringstream text;
   text << file.rdbuf();
   const std::string bytes = text.str();
   Json::Value root = parse(bytes.data(), bytes.data() + bytes.size(), "GW_CONFIG");
   if (!root.isObject()) {
-    fault("GW_CONFIG", "not an object");
+    throw_json_error("GW_CONFIG", "not an object");
   }
   for (const auto& [variable, key] : overrides) {
     if (const char* value = std::getenv(variable)) {
@@ -140,12 +140,12 @@
   }
   try {
     return read_config(root);
-  } catch (const JsonFault& found) {
+  } catch (const JsonError& found) {
     if (found.offset < 0) {
       throw;
     }
     const auto line = 1 + std::count(bytes.begin(), bytes.begin() + found.offset, '\n');
-    throw JsonFault(std::string(path) + ":" + std::to_string(line) + ": " + found.what());
+    throw JsonError(std::string(path) + ":" + std::to_string(line) + ": " + found.what());
   }
 }
 
@@ -161,11 +161,11 @@
     const char* const end = text + std::char_traits<char>::length(text);
     const auto [stop, error] = std::from_chars(text, end, fd);
     if (error != std::errc{} || stop != end || fd < 0) {
-      fault("GW_FD", std::string("not a descriptor: ") + text);
+      throw_json_error("GW_FD", std::string("not a descriptor: ") + text);
     }
-    c.inherited = fd;
+    c.inherited_listener_fd = fd;
     if (const char* folder = std::getenv("TMPDIR")) {
-      c.shared_folder = folder;
+      c.shared_state_directory = folder;
     }
   }
   return c;
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -12,18 +12,18 @@
 
 namespace beechhill::config {
 
-struct ServerListEntry {
-  std::string host, zone, kind;
+struct EndpointListEntry {
+  std::string host, zone, instance_type;
   sockaddr_in address{};
   std::uint32_t cell = 0;
-  ServerState state = ServerState::kUp;
-  std::chrono::milliseconds born{0};  // Unix time; 0: long ago
+  EndpointStatus status = EndpointStatus::kUp;
+  std::chrono::milliseconds started_at{0};  // Unix time; 0: long ago
 };
 
-struct ServerList {  // discovery's list, or the changes to it
+struct EndpointList {  // discovery's list, or the changes to it
   std::uint64_t version = 0;
-  bool whole = true;
-  std::vector<ServerListEntry> entries;
+  bool complete = true;
+  std::vector<EndpointListEntry> entries;
 };
 
 struct Config {
@@ -31,16 +31,16 @@
   sockaddr_in listen{}, discovery{};
   std::optional<sockaddr_in> admin;  // where operators call; absent: nowhere
   std::optional<int>
-      inherited;  // a descriptor that listens for clients already; absent: `listen` is bound
-  std::string shared_folder;  // that the processes of one proxy share; empty: none
-  std::uint32_t sockets = 1024;
+      inherited_listener_fd;  // a descriptor that listens for clients already; absent: `listen` is bound
+  std::string shared_state_directory;  // that the processes of one proxy share; empty: none
+  std::uint32_t max_descriptors = 1024;
   std::uint32_t memory_mb = 192;
-  ServerList known;
-  NamedSettings named;
+  EndpointList cached_endpoints;
+  NamedSettings named_settings;
 };
 
 // Throws JsonFault naming the key.
-ServerList read_server_list(const Json::Value& list);
+EndpointList read_endpoint_list(const Json::Value& list);
 Config read_config(const Json::Value& root);
 
 // The file that GW_CONFIG names; GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_ADMIN_ADDR, where set, go
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -17,16 +17,16 @@
 
 MembershipSettings membership_from(TomlReader r) {
   MembershipSettings m;
-  m.listen = r.text("listen", ""), m.advertise = r.text("advertise", "");
-  m.seeds = r.texts("seeds");
+  m.listen_address = r.text("listen", ""), m.advertised_address = r.text("advertise", "");
+  m.seed_addresses = r.texts("seeds");
   m.key_file = r.text("key_file", "");
-  m.interval = r.span("interval", m.interval, std::chrono::milliseconds(50));
+  m.probe_interval = r.span("interval", m.probe_interval, std::chrono::milliseconds(50));
   m.forget_after = r.span("forget_after", m.forget_after, std::chrono::minutes(1));
-  check_address(r, "listen", m.listen), check_address(r, "advertise", m.advertise);
-  for (const std::string& seed : m.seeds) {
+  check_address(r, "listen", m.listen_address), check_address(r, "advertise", m.advertised_address);
+  for (const std::string& seed : m.seed_addresses) {
     check_address(r, "seeds", seed);
   }
-  if (!m.listen.empty() && m.key_file.empty()) {
+  if (!m.listen_address.empty() && m.key_file.empty()) {
     r.fault("key_file", "missing");
   }
 #ifndef BEECHHILL_TALK
@@ -54,15 +54,15 @@
       r.fault("voters", "no name of a proxy: " + name);
     }
   }
-  if (n > 0 && membership.listen.empty()) {
+  if (n > 0 && membership.listen_address.empty()) {
     r.fault("voters", "needs membership.listen");
   }
-  m.folder = r.text("folder", "");
-  m.lease = r.span("lease", m.lease, std::chrono::seconds(1));
-  m.isolated_after = r.span("isolated_after", m.isolated_after);
-  m.hear_within = r.span("hear_within", m.hear_within);
-  m.serve_unheard = r.flag("serve_unheard", m.serve_unheard);
-  maintenance::Bounds& b = m.bounds;
+  m.storage_directory = r.text("folder", "");
+  m.lease_duration = r.span("lease", m.lease_duration, std::chrono::seconds(1));
+  m.isolation_timeout = r.span("isolated_after", m.isolation_timeout);
+  m.initial_lease_timeout = r.span("hear_within", m.initial_lease_timeout);
+  m.serve_without_lease = r.flag("serve_unheard", m.serve_without_lease);
+  maintenance::DisruptionBudget& b = m.disruption_budget;
   const auto count = [&r](const char* key, std::uint32_t otherwise) {
     return static_cast<std::uint32_t>(r.integer(key, otherwise, 0, 100'000));
   };
@@ -70,14 +70,14 @@
     return r.span(key, std::chrono::seconds(otherwise), std::chrono::seconds(1)) /
            std::chrono::seconds(1);
   };
-  b.reserve = r.number("reserve", b.reserve, 0, 10);
-  b.most_out = count("most_out", b.most_out),
-  b.most_out_zone = count("most_out_zone", b.most_out_zone);
-  b.most_out_cell = count("most_out_cell", b.most_out_cell),
-  b.least_proxies = count("least_proxies", b.least_proxies);
-  b.evacuate_within = whole("evacuate_within", b.evacuate_within),
-  b.put_off = whole("put_off", b.put_off);
-  b.age_step = whole("age_step", b.age_step), b.calm = whole("calm", b.calm);
+  b.capacity_reserve = r.number("reserve", b.capacity_reserve, 0, 10);
+  b.max_out = count("most_out", b.max_out),
+  b.max_out_per_zone = count("most_out_zone", b.max_out_per_zone);
+  b.max_out_per_cell = count("most_out_cell", b.max_out_per_cell),
+  b.min_proxies_per_zone = count("least_proxies", b.min_proxies_per_zone);
+  b.drain_timeout = whole("evacuate_within", b.drain_timeout),
+  b.deferral = whole("put_off", b.deferral);
+  b.priority_aging_interval = whole("age_step", b.priority_aging_interval), b.quiet_period = whole("calm", b.quiet_period);
   b.needs_approval = r.flag("approval", b.needs_approval);
   r.finish();
   return m;
@@ -97,21 +97,21 @@
       l.integer("queue", static_cast<std::int64_t>(o.log.queue), 16, 65'536));
   l.finish();
   TomlReader s = r.table("routing");
-  o.subset.nodes = static_cast<std::uint32_t>(s.integer("subset_nodes", 0, 0, 100'000));
+  o.subset.min_endpoints = static_cast<std::uint32_t>(s.integer("subset_nodes", 0, 0, 100'000));
   o.subset.coverage =
       static_cast<std::uint32_t>(s.integer("coverage", o.subset.coverage, 1, 10'000));
   o.subset.proxies = static_cast<std::uint32_t>(s.integer("proxies", 0, 0, 100'000));
   if (s.has("place")) {
-    o.subset.place = static_cast<std::uint32_t>(s.integer("place", 0, 0, 100'000));
+    o.subset.proxy_index = static_cast<std::uint32_t>(s.integer("place", 0, 0, 100'000));
   }
-  if (o.subset.place && *o.subset.place >= o.subset.proxies) {
+  if (o.subset.proxy_index && *o.subset.proxy_index >= o.subset.proxies) {
     s.fault("place", "not under proxies");
   }
   s.finish();
   TomlReader n = r.table("snapshot");
-  o.snapshot.folder = n.text("folder", "");
-  const Duration every = n.span("every", o.snapshot.every, std::chrono::milliseconds(100));
-  o.snapshot.every = std::chrono::duration_cast<std::chrono::milliseconds>(every);
+  o.snapshot.directory = n.text("folder", "");
+  const Duration every = n.span("every", o.snapshot.interval, std::chrono::milliseconds(100));
+  o.snapshot.interval = std::chrono::duration_cast<std::chrono::milliseconds>(every);
   n.finish();
   o.membership = membership_from(r.table("membership"));
   o.maintenance = maintenance_from(r.table("maintenance"), o.membership);
--- a/src/config/operator_file.h
+++ b/src/config/operator_file.h
@@ -15,26 +15,26 @@
 namespace beechhill::config {
 
 struct SnapshotSettings {
-  std::string folder;  // on a disk that lasts; empty: none are kept
-  std::chrono::milliseconds every{2000};
+  std::string directory;  // on a disk that lasts; empty: none are kept
+  std::chrono::milliseconds interval{2000};
 };
 
 struct MembershipSettings {
-  std::string listen;     // UDP, an IPv4 address and a port; empty: the process talks with no other
-  std::string advertise;  // where the others reach it; empty: `listen`
-  std::vector<std::string> seeds;  // addresses of some of the others
+  std::string listen_address;     // UDP, an IPv4 address and a port; empty: the process talks with no other
+  std::string advertised_address;  // where the others reach it; empty: `listen`
+  std::vector<std::string> seed_addresses;  // addresses of some of the others
   std::string key_file;  // a key a line, as 64 hexadecimal digits: the first signs, a second one is
                          // believed too
-  Duration interval{1'000'000};
+  Duration probe_interval{1'000'000};
   Duration forget_after{3'600'000'000};
 };
 
 struct MaintenanceSettings {
   std::vector<std::string> voters;  // names; none: machines are not taken out by agreement
-  std::string folder;               // of a voter's storage, on a disk that lasts
-  Duration lease{5'000'000}, isolated_after{0}, hear_within{5'000'000};
-  bool serve_unheard = false;
-  maintenance::Bounds bounds;
+  std::string storage_directory;               // of a voter's storage, on a disk that lasts
+  Duration lease_duration{5'000'000}, isolation_timeout{0}, initial_lease_timeout{5'000'000};
+  bool serve_without_lease = false;
+  maintenance::DisruptionBudget disruption_budget;
 };
 
 struct OperatorSettings {
--- a/src/config/sealed.cpp
+++ b/src/config/sealed.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-std::string seal(Json::Value root, const char* is, int format, int precision) {
+std::string encode_checksummed(Json::Value root, const char* is, int format, int precision) {
   root["is"] = is;
   root["format"] = format;
   Json::StreamWriterBuilder writer;
@@ -23,7 +23,7 @@
   return line + "\n" + checksum(line) + "\n";
 }
 
-std::optional<Json::Value> unseal(std::string_view text, const char* is, int format) {
+std::optional<Json::Value> decode_checksummed(std::string_view text, const char* is, int format) {
   const auto end = text.find('\n');
   if (end == std::string_view::npos) {
     return std::nullopt;
--- a/src/config/sealed.h
+++ b/src/config/sealed.h
@@ -11,8 +11,8 @@
 namespace beechhill::config {
 
 // `is` and `format` say what it is, and in which version; `precision`: digits of its numbers.
-std::string seal(Json::Value root, const char* is, int format, int precision = 17);
+std::string encode_checksummed(Json::Value root, const char* is, int format, int precision = 17);
 // Nothing where it is torn, or not of that kind and version.
-std::optional<Json::Value> unseal(std::string_view text, const char* is, int format);
+std::optional<Json::Value> decode_checksummed(std::string_view text, const char* is, int format);
 
 }  // namespace beechhill::config
--- a/src/config/toml_reader.cpp
+++ b/src/config/toml_reader.cpp
@@ -23,22 +23,22 @@
   try {
     return toml::parse(text, file);
   } catch (const toml::parse_error& error) {
-    throw TomlFault(place(file, error.source()) + ": " + std::string(error.description()));
+    throw TomlError(place(file, error.source()) + ": " + std::string(error.description()));
   }
 }
 
 toml::table load_toml(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   if (!in) {
-    throw TomlFault(path + ": cannot be read");
+    throw TomlError(path + ": cannot be read");
   }
   std::string text(static_cast<std::size_t>(kMostBytes) + 1, '\0');
   in.read(text.data(), static_cast<std::streamsize>(text.size()));
   if (in.bad()) {
-    throw TomlFault(path + ": cannot be read");
+    throw TomlError(path + ": cannot be read");
   }
   if (in.gcount() > kMostBytes) {
-    throw TomlFault(path + ": over 1 MiB");
+    throw TomlError(path + ": over 1 MiB");
   }
   text.resize(static_cast<std::size_t>(in.gcount()));
   return parse_toml(text, path);
@@ -81,7 +81,7 @@
 void TomlReader::fault(std::string_view key, const std::string& what) const {
   const toml::node* node = table_.get(key);
   const std::string at = place(file_, node ? node->source() : table_.source());
-  throw TomlFault(at + ": " + path_ + std::string(key) + ": " + what);
+  throw TomlError(at + ": " + path_ + std::string(key) + ": " + what);
 }
 
 const toml::node* TomlReader::find(std::string_view key) {
--- a/src/config/toml_reader.h
+++ b/src/config/toml_reader.h
@@ -15,7 +15,7 @@
 
 namespace beechhill::config {
 
-struct TomlFault : std::runtime_error {
+struct TomlError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
--- a/src/emulator/clients.cpp
+++ b/src/emulator/clients.cpp
@@ -21,7 +21,7 @@
   }
   most_rate_ = mean_rate_ * most;
   for (const TenantSettings& t : settings_for(s_, 0, 0, 1, 0).tenants) {
-    allowances_.push_back(t.allowance_per_s);
+    allowances_.push_back(t.quota_per_s);
   }
   tokens_ = allowances_;
   filled_.assign(allowances_.size(), Time{0});
@@ -100,7 +100,7 @@
     a.work_s = c.work_s;
   }
   a.connection = static_cast<std::uint32_t>(random_.below(s_.clients.connections));
-  a.worth = c.settings.worth;
+  a.worth = c.settings.priority_weight;
   if (a.tenant < allowances_.size() && allowances_[a.tenant] > 0) {
     double& tokens = tokens_[a.tenant];
     const double rate = allowances_[a.tenant];
@@ -118,8 +118,8 @@
 std::optional<Duration> wait_before_retry(const Scenario& s, const FailedTry& failed,
                                           Stream& random) {
   const ClassSettings& k = s.classes[failed.c].settings;
-  const bool harmless = failed.refused || failed.unreachable || k.effect == Effect::kRepeatable ||
-                        (k.effect == Effect::kKeyed && k.group == Group::kAll);
+  const bool harmless = failed.refused || failed.unreachable || k.idempotency == Idempotency::kIdempotent ||
+                        (k.idempotency == Idempotency::kIdempotencyKey && k.deduplication_scope == DeduplicationScope::kAll);
   const ClientSpec& c = s.clients;
   if (c.retry == Retry::kNever || !harmless || failed.tries > c.retries) {
     return std::nullopt;
--- a/src/emulator/event_queue.h
+++ b/src/emulator/event_queue.h
@@ -32,27 +32,27 @@
           // waited enough
 };
 
-struct Happening {
+struct ScheduledEvent {
   Time at{0};
   std::uint64_t order = 0;
   Kind kind = Kind::kArrival;
   std::uint64_t a = 0, b = 0, c = 0, d = 0;
 
-  bool operator>(const Happening& o) const { return at != o.at ? at > o.at : order > o.order; }
+  bool operator>(const ScheduledEvent& o) const { return at != o.at ? at > o.at : order > o.order; }
 };
 
 class EventQueue {
  public:
   void add(Time at, Kind kind, std::uint64_t a = 0, std::uint64_t b = 0, std::uint64_t c = 0,
            std::uint64_t d = 0) {
-    heap_.push(Happening{at, next_++, kind, a, b, c, d});
+    heap_.push(ScheduledEvent{at, next_++, kind, a, b, c, d});
   }
   bool empty() const { return heap_.empty(); }
-  const Happening& top() const { return heap_.top(); }
+  const ScheduledEvent& top() const { return heap_.top(); }
   void pop() { heap_.pop(); }
 
  private:
-  std::priority_queue<Happening, std::vector<Happening>, std::greater<>> heap_;
+  std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> heap_;
   std::uint64_t next_ = 0;
 };
 
--- a/src/emulator/metrics.cpp
+++ b/src/emulator/metrics.cpp
@@ -114,8 +114,8 @@
 void Metrics::ended(Time first, Duration took, ClassId c, TenantId tenant, double worth,
                     bool served, bool refused) {
   const ClassSettings& k = s_->classes[c].settings;
-  const bool in_aim = served && took <= k.aim;
-  const double got = !served ? 0 : in_aim ? worth : worth * k.late_worth;
+  const bool in_aim = served && took <= k.latency_objective;
+  const double got = !served ? 0 : in_aim ? worth : worth * k.late_priority_factor;
   if (Second* w = second_of(first)) {
     w->worth_served += got, w->in_aim += in_aim;
   }
--- a/src/emulator/policies.cpp
+++ b/src/emulator/policies.cpp
@@ -17,7 +17,7 @@
   void handle(Time now, const Event& event, std::vector<Action>& actions) override {
     balancer_.handle(now, event, actions);
   }
-  Evidence known(ServerId server) const override { return balancer_.known(server); }
+  EndpointStats known(EndpointId server) const override { return balancer_.endpoint_stats(server); }
 
  private:
   Balancer balancer_;
@@ -25,7 +25,7 @@
 
 struct Known {  // a node as a plain policy sees it
   bool up = false;
-  ServerEntry entry;
+  Endpoint entry;
   std::uint32_t out = 0;
   double rates = 0, utils = 0;
   double credit = 0;  // of a cold node: what it may still be sent
@@ -42,7 +42,7 @@
   void handle(Time now, const Event& event, std::vector<Action>& actions) override {
     now_ = now;
     out_ = &actions;
-    if (const auto* d = std::get_if<Discovery>(&event)) {
+    if (const auto* d = std::get_if<EndpointUpdate>(&event)) {
       on(*d);
     }
     if (const auto* r = std::get_if<Request>(&event)) {
@@ -51,7 +51,7 @@
     if (const auto* o = std::get_if<Outcome>(&event)) {
       on(*o);
     }
-    if (const auto* g = std::get_if<ClientGone>(&event)) {
+    if (const auto* g = std::get_if<ClientDisconnected>(&event)) {
       on(*g);
     }
   }
@@ -61,7 +61,7 @@
   virtual std::size_t choose() = 0;
   virtual bool admits(const Request&) { return true; }
   virtual bool spare(Known& k) { return !cold(k) || credit_allows(k); }
-  const std::vector<ServerId>& up() const { return up_; }
+  const std::vector<EndpointId>& up() const { return up_; }
   Known& known(std::size_t i) { return servers_[up_[i]]; }
   Time now() const { return now_; }
   Stream& random() { return random_; }
@@ -70,43 +70,43 @@
  private:
   struct Call {
     Request request;
-    std::vector<ServerId> tried;
+    std::vector<EndpointId> tried;
     std::vector<Time> sent;
     std::optional<std::size_t> maybe_ran;
     std::uint32_t out = 0;
     bool over = false;
   };
 
-  void on(const Discovery& d) {
-    if (d.kind == ListKind::kFailed) {
+  void on(const EndpointUpdate& d) {
+    if (d.kind == UpdateKind::kFailed) {
       return;
     }
-    if (d.kind != ListKind::kChanges) {
+    if (d.kind != UpdateKind::kDelta) {
       for (Known& k : servers_) {
         k.up = false;
       }
     }
-    for (const ServerEntry& e : d.entries) {
-      if (servers_.size() <= e.server) {
-        servers_.resize(e.server + 1);
+    for (const Endpoint& e : d.endpoints) {
+      if (servers_.size() <= e.id) {
+        servers_.resize(e.id + 1);
       }
-      Known& k = servers_[e.server];
+      Known& k = servers_[e.id];
       k.entry = e;
-      k.up = e.state == ServerState::kUp;
+      k.up = e.status == EndpointStatus::kUp;
     }
     up_.clear();
-    for (ServerId id = 0; id < servers_.size(); ++id) {
+    for (EndpointId id = 0; id < servers_.size(); ++id) {
       if (servers_[id].up) {
         up_.push_back(id);
       }
     }
   }
 
-  bool cold(const Known& k) const { return k.entry.born && now_ < *k.entry.born + s_.cold_span; }
+  bool cold(const Known& k) const { return k.entry.started_at && now_ < *k.entry.started_at + s_.slow_start_window; }
   bool credit_allows(Known& k) {  // whether a cold node's credit covers one more
-    const double age = to_s(now_ - *k.entry.born);
-    const double span = to_s(s_.cold_span);
-    const double warmth = s_.cold_from + (1 - s_.cold_from) * std::max(0.0, age) / span;
+    const double age = to_s(now_ - *k.entry.started_at);
+    const double span = to_s(s_.slow_start_window);
+    const double warmth = s_.slow_start_initial_weight + (1 - s_.slow_start_initial_weight) * std::max(0.0, age) / span;
     const double dt = to_s(now_ - k.credited);
     k.credit = std::min(1.0, k.credit + warmth * dt * rate_ / static_cast<double>(up_.size()));
     k.credited = now_;
@@ -118,31 +118,31 @@
       return true;
     }
     const ClassSettings& s = s_.classes[c.request.class_id];
-    if (s.effect == Effect::kRepeatable) {
+    if (s.idempotency == Idempotency::kIdempotent) {
       return true;
     }
-    if (s.effect == Effect::kOnce || now_ >= c.sent[*c.maybe_ran] + s.memory_span) {
+    if (s.idempotency == Idempotency::kNonIdempotent || now_ >= c.sent[*c.maybe_ran] + s.deduplication_window) {
       return false;
     }
-    const ServerEntry& first = servers_[c.tried[*c.maybe_ran]].entry;
-    return s.group == Group::kAll ||
-           (k.entry.zone == first.zone && (s.group == Group::kZone || k.entry.cell == first.cell));
+    const Endpoint& first = servers_[c.tried[*c.maybe_ran]].entry;
+    return s.deduplication_scope == DeduplicationScope::kAll ||
+           (k.entry.zone == first.zone && (s.deduplication_scope == DeduplicationScope::kZone || k.entry.cell == first.cell));
   }
 
   // What choose() says, a few times; then whichever is allowed.
-  std::optional<ServerId> pick(const Call& c) {
+  std::optional<EndpointId> pick(const Call& c) {
     if (up_.empty() || !admits(c.request)) {
       return std::nullopt;
     }
     for (int i = 0; i < 3; ++i) {
-      const ServerId id = up_[choose()];
+      const EndpointId id = up_[choose()];
       if (group_allows(c, servers_[id]) && spare(servers_[id])) {
         return id;
       }
     }
     const std::size_t from = random_.below(up_.size());
     for (std::size_t i = 0; i < up_.size(); ++i) {
-      const ServerId id = up_[(from + i) % up_.size()];
+      const EndpointId id = up_[(from + i) % up_.size()];
       if (group_allows(c, servers_[id]) && spare(servers_[id])) {
         return id;
       }
@@ -163,7 +163,7 @@
     c.tried.push_back(*id);
     c.sent.push_back(now_);
     c.out += 1;
-    out_->push_back(Send{c.request.id, *id});
+    out_->push_back(StartAttempt{c.request.id, *id});
     return true;
   }
 
@@ -187,19 +187,19 @@
     Call& c = it->second;
     Known& k = servers_[c.tried[o.attempt]];
     k.out -= k.out > 0;
-    if (o.report.rate_per_s && o.report.utilisation) {
-      k.rates += *o.report.rate_per_s - 0.2 * k.rates;
-      k.utils += *o.report.utilisation - 0.2 * k.utils;
+    if (o.report.requests_per_s && o.report.utilization) {
+      k.rates += *o.report.requests_per_s - 0.2 * k.rates;
+      k.utils += *o.report.utilization - 0.2 * k.utils;
     }
     c.out -= 1;
-    const bool never = o.result == Result::kFull || o.result == Result::kConnectFailed ||
-                       o.result == Result::kMoot;
+    const bool never = o.result == Result::kOverloaded || o.result == Result::kConnectFailed ||
+                       o.result == Result::kSkipped;
     if (!never && !c.maybe_ran) {
       c.maybe_ran = o.attempt;
     }
-    c.over = c.over || o.final || o.result == Result::kOk;
+    c.over = c.over || o.is_final || o.result == Result::kOk;
     if (!c.over && c.out == 0) {
-      const bool more = c.tried.size() < s_.most_tries && now_ < c.request.deadline;
+      const bool more = c.tried.size() < s_.max_attempts && now_ < c.request.deadline;
       if (!more || !send(c)) {
         give_up(c);
       }
@@ -207,7 +207,7 @@
     tidy(o.id);
   }
 
-  void on(const ClientGone& g) {
+  void on(const ClientDisconnected& g) {
     const auto it = calls_.find(g.id);
     if (it == calls_.end()) {
       return;
@@ -218,10 +218,10 @@
 
   void give_up(Call& c) {
     const ClassSettings& k = s_.classes[c.request.class_id];
-    const bool safe = !c.maybe_ran || k.effect == Effect::kRepeatable ||
-                      (k.effect == Effect::kKeyed && k.group == Group::kAll);
+    const bool safe = !c.maybe_ran || k.idempotency == Idempotency::kIdempotent ||
+                      (k.idempotency == Idempotency::kIdempotencyKey && k.deduplication_scope == DeduplicationScope::kAll);
     c.over = true;
-    out_->push_back(safe ? Action(Refuse{c.request.id, Duration{0}}) : Action(Fail{c.request.id}));
+    out_->push_back(safe ? Action(Reject{c.request.id, Duration{0}}) : Action(Fail{c.request.id}));
   }
 
   void tidy(RequestId id) {
@@ -237,7 +237,7 @@
   double rate_ = 0;
   std::vector<Action>* out_ = nullptr;
   std::vector<Known> servers_;
-  std::vector<ServerId> up_;
+  std::vector<EndpointId> up_;
   std::unordered_map<RequestId, Call> calls_;  // looked up only
 };
 
@@ -312,7 +312,7 @@
  public:
   Oracle(const Settings& s, const TrueState& truth) : PlainPolicy(s), truth_(truth) {
     for (const ClassSettings& c : s.classes) {
-      most_worth_ = std::max(most_worth_, c.worth);
+      most_worth_ = std::max(most_worth_, c.priority_weight);
     }
   }
   // Refuses at the first tier what would wait too long for its aim, the cheaper classes sooner.
@@ -322,9 +322,9 @@
     }
     const ClassSettings& k = settings().classes[r.class_id];
     const double wait = truth_.wait_s(now(), 0, up()[choose()]);
-    return wait <= to_s(k.aim) * (0.25 + 0.5 * k.worth / most_worth_);
+    return wait <= to_s(k.latency_objective) * (0.25 + 0.5 * k.priority_weight / most_worth_);
   }
-  bool spare(Known& k) override { return truth_.spares(now(), settings().tier, k.entry.server); }
+  bool spare(Known& k) override { return truth_.spares(now(), settings().tier, k.entry.id); }
   std::size_t choose() override {
     const std::uint32_t tier = settings().tier;
     std::size_t best = random().below(up().size());
--- a/src/emulator/policy.h
+++ b/src/emulator/policy.h
@@ -16,7 +16,7 @@
   // As Balancer::handle: one event at `now`, which never goes back; actions are appended in order.
   virtual void handle(Time now, const Event& event, std::vector<Action>& actions) = 0;
   // As Balancer::known, of a policy that learns.
-  virtual Evidence known(ServerId) const { return {}; }
+  virtual EndpointStats known(EndpointId) const { return {}; }
 };
 
 // The true state of a tier's nodes, for the oracle alone.
@@ -25,9 +25,9 @@
   virtual ~TrueState() = default;
   // Seconds until a core would be free for new work, were it sent now; a large number for a node
   // that is silent, down, full or fails what it gets.
-  virtual double wait_s(Time now, std::uint32_t tier, ServerId node) const = 0;
+  virtual double wait_s(Time now, std::uint32_t tier, EndpointId node) const = 0;
   // Whether a cold node can take one more job without coming near the rule's bound.
-  virtual bool spares(Time now, std::uint32_t tier, ServerId node) const = 0;
+  virtual bool spares(Time now, std::uint32_t tier, EndpointId node) const = 0;
 };
 
 // Names: module, random, round_robin, two_choices, least_outstanding, weighted, oracle.
--- a/src/emulator/rules.cpp
+++ b/src/emulator/rules.cpp
@@ -58,8 +58,8 @@
 }
 
 bool RuleChecker::may_have_run(const Attempt& a) {
-  return !a.result || (*a.result != Result::kFull && *a.result != Result::kConnectFailed &&
-                       *a.result != Result::kMoot);
+  return !a.result || (*a.result != Result::kOverloaded && *a.result != Result::kConnectFailed &&
+                       *a.result != Result::kSkipped);
 }
 
 void RuleChecker::answered(Time now, std::uint64_t call, bool refusal) {
@@ -81,10 +81,10 @@
     broken(now, Rule::kOneAnswer, call, "answered after the deadline and its grace", c.trace);
   }
   const ClassSettings& k = s_.classes[c.c].settings;
-  if (!refusal || k.effect == Effect::kRepeatable) {
+  if (!refusal || k.idempotency == Idempotency::kIdempotent) {
     return;
   }
-  if (k.effect == Effect::kKeyed && k.group == Group::kAll) {
+  if (k.idempotency == Idempotency::kIdempotencyKey && k.deduplication_scope == DeduplicationScope::kAll) {
     return;
   }
   for (const Attempt& a : c.attempts) {
@@ -95,8 +95,8 @@
   }
 }
 
-void RuleChecker::sent(Time now, std::uint64_t call, std::uint32_t tier, ServerId node,
-                       const ServerEntry& entry, std::optional<Time> told, Duration held) {
+void RuleChecker::sent(Time now, std::uint64_t call, std::uint32_t tier, EndpointId node,
+                       const Endpoint& entry, std::optional<Time> told, Duration held) {
   now -= held;
   const auto it = calls_.find(call);
   if (it == calls_.end()) {
@@ -125,17 +125,17 @@
   if (open > 0 && !s_.parallel_tries) {
     broken(now, Rule::kEffects, call, "two attempts at once", c.trace);
   }
-  if (first && k.effect == Effect::kOnce) {
+  if (first && k.idempotency == Idempotency::kNonIdempotent) {
     broken(now, Rule::kEffects, call, "sent again after it may have run", c.trace);
   }
-  if (first && k.effect == Effect::kKeyed) {
+  if (first && k.idempotency == Idempotency::kIdempotencyKey) {
     const bool within =
-        k.group == Group::kAll ||
-        (entry.zone == first->zone && (k.group == Group::kZone || entry.cell == first->cell));
+        k.deduplication_scope == DeduplicationScope::kAll ||
+        (entry.zone == first->zone && (k.deduplication_scope == DeduplicationScope::kZone || entry.cell == first->cell));
     if (!within) {
       broken(now, Rule::kEffects, call, "sent again outside its group", c.trace);
     }
-    if (now > first->sent + k.memory_span + slack_) {
+    if (now > first->sent + k.deduplication_window + slack_) {
       broken(now, Rule::kEffects, call, "sent again after its group's memory span", c.trace);
     }
   }
@@ -174,7 +174,7 @@
          it->second.trace);
 }
 
-bool RuleChecker::pressed(Time now, std::uint32_t tier, ServerId node, double work, double capacity,
+bool RuleChecker::pressed(Time now, std::uint32_t tier, EndpointId node, double work, double capacity,
                           double usual_work, bool aware) {
   auto& window = pressure_[(static_cast<std::uint64_t>(tier) << 32) | node];
   window.push_back({now, work, aware});
@@ -201,7 +201,7 @@
   return true;
 }
 
-void RuleChecker::node_warm(std::uint32_t tier, ServerId node) {
+void RuleChecker::node_warm(std::uint32_t tier, EndpointId node) {
   pressure_.erase((static_cast<std::uint64_t>(tier) << 32) | node);
 }
 
--- a/src/emulator/rules.h
+++ b/src/emulator/rules.h
@@ -38,8 +38,8 @@
   void answered(Time now, std::uint64_t call, bool refusal);
   // The proxy sends an attempt. `told`: since when its list says that the node drains or is gone.
   // `held`: for how long it may have stood on its way until this was seen.
-  void sent(Time now, std::uint64_t call, std::uint32_t tier, ServerId node,
-            const ServerEntry& entry, std::optional<Time> told, Duration held = Duration{0});
+  void sent(Time now, std::uint64_t call, std::uint32_t tier, EndpointId node,
+            const Endpoint& entry, std::optional<Time> told, Duration held = Duration{0});
   void ended(Time now, std::uint64_t call, std::uint32_t attempt, Result result);
   // Its client waits no longer, through no fault of the proxy's: no answer is owed.
   void excused(Time now, std::uint64_t call);
@@ -49,9 +49,9 @@
   void overdue(Time now, std::uint64_t call);
   // `work` core-seconds reach a node that has `capacity` core-seconds a second now; `aware`: from a
   // proxy that was told of its start. True: the node is pushed over.
-  bool pressed(Time now, std::uint32_t tier, ServerId node, double work, double capacity,
+  bool pressed(Time now, std::uint32_t tier, EndpointId node, double work, double capacity,
                double usual_work, bool aware);
-  void node_warm(std::uint32_t tier, ServerId node);
+  void node_warm(std::uint32_t tier, EndpointId node);
 
   std::uint64_t count(Rule rule) const { return counts_[static_cast<std::size_t>(rule)]; }
   std::uint64_t all() const;
@@ -60,7 +60,7 @@
 
  private:
   struct Attempt {
-    ServerId node = 0;
+    EndpointId node = 0;
     std::uint32_t zone = 0, cell = 0;
     Time sent{0};
     std::optional<Result> result;
--- a/src/emulator/scenario.cpp
+++ b/src/emulator/scenario.cpp
@@ -24,16 +24,16 @@
     r.fault("name", "missing");
   }
   c.part = r.number("part", 1, 0, 1e6);
-  s.effect = static_cast<Effect>(r.word("repeat", 0, {"repeatable", "by_key", "once"}));
-  s.group = static_cast<Group>(r.word("group", 0, {"all", "zone", "cell"}));
-  s.memory_span = r.span("memory", Duration{3'000'000});
-  s.aim = r.span("aim", Duration{500'000}, Duration{1});
-  s.deadline = r.span("deadline", 2 * s.aim, Duration{1});
-  if (s.deadline < s.aim) {
+  s.idempotency = static_cast<Idempotency>(r.word("repeat", 0, {"repeatable", "by_key", "once"}));
+  s.deduplication_scope = static_cast<DeduplicationScope>(r.word("group", 0, {"all", "zone", "cell"}));
+  s.deduplication_window = r.span("memory", Duration{3'000'000});
+  s.latency_objective = r.span("aim", Duration{500'000}, Duration{1});
+  s.deadline = r.span("deadline", 2 * s.latency_objective, Duration{1});
+  if (s.deadline < s.latency_objective) {
     r.fault("deadline", "shorter than the aim");
   }
-  s.late_worth = r.number("late_worth", 0, 0, 1);
-  s.worth = r.number("worth", 1, 0, 1e6);
+  s.late_priority_factor = r.number("late_worth", 0, 0, 1);
+  s.priority_weight = r.number("worth", 1, 0, 1e6);
   c.work_s = std::chrono::duration<double>(r.span("work", Duration{10'000}, Duration{1})).count();
   c.spread = static_cast<Spread>(r.word("spread", 1, {"fixed", "exponential", "lognormal"}));
   c.variation = r.number("variation", 1, 0, 10);
@@ -118,8 +118,8 @@
   f.factor = r.number("factor", usual, f.kind == FaultKind::kErrors ? 0 : 0.001,
                       f.kind == FaultKind::kErrors ? 1 : 1000);
   f.proxies = static_cast<std::uint32_t>(r.integer("proxies", 0, 0, s.proxies));
-  f.way = static_cast<Way>(r.word("way", 0, {"both", "there", "back"}));
-  if (f.way != Way::kBoth && f.kind != FaultKind::kPartition && f.kind != FaultKind::kTalkCut) {
+  f.way = static_cast<Direction>(r.word("way", 0, {"both", "there", "back"}));
+  if (f.way != Direction::kBoth && f.kind != FaultKind::kPartition && f.kind != FaultKind::kTalkCut) {
     r.fault("way", "for a partition or a cut talk alone");
   }
   f.first = static_cast<std::uint32_t>(r.integer("first", 0, 0, s.proxies - 1));
@@ -325,7 +325,7 @@
   c.finish();
 
   TomlReader routing = r.table("routing");
-  s.subset.nodes = static_cast<std::uint32_t>(routing.integer("subset_nodes", 0, 0, kMostNodes));
+  s.subset.min_endpoints = static_cast<std::uint32_t>(routing.integer("subset_nodes", 0, 0, kMostNodes));
   s.subset.coverage =
       static_cast<std::uint32_t>(routing.integer("coverage", s.subset.coverage, 1, kMostProxies));
   s.subset_told = routing.flag("told", true);
@@ -414,12 +414,12 @@
 void override_from(toml::table& root, const std::string& text) {
   const std::size_t equals = text.find('=');
   if (equals == std::string::npos) {
-    throw config::TomlFault(text + ": not KEY=VALUE");
+    throw config::TomlError(text + ": not KEY=VALUE");
   }
   toml::table value;
   try {
     value = config::parse_toml("v = " + text.substr(equals + 1), text);
-  } catch (const config::TomlFault&) {
+  } catch (const config::TomlError&) {
     value.insert("v", text.substr(equals + 1));  // a text without its quotes
   }
   override_key(root, text.substr(0, equals), *value.get("v"));
@@ -475,18 +475,18 @@
   return struck;
 }
 
-std::vector<ServerId> nodes_struck(const Scenario& s, std::size_t fault,
-                                   const std::vector<ServerEntry>& nodes) {
+std::vector<EndpointId> nodes_struck(const Scenario& s, std::size_t fault,
+                                   const std::vector<Endpoint>& nodes) {
   const FaultSpec& f = s.faults[fault];
-  std::vector<ServerId> all, chosen;
-  for (const ServerEntry& n : nodes) {
+  std::vector<EndpointId> all, chosen;
+  for (const Endpoint& n : nodes) {
     if (f.zone >= 0 && n.zone != static_cast<std::uint32_t>(f.zone)) {
       continue;
     }
     if (f.cell >= 0 && n.cell != static_cast<std::uint32_t>(f.cell)) {
       continue;
     }
-    all.push_back(n.server);
+    all.push_back(n.id);
   }
   std::size_t count = all.size();  // a zone or cell, whole
   if (f.nodes > 0) {
@@ -557,25 +557,25 @@
     o.tenants.push_back({shares > 0 ? t.share / shares : 0,
                          shares > 0 ? s.load.quota * capacity_per_s(s) * t.share / shares : 0});
   }
-  o.over_share_worth = s.load.over_share_worth;
+  o.over_quota_priority_factor = s.load.over_share_worth;
   o.zone = zone;
   o.tier = tier;
   o.tier_count = static_cast<std::uint32_t>(s.tiers.size());
   o.replicas = replicas;
   o.drain_grace = s.drain_grace;
   const TierSpec& t = s.tiers[tier];
-  o.cold_span = t.cold_span;
-  o.cold_from = t.cold_from;
-  o.fall_multiple = s.fall_multiple;
-  o.tip_after = s.tip_after;
-  o.may_probe = s.may_probe;
-  o.may_cancel = s.may_cancel;
-  o.parallel_tries = s.parallel_tries;
-  o.most_tries = s.tries;
+  o.slow_start_window = t.cold_span;
+  o.slow_start_initial_weight = t.cold_from;
+  o.overload_collapse_ratio = s.fall_multiple;
+  o.overload_collapse_delay = s.tip_after;
+  o.health_checks_allowed = s.may_probe;
+  o.cancellation_allowed = s.may_cancel;
+  o.hedging_allowed = s.parallel_tries;
+  o.max_attempts = s.tries;
   o.max_retry_after = s.longest_advice;
   o.connect_timeout = s.connect_timeout;
-  o.idle_close = t.idle_close;
-  o.cross_zone_price = s.cross_zone > Duration{0} ? 1 : 0;
+  o.backend_idle_timeout = t.idle_close;
+  o.cross_zone_cost = s.cross_zone > Duration{0} ? 1 : 0;
   return o;
 }
 
--- a/src/emulator/scenario.h
+++ b/src/emulator/scenario.h
@@ -112,7 +112,7 @@
   kTalkSpoil,  // of what proxies tell each other `factor` is lost and a third of that doubled, and
                // comes up to `delay` late
 };
-enum class Way { kBoth, kThere, kBack };  // of a partition: requests, answers
+enum class Direction { kBoth, kThere, kBack };  // of a partition: requests, answers
 
 struct FaultSpec {
   FaultKind kind = FaultKind::kSilent;
@@ -126,10 +126,10 @@
   Duration delay{0};
   std::uint32_t tenant = 0;
   std::uint32_t proxies = 0, first = 0;  // or so many proxies, from that one on
-  Way way = Way::kBoth;
+  Direction way = Direction::kBoth;
 };
 
-struct GroupSpec {  // proxies that talk with each other and settle which backend is taken out (the
+struct ClusterSpec {  // proxies that talk with each other and settle which backend is taken out (the
                     // rig's alone)
   std::uint32_t voters = 0;  // 0: they do not
   Duration lease{2'000'000}, isolated_after{0};
@@ -162,7 +162,7 @@
   std::vector<TenantSpec> tenants;
   std::vector<TierSpec> tiers;
   std::vector<FaultSpec> faults;
-  GroupSpec group;
+  ClusterSpec group;
   routing::SubsetSettings
       subset;  // of the first tier's proxies; `proxies` and `place` from the scenario if told
   bool subset_told = true;  // proxies know how many they are, and their place
@@ -197,8 +197,8 @@
 // The first tier's proxies that a fault strikes, by their number: from its first on, round the end.
 std::vector<std::uint32_t> proxies_struck(const Scenario& s, const FaultSpec& fault);
 // The nodes that the scenario's fault of that number strikes, by their number; drawn among `nodes`.
-std::vector<ServerId> nodes_struck(const Scenario& s, std::size_t fault,
-                                   const std::vector<ServerEntry>& nodes);
+std::vector<EndpointId> nodes_struck(const Scenario& s, std::size_t fault,
+                                   const std::vector<Endpoint>& nodes);
 
 Duration longest_deadline(const Scenario& s);
 double mean_work_s(const Scenario& s);  // of a request, over all tiers, on a core of speed 1
--- a/src/emulator/talk.cpp
+++ b/src/emulator/talk.cpp
@@ -8,7 +8,7 @@
 namespace beechhill::emulator {
 
 using membership::Message;
-using membership::State;
+using membership::MemberState;
 
 namespace {
 
@@ -20,42 +20,42 @@
 
 }  // namespace
 
-TalkWorld::TalkWorld(const TalkSpec& spec)
+GossipSimulation::GossipSimulation(const GossipSimulationSpec& spec)
     : spec_(spec), random_(spec.seed, Actor::kDiscovery, kTalkStream), members_(spec.members) {
   for (std::size_t i = 0; i < members_.size(); ++i) {
     start(i);
   }
 }
 
-void TalkWorld::start(std::size_t i) {
+void GossipSimulation::start(std::size_t i) {
   Member& m = members_[i];
   ++m.life;
   m.stopped = false;
   m.waiting.clear();
   m.rate = 1 + spec_.drift * (2 * random_.uniform() - 1);
-  membership::Settings settings;
-  settings.interval = spec_.interval;
+  membership::SwimSettings settings;
+  settings.probe_interval = spec_.interval;
   for (std::uint32_t s = 0; s < spec_.seeds; ++s) {
-    settings.seeds.push_back(std::to_string(s));
+    settings.seed_addresses.push_back(std::to_string(s));
   }
-  m.swim = std::make_unique<membership::Swim>(clock(m), settings, random_.bits(), name_of(i),
+  m.swim = std::make_unique<membership::SwimNode>(clock(m), settings, random_.bits(), name_of(i),
                                               std::to_string(i), random_.bits());
   m.planned = Time{-1};
   plan(i);
 }
 
-void TalkWorld::kill(std::size_t i) {
+void GossipSimulation::kill(std::size_t i) {
   ++members_[i].life;
   members_[i].swim.reset();
   members_[i].waiting.clear();
 }
 
-void TalkWorld::stop(std::size_t i) {
+void GossipSimulation::stop(std::size_t i) {
   members_[i].stopped = true;
   members_[i].stopped_at = now_;
 }
 
-void TalkWorld::go_on(std::size_t i) {
+void GossipSimulation::go_on(std::size_t i) {
   Member& m = members_[i];
   if (!m.swim || !std::exchange(m.stopped, false)) {
     return;
@@ -63,7 +63,7 @@
   std::vector<membership::Outgoing> out;
   // As the program does: a gap of more than two periods is noticed before anything is read.
   if (now_ - m.stopped_at > 2 * spec_.interval) {
-    m.swim->woke(clock(m), out);
+    m.swim->on_resume(clock(m), out);
   }
   carry_out(i, out);
   for (const auto& [from, message] : std::exchange(m.waiting, {})) {
@@ -73,17 +73,17 @@
   plan(i);
 }
 
-void TalkWorld::leave(std::size_t i) {
+void GossipSimulation::leave(std::size_t i) {
   std::vector<membership::Outgoing> out;
   members_[i].swim->leave(clock(members_[i]), out);
   carry_out(i, out);
   kill(i);
 }
 
-void TalkWorld::run(Duration length) {
+void GossipSimulation::run(Duration length) {
   const Time end = now_ + length;
   while (!queue_.empty() && queue_.top().at <= end) {
-    const Happening h = queue_.top();
+    const Event h = queue_.top();
     queue_.pop();
     now_ = h.at;
     Member& m = members_[h.to];
@@ -110,29 +110,29 @@
   now_ = end;
 }
 
-void TalkWorld::hear(std::size_t i, std::size_t from, const Message& message) {
+void GossipSimulation::hear(std::size_t i, std::size_t from, const Message& message) {
   std::vector<membership::Outgoing> out;
   members_[i].swim->receive(clock(members_[i]), name_of(from), std::to_string(from), message, out);
   carry_out(i, out);
   plan(i);
 }
 
-void TalkWorld::carry_out(std::size_t i, std::vector<membership::Outgoing>& out) {
+void GossipSimulation::carry_out(std::size_t i, std::vector<membership::Outgoing>& out) {
   for (const membership::Outgoing& o : out) {
     books_.datagrams += 1;
     books_.bytes += membership::encode(o.message).size() + kGateAdds;
     deliver(i, place_of(o.to), o.message);
   }
-  for (const membership::Swim::Change& c : members_[i].swim->take_changes()) {
+  for (const membership::SwimNode::MemberChange& c : members_[i].swim->take_changes()) {
     const std::size_t other =
         static_cast<std::size_t>(std::stoul(c.name.substr(c.name.find('-') + 1)));
     books_.false_deaths +=
-        c.to == State::kDead && !c.joined && c.from != State::kLeft && running(other);
+        c.to == MemberState::kDead && !c.joined && c.from != MemberState::kLeft && running(other);
     books_.restarts_seen += c.restarted;
   }
 }
 
-void TalkWorld::deliver(std::size_t from, std::size_t to, const Message& message) {
+void GossipSimulation::deliver(std::size_t from, std::size_t to, const Message& message) {
   if (to >= members_.size() || (passes_ && !passes_(from, to)) || random_.uniform() < spec_.loss) {
     return;
   }
@@ -142,11 +142,11 @@
   }
 }
 
-void TalkWorld::plan(std::size_t i) {
+void GossipSimulation::plan(std::size_t i) {
   Member& m = members_[i];
   const Time due = std::max(
       now_,
-      Time(static_cast<std::int64_t>(static_cast<double>(m.swim->due().count()) / m.rate) + 1));
+      Time(static_cast<std::int64_t>(static_cast<double>(m.swim->next_tick().count()) / m.rate) + 1));
   if (m.planned >= now_ && m.planned <= due) {
     return;
   }
@@ -154,7 +154,7 @@
   queue_.push({due, ++order_, i, i, m.life, std::nullopt});
 }
 
-bool TalkWorld::agreed() const {
+bool GossipSimulation::agreed() const {
   for (std::size_t i = 0; i < members_.size(); ++i) {
     if (!running(i)) {
       continue;
@@ -163,7 +163,7 @@
     for (const auto& [name, held] : members_[i].swim->members()) {
       const std::size_t other =
           static_cast<std::size_t>(std::stoul(name.substr(name.find('-') + 1)));
-      const bool alive = held.rumour.state == State::kAlive || held.rumour.state == State::kSuspect;
+      const bool alive = held.update.state == MemberState::kAlive || held.update.state == MemberState::kSuspect;
       if (alive != running(other)) {
         return false;
       }
@@ -180,12 +180,12 @@
   return true;
 }
 
-std::optional<Time> TalkWorld::dead_since(std::size_t watcher, std::size_t other) const {
+std::optional<Time> GossipSimulation::dead_since(std::size_t watcher, std::size_t other) const {
   const auto it = members_[watcher].swim->members().find(name_of(other));
-  if (it == members_[watcher].swim->members().end() || it->second.rumour.state != State::kDead) {
+  if (it == members_[watcher].swim->members().end() || it->second.update.state != MemberState::kDead) {
     return std::nullopt;
   }
-  return Time(static_cast<std::int64_t>(static_cast<double>(it->second.since.count()) /
+  return Time(static_cast<std::int64_t>(static_cast<double>(it->second.state_since.count()) /
                                         members_[watcher].rate));
 }
 
--- a/src/emulator/talk.h
+++ b/src/emulator/talk.h
@@ -16,7 +16,7 @@
 
 namespace beechhill::emulator {
 
-struct TalkSpec {
+struct GossipSimulationSpec {
   std::uint32_t members = 3;
   std::uint64_t seed = 1;
   Duration interval{1'000'000};
@@ -27,14 +27,14 @@
   std::uint32_t seeds = 2;  // the first members, which all others know of at the start
 };
 
-class TalkWorld {
+class GossipSimulation {
  public:
-  explicit TalkWorld(const TalkSpec& spec);
+  explicit GossipSimulation(const GossipSimulationSpec& spec);
 
   void run(Duration length);  // goes on by as much
   Time now() const { return now_; }
   std::size_t size() const { return members_.size(); }
-  const membership::Swim& swim(std::size_t i) const { return *members_[i].swim; }
+  const membership::SwimNode& swim(std::size_t i) const { return *members_[i].swim; }
   bool running(std::size_t i) const { return members_[i].swim && !members_[i].stopped; }
 
   void kill(std::size_t i);
@@ -53,17 +53,17 @@
   // When `watcher` came to hold `other` for dead, since the last start; nothing: it does not.
   std::optional<Time> dead_since(std::size_t watcher, std::size_t other) const;
 
-  struct Books {
+  struct TrafficCounts {
     std::uint64_t datagrams = 0, bytes = 0;  // sent, with what the gate adds
     std::uint64_t false_deaths = 0;          // one that ran was held for dead by another
     std::uint64_t restarts_seen = 0;
   };
-  const Books& books() const { return books_; }
+  const TrafficCounts& traffic() const { return books_; }
   static std::string name_of(std::size_t i) { return "member-" + std::to_string(i); }
 
  private:
   struct Member {
-    std::unique_ptr<membership::Swim> swim;
+    std::unique_ptr<membership::SwimNode> swim;
     bool stopped = false;
     Time stopped_at{0};
     std::uint64_t life = 0;
@@ -71,13 +71,13 @@
     Time planned{-1};
     std::vector<std::pair<std::size_t, membership::Message>> waiting;
   };
-  struct Happening {
+  struct Event {
     Time at{0};
     std::uint64_t order = 0;
     std::size_t to = 0, from = 0;
     std::uint64_t life = 0;
     std::optional<membership::Message> message;  // none: a tick
-    bool operator>(const Happening& o) const { return at != o.at ? at > o.at : order > o.order; }
+    bool operator>(const Event& o) const { return at != o.at ? at > o.at : order > o.order; }
   };
   Time clock(const Member& m) const {
     return Time(static_cast<std::int64_t>(static_cast<double>(now_.count()) * m.rate));
@@ -90,14 +90,14 @@
     return static_cast<std::size_t>(std::stoul(address));
   }
 
-  const TalkSpec spec_;
+  const GossipSimulationSpec spec_;
   Stream random_;
   Time now_{0};
   std::uint64_t order_ = 0;
   std::vector<Member> members_;
-  std::priority_queue<Happening, std::vector<Happening>, std::greater<>> queue_;
+  std::priority_queue<Event, std::vector<Event>, std::greater<>> queue_;
   std::function<bool(std::size_t, std::size_t)> passes_;
-  Books books_;
+  TrafficCounts books_;
 };
 
 }  // namespace beechhill::emulator
--- a/src/emulator/works.cpp
+++ b/src/emulator/works.cpp
@@ -9,12 +9,12 @@
 namespace beechhill::emulator {
 
 using maintenance::Command;
-using maintenance::Fence;
-using maintenance::Line;
+using maintenance::FencingToken;
+using maintenance::Channel;
 using maintenance::Machine;
-using maintenance::Step;
-using maintenance::What;
-using maintenance::Works;
+using maintenance::WorkflowState;
+using maintenance::CommandType;
+using maintenance::MaintenanceCoordinator;
 using namespace std::chrono_literals;
 
 namespace {
@@ -27,16 +27,16 @@
 
 }  // namespace
 
-WorksWorld::WorksWorld(const WorksSpec& spec)
+MaintenanceSimulation::MaintenanceSimulation(const MaintenanceSimulationSpec& spec)
     : spec_(spec),
       random_(spec.seed, Actor::kFaults, kWorksStream),
       proxies_(spec.voters + spec.followers),
       backends_(spec.backends) {
   for (std::size_t i = 0; i < backends_.size(); ++i) {
     Machine& m = backends_[i].machine;
-    m.id = backend_name(i), m.kind = i % 3 == 0 ? "big" : "small";
+    m.id = backend_name(i), m.instance_type = i % 3 == 0 ? "big" : "small";
     m.zone = fmt::format("zone-{}", i % spec_.zones), m.cell = fmt::format("cell-{}", i / 4);
-    m.width = i % 3 == 0 ? 2 : 1;
+    m.relative_capacity = i % 3 == 0 ? 2 : 1;
   }
   std::vector<std::string> voters;
   for (std::size_t i = 0; i < spec_.voters; ++i) {
@@ -46,9 +46,9 @@
     Proxy& p = proxies_[i];
     p.votes = i < spec_.voters;
     if (p.votes) {
-      p.storage = std::make_unique<maintenance::MemoryStorage>();
-      for (maintenance::Record& r : maintenance::founding(voters)) {
-        p.storage->write(std::move(r));
+      p.storage = std::make_unique<maintenance::MemoryRaftStorage>();
+      for (maintenance::LogRecord& r : maintenance::initial_records(voters)) {
+        p.storage->append(std::move(r));
       }
       p.storage->lazy = spec_.disk > Duration{0};
     }
@@ -56,29 +56,29 @@
   }
 }
 
-WorksWorld::~WorksWorld() = default;
+MaintenanceSimulation::~MaintenanceSimulation() = default;
 
-maintenance::WorksSettings WorksWorld::settings(std::size_t i) const {
-  maintenance::WorksSettings s;
+maintenance::CoordinatorSettings MaintenanceSimulation::settings(std::size_t i) const {
+  maintenance::CoordinatorSettings s;
   s.self = proxy_name(i);
   s.zone = fmt::format("zone-{}", i % spec_.zones);
   for (std::size_t v = 0; v < spec_.voters; ++v) {
     s.voters.push_back(proxy_name(v));
   }
-  s.lease = kLease, s.drain_grace = kGrace, s.longest_call = spec_.call;
-  s.isolated_after = spec_.isolated_after;
-  s.bounds = spec_.bounds;
+  s.lease_duration = kLease, s.drain_grace = kGrace, s.max_request_duration = spec_.call;
+  s.isolation_timeout = spec_.isolated_after;
+  s.disruption_budget = spec_.bounds;
   return s;
 }
 
-void WorksWorld::make(std::size_t i) {
+void MaintenanceSimulation::make(std::size_t i) {
   Proxy& p = proxies_[i];
-  p.works = std::make_unique<Works>(
+  p.works = std::make_unique<MaintenanceCoordinator>(
       now_, settings(i), p.storage.get(), p.generation, ++p.life << 8 | i, random_.bits(),
       [this, i] { return kUnixStart + now_ / 1s + proxies_[i].unix_shift; });
 }
 
-void WorksWorld::start(std::size_t i) {
+void MaintenanceSimulation::start(std::size_t i) {
   Proxy& p = proxies_[i];
   p.stopped = false;
   p.waiting.clear(), p.barred_since.clear(), p.syncs.clear();
@@ -88,7 +88,7 @@
   make(i);
 }
 
-void WorksWorld::kill(std::size_t i) {
+void MaintenanceSimulation::kill(std::size_t i) {
   Proxy& p = proxies_[i];
   p.works.reset();
   p.open.clear();  // its connections end with it
@@ -98,17 +98,17 @@
   }
 }
 
-void WorksWorld::stop(std::size_t i) {
+void MaintenanceSimulation::stop(std::size_t i) {
   proxies_[i].stopped = proxies_[i].works != nullptr;
   proxies_[i].stopped_at = now_;
 }
 
-void WorksWorld::go_on(std::size_t i) {
+void MaintenanceSimulation::go_on(std::size_t i) {
   Proxy& p = proxies_[i];
   if (!std::exchange(p.stopped, false)) {
     return;
   }
-  p.works->woke(now_);
+  p.works->on_resume(now_);
   // What it had decided on before is sent first, if its rights still hold: the worst order.
   call(i);
   for (const auto& [from, line, bytes] : std::exchange(p.waiting, {})) {
@@ -116,34 +116,34 @@
   }
 }
 
-void WorksWorld::wipe(std::size_t i) {
+void MaintenanceSimulation::wipe(std::size_t i) {
   proxies_[i].storage.reset();
 }
-void WorksWorld::fail_disk(std::size_t i) {
+void MaintenanceSimulation::fail_disk(std::size_t i) {
   if (proxies_[i].storage) {
     proxies_[i].storage->fail();
   }
 }
 
-void WorksWorld::keep_copy(std::size_t i) {
+void MaintenanceSimulation::keep_copy(std::size_t i) {
   Proxy& p = proxies_[i];
-  p.copy = p.storage ? std::make_unique<maintenance::MemoryStorage>(*p.storage) : nullptr;
+  p.copy = p.storage ? std::make_unique<maintenance::MemoryRaftStorage>(*p.storage) : nullptr;
   if (p.copy) {
     p.copy->crash();
   }
   p.copy_generation = p.generation;
 }
 
-void WorksWorld::put_back(std::size_t i) {
+void MaintenanceSimulation::put_back(std::size_t i) {
   Proxy& p = proxies_[i];
   if (!p.copy) {
     return;
   }
-  p.storage = std::make_unique<maintenance::MemoryStorage>(*p.copy);
+  p.storage = std::make_unique<maintenance::MemoryRaftStorage>(*p.copy);
   p.generation = p.copy_generation;
 }
 
-void WorksWorld::backend_down(std::size_t i, bool down) {
+void MaintenanceSimulation::backend_down(std::size_t i, bool down) {
   Backend& b = backends_[i];
   if (b.in_work || b.down == down) {
     return;
@@ -151,50 +151,50 @@
   b.down = down;
   b.machine.up = !down;
   if (!down) {
-    b.machine.born = now_.count(), b.back = now_, b.machine.warm = false;
+    b.machine.started_at = now_.count(), b.back = now_, b.machine.warm = false;
   }
 }
 
-void WorksWorld::order(std::size_t at, Command command) {
+void MaintenanceSimulation::order(std::size_t at, Command command) {
   if (running(at)) {
-    proxies_[at].works->order(now_, std::move(command), [](bool, const std::string&) {});
+    proxies_[at].works->submit_command(now_, std::move(command), [](bool, const std::string&) {});
   }
 }
 
-std::optional<std::size_t> WorksWorld::leader() const {
+std::optional<std::size_t> MaintenanceSimulation::leader() const {
   std::optional<std::size_t> found;
   for (std::size_t i = 0; i < proxies_.size(); ++i) {
-    if (running(i) && works(i).leads() &&
-        (!found || works(i).ledger().index() > works(*found).ledger().index())) {
+    if (running(i) && coordinator(i).is_leader() &&
+        (!found || coordinator(i).state_machine().applied_index() > coordinator(*found).state_machine().applied_index())) {
       found = i;
     }
   }
   return found;
 }
 
-bool WorksWorld::whole() const {
+bool MaintenanceSimulation::whole() const {
   const auto lead = leader();
   if (!lead) {
     return false;
   }
   std::size_t known = 0;
-  for (const maintenance::Voter& v : works(*lead).voters()) {
+  for (const maintenance::Voter& v : coordinator(*lead).voters()) {
     for (std::size_t i = 0; i < spec_.voters; ++i) {
-      known += proxy_name(i) == v.name && running(i) && works(i).votes() &&
+      known += proxy_name(i) == v.name && running(i) && coordinator(i).is_voter() &&
                proxies_[i].generation == v.generation;
     }
   }
-  return known == spec_.voters && works(*lead).voters().size() == spec_.voters;
+  return known == spec_.voters && coordinator(*lead).voters().size() == spec_.voters;
 }
 
-void WorksWorld::run(Duration length) {
+void MaintenanceSimulation::run(Duration length) {
   for (const Time end = now_ + length; now_ < end;) {
     now_ += kStep;
     step();
   }
 }
 
-void WorksWorld::step() {
+void MaintenanceSimulation::step() {
   while (!flying_.empty() && flying_.begin()->first <= now_) {
     const Flying f = std::move(flying_.begin()->second);
     flying_.erase(flying_.begin());
@@ -220,7 +220,7 @@
   check();
 }
 
-void WorksWorld::drive(std::size_t i) {
+void MaintenanceSimulation::drive(std::size_t i) {
   Proxy& p = proxies_[i];
   for (auto& [machine, ends] : p.open) {
     while (!ends.empty() && ends.front() <= now_) {
@@ -231,14 +231,14 @@
     return;
   }
   if (p.storage && p.storage->lazy) {
-    if (p.storage->written() > p.storage->durable() && p.syncs.empty()) {
-      p.syncs.emplace_back(p.storage->written(), now_ + spec_.disk);
+    if (p.storage->appended_records() > p.storage->durable_records() && p.syncs.empty()) {
+      p.syncs.emplace_back(p.storage->appended_records(), now_ + spec_.disk);
     }
     if (!p.syncs.empty() && now_ >= p.syncs.front().second) {
       p.syncs.pop_front(), p.storage->sync();
     }
   }
-  p.works->see(view(i));
+  p.works->update_local_view(view(i));
   p.works->tick(now_);
   if (p.votes && (p.works->rolled_back() || !p.storage)) {
     // As the program does: what cannot be relied on is set aside, and the voter waits to be let in
@@ -247,13 +247,13 @@
       p.works.reset(), p.storage.reset(), make(i);
     }
     if (const auto generation = p.works->readmitted()) {
-      p.storage = std::make_unique<maintenance::MemoryStorage>();
+      p.storage = std::make_unique<maintenance::MemoryRaftStorage>();
       p.storage->lazy = spec_.disk > Duration{0};
       p.generation = *generation;
       make(i);
     }
   }
-  for (const Works::Outgoing& o : p.works->take_outgoing()) {
+  for (const MaintenanceCoordinator::Outgoing& o : p.works->take_outgoing()) {
     send(i, o);
   }
   if (to_s(now_) >= p.next_call) {
@@ -262,7 +262,7 @@
   }
 }
 
-void WorksWorld::call(std::size_t i) {
+void MaintenanceSimulation::call(std::size_t i) {
   Proxy& p = proxies_[i];
   std::vector<std::size_t> usable;
   for (std::size_t b = 0; b < backends_.size(); ++b) {
@@ -287,49 +287,49 @@
 }
 
 // The program's own rule, or what a bug makes of it.
-Time WorksWorld::right_ends(const Proxy& p, const std::string& machine) const {
-  const Time until = p.works->may_use_until(machine);
-  const auto right = p.works->rights().find(machine);
-  if (right == p.works->rights().end() || !right->second.announced) {
+Time MaintenanceSimulation::right_ends(const Proxy& p, const std::string& machine) const {
+  const Time until = p.works->dispatch_permitted_until(machine);
+  const auto right = p.works->dispatch_permissions().find(machine);
+  if (right == p.works->dispatch_permissions().end() || !right->second.lease_required) {
     return until;
   }
-  if (spec_.bug == WorksBug::kLongLease) {
+  if (spec_.bug == SeededBug::kLongLease) {
     return until + 4 * kLease;
   }
-  return spec_.bug == WorksBug::kNoLease ? Time::max() : until;
+  return spec_.bug == SeededBug::kNoLease ? Time::max() : until;
 }
 
-maintenance::View WorksWorld::view(std::size_t i) {
+maintenance::LocalView MaintenanceSimulation::view(std::size_t i) {
   Proxy& p = proxies_[i];
-  maintenance::View v;
+  maintenance::LocalView v;
   for (const Backend& b : backends_) {
     v.machines.push_back(b.machine);
   }
   for (std::size_t z = 0; z < spec_.zones; ++z) {
-    v.use[fmt::format("zone-{}", z)] = spec_.use;
+    v.zone_utilization[fmt::format("zone-{}", z)] = spec_.use;
   }
   std::set<std::string> barred;
-  for (const auto& [id, right] : p.works->rights()) {
-    if (right.barred) {
+  for (const auto& [id, right] : p.works->dispatch_permissions()) {
+    if (right.dispatch_forbidden) {
       barred.insert(id), p.barred_since.try_emplace(id, now_);
     }
   }
   std::erase_if(p.barred_since, [&](const auto& b) { return !barred.contains(b.first); });
   for (const auto& [id, since] : p.barred_since) {
     const auto open = p.open.find(id);
-    if (spec_.bug == WorksBug::kConfirmsBusy) {
+    if (spec_.bug == SeededBug::kConfirmsBusy) {
       continue;
     }
     if (now_ < since + kGrace || (open != p.open.end() && !open->second.empty())) {
-      v.busy.insert(id);
+      v.busy_machines.insert(id);
     }
   }
-  v.idle = p.works->self_out();
-  v.served = 100 * static_cast<std::uint64_t>(now_ / 1s);
+  v.is_idle = p.works->is_self_out();
+  v.served_requests = 100 * static_cast<std::uint64_t>(now_ / 1s);
   return v;
 }
 
-void WorksWorld::send(std::size_t from, const Works::Outgoing& o) {
+void MaintenanceSimulation::send(std::size_t from, const MaintenanceCoordinator::Outgoing& o) {
   const auto to = static_cast<std::size_t>(std::stoul(o.to.substr(o.to.find('-') + 1)));
   if (to >= proxies_.size() || (passes_ && !passes_(from, to)) || random_.uniform() < spec_.loss) {
     return;
@@ -341,17 +341,17 @@
 }
 
 // Staff look at what the one that leads says, work on what is out, and switch it on again.
-void WorksWorld::staff() {
+void MaintenanceSimulation::staff() {
   const auto lead = leader();
   if (!lead) {
     return;
   }
-  const auto& courses = works(*lead).ledger().courses();
+  const auto& courses = coordinator(*lead).state_machine().workflows();
   for (Backend& b : backends_) {
     const auto c = courses.find(b.machine.id);
-    const bool out = c != courses.end() && c->second.step == Step::kOut;
-    if (out && !b.in_work && c->second.fence != b.fence) {
-      b.in_work = true, b.out_since = now_, b.fence = c->second.fence,
+    const bool out = c != courses.end() && c->second.state == WorkflowState::kOut;
+    if (out && !b.in_work && c->second.fencing_token != b.fence) {
+      b.in_work = true, b.out_since = now_, b.fence = c->second.fencing_token,
       b.request = c->second.request;
       b.machine.up = false, b.work_ends = now_ + spec_.work;
       for (std::size_t i = 0; i < proxies_.size(); ++i) {
@@ -365,7 +365,7 @@
     }
     if (b.in_work && staff_works_ && now_ >= b.work_ends) {
       b.in_work = false, b.out_since.reset();
-      b.machine.up = true, b.machine.warm = false, b.machine.born = now_.count(), b.back = now_;
+      b.machine.up = true, b.machine.warm = false, b.machine.started_at = now_.count(), b.back = now_;
       ++taken_out_;
       b.say_done_at = now_;
     }
@@ -373,42 +373,42 @@
     if (out && !b.in_work && now_ >= b.say_done_at) {
       b.say_done_at = now_ + 500ms;
       Command done;
-      done.what = What::kDone, done.id = b.request, done.machine = b.machine.id;
+      done.type = CommandType::kCompleteWork, done.id = b.request, done.machine = b.machine.id;
       order(*lead, done);
     }
   }
 }
 
-void WorksWorld::check() {
+void MaintenanceSimulation::check() {
   for (std::size_t i = 0; i < spec_.voters; ++i) {
     if (!proxies_[i].works) {
       continue;
     }
-    const maintenance::Ledger& ledger = works(i).ledger();
-    if (checked_[i] == ledger.index() || ledger.index() == 0) {
+    const maintenance::MaintenanceStateMachine& ledger = coordinator(i).state_machine();
+    if (checked_[i] == ledger.applied_index() || ledger.applied_index() == 0) {
       continue;
     }
-    checked_[i] = ledger.index();
+    checked_[i] = ledger.applied_index();
     const std::size_t hash = std::hash<std::string>{}(ledger.snapshot());
-    const auto [state, fresh] = states_.try_emplace(ledger.index(), hash);
+    const auto [state, fresh] = states_.try_emplace(ledger.applied_index(), hash);
     if (!fresh && state->second != hash) {
-      tell(verdict_.split_minds, fmt::format("two states of index {}", ledger.index()));
+      tell(verdict_.split_minds, fmt::format("two states of index {}", ledger.applied_index()));
     }
     std::map<std::string, std::uint32_t> zones;
     std::uint32_t out = 0;
-    for (const auto& [id, c] : ledger.courses()) {
-      const auto [whose, first] = fences_.try_emplace(c.fence, id);
+    for (const auto& [id, c] : ledger.workflows()) {
+      const auto [whose, first] = fences_.try_emplace(c.fencing_token, id);
       if (!first && whose->second != id) {
         tell(verdict_.split_minds,
-             fmt::format("fence {} of {} and of {}", c.fence, id, whose->second));
+             fmt::format("fence {} of {} and of {}", c.fencing_token, id, whose->second));
       }
       if (id.starts_with("backend")) {
         ++out, ++zones[ledger.machines().contains(id) ? ledger.machines().at(id).zone : ""];
       }
     }
-    bool over = out > spec_.bounds.most_out;
+    bool over = out > spec_.bounds.max_out;
     for (const auto& [zone, count] : zones) {
-      over = over || count > spec_.bounds.most_out_zone;
+      over = over || count > spec_.bounds.max_out_per_zone;
     }
     if (over) {
       tell(verdict_.too_many, fmt::format("{} are out", out));
@@ -417,22 +417,22 @@
   // By the machines themselves: however many leaders there may be.
   const auto working = static_cast<std::uint32_t>(std::count_if(
       backends_.begin(), backends_.end(), [](const Backend& b) { return b.in_work; }));
-  if (working > spec_.bounds.most_out) {
+  if (working > spec_.bounds.max_out) {
     tell(verdict_.too_many, fmt::format("{} are worked on", working));
   }
 }
 
-void WorksWorld::tell(std::uint64_t& count, const std::string& what) {
+void MaintenanceSimulation::tell(std::uint64_t& count, const std::string& what) {
   ++count;
   if (verdict_.all() <= kMostTold) {
     verdict_.text += fmt::format("{:.2f} s: {}\n", to_s(now_), what);
   }
 }
 
-std::vector<std::string> WorksWorld::open_requests() const {
+std::vector<std::string> MaintenanceSimulation::open_requests() const {
   std::vector<std::string> open;
   if (const auto lead = leader()) {
-    for (const auto& [id, q] : works(*lead).ledger().requests()) {
+    for (const auto& [id, q] : coordinator(*lead).state_machine().requests()) {
       if (q.open()) {
         open.push_back(id);
       }
@@ -441,23 +441,23 @@
   return open;
 }
 
-std::vector<std::string> WorksWorld::silent_requests() const {
+std::vector<std::string> MaintenanceSimulation::silent_requests() const {
   std::vector<std::string> silent;
   const auto lead = leader();
   if (!lead) {
     return {"nobody leads"};
   }
   for (const std::string& id : open_requests()) {
-    if (works(*lead).ledger().explain(id, {}).empty()) {
+    if (coordinator(*lead).state_machine().explain(id, {}).empty()) {
       silent.push_back(id);
     }
   }
   return silent;
 }
 
-WorksPlay play_drawn_works(std::uint64_t seed, std::uint32_t most_followers) {
+MaintenanceRun run_drawn_maintenance(std::uint64_t seed, std::uint32_t most_followers) {
   Stream dice(seed, Actor::kFaults, kWorksStream + 1);
-  WorksSpec s;
+  MaintenanceSimulationSpec s;
   s.seed = seed;
   s.voters = static_cast<std::uint32_t>(3 + 2 * dice.below(3));
   s.followers = static_cast<std::uint32_t>(dice.below(most_followers + 1));
@@ -465,22 +465,22 @@
   s.delay = to_span(dice.uniform({0.0005, 0.03}));
   s.disk = dice.below(2) ? to_span(dice.uniform({0.001, 0.05})) : Duration{0};
   s.isolated_after = dice.below(2) ? Duration{4'000'000} : Duration{0};
-  s.bounds.most_out = 1 + static_cast<std::uint32_t>(dice.below(3)), s.bounds.most_out_zone = 2,
-  s.bounds.most_out_cell = 2;
-  s.bounds.evacuate_within = 30, s.bounds.put_off = 3, s.bounds.calm = 3;
+  s.bounds.max_out = 1 + static_cast<std::uint32_t>(dice.below(3)), s.bounds.max_out_per_zone = 2,
+  s.bounds.max_out_per_cell = 2;
+  s.bounds.drain_timeout = 30, s.bounds.deferral = 3, s.bounds.quiet_period = 3;
   s.bounds.needs_approval = false;
-  WorksWorld w(s);
-  WorksPlay play;
+  MaintenanceSimulation w(s);
+  MaintenanceRun play;
   const auto did = [&](const std::string& what) {
     play.plan += fmt::format("{:.2f} s: {}\n", to_s(w.now()), what);
   };
   w.run(4s);
   for (const char* zone : {"zone-0", "zone-1"}) {  // two of staff, who do not know of each other
     Command ask;
-    ask.what = What::kAsk;
+    ask.type = CommandType::kSubmitRequest;
     ask.request = maintenance::Request{};
-    ask.request->id = std::string("all-of-") + zone, ask.request->by = "staff",
-    ask.request->at_once = 2;
+    ask.request->id = std::string("all-of-") + zone, ask.request->requested_by = "staff",
+    ask.request->max_concurrent = 2;
     ask.request->select.zone = zone;
     for (int i = 0; i < 3; ++i) {  // till somebody takes it; it counts once
       w.order(dice.below(w.size()), ask);
--- a/src/emulator/works.h
+++ b/src/emulator/works.h
@@ -18,14 +18,14 @@
 namespace beechhill::emulator {
 
 // Faults of the proxies' own, put in to see that the verdict finds them.
-enum class WorksBug {
+enum class SeededBug {
   kNone,
   kLongLease,     // a lease is taken for four times as long as it is
   kConfirmsBusy,  // a machine is confirmed to be empty with calls open there
   kNoLease,       // announced machines are used whatever became of the lease
 };
 
-struct WorksSpec {
+struct MaintenanceSimulationSpec {
   std::uint32_t voters = 3, followers = 3;
   std::uint32_t backends = 12, zones = 2;
   std::uint64_t seed = 1;
@@ -37,15 +37,15 @@
   Duration work{1'500'000};  // of staff, on one machine
   Duration warm{1'000'000};  // until a machine that is back is warm
   Duration isolated_after{0};
-  maintenance::Bounds bounds;
+  maintenance::DisruptionBudget bounds;
   double use = 0.5;
-  WorksBug bug = WorksBug::kNone;
+  SeededBug bug = SeededBug::kNone;
 };
 
-class WorksWorld {
+class MaintenanceSimulation {
  public:
-  explicit WorksWorld(const WorksSpec& spec);
-  ~WorksWorld();
+  explicit MaintenanceSimulation(const MaintenanceSimulationSpec& spec);
+  ~MaintenanceSimulation();
 
   void run(Duration length);
   Time now() const { return now_; }
@@ -55,7 +55,7 @@
   void order(std::size_t at, maintenance::Command command);
   std::optional<std::size_t> leader() const;  // that leads, as far as it knows, and runs
   bool whole() const;  // all voters run and vote: one of them may lose its storage
-  const maintenance::Works& works(std::size_t i) const { return *proxies_[i].works; }
+  const maintenance::MaintenanceCoordinator& coordinator(std::size_t i) const { return *proxies_[i].works; }
   bool running(std::size_t i) const { return proxies_[i].works && !proxies_[i].stopped; }
 
   void kill(std::size_t i);
@@ -72,8 +72,8 @@
   void shift_clock(std::size_t i, maintenance::Seconds by) { proxies_[i].unix_shift += by; }
   void backend_down(std::size_t i, bool down);  // by itself
   // Staff let what is out stay out.
-  void strike() { staff_works_ = false; }
-  void work_again() { staff_works_ = true; }
+  void pause_operators() { staff_works_ = false; }
+  void resume_operators() { staff_works_ = true; }
 
   // What never may be, with the first few told.
   struct Verdict {
@@ -94,8 +94,8 @@
 
  private:
   struct Proxy {
-    std::unique_ptr<maintenance::MemoryStorage> storage, copy;
-    std::unique_ptr<maintenance::Works> works;  // after its storage, which it borrows
+    std::unique_ptr<maintenance::MemoryRaftStorage> storage, copy;
+    std::unique_ptr<maintenance::MaintenanceCoordinator> works;  // after its storage, which it borrows
     std::uint32_t generation = 1, copy_generation = 1;
     bool votes = false, stopped = false, ending = false;
     Time stopped_at{0};
@@ -105,7 +105,7 @@
     std::map<std::string, Time> barred_since;
     std::map<std::string, std::deque<Time>> open;  // ends of calls, by machine
     std::deque<std::pair<std::uint64_t, Time>> syncs;
-    std::vector<std::tuple<std::size_t, maintenance::Line, std::string>> waiting;
+    std::vector<std::tuple<std::size_t, maintenance::Channel, std::string>> waiting;
   };
   struct Backend {
     maintenance::Machine machine;
@@ -114,11 +114,11 @@
     std::optional<Time> out_since;  // as the one that leads said
     std::string request;
     Time say_done_at = Time::max();
-    maintenance::Fence fence = 0;
+    maintenance::FencingToken fence = 0;
   };
   struct Flying {
     std::size_t to = 0, from = 0;
-    maintenance::Line line = maintenance::Line::kSettled;
+    maintenance::Channel line = maintenance::Channel::kCoordination;
     std::string bytes;
   };
 
@@ -126,19 +126,19 @@
   static std::string backend_name(std::size_t i) {
     return "backend-" + std::to_string(100'000 + i).substr(1);
   }
-  maintenance::WorksSettings settings(std::size_t i) const;
+  maintenance::CoordinatorSettings settings(std::size_t i) const;
   void make(std::size_t i);
   void step();
   void drive(std::size_t i);
   void call(std::size_t i);
   Time right_ends(const Proxy& proxy, const std::string& machine) const;
-  maintenance::View view(std::size_t i);
-  void send(std::size_t from, const maintenance::Works::Outgoing& o);
+  maintenance::LocalView view(std::size_t i);
+  void send(std::size_t from, const maintenance::MaintenanceCoordinator::Outgoing& o);
   void staff();
   void check();
   void tell(std::uint64_t& count, const std::string& what);
 
-  const WorksSpec spec_;
+  const MaintenanceSimulationSpec spec_;
   Stream random_;
   Time now_{0};
   std::vector<Proxy> proxies_;
@@ -146,9 +146,9 @@
   std::multimap<Time, Flying> flying_;
   std::function<bool(std::size_t, std::size_t)> passes_;
   bool staff_works_ = true;
-  std::map<maintenance::Index, std::size_t> states_;  // hashes of settled states, by index
-  std::map<maintenance::Fence, std::string> fences_;  // whose each is
-  std::map<std::size_t, maintenance::Index> checked_;
+  std::map<maintenance::LogIndex, std::size_t> states_;  // hashes of settled states, by index
+  std::map<maintenance::FencingToken, std::string> fences_;  // whose each is
+  std::map<std::size_t, maintenance::LogIndex> checked_;
   std::size_t taken_out_ = 0;
   std::uint64_t calls_made_ = 0, kept_back_ = 0;
   Verdict verdict_;
@@ -156,12 +156,12 @@
 
 // A plan of faults drawn from a seed, played against a round of work over all backends; the verdict
 // holds what broke.
-struct WorksPlay {
-  WorksWorld::Verdict verdict;
+struct MaintenanceRun {
+  MaintenanceSimulation::Verdict verdict;
   std::size_t taken_out = 0, backends = 0;
   std::vector<std::string> silent, open;  // requests at its end
   std::string plan;                       // what was done, a line each
 };
-WorksPlay play_drawn_works(std::uint64_t seed, std::uint32_t most_followers);
+MaintenanceRun run_drawn_maintenance(std::uint64_t seed, std::uint32_t most_followers);
 
 }  // namespace beechhill::emulator
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -61,16 +61,16 @@
 
 // ---- Building
 
-ServerId World::add_node(std::uint32_t tier, std::optional<Time> born) {
-  const auto id = static_cast<ServerId>(nodes_[tier].size());
+EndpointId World::add_node(std::uint32_t tier, std::optional<Time> born) {
+  const auto id = static_cast<EndpointId>(nodes_[tier].size());
   const TierSpec& spec = s_.tiers[tier];
   nodes_[tier].emplace_back(spec, s_.seed, (static_cast<std::uint64_t>(tier) << 24) + id, born,
                             now_);
   NodeState& n = nodes_[tier].back();
-  n.entry.server = id;
+  n.entry.id = id;
   n.entry.cell = id / spec.cell_size;
   n.entry.zone = n.entry.cell % spec.zones;  // a cell stands in one zone
-  n.entry.born = born;
+  n.entry.started_at = born;
   n.cold = born.has_value();
   if (tier + 1 < s_.tiers.size()) {
     n.below = add_proxy(tier + 1, n.entry.zone);
@@ -97,12 +97,12 @@
   ++p.life;
   const auto replicas =
       static_cast<std::uint32_t>(p.tier == 0 ? s_.proxies : s_.tiers[p.tier - 1].nodes);
-  if (s_.subset.nodes > 0 && p.tier == 0) {
+  if (s_.subset.min_endpoints > 0 && p.tier == 0) {
     routing::SubsetSettings subset = s_.subset;
     if (s_.subset_told) {
-      subset.proxies = s_.proxies, subset.place = p.index;
+      subset.proxies = s_.proxies, subset.proxy_index = p.index;
     }
-    p.subset.emplace(subset, routing::unit_for(settings_for(s_, 0, 0, 1, 0).classes),
+    p.subset.emplace(subset, routing::subset_unit_for(settings_for(s_, 0, 0, 1, 0).classes),
                      "proxy-" + std::to_string(index));
   }
   std::vector<Action> actions;
@@ -110,10 +110,10 @@
                           actions);
   perform(index, actions);
   if (again) {
-    Discovery last{ListKind::kLastHeld, {}};
+    EndpointUpdate last{UpdateKind::kCached, {}};
     for (const Held& h : p.list) {
       if (h.known) {
-        last.entries.push_back(h.entry);
+        last.endpoints.push_back(h.entry);
       }
     }
     drive_list(index, last);
@@ -267,7 +267,7 @@
     const std::vector<Own> own = std::move(own_);
     own_.clear();
     for (const Own& o : own) {
-      outcome(o.call, o.attempt, Result::kMoot, {}, 0);
+      outcome(o.call, o.attempt, Result::kSkipped, {}, 0);
     }
   }
   driving_ = false;
@@ -279,21 +279,21 @@
 }
 
 bool World::cut_between(const Cut& cut, const Proxy& proxy, std::uint32_t tier,
-                        ServerId node) const {
+                        EndpointId node) const {
   return s_.faults[cut.fault].tier == tier && proxy.index < cut.proxies.size() &&
          cut.proxies[proxy.index] && node < cut.nodes.size() && cut.nodes[node];
 }
 
-bool World::blocked(const Proxy& proxy, std::uint32_t tier, ServerId node, Way way) const {
+bool World::blocked(const Proxy& proxy, std::uint32_t tier, EndpointId node, Direction way) const {
   return std::any_of(cuts_.begin(), cuts_.end(), [&](const Cut& cut) {
     const FaultSpec& f = s_.faults[cut.fault];
     return f.kind == FaultKind::kPartition &&
-           (way == Way::kBoth || f.way == Way::kBoth || f.way == way) &&
+           (way == Direction::kBoth || f.way == Direction::kBoth || f.way == way) &&
            cut_between(cut, proxy, tier, node);
   });
 }
 
-Duration World::link_delay(const Proxy& proxy, std::uint32_t tier, ServerId node) const {
+Duration World::link_delay(const Proxy& proxy, std::uint32_t tier, EndpointId node) const {
   Duration sum{0};
   for (const Cut& cut : cuts_) {
     if (s_.faults[cut.fault].kind == FaultKind::kLinkDelay && cut_between(cut, proxy, tier, node)) {
@@ -307,7 +307,7 @@
 void World::reset_links(const Cut& cut) {
   const std::uint32_t tier = s_.faults[cut.fault].tier;
   std::vector<Own> ended;
-  for (ServerId node = 0; node < cut.nodes.size(); ++node) {
+  for (EndpointId node = 0; node < cut.nodes.size(); ++node) {
     if (!cut.nodes[node]) {
       continue;
     }
@@ -329,17 +329,17 @@
   }
 }
 
-void World::act(std::uint32_t proxy, const Send& a) {
+void World::act(std::uint32_t proxy, const StartAttempt& a) {
   Proxy& p = proxies_[proxy];
   Call* c = calls_.find(a.id);
-  if (!c || c->proxy != proxy || a.server >= p.list.size()) {
-    rules_.sent(now_, a.id, p.tier, a.server, {}, std::nullopt);
+  if (!c || c->proxy != proxy || a.endpoint >= p.list.size()) {
+    rules_.sent(now_, a.id, p.tier, a.endpoint, {}, std::nullopt);
     return;
   }
-  const Held& held = p.list[a.server];
-  rules_.sent(now_, a.id, p.tier, a.server, held.entry, held.told);
+  const Held& held = p.list[a.endpoint];
+  rules_.sent(now_, a.id, p.tier, a.endpoint, held.entry, held.told);
   const auto attempt = static_cast<std::uint32_t>(c->attempts.size());
-  c->attempts.push_back({a.server, true, 0});
+  c->attempts.push_back({a.endpoint, true, 0});
   ++c->out;
   if (c->over || now_ >= c->deadline || c->attempts.size() > s_.tries) {
     own_.push_back({a.id, attempt});
@@ -349,17 +349,17 @@
     ++metrics_.attempts;
   }
   if (metrics_.counted(now_)) {
-    metrics_.crossings += p.zone != nodes_[p.tier][a.server].entry.zone;
+    metrics_.crossings += p.zone != nodes_[p.tier][a.endpoint].entry.zone;
   }
   if (Second* w = metrics_.second_of(now_)) {
     ++w->attempts;
   }
-  NodeState& n = nodes_[p.tier][a.server];
+  NodeState& n = nodes_[p.tier][a.endpoint];
   const TierSpec& spec = s_.tiers[p.tier];
   Job job;
   job.tier = p.tier;
   job.proxy = proxy;
-  job.node = a.server;
+  job.node = a.endpoint;
   job.call = a.id;
   job.attempt = attempt;
   job.c = c->c;
@@ -374,7 +374,7 @@
   }
   job.first = job.calls_left > 0 ? own / 2 : own;
   job.second = job.calls_left > 0 ? own / 2 : 0;
-  Connections& links = p.connections[a.server];
+  Connections& links = p.connections[a.endpoint];
   if (links.used + spec.idle_close < now_) {
     links.idle = 0;
   }
@@ -382,7 +382,7 @@
     ++metrics_.pairs;
   }
   links.used = std::max(now_, Time{1});
-  Duration trip = hop(p, n.entry.zone) + link_delay(p, p.tier, a.server);
+  Duration trip = hop(p, n.entry.zone) + link_delay(p, p.tier, a.endpoint);
   const bool opens = links.idle == 0;
   ++n.sent, n.opened += opens;
   if (!opens) {
@@ -394,7 +394,7 @@
     trip += spec.handshake + 2 * s_.network;
   }
   n.inbound += job.first;
-  const bool reaches = n.mode == Mode::kUp && !blocked(p, p.tier, a.server, Way::kBoth);
+  const bool reaches = n.mode == Mode::kUp && !blocked(p, p.tier, a.endpoint, Direction::kBoth);
   const std::uint64_t id = jobs_.add(std::move(job));
   c->attempts[attempt].job = id;
   if (!reaches && opens && n.mode != Mode::kDown) {
@@ -424,13 +424,13 @@
   queue_.add(now_, Kind::kCancelled, a.id, a.attempt);
 }
 
-void World::act(std::uint32_t proxy, const Probe& a) {
+void World::act(std::uint32_t proxy, const HealthCheck& a) {
   Proxy& p = proxies_[proxy];
   ++metrics_.probes;
-  const NodeState& n = nodes_[p.tier][a.server];
-  const bool answers = n.mode == Mode::kUp && !blocked(p, p.tier, a.server, Way::kBoth);
+  const NodeState& n = nodes_[p.tier][a.endpoint];
+  const bool answers = n.mode == Mode::kUp && !blocked(p, p.tier, a.endpoint, Direction::kBoth);
   const Duration after = answers ? hop(p, n.entry.zone) + hop(p, n.entry.zone) : s_.connect_timeout;
-  queue_.add(now_ + after, Kind::kProbeDone, proxy, p.life, a.server, answers);
+  queue_.add(now_ + after, Kind::kProbeDone, proxy, p.life, a.endpoint, answers);
 }
 
 void World::act(std::uint32_t proxy, const SetTimer& a) {
@@ -513,7 +513,7 @@
 
 // ---- Nodes
 
-double World::wait_s(Time now, std::uint32_t tier, ServerId node) const {
+double World::wait_s(Time now, std::uint32_t tier, EndpointId node) const {
   const NodeState& n = nodes_[tier][node];
   if (n.mode != Mode::kUp || n.errors > 0.1) {
     return kNever;
@@ -525,7 +525,7 @@
   return n.model.backlog_s(now) + (n.inbound + usual_work_ * spec.work) / n.model.capacity(now);
 }
 
-bool World::spares(Time now, std::uint32_t tier, ServerId node) const {
+bool World::spares(Time now, std::uint32_t tier, EndpointId node) const {
   const NodeState& n = nodes_[tier][node];
   return !n.model.cold(now) || n.model.in_hand() < s_.tiers[tier].cores;
 }
@@ -544,7 +544,7 @@
   if (n.mode == Mode::kDown) {
     return send_back(id, Result::kConnectFailed);
   }
-  if (n.mode == Mode::kSilent || blocked(p, job.tier, job.node, Way::kThere)) {
+  if (n.mode == Mode::kSilent || blocked(p, job.tier, job.node, Direction::kThere)) {
     return jobs_.remove(id);  // never heard of again
   }
   const TierSpec& spec = s_.tiers[job.tier];
@@ -554,7 +554,7 @@
       rules_.node_warm(job.tier, job.node);
     } else {
       const Held& held = p.list[job.node];
-      const bool aware = held.known && held.entry.born == n.entry.born;
+      const bool aware = held.known && held.entry.started_at == n.entry.started_at;
       if (rules_.pressed(now_, job.tier, job.node, job.first + job.second, n.model.capacity(now_),
                          usual_work_ * spec.work, aware)) {
         ++metrics_.tipped;
@@ -570,7 +570,7 @@
   std::vector<Start> starts;
   if (!n.model.take(now_, id, job.first, starts)) {
     job.report = n.model.report(now_, n.late);
-    return send_back(id, Result::kFull);
+    return send_back(id, Result::kOverloaded);
   }
   job.there = true;
   job.place = n.jobs.size();
@@ -670,7 +670,7 @@
   Job& job = *jobs_.find(id);
   Proxy& p = proxies_[job.proxy];
   const NodeState& n = nodes_[job.tier][job.node];
-  if (n.mode == Mode::kSilent || blocked(p, job.tier, job.node, Way::kBack)) {
+  if (n.mode == Mode::kSilent || blocked(p, job.tier, job.node, Direction::kBack)) {
     return jobs_.remove(id);
   }
   job.result = result;
@@ -679,7 +679,7 @@
              id);
 }
 
-void World::lose_jobs(std::uint32_t tier, ServerId node, bool reset) {
+void World::lose_jobs(std::uint32_t tier, EndpointId node, bool reset) {
   const std::vector<std::uint64_t> lost = std::move(nodes_[tier][node].jobs);
   nodes_[tier][node].jobs.clear();
   for (const std::uint64_t id : lost) {
@@ -702,8 +702,8 @@
 
 // ---- Discovery and faults
 
-void World::tell(std::uint32_t tier, const ServerEntry& entry, Duration more) {
-  messages_.push_back(Discovery{ListKind::kChanges, {entry}});
+void World::tell(std::uint32_t tier, const Endpoint& entry, Duration more) {
+  messages_.push_back(EndpointUpdate{UpdateKind::kDelta, {entry}});
   changes_.push_back({now_ + more, tier, entry});
   for (const std::uint32_t index : by_tier_[tier]) {
     Proxy& p = proxies_[index];
@@ -714,14 +714,14 @@
   }
 }
 
-void World::hold(Proxy& p, const ServerEntry& e) {
-  if (p.list.size() <= e.server) {
-    p.list.resize(e.server + 1);
+void World::hold(Proxy& p, const Endpoint& e) {
+  if (p.list.size() <= e.id) {
+    p.list.resize(e.id + 1);
   }
-  Held& h = p.list[e.server];
-  const bool was_up = h.known && h.entry.state == ServerState::kUp;
+  Held& h = p.list[e.id];
+  const bool was_up = h.known && h.entry.status == EndpointStatus::kUp;
   h.entry = e;
-  if (e.state == ServerState::kUp) {
+  if (e.status == EndpointStatus::kUp) {
     h.told.reset();
   } else if (was_up || !h.told) {
     h.told = now_;
@@ -735,72 +735,72 @@
     return;  // the whole list makes up for it
   }
   if (message != kWholeList) {
-    for (const ServerEntry& e : messages_[message].entries) {
+    for (const Endpoint& e : messages_[message].endpoints) {
       hold(p, e);
     }
     drive_list(index, messages_[message]);
     return;
   }
-  std::vector<ServerEntry> entries;
+  std::vector<Endpoint> entries;
   for (const NodeState& n : nodes_[p.tier]) {
-    if (n.entry.state != ServerState::kRemoved) {
+    if (n.entry.status != EndpointStatus::kRemoved) {
       entries.push_back(n.entry);
     }
   }
   told_whole(index, entries);
 }
 
-void World::told_whole(std::uint32_t index, const std::vector<ServerEntry>& entries) {
+void World::told_whole(std::uint32_t index, const std::vector<Endpoint>& entries) {
   Proxy& p = proxies_[index];
   std::vector<bool> named(p.list.size());
-  for (const ServerEntry& e : entries) {
-    if (e.server < named.size()) {
-      named[e.server] = true;
+  for (const Endpoint& e : entries) {
+    if (e.id < named.size()) {
+      named[e.id] = true;
     }
   }
   for (std::size_t i = 0; i < named.size(); ++i) {
-    if (Held& h = p.list[i]; !named[i] && h.known && h.entry.state == ServerState::kUp) {
-      h.entry.state = ServerState::kRemoved, h.told = now_;
+    if (Held& h = p.list[i]; !named[i] && h.known && h.entry.status == EndpointStatus::kUp) {
+      h.entry.status = EndpointStatus::kRemoved, h.told = now_;
     }
   }
-  for (const ServerEntry& e : entries) {
+  for (const Endpoint& e : entries) {
     hold(p, e);
   }
-  drive_list(index, Discovery{ListKind::kFull, entries});
+  drive_list(index, EndpointUpdate{UpdateKind::kSnapshot, entries});
 }
 
 // What discovery's list was then: every node as it last changed, those of the start as they began.
-std::vector<ServerEntry> World::entries_at(std::uint32_t tier, Time at) const {
-  std::vector<ServerEntry> all;
+std::vector<Endpoint> World::entries_at(std::uint32_t tier, Time at) const {
+  std::vector<Endpoint> all;
   for (std::size_t id = 0; id < nodes_[tier].size(); ++id) {
     all.push_back(nodes_[tier][id].entry);
-    all.back().born.reset();
-    all.back().state = id < s_.tiers[tier].nodes ? ServerState::kUp : ServerState::kRemoved;
+    all.back().started_at.reset();
+    all.back().status = id < s_.tiers[tier].nodes ? EndpointStatus::kUp : EndpointStatus::kRemoved;
   }
   for (const Change& c : changes_) {
     if (c.tier == tier && c.at <= at) {
-      all[c.entry.server] = c.entry;
+      all[c.entry.id] = c.entry;
     }
   }
-  std::erase_if(all, [](const ServerEntry& e) { return e.state == ServerState::kRemoved; });
+  std::erase_if(all, [](const Endpoint& e) { return e.status == EndpointStatus::kRemoved; });
   return all;
 }
 
 // What the proxy's part of the fleet is, its policy hears of; the rules hold for what the list has
 // said.
-void World::drive_list(std::uint32_t proxy, const Discovery& list) {
+void World::drive_list(std::uint32_t proxy, const EndpointUpdate& list) {
   Proxy& p = proxies_[proxy];
   if (!p.subset) {
     return drive(proxy, list);
   }
   std::vector<std::uint64_t> hashes;
-  for (const ServerEntry& e : list.entries) {
-    hashes.push_back(e.server + 1);
+  for (const Endpoint& e : list.endpoints) {
+    hashes.push_back(e.id + 1);
   }
   drive(proxy, p.subset->apply(list, hashes));
 }
 
-void World::node_down(std::uint32_t tier, ServerId node, bool silent) {
+void World::node_down(std::uint32_t tier, EndpointId node, bool silent) {
   NodeState& n = nodes_[tier][node];
   n.mode = silent ? Mode::kSilent : Mode::kDown;
   lose_jobs(tier, node, !silent);
@@ -814,16 +814,16 @@
   }
 }
 
-void World::node_back(std::uint32_t tier, ServerId node) {
+void World::node_back(std::uint32_t tier, EndpointId node) {
   NodeState& n = nodes_[tier][node];
-  if (n.entry.state == ServerState::kRemoved) {
+  if (n.entry.status == EndpointStatus::kRemoved) {
     return;  // replaced meanwhile
   }
   n.mode = Mode::kUp;
   n.model.restart(now_, now_);
   n.cold = true;
-  n.entry.born = now_;
-  n.entry.state = ServerState::kUp;
+  n.entry.started_at = now_;
+  n.entry.status = EndpointStatus::kUp;
   for (const std::uint32_t p : by_tier_[tier]) {
     proxies_[p].connections[node].idle = 0;
   }
@@ -882,25 +882,25 @@
   if (!p.alive || !p.stopped) {
     return;
   }
-  const bool gap = p.course->look(now_);
-  if (!gap || !p.course->asks_again()) {
+  const bool gap = p.course->observe_clock(now_);
+  if (!gap || !p.course->needs_snapshot()) {
     return wake(index, false);
   }
   const bool answers = p.unheard == 0;
   queue_.add(
-      answers ? now_ + std::min(kListAgain, p.course->hear_by() - now_) : p.course->hear_by(),
+      answers ? now_ + std::min(kListAgain, p.course->resync_deadline() - now_) : p.course->resync_deadline(),
       Kind::kWake, index, p.life, answers);
 }
 
 void World::wake(std::uint32_t index, bool whole_list) {
   Proxy& p = proxies_[index];
   p.stopped = false;
-  const std::deque<Happening> held = std::move(p.held);
+  const std::deque<ScheduledEvent> held = std::move(p.held);
   p.held.clear();
   const std::vector<Call> unread = std::move(p.unread);
   p.unread.clear();
   const std::uint64_t life = p.life;
-  for (const Happening& h : held) {
+  for (const ScheduledEvent& h : held) {
     if (h.kind == Kind::kTold) {
       happen(h);
     }
@@ -908,7 +908,7 @@
   if (whole_list) {
     told(index, kWholeList);
   }
-  for (const Happening& h : held) {
+  for (const ScheduledEvent& h : held) {
     if (h.kind != Kind::kTold && p.life == life) {
       happen(h);
     }
@@ -924,7 +924,7 @@
 }
 
 // What a stopped process would have to do waits for it; its clients do not.
-bool World::held_back(const Happening& h) {
+bool World::held_back(const ScheduledEvent& h) {
   const auto keep = [&](std::uint32_t proxy) {
     if (!proxies_[proxy].stopped) {
       return false;
@@ -977,19 +977,19 @@
   }
   p.disk.kept.clear();
   p.disk.at = now_ - now_ % *s_.snapshot_every;
-  for (ServerId node = 0; node < p.list.size(); ++node) {
-    p.disk.kept.push_back({p.policy->known(node), p.list[node].entry.born});
+  for (EndpointId node = 0; node < p.list.size(); ++node) {
+    p.disk.kept.push_back({p.policy->known(node), p.list[node].entry.started_at});
   }
 }
 
 void World::restore(std::uint32_t index) {
   const Proxy& p = proxies_[index];
   const Proxy::Disk disk = p.disk;
-  for (ServerId node = 0; node < disk.kept.size(); ++node) {
-    const bool started = p.list[node].entry.born != disk.kept[node].born;
-    const auto evidence = snapshot::believed(disk.kept[node].evidence, now_ - disk.at, started);
+  for (EndpointId node = 0; node < disk.kept.size(); ++node) {
+    const bool started = p.list[node].entry.started_at != disk.kept[node].born;
+    const auto evidence = snapshot::discounted(disk.kept[node].evidence, now_ - disk.at, started);
     if (evidence) {
-      drive(index, Recalled{node, *evidence});
+      drive(index, RestoredStats{node, *evidence});
     }
   }
 }
@@ -1025,9 +1025,9 @@
 
 void World::begin_fault(std::size_t fault) {
   const FaultSpec& f = s_.faults[fault];
-  std::vector<ServerEntry> up;
+  std::vector<Endpoint> up;
   for (const NodeState& n : nodes_[f.tier]) {
-    if (n.entry.state == ServerState::kUp) {
+    if (n.entry.status == EndpointStatus::kUp) {
       up.push_back(n.entry);
     }
   }
@@ -1037,10 +1037,10 @@
   switch (f.kind) {
     case FaultKind::kSilent:
     case FaultKind::kCrash:
-      for (const ServerId id : struck_[fault]) {
+      for (const EndpointId id : struck_[fault]) {
         node_down(f.tier, id, f.kind == FaultKind::kSilent);
-        ServerEntry gone = nodes[id].entry;
-        gone.state = ServerState::kRemoved;
+        Endpoint gone = nodes[id].entry;
+        gone.status = EndpointStatus::kRemoved;
         const Duration notice = f.kind == FaultKind::kSilent ? s_.silent_notice : Duration{0};
         if (f.kind == FaultKind::kCrash || (notice > Duration{0} && notice < f.length)) {
           tell(f.tier, gone, notice);
@@ -1048,12 +1048,12 @@
       }
       break;
     case FaultKind::kErrors:
-      for (const ServerId id : struck_[fault]) {
+      for (const EndpointId id : struck_[fault]) {
         nodes[id].errors = f.factor;
       }
       break;
     case FaultKind::kSlow:
-      for (const ServerId id : struck_[fault]) {
+      for (const EndpointId id : struck_[fault]) {
         nodes[id].model.slow_down(f.factor);
       }
       break;
@@ -1066,8 +1066,8 @@
       stale_ = f.delay;
       break;
     case FaultKind::kDrain:
-      for (const ServerId id : struck_[fault]) {
-        nodes[id].entry.state = ServerState::kDraining;
+      for (const EndpointId id : struck_[fault]) {
+        nodes[id].entry.status = EndpointStatus::kDraining;
         tell(f.tier, nodes[id].entry);
       }
       break;
@@ -1095,7 +1095,7 @@
       }
       break;
     case FaultKind::kDiscoveryRewound: {
-      const std::vector<ServerEntry> then = entries_at(0, now_ - s_.list_lag - f.delay);
+      const std::vector<Endpoint> then = entries_at(0, now_ - s_.list_lag - f.delay);
       for (const std::uint32_t i : proxies_struck(s_, f)) {
         Proxy& p = proxies_[by_tier_[0][i]];
         if (p.alive && !p.stopped && p.unheard == 0) {
@@ -1129,7 +1129,7 @@
       for (std::size_t i = 0; i < count; ++i) {
         cut.proxies[side[i]] = true;
       }
-      for (const ServerId id : struck_[fault]) {
+      for (const EndpointId id : struck_[fault]) {
         cut.nodes[id] = true;
       }
       if (f.kind == FaultKind::kLinkReset) {
@@ -1152,17 +1152,17 @@
   switch (f.kind) {
     case FaultKind::kSilent:
     case FaultKind::kCrash:
-      for (const ServerId id : struck_[fault]) {
+      for (const EndpointId id : struck_[fault]) {
         node_back(f.tier, id);
       }
       break;
     case FaultKind::kErrors:
-      for (const ServerId id : struck_[fault]) {
+      for (const EndpointId id : struck_[fault]) {
         nodes[id].errors = 0;
       }
       break;
     case FaultKind::kSlow:
-      for (const ServerId id : struck_[fault]) {
+      for (const EndpointId id : struck_[fault]) {
         nodes[id].model.slow_down(1);
       }
       break;
@@ -1175,7 +1175,7 @@
       stale_ = Duration{0};
       break;
     case FaultKind::kDrain:  // it has been away for its upkeep, and starts again
-      for (const ServerId id : struck_[fault]) {
+      for (const EndpointId id : struck_[fault]) {
         node_down(f.tier, id, false);
         node_back(f.tier, id);
       }
@@ -1240,13 +1240,13 @@
     return;
   }
   NodeState& old = nodes_[f.tier][done];
-  if (old.entry.state == ServerState::kUp) {
-    const ServerId fresh = add_node(f.tier, now_);
+  if (old.entry.status == EndpointStatus::kUp) {
+    const EndpointId fresh = add_node(f.tier, now_);
     if (f.tier + 1 < s_.tiers.size()) {
       start_proxy(nodes_[f.tier][fresh].below);
     }
     tell(f.tier, nodes_[f.tier][fresh].entry);
-    old.entry.state = ServerState::kDraining;
+    old.entry.status = EndpointStatus::kDraining;
     tell(f.tier, old.entry);
     queue_.add(now_ + s_.list_lag + s_.list_spread + s_.drain_grace + longest_deadline(s_),
                Kind::kNodeGone, f.tier, done);
@@ -1270,7 +1270,7 @@
       n.model.settle(now_);
       busy += n.model.busy_core_s();
       w.waiting += n.model.waiting();
-      if (t > 0 || n.mode != Mode::kUp || n.entry.state != ServerState::kUp) {
+      if (t > 0 || n.mode != Mode::kUp || n.entry.status != EndpointStatus::kUp) {
         continue;
       }
       const double load = static_cast<double>(n.model.in_hand()) / n.model.capacity(now_);
@@ -1282,7 +1282,7 @@
   busy_before_ = busy;
 }
 
-void World::happen(const Happening& h) {
+void World::happen(const ScheduledEvent& h) {
   if (held_back(h)) {
     return;
   }
@@ -1317,7 +1317,7 @@
       const Job done = *job;
       jobs_.remove(h.a);
       // Only a connection whose answer came back whole, to a proxy that still waits, serves again.
-      if (done.result == Result::kOk || done.result == Result::kFull ||
+      if (done.result == Result::kOk || done.result == Result::kOverloaded ||
           done.result == Result::kError) {
         const Call* c = calls_.find(done.call);
         if (c && c->attempts[done.attempt].open && proxies_[done.proxy].alive) {
@@ -1346,7 +1346,7 @@
           c->over = true;
           pass_on(*c, false, false, Duration{0}, 0);
         }
-        drive(c->proxy, ClientGone{h.a});
+        drive(c->proxy, ClientDisconnected{h.a});
         tidy(h.a);
       }
       break;
@@ -1372,11 +1372,11 @@
       break;
     case Kind::kProbeDone:
       if (of_proxy()) {
-        const auto server = static_cast<ServerId>(h.c);
+        const auto server = static_cast<EndpointId>(h.c);
         NodeState& n = nodes_[proxies_[index].tier][server];
         const Result result = h.d ? Result::kOk : Result::kConnectFailed;
         drive(index,
-              ProbeResult{server, result, h.d ? n.model.report(now_, n.late) : LoadReport{}});
+              HealthCheckResult{server, result, h.d ? n.model.report(now_, n.late) : LoadReport{}});
       }
       break;
     case Kind::kFaultBegins:
@@ -1390,8 +1390,8 @@
       break;
     case Kind::kNodeGone: {
       NodeState& n = nodes_[h.a][h.b];
-      node_down(static_cast<std::uint32_t>(h.a), static_cast<ServerId>(h.b), false);
-      n.entry.state = ServerState::kRemoved;
+      node_down(static_cast<std::uint32_t>(h.a), static_cast<EndpointId>(h.b), false);
+      n.entry.status = EndpointStatus::kRemoved;
       tell(static_cast<std::uint32_t>(h.a), n.entry);
       break;
     }
@@ -1404,7 +1404,7 @@
 void World::run(const Progress& progress) {
   next_arrival();
   while (!queue_.empty() && queue_.top().at <= end_) {
-    const Happening h = queue_.top();
+    const ScheduledEvent h = queue_.top();
     queue_.pop();
     now_ = h.at;
     ++metrics_.events;
--- a/src/emulator/world.h
+++ b/src/emulator/world.h
@@ -50,7 +50,7 @@
     bool waits = false;    // its last try is at a stopped proxy, unread
   };
   struct Attempt {
-    ServerId node = 0;
+    EndpointId node = 0;
     bool open = true;
     std::uint64_t job = 0;
   };
@@ -69,7 +69,7 @@
   };
   struct Job {  // an attempt, at its node or on the way
     std::uint32_t tier = 0, proxy = 0;
-    ServerId node = 0;
+    EndpointId node = 0;
     std::uint64_t call = 0, sub_call = 0;
     std::uint32_t attempt = 0;
     ClassId c = 0;
@@ -92,7 +92,7 @@
         : model(spec, seed, index, born, now), random(seed, Actor::kNode, index + (1ULL << 32)) {}
     Node model;
     Stream random;
-    ServerEntry entry;
+    Endpoint entry;
     Mode mode = Mode::kUp;
     double errors = 0;
     Duration late{0};
@@ -107,7 +107,7 @@
     Time used{0};
   };
   struct Held {  // what a proxy's list says of a node
-    ServerEntry entry;
+    Endpoint entry;
     bool known = false;
     std::optional<Time> told;  // since when not up
   };
@@ -117,8 +117,8 @@
     bool stopped = false;       // it runs not, or has not heard since; what is for it waits
     bool leaving = false;       // it takes no new requests
     std::uint32_t unheard = 0;  // faults that keep discovery from it
-    std::optional<recovery::Course> course;  // of a stopped one
-    std::deque<Happening> held;              // for a stopped one, in order
+    std::optional<recovery::RecoveryTracker> course;  // of a stopped one
+    std::deque<ScheduledEvent> held;              // for a stopped one, in order
     std::vector<Call> unread;                // requests to a stopped one
     std::uint64_t life = 0;
     Time died{0}, last_told{0};
@@ -126,10 +126,10 @@
     std::optional<routing::SubsetView> subset;
     Stream random{0, Actor::kProxy, 0};
     std::vector<Held> list;
-    std::unordered_map<ServerId, Connections> connections;  // looked up only
+    std::unordered_map<EndpointId, Connections> connections;  // looked up only
     std::vector<std::uint64_t> calls;
     struct Kept {  // on its disk
-      Evidence evidence;
+      EndpointStats evidence;
       std::optional<Time> born;
     };
     struct Disk {
@@ -145,11 +145,11 @@
   };
 
   // TrueState
-  double wait_s(Time now, std::uint32_t tier, ServerId node) const override;
-  bool spares(Time now, std::uint32_t tier, ServerId node) const override;
+  double wait_s(Time now, std::uint32_t tier, EndpointId node) const override;
+  bool spares(Time now, std::uint32_t tier, EndpointId node) const override;
 
   // Building
-  ServerId add_node(std::uint32_t tier, std::optional<Time> born);
+  EndpointId add_node(std::uint32_t tier, std::optional<Time> born);
   std::uint32_t add_proxy(std::uint32_t tier, std::uint32_t zone);
   void start_proxy(std::uint32_t proxy);
 
@@ -165,13 +165,13 @@
   void open_call(Call call);
   void drive(std::uint32_t proxy, const Event& event);
   void perform(std::uint32_t proxy, const std::vector<Action>& actions);
-  void act(std::uint32_t proxy, const Send& a);
+  void act(std::uint32_t proxy, const StartAttempt& a);
   void act(std::uint32_t proxy, const Cancel& a);
-  void act(std::uint32_t proxy, const Refuse& a) { answer(proxy, a.id, true, a.retry_after); }
+  void act(std::uint32_t proxy, const Reject& a) { answer(proxy, a.id, true, a.retry_after); }
   void act(std::uint32_t proxy, const Fail& a) { answer(proxy, a.id, false, Duration{0}); }
-  void act(std::uint32_t proxy, const Probe& a);
+  void act(std::uint32_t proxy, const HealthCheck& a);
   void act(std::uint32_t proxy, const SetTimer& a);
-  void act(std::uint32_t, const Watch&) {}  // lists are pushed
+  void act(std::uint32_t, const WatchEndpoints&) {}  // lists are pushed
   void answer(std::uint32_t proxy, RequestId id, bool refused, Duration advice);
   void outcome(std::uint64_t call, std::uint32_t attempt, Result result, const LoadReport& report,
                double useful);
@@ -182,10 +182,10 @@
 
   // Nodes
   Duration hop(Proxy& proxy, std::uint32_t zone);
-  bool cut_between(const Cut& cut, const Proxy& proxy, std::uint32_t tier, ServerId node) const;
+  bool cut_between(const Cut& cut, const Proxy& proxy, std::uint32_t tier, EndpointId node) const;
   // Whether nothing passes that way; both: whether nothing passes there or back.
-  bool blocked(const Proxy& proxy, std::uint32_t tier, ServerId node, Way way) const;
-  Duration link_delay(const Proxy& proxy, std::uint32_t tier, ServerId node) const;
+  bool blocked(const Proxy& proxy, std::uint32_t tier, EndpointId node, Direction way) const;
+  Duration link_delay(const Proxy& proxy, std::uint32_t tier, EndpointId node) const;
   void reset_links(const Cut& cut);
   void job_arrives(std::uint64_t job);
   void phase_done(std::uint64_t job);
@@ -194,32 +194,32 @@
   void end_job(std::uint64_t job, Result result, bool holds_core);
   void send_back(std::uint64_t job, Result result);
   void schedule(const std::vector<Start>& starts);
-  void lose_jobs(std::uint32_t tier, ServerId node, bool reset);
+  void lose_jobs(std::uint32_t tier, EndpointId node, bool reset);
   void unlist_job(std::uint64_t job);
 
   // Discovery and faults
-  void tell(std::uint32_t tier, const ServerEntry& entry, Duration more = Duration{0});
+  void tell(std::uint32_t tier, const Endpoint& entry, Duration more = Duration{0});
   void told(std::uint32_t proxy, std::uint64_t message);
-  void told_whole(std::uint32_t proxy, const std::vector<ServerEntry>& entries);
-  std::vector<ServerEntry> entries_at(std::uint32_t tier, Time at) const;
-  void hold(Proxy& p, const ServerEntry& e);
-  void drive_list(std::uint32_t proxy, const Discovery& list);
+  void told_whole(std::uint32_t proxy, const std::vector<Endpoint>& entries);
+  std::vector<Endpoint> entries_at(std::uint32_t tier, Time at) const;
+  void hold(Proxy& p, const Endpoint& e);
+  void drive_list(std::uint32_t proxy, const EndpointUpdate& list);
   void begin_fault(std::size_t fault);
   void end_fault(std::size_t fault);
   void replace(std::size_t fault, std::uint64_t done);
-  void node_down(std::uint32_t tier, ServerId node, bool silent);
-  void node_back(std::uint32_t tier, ServerId node);
+  void node_down(std::uint32_t tier, EndpointId node, bool silent);
+  void node_back(std::uint32_t tier, EndpointId node);
   void kill_proxy(std::uint32_t proxy);
   void stop_proxy(std::uint32_t proxy);
   void continue_proxy(std::uint32_t proxy);
   void wake(std::uint32_t proxy, bool whole_list);
-  bool held_back(const Happening& h);
+  bool held_back(const ScheduledEvent& h);
   void connections_back(std::uint32_t proxy);
   void keep(Proxy& proxy);
   void restore(std::uint32_t proxy);
   void strike_state(const FaultSpec& fault, Proxy& proxy, bool begins);
   void close_second(std::uint64_t window);
-  void happen(const Happening& h);
+  void happen(const ScheduledEvent& h);
   void sum_up();
 
   const Scenario s_;
@@ -237,11 +237,11 @@
   std::vector<std::deque<NodeState>> nodes_;  // by tier
   std::deque<Proxy> proxies_;
   std::vector<std::vector<std::uint32_t>> by_tier_;  // proxies
-  std::vector<Discovery> messages_;
+  std::vector<EndpointUpdate> messages_;
   struct Change {
     Time at{0};
     std::uint32_t tier = 0;
-    ServerEntry entry;
+    Endpoint entry;
   };
   std::vector<Change> changes_;  // of the nodes, as discovery saw them
   Slab<Op> ops_;
@@ -254,7 +254,7 @@
   std::vector<Own> own_;  // attempts that are moot at once
   bool driving_ = false;
   std::vector<Cut> cuts_;
-  std::vector<std::vector<ServerId>> struck_;  // by fault
+  std::vector<std::vector<EndpointId>> struck_;  // by fault
   Duration stale_{0};
   double busy_before_ = 0;  // core-seconds, up to the last closed second
 };
--- a/src/handover/folder.cpp
+++ b/src/handover/folder.cpp
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-Folder::Folder(std::string path, std::string name) {
+SharedStateDirectory::SharedStateDirectory(std::string path, std::string name) {
   std::replace(name.begin(), name.end(), '/', '_');
   base_ = std::move(path) + "/beechhill-" + name;
   std::optional<net::Fd> held;
@@ -52,11 +52,11 @@
   write();
 }
 
-std::string Folder::of(std::uint64_t generation) const {
+std::string SharedStateDirectory::of(std::uint64_t generation) const {
   return base_ + ".process-" + std::to_string(generation);
 }
 
-std::optional<net::Fd> Folder::lock() const {
+std::optional<net::Fd> SharedStateDirectory::lock() const {
   net::Fd fd = opened(base_ + ".lock", O_RDWR | O_CREAT);
   if (!fd) {
     fail("open " + base_ + ".lock");
@@ -67,7 +67,7 @@
   return fd;
 }
 
-std::optional<Folder::Version> Folder::version_now() const {
+std::optional<SharedStateDirectory::Version> SharedStateDirectory::version_now() const {
   struct stat about{};
   if (::stat((base_ + ".state").c_str(), &about) < 0) {
     return std::nullopt;
@@ -75,7 +75,7 @@
   return Version{about.st_ino, about.st_mtim.tv_sec, about.st_mtim.tv_nsec};
 }
 
-void Folder::read() {
+void SharedStateDirectory::read() {
   const std::string path = base_ + ".state";
   seen_ = version_now();  // first: what is replaced meanwhile is read again
   const net::Fd fd = opened(path, O_RDONLY);
@@ -97,7 +97,7 @@
   log::warning("handover_set_aside", {{"file", std::string_view(path)}});
 }
 
-void Folder::write() {
+void SharedStateDirectory::write() {
   const std::string path = base_ + ".state", fresh = path + ".new", text = encode(state_);
   const net::Fd fd = opened(fresh, O_WRONLY | O_CREAT | O_TRUNC);
   if (!fd || ::write(fd.get(), text.data(), text.size()) != static_cast<ssize_t>(text.size())) {
@@ -109,7 +109,7 @@
   seen_ = version_now();
 }
 
-bool Folder::refresh() {
+bool SharedStateDirectory::refresh() {
   if (version_now() == seen_) {
     return false;
   }
@@ -117,7 +117,7 @@
   return true;
 }
 
-bool Folder::change(Change change, const std::string& host) {
+bool SharedStateDirectory::change(StateChange change, const std::string& host) {
   const auto held = lock();
   if (!held) {
     return false;
@@ -128,15 +128,15 @@
   return true;
 }
 
-void Folder::publish(bool ready, std::uint32_t descriptors) {
+void SharedStateDirectory::publish(bool ready, std::uint32_t descriptors) {
   const Presence now{ready ? 1U : 0U, descriptors};
   if (::pwrite(own_.get(), &now, sizeof now, 0) != sizeof now) {
     log::warning("handover_unpublished", {});
   }
 }
 
-Folder::Others Folder::others() const {
-  Others others;
+SharedStateDirectory::ProcessGroupStatus SharedStateDirectory::process_group_status() const {
+  ProcessGroupStatus others;
   const std::uint64_t last = state_.generation;
   for (std::uint64_t g = last > kLookBack ? last - kLookBack + 1 : 1; g <= last; ++g) {
     if (g == generation_) {
--- a/src/handover/folder.h
+++ b/src/handover/folder.h
@@ -13,29 +13,29 @@
 
 namespace beechhill::handover {
 
-class Folder {
+class SharedStateDirectory {
  public:
   // Joins the processes that share `path` under `name`: this one is of the next generation. A state
   // that cannot be read is set aside, with a line in the log. Throws std::system_error where files
   // cannot be written or locked there.
-  Folder(std::string path, std::string name);
+  SharedStateDirectory(std::string path, std::string name);
 
   const SharedState& state() const { return state_; }  // as last read or written
 
   // Reads the state again where it has been replaced since. True: state() may be another now.
   bool refresh();
   // Applies one change under the lock. False: another process holds it just now.
-  bool change(Change change, const std::string& host);
+  bool change(StateChange change, const std::string& host);
 
   // What this process tells the others: that it takes clients, and how many descriptors it holds.
   void publish(bool ready, std::uint32_t descriptors);
-  struct Others {
+  struct ProcessGroupStatus {
     int alive = 0;
     bool successor = false;         // a later one lives and takes clients
     bool predecessor = false;       // an earlier one lives
     std::uint32_t descriptors = 0;  // that they hold, as last told
   };
-  Others others() const;
+  ProcessGroupStatus process_group_status() const;
 
  private:
   struct Presence {  // as it stands in a process's file
--- a/src/handover/handover_actor.cpp
+++ b/src/handover/handover_actor.cpp
@@ -20,8 +20,8 @@
 
 }  // namespace
 
-HandoverActor::HandoverActor(runtime::Scheduler& scheduler, std::unique_ptr<Folder> folder,
-                             proxy::DecisionBox& decisions, proxy::DoorBox& door, Look look)
+HotRestartActor::HotRestartActor(runtime::Scheduler& scheduler, std::unique_ptr<SharedStateDirectory> folder,
+                             proxy::DecisionMailbox& decisions, proxy::ListenerMailbox& door, StatusExchange look)
     : scheduler_(scheduler),
       folder_(std::move(folder)),
       decisions_(decisions),
@@ -33,11 +33,11 @@
   }
 }
 
-Task<> HandoverActor::run() {
+Task<> HotRestartActor::run() {
   auto next = Clock::now();
   for (;;) {
     while (!inbox_.empty()) {
-      Order order = inbox_.take();
+      OperatorCommand order = inbox_.take();
       co_await carry_out(std::move(order));
     }
     if (folder_ && Clock::now() >= next) {
@@ -45,7 +45,7 @@
       if (folder_->refresh()) {
         follow();
       }
-      const Own own = look_(folder_->others());
+      const ProcessStatus own = look_(folder_->process_group_status());
       folder_->publish(own.ready, own.descriptors);
       told_ready_ = own.ready;
       if (!told_ready_) {
@@ -61,25 +61,25 @@
   }
 }
 
-Task<> HandoverActor::carry_out(Order order) {
+Task<> HotRestartActor::carry_out(OperatorCommand order) {
   const auto owner = std::make_shared<Asked>();
-  const bool of_backend = order.change == Change::kExclude || order.change == Change::kInclude;
+  const bool of_backend = order.change == StateChange::kExclude || order.change == StateChange::kInclude;
   const bool posted =
       of_backend
-          ? decisions_.post(proxy::Exclude{order.host, order.change == Change::kExclude, owner})
-          : door_.post({order.change == Change::kEvacuate ? proxy::DoorWord::kEvacuate
-                                                          : proxy::DoorWord::kRejoin,
+          ? decisions_.post(proxy::ExcludeBackend{order.backend_id, order.change == StateChange::kExclude, owner})
+          : door_.post({order.change == StateChange::kDrain ? proxy::ListenerCommandType::kDrain
+                                                          : proxy::ListenerCommandType::kResume,
                         false, owner});
   int status = 503;
   if (posted) {
-    status = co_await proxy::settled(scheduler_, owner, kOwnerLimit);
+    status = co_await proxy::await_reply(scheduler_, owner, kOwnerLimit);
   }
   if (folder_ && status == 200) {
     // Done here; a yes binds the other process too.
     const auto written_by = Clock::now() + kLockLimit;
     bool written = false;
     try {
-      while (!(written = folder_->change(order.change, order.host)) && Clock::now() < written_by) {
+      while (!(written = folder_->change(order.change, order.backend_id)) && Clock::now() < written_by) {
         runtime::Wait wait(scheduler_);
         wait.until(Clock::now() + kLockPause);
         co_await wait;
@@ -94,40 +94,40 @@
       status = 503;
     }
   }
-  order.asked->answer(status);
+  order.reply->complete(status);
 }
 
 // What has changed since goes to its owners; what they were told already changes nothing there.
-void HandoverActor::follow() {
+void HotRestartActor::follow() {
   const SharedState& now = folder_->state();
   bool told = true;
-  for (const std::string& host : now.barred) {
-    if (!followed_.barred.contains(host)) {
-      told = decisions_.post(proxy::Exclude{host, true, nullptr}) && told;
+  for (const std::string& host : now.excluded_backends) {
+    if (!followed_.excluded_backends.contains(host)) {
+      told = decisions_.post(proxy::ExcludeBackend{host, true, nullptr}) && told;
     }
   }
-  for (const std::string& host : followed_.barred) {
-    if (!now.barred.contains(host)) {
-      told = decisions_.post(proxy::Exclude{host, false, nullptr}) && told;
+  for (const std::string& host : followed_.excluded_backends) {
+    if (!now.excluded_backends.contains(host)) {
+      told = decisions_.post(proxy::ExcludeBackend{host, false, nullptr}) && told;
     }
   }
   if (now.drained != followed_.drained) {
-    told = door_.post({now.drained ? proxy::DoorWord::kEvacuate : proxy::DoorWord::kRejoin, false,
+    told = door_.post({now.drained ? proxy::ListenerCommandType::kDrain : proxy::ListenerCommandType::kResume, false,
                        nullptr}) &&
            told;
   }
   if (!told) {
-    return proxy::log_lost("handover");  // all of it is told again after the next change
+    return proxy::log_dropped_message("handover");  // all of it is told again after the next change
   }
   followed_ = now;
 }
 
-bool HandoverActor::succeeded() {
+bool HotRestartActor::has_successor() {
   if (!folder_) {
     return false;
   }
   folder_->refresh();
-  return folder_->others().successor;
+  return folder_->process_group_status().successor;
 }
 
 }  // namespace beechhill::handover
--- a/src/handover/state.cpp
+++ b/src/handover/state.cpp
@@ -12,17 +12,17 @@
 
 }  // namespace
 
-void apply(SharedState& state, Change change, const std::string& host) {
+void apply(SharedState& state, StateChange change, const std::string& host) {
   switch (change) {
-    case Change::kExclude:
-      state.barred.insert(host);
+    case StateChange::kExclude:
+      state.excluded_backends.insert(host);
       break;
-    case Change::kInclude:
-      state.barred.erase(host);
+    case StateChange::kInclude:
+      state.excluded_backends.erase(host);
       break;
-    case Change::kEvacuate:
-    case Change::kRejoin:
-      state.drained = change == Change::kEvacuate;
+    case StateChange::kDrain:
+    case StateChange::kResume:
+      state.drained = change == StateChange::kDrain;
       break;
   }
 }
@@ -32,14 +32,14 @@
   root["generation"] = Json::UInt64(state.generation);
   root["drained"] = state.drained;
   root["barred"] = Json::Value(Json::arrayValue);
-  for (const std::string& host : state.barred) {
+  for (const std::string& host : state.excluded_backends) {
     root["barred"].append(host);
   }
-  return config::seal(std::move(root), kMagic, kFormat);
+  return config::encode_checksummed(std::move(root), kMagic, kFormat);
 }
 
 std::optional<SharedState> decode(std::string_view text) {
-  const auto sealed = config::unseal(text, kMagic, kFormat);
+  const auto sealed = config::decode_checksummed(text, kMagic, kFormat);
   if (!sealed) {
     return std::nullopt;
   }
@@ -54,7 +54,7 @@
     if (!host.isString()) {
       return std::nullopt;
     }
-    state.barred.insert(host.asString());
+    state.excluded_backends.insert(host.asString());
   }
   return state;
 }
--- a/src/handover/state.h
+++ b/src/handover/state.h
@@ -13,15 +13,15 @@
 struct SharedState {
   std::uint64_t generation = 0;  // of the process that started last; the first is 1
   bool drained = false;
-  std::set<std::string> barred;  // ids of backends left out by hand
+  std::set<std::string> excluded_backends;  // ids of backends left out by hand
 
   bool operator==(const SharedState&) const = default;
 };
 
 // What an operator ordered. It is applied to the state as it stands, never to a copy that a process
 // remembers: so two processes' orders cannot undo each other.
-enum class Change { kExclude, kInclude, kEvacuate, kRejoin };
-void apply(SharedState& state, Change change, const std::string& host);
+enum class StateChange { kExclude, kInclude, kDrain, kResume };
+void apply(SharedState& state, StateChange change, const std::string& host);
 
 // One line of JSON and one with its checksum (xxHash64). A host may hold any bytes that JSON text
 // can.
--- a/src/lab/books.cpp
+++ b/src/lab/books.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-Books::Books(const emulator::Scenario& scenario, std::size_t proxies, std::function<Time()> now)
+ObservationLog::ObservationLog(const emulator::Scenario& scenario, std::size_t proxies, std::function<Time()> now)
     : s_(judged(scenario)),
       now_(std::move(now)),
       rules_(s_, kBookSlack),
@@ -31,7 +31,7 @@
       lists_(proxies) {
 }
 
-std::optional<CallId> Books::call_of(std::string_view trace) {
+std::optional<CallId> ObservationLog::call_of(std::string_view trace) {
   const std::size_t first = trace.find('-');
   const std::size_t second = first == std::string_view::npos ? first : trace.find('-', first + 1);
   if (second == std::string_view::npos) {
@@ -48,7 +48,7 @@
   return call_of(number, tries);
 }
 
-void Books::count(std::vector<std::uint32_t>& by_second, Time now) {
+void ObservationLog::count(std::vector<std::uint32_t>& by_second, Time now) {
   if (now < Time{0}) {
     return;
   }
@@ -60,14 +60,14 @@
   ++by_second[second];
 }
 
-void Books::tidy() {
+void ObservationLog::tidy() {
   for (; !by_age_.empty() && by_age_.front().first < now_(); by_age_.pop_front()) {
     rules_.forget(by_age_.front().second);
     open_.erase(by_age_.front().second);
   }
 }
 
-void Books::asked(CallId call, ClassId c, std::size_t proxy, Time deadline) {
+void ObservationLog::asked(CallId call, ClassId c, std::size_t proxy, Time deadline) {
   tidy();
   // By the longest deadline, so that the order of asking is that of leaving.
   const Time until = now_() + emulator::longest_deadline(s_) + kKeptAfter;
@@ -76,11 +76,11 @@
   rules_.taken(now_(), call, c, deadline);
 }
 
-void Books::answered(CallId call, bool refusal) {
+void ObservationLog::answered(CallId call, bool refusal) {
   rules_.answered(now_(), call, refusal);
 }
 
-void Books::unanswered(CallId call) {
+void ObservationLog::unanswered(CallId call) {
   const auto it = open_.find(call);
   if (it == open_.end()) {
     return;
@@ -94,30 +94,30 @@
   }
 }
 
-void Books::connected(ServerId node) {
+void ObservationLog::connected(EndpointId node) {
   count(connections_[node], now_());
 }
 
-std::uint32_t Books::arrived(CallId call, const ServerEntry& node) {
-  count(arrivals_[node.server], now_());
-  sent_to_out_ += out_.contains(node.server);
+std::uint32_t ObservationLog::arrived(CallId call, const Endpoint& node) {
+  count(arrivals_[node.id], now_());
+  sent_to_out_ += out_.contains(node.id);
   const auto it = open_.find(call);
   if (it == open_.end()) {
     return 0;
   }
-  const Told& told = told_[it->second.proxy][node.server];
-  const auto cut = cuts_.find({it->second.proxy, node.server});
+  const Told& told = told_[it->second.proxy][node.id];
+  const auto cut = cuts_.find({it->second.proxy, node.id});
   const bool held = cut != cuts_.end() && it->second.asked <= cut->second.to;
   const Duration most = held ? now_() - std::max(cut->second.from, it->second.asked) : Duration{0};
-  rules_.sent(now_(), call, 0, node.server, node, told.down_since, std::max(Duration{0}, most));
+  rules_.sent(now_(), call, 0, node.id, node, told.down_since, std::max(Duration{0}, most));
   return it->second.attempts++;
 }
 
-void Books::ended(CallId call, std::uint32_t attempt, Result result) {
+void ObservationLog::ended(CallId call, std::uint32_t attempt, Result result) {
   rules_.ended(now_(), call, attempt, result);
 }
 
-void Books::pressed(CallId call, ServerId node, double work, double capacity, Time born) {
+void ObservationLog::pressed(CallId call, EndpointId node, double work, double capacity, Time born) {
   const auto it = open_.find(call);
   if (it == open_.end()) {
     return;
@@ -127,7 +127,7 @@
                  told.up && told.up_since >= born);
 }
 
-void Books::cut(std::size_t proxy, ServerId node, bool on) {
+void ObservationLog::cut(std::size_t proxy, EndpointId node, bool on) {
   Cut& cut = cuts_[{proxy, node}];
   if (on) {
     cut.from = now_();
@@ -135,34 +135,34 @@
   cut.to = on ? Time::max() : now_();
 }
 
-void Books::told(std::size_t proxy, const std::vector<ServerEntry>& rows, bool whole) {
+void ObservationLog::told(std::size_t proxy, const std::vector<Endpoint>& rows, bool whole) {
   std::vector<Told>& list = told_[proxy];
-  std::set<ServerId> named;
-  const auto hold = [&](ServerId node, ServerState state) {
+  std::set<EndpointId> named;
+  const auto hold = [&](EndpointId node, EndpointStatus state) {
     Told& t = list[node];
-    if (state == ServerState::kUp) {
+    if (state == EndpointStatus::kUp) {
       t.up = true, t.up_since = now_();
       t.down_since.reset();
     } else if (t.up) {
       t.up = false, t.down_since = now_();
     }
   };
-  for (const ServerEntry& e : rows) {
-    hold(e.server, e.state);
-    named.insert(e.server);
+  for (const Endpoint& e : rows) {
+    hold(e.id, e.status);
+    named.insert(e.id);
   }
-  for (ServerId i = 0; whole && i < list.size(); ++i) {
+  for (EndpointId i = 0; whole && i < list.size(); ++i) {
     if (!named.contains(i)) {
-      hold(i, ServerState::kRemoved);
+      hold(i, EndpointStatus::kRemoved);
     }
   }
 }
 
-void Books::disturbed(std::size_t proxy) {
+void ObservationLog::disturbed(std::size_t proxy) {
   ++lives_[proxy].troubles;
 }
 
-void Books::undisturbed(std::size_t proxy, bool new_life) {
+void ObservationLog::undisturbed(std::size_t proxy, bool new_life) {
   Life& life = lives_[proxy];
   if (life.troubles > 0) {
     --life.troubles;
--- a/src/lab/books.h
+++ b/src/lab/books.h
@@ -23,12 +23,12 @@
 // allows for it.
 inline constexpr Duration kBookSlack{500'000};
 
-class Books {
+class ObservationLog {
  public:
   // Borrows the scenario. `now` is the run's clock.
-  Books(const emulator::Scenario& scenario, std::size_t proxies, std::function<Time()> now);
-  Books(const Books&) = delete;
-  Books& operator=(const Books&) = delete;
+  ObservationLog(const emulator::Scenario& scenario, std::size_t proxies, std::function<Time()> now);
+  ObservationLog(const ObservationLog&) = delete;
+  ObservationLog& operator=(const ObservationLog&) = delete;
 
   // "1-2f-3": seed, number and try in hex, as the load writes them; nothing where it is not of that
   // form.
@@ -45,24 +45,24 @@
   void unanswered(CallId call);
 
   // The backends'. arrived() returns the attempt's number for ended().
-  void connected(ServerId node);
-  std::uint32_t arrived(CallId call, const ServerEntry& node);
+  void connected(EndpointId node);
+  std::uint32_t arrived(CallId call, const Endpoint& node);
   void ended(CallId call, std::uint32_t attempt, Result result);
   // The work of a request reaches a cold backend that started at `born`.
-  void pressed(CallId call, ServerId node, double work, double capacity, Time born);
-  void warm(ServerId node) { rules_.node_warm(0, node); }
+  void pressed(CallId call, EndpointId node, double work, double capacity, Time born);
+  void warm(EndpointId node) { rules_.node_warm(0, node); }
 
   // The plan's: the link of the two is cut, and stands again. What comes over it then may have been
   // sent before.
-  void cut(std::size_t proxy, ServerId node, bool on);
+  void cut(std::size_t proxy, EndpointId node, bool on);
 
   // Staff's: a backend is out for work, and is back. Whatever reaches it meanwhile is counted,
   // however it came there.
-  void out(ServerId node, bool on) { on ? void(out_.insert(node)) : void(out_.erase(node)); }
+  void out(EndpointId node, bool on) { on ? void(out_.insert(node)) : void(out_.erase(node)); }
   std::uint64_t sent_to_out() const { return sent_to_out_; }
 
   // The agents': what was written to a proxy. `whole`: a list, in which whatever it lacks is gone.
-  void told(std::size_t proxy, const std::vector<ServerEntry>& rows, bool whole);
+  void told(std::size_t proxy, const std::vector<Endpoint>& rows, bool whole);
   void asked_whole(std::size_t proxy) { ++lists_[proxy]; }
 
   // The plan's: from then on its silence is no fault of its own; after it, a new life knows
@@ -107,11 +107,11 @@
   std::deque<std::pair<Time, CallId>> by_age_;
   std::vector<std::vector<Told>> told_;  // by proxy and node
   std::vector<Life> lives_;
-  std::map<std::pair<std::size_t, ServerId>, Cut> cuts_;  // the latest
+  std::map<std::pair<std::size_t, EndpointId>, Cut> cuts_;  // the latest
   std::vector<std::vector<std::uint32_t>> connections_, arrivals_;
   std::vector<std::uint32_t> lists_;
   std::uint64_t excused_ = 0;
-  std::set<ServerId> out_;
+  std::set<EndpointId> out_;
   std::uint64_t sent_to_out_ = 0;
 };
 
--- a/src/lab/fleet/plan.cpp
+++ b/src/lab/fleet/plan.cpp
@@ -57,7 +57,7 @@
     f.delay = emulator::to_span(f.kind == FaultKind::kLinkDelay ? dice.uniform({0.005, 0.1})
                                                                 : dice.uniform({0.2, 2}));
     if (f.kind == FaultKind::kPartition) {
-      f.way = static_cast<emulator::Way>(dice.below(3));
+      f.way = static_cast<emulator::Direction>(dice.below(3));
     }
   }
   return faults;
@@ -90,8 +90,8 @@
     if (f.first > 0) {
       text += fmt::format("first = {}\n", f.first);
     }
-    if (f.way != emulator::Way::kBoth) {
-      text += fmt::format("way = \"{}\"\n", f.way == emulator::Way::kThere ? "there" : "back");
+    if (f.way != emulator::Direction::kBoth) {
+      text += fmt::format("way = \"{}\"\n", f.way == emulator::Direction::kThere ? "there" : "back");
     }
     text += fmt::format("factor = {}\ndelay = {}\n", f.factor, span(f.delay));
     if (f.kind == FaultKind::kTenantBurst) {
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -28,8 +28,8 @@
 
 }  // namespace
 
-Load::Load(runtime::Scheduler& scheduler, const LabClock& clock, const emulator::Scenario& scenario,
-           std::vector<sockaddr_in> proxies, Books& books)
+Load::Load(runtime::Scheduler& scheduler, const TestbedClock& clock, const emulator::Scenario& scenario,
+           std::vector<sockaddr_in> proxies, ObservationLog& books)
     : scheduler_(scheduler),
       clock_(clock),
       s_(scenario),
@@ -151,8 +151,8 @@
   const TimePoint deadline = clock_.point(clock_.now() + patience);
   // An answer is waited for until the verdict is certain; it is worth nothing past the deadline.
   const TimePoint reads_until = deadline + kBookSlack;
-  const CallId call = Books::call_of(number, tries);
-  const bool keyed = s_.classes[a.c].settings.effect != Effect::kRepeatable;
+  const CallId call = ObservationLog::call_of(number, tries);
+  const bool keyed = s_.classes[a.c].settings.idempotency != Idempotency::kIdempotent;
   const std::string id = fmt::format("{:x}-{:x}-{}", s_.seed, number, tries);
   std::string extra =
       fmt::format("X-Trace-Id: {}\r\nX-Expires-In-Ms: {}\r\n", id,
--- a/src/lab/load.h
+++ b/src/lab/load.h
@@ -18,8 +18,8 @@
   static constexpr std::size_t kMostConnections = 4096;
 
   // `books` must outlive it.
-  Load(runtime::Scheduler& scheduler, const LabClock& clock, const emulator::Scenario& scenario,
-       std::vector<sockaddr_in> proxies, Books& books);
+  Load(runtime::Scheduler& scheduler, const TestbedClock& clock, const emulator::Scenario& scenario,
+       std::vector<sockaddr_in> proxies, ObservationLog& books);
   // What the front between the clients and the proxies knows: whether it offers that one to new
   // connections.
   void offer(std::size_t proxy, bool offered);
@@ -50,9 +50,9 @@
   std::size_t another();  // that the front offers
 
   runtime::Scheduler& scheduler_;
-  const LabClock& clock_;
+  const TestbedClock& clock_;
   const emulator::Scenario& s_;
-  Books& books_;
+  ObservationLog& books_;
   std::vector<sockaddr_in> proxies_;
   std::vector<bool> offered_;
   std::vector<std::vector<std::unique_ptr<net::Stream>>> idle_;  // by proxy
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -184,7 +184,7 @@
 
 int plot(const std::string& in, std::string out, const std::string& title) {
   if (!std::filesystem::exists(in)) {
-    throw config::TomlFault(in + ": cannot be read");
+    throw config::TomlError(in + ": cannot be read");
   }
   bool torn = false, ignored = false;
   const std::vector<Json::Value> rows = experiments::read_lines(in, torn);
@@ -265,7 +265,7 @@
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
     return app.exit(error) == 0 ? kDone : kBadInput;
-  } catch (const config::TomlFault& error) {
+  } catch (const config::TomlError& error) {
     std::fprintf(stderr, "beechhill-lab: %s\n", error.what());
     return kBadInput;
   } catch (const std::invalid_argument& error) {
--- a/src/lab/relay.cpp
+++ b/src/lab/relay.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-struct Relay::Link {
+struct TcpFaultProxy::Link {
   std::unique_ptr<net::Stream> near, far;
   runtime::Notifier near_over, far_over;  // wake the pump that reads there
   bool over = false;
@@ -26,18 +26,18 @@
   }
 };
 
-Relay::Relay(runtime::Scheduler& scheduler, const sockaddr_in& to)
+TcpFaultProxy::TcpFaultProxy(runtime::Scheduler& scheduler, const sockaddr_in& to)
     : scheduler_(scheduler), to_(to), listener_(scheduler, *net::parse_address("127.0.0.1:0")) {
   scheduler_.spawn(accept());
 }
 
-void Relay::reset() {
+void TcpFaultProxy::reset() {
   for (const auto& link : links_) {
     link->end();
   }
 }
 
-Task<> Relay::accept() {
+Task<> TcpFaultProxy::accept() {
   for (;;) {
     net::Fd taken;
     sockaddr_in from{};
@@ -52,7 +52,7 @@
   }
 }
 
-Task<> Relay::join(net::Fd taken) {
+Task<> TcpFaultProxy::join(net::Fd taken) {
   const auto link = std::make_shared<Link>();
   link->near = std::make_unique<net::Stream>(scheduler_, std::move(taken));
   while (there_) {  // the far end does not hear of it before the cut is over
@@ -71,7 +71,7 @@
   co_await pump(link, true);
 }
 
-Task<> Relay::pump(std::shared_ptr<Link> link, bool there) {
+Task<> TcpFaultProxy::pump(std::shared_ptr<Link> link, bool there) {
   net::Stream& from = there ? *link->near : *link->far;
   net::Stream& to = there ? *link->far : *link->near;
   runtime::Notifier& over = there ? link->near_over : link->far_over;
--- a/src/lab/relay.h
+++ b/src/lab/relay.h
@@ -11,10 +11,10 @@
 
 namespace beechhill::lab {
 
-class Relay {
+class TcpFaultProxy {
  public:
   // Listens at an address of its own for what goes to `to`. It must outlive its scheduler's run.
-  Relay(runtime::Scheduler& scheduler, const sockaddr_in& to);
+  TcpFaultProxy(runtime::Scheduler& scheduler, const sockaddr_in& to);
   std::string address() const { return net::to_string(listener_.address()); }
   // Each way by itself: `there` from whoever connected to the far end, `back` from it.
   void cut(bool there, bool back) { there_ = there, back_ = back; }
