--- a/src/lab/sockets.cpp
+++ b/src/lab/sockets.cpp
@@ -148,7 +148,7 @@
     }
     const std::string name = proxy_name(i);
     if (states_.size() <= i) {
-      states_.push_back(std::make_unique<StateFolder>(
+      states_.push_back(std::make_unique<StateDirectoryFaults>(
           folder_.file(name + ".state"), fmt::format("beechhill-{}.snapshot.new", name),
           s_.seed + i));
     }
@@ -167,7 +167,7 @@
     if (s_.group.voters == 0) {
       return {};
     }
-    const emulator::GroupSpec& g = s_.group;
+    const emulator::ClusterSpec& g = s_.group;
     std::string voters;
     for (std::uint32_t v = 0; v < g.voters; ++v) {
       voters += fmt::format("{}\"{}\"", v > 0 ? ", " : "", proxy_name(v));
@@ -189,7 +189,7 @@
     if (s_.group.voters == 0) {
       return;
     }
-    board_ = std::make_unique<Switchboard>(scheduler_, s_.proxies, s_.seed);
+    board_ = std::make_unique<DatagramFaultProxy>(scheduler_, s_.proxies, s_.seed);
     std::ofstream(folder_.file("key")) << std::string(64, 'c') << "\n";
     std::vector<std::string> voters;
     for (std::uint32_t v = 0; v < s_.group.voters; ++v) {
@@ -197,12 +197,12 @@
     }
     for (std::uint32_t i = 0; i < s_.proxies; ++i) {
       const std::string name = proxy_name(i);
-      states_.push_back(std::make_unique<StateFolder>(
+      states_.push_back(std::make_unique<StateDirectoryFaults>(
           folder_.file(name + ".state"), fmt::format("beechhill-{}.snapshot.new", name),
           s_.seed + i));
       if (i < s_.group.voters) {
-        maintenance::DiskStorage::found(states_[i]->path(), {name, 1},
-                                        maintenance::founding(voters));
+        maintenance::DiskRaftStorage::found(states_[i]->path(), {name, 1},
+                                        maintenance::initial_records(voters));
       }
     }
   }
@@ -222,7 +222,7 @@
         if (inside[a] == inside[b]) {
           continue;
         }
-        if (f.way == emulator::Way::kBoth || inside[a] == (f.way == emulator::Way::kThere)) {
+        if (f.way == emulator::Direction::kBoth || inside[a] == (f.way == emulator::Direction::kThere)) {
           board_->cut(a, b, begins);
         }
       }
@@ -237,10 +237,10 @@
       halves[n->id() % 2] +=
           fmt::format("{}node-{}", halves[n->id() % 2].empty() ? "" : ",", n->id());
     }
-    std::set<ServerId> in_work;
-    std::map<ServerId, Clock::time_point> ends;
-    std::map<ServerId, std::uint64_t> fences;
-    std::set<ServerId> done;  // and it is not settled yet
+    std::set<EndpointId> in_work;
+    std::map<EndpointId, Clock::time_point> ends;
+    std::map<EndpointId, std::uint64_t> fences;
+    std::set<EndpointId> done;  // and it is not settled yet
     bool asked[2] = {false, false};
     for (std::uint32_t turn = 0;; ++turn) {
       for (int h = 0; h < 2; ++h) {
@@ -260,7 +260,7 @@
       if (list.status == 200 && read_json(list.body, root)) {
         out_.works_text = list.body;
         for (const Json::Value& c : root["courses"]) {
-          const auto node = static_cast<ServerId>(std::stoul(c["machine"].asString().substr(5)));
+          const auto node = static_cast<EndpointId>(std::stoul(c["machine"].asString().substr(5)));
           if (c["step"].asString() == "out" && done.contains(node)) {
             const std::string target =
                 fmt::format("/api/maintenance/done?id={}&machine={}", c["request"].asString(),
@@ -479,16 +479,16 @@
   const emulator::Scenario& s_;
   experiments::TempFolder folder_;
   runtime::Scheduler scheduler_;
-  LabClock clock_;
-  Books books_;
+  TestbedClock clock_;
+  ObservationLog books_;
   Fleet fleet_;
   std::vector<ReservedPort> ports_;  // of the proxies, also while they are away
   std::vector<ReservedPort> doors_;  // of operators
 #ifdef BEECHHILL_TALK
-  std::unique_ptr<Switchboard> board_;
+  std::unique_ptr<DatagramFaultProxy> board_;
 #endif
   SocketRun out_;
-  std::vector<std::unique_ptr<StateFolder>> states_;  // by proxy; none where none is kept
+  std::vector<std::unique_ptr<StateDirectoryFaults>> states_;  // by proxy; none where none is kept
   std::vector<std::unique_ptr<ProxyProcess>> proxies_;
   std::vector<Struck> struck_;
   std::unique_ptr<Load> load_;
@@ -538,7 +538,7 @@
   const emulator::Scenario& s_;
   experiments::TempFolder folder_;
   runtime::Scheduler scheduler_;
-  LabClock clock_;
+  TestbedClock clock_;
   Fleet fleet_;
   const ReservedPort port_;
   std::unique_ptr<ProxyProcess> proxy_;
@@ -682,7 +682,7 @@
   sigprocmask(SIG_BLOCK, &mask, nullptr);
   net::Fd signals(::signalfd(-1, &mask, SFD_NONBLOCK | SFD_CLOEXEC));
   runtime::Scheduler scheduler;
-  LabClock clock;
+  TestbedClock clock;
   Fleet fleet(scheduler, clock, s);
   const Json::Value config = proxy_config(s, "proxy-0", listen, fleet, s.seed * 1000);
   if (!config_file.empty()) {
--- a/src/lab/standin.cpp
+++ b/src/lab/standin.cpp
@@ -55,9 +55,9 @@
   return work ? std::min(kMostWork, static_cast<double>(*work)) / 1e6 : 0;
 }
 
-const char* word(ServerState state) {
-  return state == ServerState::kUp         ? "in_service"
-         : state == ServerState::kDraining ? "terminating"
+const char* word(EndpointStatus state) {
+  return state == EndpointStatus::kUp         ? "in_service"
+         : state == EndpointStatus::kDraining ? "terminating"
                                            : "terminated";
 }
 
@@ -71,8 +71,8 @@
 
 // ---- Node
 
-StandInNode::StandInNode(runtime::Scheduler& scheduler, const LabClock& clock,
-                         const emulator::Scenario& scenario, ServerId id, Books* books)
+FakeBackend::FakeBackend(runtime::Scheduler& scheduler, const TestbedClock& clock,
+                         const emulator::Scenario& scenario, EndpointId id, ObservationLog* books)
     : scheduler_(scheduler),
       clock_(clock),
       spec_(scenario.tiers[0]),
@@ -84,16 +84,16 @@
   scheduler_.spawn(tick());
 }
 
-std::string StandInNode::address() const {
+std::string FakeBackend::address() const {
   return net::to_string(dial());
 }
 
-void StandInNode::listen() {
+void FakeBackend::listen() {
   listener_ = std::make_unique<net::Listener>(scheduler_, dial());
   accepting_ = scheduler_.spawn(accept());
 }
 
-void StandInNode::set_mode(Mode mode) {
+void FakeBackend::set_mode(Mode mode) {
   if (mode == mode_) {
     return;
   }
@@ -124,7 +124,7 @@
   }
 }
 
-Task<> StandInNode::accept() {
+Task<> FakeBackend::accept() {
   for (;;) {
     net::Fd taken;
     sockaddr_in from{};
@@ -148,7 +148,7 @@
   }
 }
 
-Task<> StandInNode::serve(std::shared_ptr<net::Stream> stream,
+Task<> FakeBackend::serve(std::shared_ptr<net::Stream> stream,
                           std::shared_ptr<runtime::TaskId> self) {
   struct Leave {
     std::set<runtime::TaskId>& all;
@@ -174,7 +174,7 @@
     Job job;
     std::vector<emulator::Start> starts;
     const emulator::JobId number = next_job_++;
-    const std::optional<CallId> call = books_ && id ? Books::call_of(*id) : std::nullopt;
+    const std::optional<CallId> call = books_ && id ? ObservationLog::call_of(*id) : std::nullopt;
     const double work = work_in(request.target) * spec_.work;
     const std::uint32_t attempt = call ? book_arrival(*call, work) : 0;
     const double handshake =
@@ -197,7 +197,7 @@
     if (call) {
       books_->ended(*call, attempt,
                     status == 200   ? Result::kOk
-                    : status == 503 ? Result::kFull
+                    : status == 503 ? Result::kOverloaded
                                     : Result::kError);
     }
     extra += report(clock_.now());
@@ -212,7 +212,7 @@
 
 // Ends phases at the times that the model gave them, however late the machine's timer is: a timer
 // of 1 ms must not slow the node down.
-Task<> StandInNode::tick() {
+Task<> FakeBackend::tick() {
   for (;;) {
     while (!phases_.empty() && phases_.top().until <= clock_.now()) {
       const emulator::Start phase = phases_.top();
@@ -235,7 +235,7 @@
   }
 }
 
-void StandInNode::schedule(const std::vector<emulator::Start>& starts) {
+void FakeBackend::schedule(const std::vector<emulator::Start>& starts) {
   for (const emulator::Start& start : starts) {
     phases_.push(start);
   }
@@ -244,15 +244,15 @@
   }
 }
 
-ServerEntry StandInNode::entry() const {
-  ServerEntry entry;
-  entry.server = id_;
+Endpoint FakeBackend::entry() const {
+  Endpoint entry;
+  entry.id = id_;
   entry.zone = zone();
   entry.cell = cell();
   return entry;
 }
 
-std::uint32_t StandInNode::book_arrival(CallId call, double work) {
+std::uint32_t FakeBackend::book_arrival(CallId call, double work) {
   const std::uint32_t attempt = books_->arrived(call, entry());
   const Time now = clock_.now();
   if (cold_ && !model_.cold(now)) {
@@ -264,20 +264,20 @@
   return attempt;
 }
 
-std::string StandInNode::report(Time now) {
+std::string FakeBackend::report(Time now) {
   const LoadReport r = model_.report(now, late_);
-  if (!r.utilisation || !r.rate_per_s) {
+  if (!r.utilization || !r.requests_per_s) {
     return "";
   }
   return fmt::format(
       "Endpoint-Load-Metrics: TEXT cpu_share={:.4f}, served_ps={:.2f}, pending={}\r\n",
-      *r.utilisation, *r.rate_per_s, model_.waiting());
+      *r.utilization, *r.requests_per_s, model_.waiting());
 }
 
 // ---- Discovery
 
-StandInDiscovery::StandInDiscovery(runtime::Scheduler& scheduler, const LabClock& clock,
-                                   std::size_t proxy, Books* books)
+FakeDiscovery::FakeDiscovery(runtime::Scheduler& scheduler, const TestbedClock& clock,
+                                   std::size_t proxy, ObservationLog* books)
     : scheduler_(scheduler),
       clock_(clock),
       listener_(scheduler, any_port()),
@@ -286,11 +286,11 @@
   scheduler_.spawn(accept());
 }
 
-std::string StandInDiscovery::address() const {
+std::string FakeDiscovery::address() const {
   return net::to_string(listener_.address());
 }
 
-void StandInDiscovery::tell(Json::Value row, const ServerEntry& entry, Time at) {
+void FakeDiscovery::tell(Json::Value row, const Endpoint& entry, Time at) {
   if (!changes_.empty()) {
     at = std::max(at, changes_.back().due);
   }
@@ -300,7 +300,7 @@
   }
 }
 
-void StandInDiscovery::rewind(std::optional<Time> to) {
+void FakeDiscovery::rewind(std::optional<Time> to) {
   horizon_ = to.value_or(Time::max());
   told_ = 0;
   hosts_.clear(), entries_.clear();
@@ -311,7 +311,7 @@
   }
 }
 
-void StandInDiscovery::settle() {
+void FakeDiscovery::settle() {
   const Time until = std::min(clock_.now(), horizon_);
   for (; told_ < changes_.size() && changes_[told_].due <= until; ++told_) {
     const Json::Value& row = changes_[told_].row;
@@ -325,7 +325,7 @@
   }
 }
 
-Json::Value StandInDiscovery::whole_list() const {
+Json::Value FakeDiscovery::whole_list() const {
   Json::Value list;
   list["seq"] = static_cast<Json::UInt64>(told_);
   list["whole"] = true;
@@ -336,18 +336,18 @@
   return list;
 }
 
-void StandInDiscovery::book_whole() {
+void FakeDiscovery::book_whole() {
   if (!books_) {
     return;
   }
-  std::vector<ServerEntry> rows;
+  std::vector<Endpoint> rows;
   for (const auto& [host, entry] : entries_) {
     rows.push_back(entry);
   }
   books_->told(proxy_, rows, true);
 }
 
-Task<> StandInDiscovery::while_silent() {
+Task<> FakeDiscovery::while_silent() {
   while (silent_ > 0) {
     Wait wait(scheduler_);
     wait.until(Clock::now() + kLookAgain);
@@ -355,7 +355,7 @@
   }
 }
 
-Task<> StandInDiscovery::accept() {
+Task<> FakeDiscovery::accept() {
   for (;;) {
     net::Fd taken;
     sockaddr_in from{};
@@ -368,7 +368,7 @@
   }
 }
 
-Task<> StandInDiscovery::serve(std::shared_ptr<net::Stream> stream) {
+Task<> FakeDiscovery::serve(std::shared_ptr<net::Stream> stream) {
   struct Watcher {  // leaves the list with its frame
     std::set<runtime::Notifier*>& all;
     runtime::Notifier changed;
@@ -413,7 +413,7 @@
     if (!std::exchange(listed, true)) {
       book_whole();
     } else if (books_) {
-      std::vector<ServerEntry> rows;
+      std::vector<Endpoint> rows;
       for (std::size_t i = booked; i < version; ++i) {
         rows.push_back(changes_[i].entry);
       }
@@ -453,8 +453,8 @@
 
 // ---- Fleet
 
-Fleet::Fleet(runtime::Scheduler& scheduler, const LabClock& clock,
-             const emulator::Scenario& scenario, Books* books)
+Fleet::Fleet(runtime::Scheduler& scheduler, const TestbedClock& clock,
+             const emulator::Scenario& scenario, ObservationLog* books)
     : scheduler_(scheduler),
       clock_(clock),
       s_(scenario),
@@ -470,25 +470,25 @@
     }
   }
   for (std::size_t i = 0; i < s_.proxies; ++i) {
-    agents_.push_back(std::make_unique<StandInDiscovery>(scheduler_, clock_, i, books));
+    agents_.push_back(std::make_unique<FakeDiscovery>(scheduler_, clock_, i, books));
   }
-  for (ServerId id = 0; id < s_.tiers[0].nodes; ++id) {
-    nodes_.push_back(std::make_unique<StandInNode>(scheduler_, clock_, s_, id, books));
+  for (EndpointId id = 0; id < s_.tiers[0].nodes; ++id) {
+    nodes_.push_back(std::make_unique<FakeBackend>(scheduler_, clock_, s_, id, books));
   }
   for (std::size_t fault = 0; fault < s_.faults.size(); ++fault) {
     if (!emulator::strikes_links(s_.faults[fault].kind)) {
       continue;
     }
-    for (const ServerId id : emulator::nodes_struck(s_, fault, entries())) {
+    for (const EndpointId id : emulator::nodes_struck(s_, fault, entries())) {
       for (std::size_t i = 0; i < cut_off(); ++i) {
         if (auto& relay = relays_[{i, id}]; !relay) {
-          relay = std::make_unique<Relay>(scheduler_, nodes_[id]->dial());
+          relay = std::make_unique<TcpFaultProxy>(scheduler_, nodes_[id]->dial());
         }
       }
     }
   }
   for (const auto& n : nodes_) {
-    tell_at(*n, ServerState::kUp, [](std::size_t) { return Time::min(); });
+    tell_at(*n, EndpointStatus::kUp, [](std::size_t) { return Time::min(); });
   }
 }
 
@@ -498,18 +498,18 @@
   return emulator::part_of(0.5, s_.proxies);
 }
 
-std::vector<ServerEntry> Fleet::entries() const {
-  std::vector<ServerEntry> all;
+std::vector<Endpoint> Fleet::entries() const {
+  std::vector<Endpoint> all;
   for (const auto& n : nodes_) {
     all.push_back(n->entry());
   }
   return all;
 }
 
-void Fleet::tell_at(const StandInNode& node, ServerState state,
+void Fleet::tell_at(const FakeBackend& node, EndpointStatus state,
                     const std::function<Time(std::size_t)>& due) {
-  ServerEntry entry = node.entry();
-  entry.state = state;
+  Endpoint entry = node.entry();
+  entry.status = state;
   for (std::size_t i = 0; i < agents_.size(); ++i) {
     const auto relay = relays_.find({i, node.id()});
     const std::string dial = relay != relays_.end() ? relay->second->address() : node.address();
@@ -517,7 +517,7 @@
   }
 }
 
-Json::Value Fleet::row(const StandInNode& node, ServerState state, const std::string& dial) const {
+Json::Value Fleet::row(const FakeBackend& node, EndpointStatus state, const std::string& dial) const {
   Json::Value r;
   r["host"] = fmt::format("node-{}", node.id());
   r["dial"] = dial;
@@ -537,17 +537,17 @@
   return r;
 }
 
-void Fleet::tell(const StandInNode& node, ServerState state, Duration more) {
+void Fleet::tell(const FakeBackend& node, EndpointStatus state, Duration more) {
   tell_at(node, state, [&](std::size_t) {
     const double spread = lags_.uniform() * std::chrono::duration<double>(s_.list_spread).count();
     return clock_.now() + s_.list_lag + Duration(std::llround(spread * 1e6)) + stale_ + more;
   });
 }
 
-void Fleet::restart(ServerId node) {
-  nodes_[node]->set_mode(StandInNode::Mode::kDown);
-  nodes_[node]->set_mode(StandInNode::Mode::kUp);
-  tell(*nodes_[node], ServerState::kUp);
+void Fleet::restart(EndpointId node) {
+  nodes_[node]->set_mode(FakeBackend::Mode::kDown);
+  nodes_[node]->set_mode(FakeBackend::Mode::kUp);
+  tell(*nodes_[node], EndpointStatus::kUp);
 }
 
 void Fleet::begin(std::size_t fault) {
@@ -562,8 +562,8 @@
       n->delay_reports(f.delay);
     }
   }
-  for (const ServerId i : struck_[fault]) {
-    StandInNode& n = *nodes_[i];
+  for (const EndpointId i : struck_[fault]) {
+    FakeBackend& n = *nodes_[i];
     if (emulator::strikes_links(f.kind)) {
       strike_links(f, i, true);
     }
@@ -574,16 +574,16 @@
       n.slow_down(f.factor);
     }
     if (f.kind == FaultKind::kDrain) {
-      tell(n, ServerState::kDraining);
+      tell(n, EndpointStatus::kDraining);
     }
     if (f.kind == FaultKind::kCrash) {
-      n.set_mode(StandInNode::Mode::kDown);
-      tell(n, ServerState::kRemoved);
+      n.set_mode(FakeBackend::Mode::kDown);
+      tell(n, EndpointStatus::kRemoved);
     }
     if (f.kind == FaultKind::kSilent) {
-      n.set_mode(StandInNode::Mode::kSilent);
+      n.set_mode(FakeBackend::Mode::kSilent);
       if (s_.silent_notice > Duration{0} && s_.silent_notice < f.length) {
-        tell(n, ServerState::kRemoved, s_.silent_notice);
+        tell(n, EndpointStatus::kRemoved, s_.silent_notice);
       }
     }
   }
@@ -600,8 +600,8 @@
       n->delay_reports(Duration{0});
     }
   }
-  for (const ServerId i : struck_[fault]) {
-    StandInNode& n = *nodes_[i];
+  for (const EndpointId i : struck_[fault]) {
+    FakeBackend& n = *nodes_[i];
     if (emulator::strikes_links(f.kind)) {
       strike_links(f, i, false);
     }
@@ -612,21 +612,21 @@
       n.slow_down(1);
     }
     if (f.kind == FaultKind::kDrain) {
-      n.set_mode(StandInNode::Mode::kDown);
+      n.set_mode(FakeBackend::Mode::kDown);
     }
     if (f.kind == FaultKind::kDrain || f.kind == FaultKind::kCrash ||
         f.kind == FaultKind::kSilent) {
-      n.set_mode(StandInNode::Mode::kUp);
-      tell(n, ServerState::kUp);
+      n.set_mode(FakeBackend::Mode::kUp);
+      tell(n, EndpointStatus::kUp);
     }
   }
 }
 
-void Fleet::strike_links(const FaultSpec& f, ServerId node, bool on) {
+void Fleet::strike_links(const FaultSpec& f, EndpointId node, bool on) {
   for (std::size_t i = 0; i < cut_off(); ++i) {
-    Relay& relay = *relays_.at({i, node});
+    TcpFaultProxy& relay = *relays_.at({i, node});
     if (f.kind == FaultKind::kPartition) {
-      relay.cut(on && f.way != emulator::Way::kBack, on && f.way != emulator::Way::kThere);
+      relay.cut(on && f.way != emulator::Direction::kBack, on && f.way != emulator::Direction::kThere);
     }
     if (f.kind == FaultKind::kLinkDelay) {
       relay.delay(on ? f.delay : Duration{0});
@@ -694,42 +694,42 @@
   o["tiers"].append(s.tiers[0].name);
   o["replicas-of-me"] = s.proxies;
   o["discovery"] = "push";
-  o["over-share-worth"] = told.over_share_worth;
+  o["over-share-worth"] = told.over_quota_priority_factor;
   for (std::size_t i = 0; i < told.classes.size(); ++i) {
     const ClassSettings& k = told.classes[i];
     static constexpr const char* kRepeat[] = {"repeatable", "by_key", "once"};
     static constexpr const char* kGroup[] = {"all", "zone", "cell"};
     Json::Value p;
     p["name"] = s.classes[i].name;
-    p["repeat"] = kRepeat[static_cast<std::size_t>(k.effect)];
-    p["group"] = kGroup[static_cast<std::size_t>(k.group)];
-    p["memory-span"] = span(k.memory_span);
-    p["aim"] = span(k.aim);
+    p["repeat"] = kRepeat[static_cast<std::size_t>(k.idempotency)];
+    p["group"] = kGroup[static_cast<std::size_t>(k.deduplication_scope)];
+    p["memory-span"] = span(k.deduplication_window);
+    p["aim"] = span(k.latency_objective);
     p["deadline"] = span(k.deadline);
-    p["late-worth"] = k.late_worth;
-    p["worth"] = k.worth;
+    p["late-worth"] = k.late_priority_factor;
+    p["worth"] = k.priority_weight;
     o["profiles"].append(p);
   }
   for (std::size_t i = 0; i < told.tenants.size(); ++i) {
     Json::Value t;
     t["name"] = s.tenants[i].name;
     t["share"] = told.tenants[i].share;
-    t["allowance-per-s"] = told.tenants[i].allowance_per_s;
+    t["allowance-per-s"] = told.tenants[i].quota_per_s;
     o["tenants"].append(t);
   }
   Json::Value& g = o["guarantees"];
   g["drain-grace"] = span(told.drain_grace);
-  g["cold"] = span(told.cold_span);
-  g["cold-from"] = told.cold_from;
-  g["fall-multiple"] = told.fall_multiple;
-  g["tip-after"] = span(told.tip_after);
+  g["cold"] = span(told.slow_start_window);
+  g["cold-from"] = told.slow_start_initial_weight;
+  g["fall-multiple"] = told.overload_collapse_ratio;
+  g["tip-after"] = span(told.overload_collapse_delay);
   Json::Value& l = o["limits"];
-  l["probes"] = told.may_probe;
-  l["may-cancel"] = told.may_cancel;
-  l["parallel-tries"] = told.parallel_tries;
-  l["most-tries"] = told.most_tries;
+  l["probes"] = told.health_checks_allowed;
+  l["may-cancel"] = told.cancellation_allowed;
+  l["parallel-tries"] = told.hedging_allowed;
+  l["most-tries"] = told.max_attempts;
   l["connect-timeout"] = span(told.connect_timeout);
-  l["idle-close"] = span(told.idle_close);
+  l["idle-close"] = span(told.backend_idle_timeout);
   l["retry-after"] = told.max_retry_after > Duration{0};
   l["max-retry-after"] = span(told.max_retry_after);
   return c;
--- a/src/lab/standin.h
+++ b/src/lab/standin.h
@@ -22,7 +22,7 @@
 namespace beechhill::lab {
 
 // One clock for all of a run: the scenario's time 0 is when the load begins.
-struct LabClock {
+struct TestbedClock {
   runtime::TimePoint zero = runtime::Clock::now();
   Time now() const { return std::chrono::duration_cast<Time>(runtime::Clock::now() - zero); }
   runtime::TimePoint point(Time at) const { return zero + at; }
@@ -30,13 +30,13 @@
 
 // An HTTP/1.1 node. A request says its work in core-microseconds as `work_us` in its query. What is
 // lost in a crash is reset; a silent node takes what comes and never answers.
-class StandInNode {
+class FakeBackend {
  public:
   enum class Mode { kUp, kSilent, kDown };
 
   // `books`, if any, must outlive it.
-  StandInNode(runtime::Scheduler& scheduler, const LabClock& clock,
-              const emulator::Scenario& scenario, ServerId id, Books* books = nullptr);
+  FakeBackend(runtime::Scheduler& scheduler, const TestbedClock& clock,
+              const emulator::Scenario& scenario, EndpointId id, ObservationLog* books = nullptr);
   const sockaddr_in& dial() const { return port_.address(); }
   std::string address() const;
   void set_mode(Mode mode);  // coming up from anything else starts it again, cold
@@ -44,8 +44,8 @@
   void slow_down(double times) { model_.slow_down(times); }
   void delay_reports(Duration by) { late_ = by; }
   const std::optional<Time>& born() const { return model_.born(); }
-  ServerId id() const { return id_; }
-  ServerEntry entry() const;  // as the list has it, up
+  EndpointId id() const { return id_; }
+  Endpoint entry() const;  // as the list has it, up
   std::uint32_t cell() const { return id_ / spec_.cell_size; }
   std::uint32_t zone() const { return cell() % spec_.zones; }
   std::uint64_t taken() const { return taken_; }  // whole requests read, of all lives
@@ -64,11 +64,11 @@
   std::uint32_t book_arrival(CallId call, double work);
 
   runtime::Scheduler& scheduler_;
-  const LabClock& clock_;
+  const TestbedClock& clock_;
   const emulator::TierSpec spec_;
   emulator::Node model_;
   emulator::Stream random_;
-  ServerId id_;
+  EndpointId id_;
   const ReservedPort port_;  // the same in each life
   std::unique_ptr<net::Listener> listener_;
   runtime::TaskId accepting_ = 0;
@@ -86,20 +86,20 @@
   std::priority_queue<emulator::Start, std::vector<emulator::Start>, Later> phases_;
   runtime::Notifier rescheduled_;
   std::uint64_t taken_ = 0, accepted_ = 0;
-  Books* books_;
+  ObservationLog* books_;
   bool cold_ = false;  // by the books
 };
 
 // The agent of one proxy, or of all: tells the list of nodes as the protocol page's registry does,
 // whole, or watched with changes as they come due.
-class StandInDiscovery {
+class FakeDiscovery {
  public:
   // `books`, if any, must outlive it; `proxy`: whose agent it is, in them.
-  StandInDiscovery(runtime::Scheduler& scheduler, const LabClock& clock, std::size_t proxy = 0,
-                   Books* books = nullptr);
+  FakeDiscovery(runtime::Scheduler& scheduler, const TestbedClock& clock, std::size_t proxy = 0,
+                   ObservationLog* books = nullptr);
   std::string address() const;
   // What is told from `at` on, in the order of the calls.
-  void tell(Json::Value row, const ServerEntry& entry, Time at);
+  void tell(Json::Value row, const Endpoint& entry, Time at);
   Json::Value whole_list() const;  // as told by now
   void silence(bool on) {
     silent_ += on ? 1 : -1;
@@ -116,20 +116,20 @@
   void book_whole();
 
   runtime::Scheduler& scheduler_;
-  const LabClock& clock_;
+  const TestbedClock& clock_;
   net::Listener listener_;
   struct Change {
     Time due{0};
     Json::Value row;
-    ServerEntry entry;
+    Endpoint entry;
   };
   std::vector<Change> changes_;  // all of the run; how many are told is its version
   std::size_t told_ = 0;
   std::map<std::string, Json::Value> hosts_;
-  std::map<std::string, ServerEntry> entries_;
+  std::map<std::string, Endpoint> entries_;
   std::set<runtime::Notifier*> watchers_;
   std::size_t proxy_;
-  Books* books_;
+  ObservationLog* books_;
   int silent_ = 0;              // faults that keep it so
   Time horizon_ = Time::max();  // what is due later is not told
   std::uint64_t rewinds_ = 0;
@@ -142,39 +142,39 @@
   // Throws std::invalid_argument for a scenario that sockets can't play: more than one tier, or
   // faults of other kinds than silent, errors, slow, late_reports, stale_list, crash, drain, burst,
   // tenant_burst and those of links and proxies.
-  Fleet(runtime::Scheduler& scheduler, const LabClock& clock, const emulator::Scenario& scenario,
-        Books* books = nullptr);
+  Fleet(runtime::Scheduler& scheduler, const TestbedClock& clock, const emulator::Scenario& scenario,
+        ObservationLog* books = nullptr);
   // Plays the faults by the clock. `proxies` is told when a fault of the processes themselves
   // begins (true) and ends.
   using StrikeProxies = std::function<void(const emulator::FaultSpec& fault,
                                            const std::vector<std::uint32_t>& struck, bool begins)>;
   runtime::Task<> play_faults(StrikeProxies proxies);
-  StandInDiscovery& agent(std::size_t proxy) { return *agents_[proxy]; }
-  const std::vector<std::unique_ptr<StandInNode>>& nodes() const { return nodes_; }
+  FakeDiscovery& agent(std::size_t proxy) { return *agents_[proxy]; }
+  const std::vector<std::unique_ptr<FakeBackend>>& nodes() const { return nodes_; }
   void restart(
-      ServerId node);  // staff's work on it is over: it starts again, and discovery says so
+      EndpointId node);  // staff's work on it is over: it starts again, and discovery says so
 
  private:
-  Json::Value row(const StandInNode& node, ServerState state, const std::string& dial) const;
-  void tell(const StandInNode& node, ServerState state, Duration more = Duration{0});
-  void tell_at(const StandInNode& node, ServerState state,
+  Json::Value row(const FakeBackend& node, EndpointStatus state, const std::string& dial) const;
+  void tell(const FakeBackend& node, EndpointStatus state, Duration more = Duration{0});
+  void tell_at(const FakeBackend& node, EndpointStatus state,
                const std::function<Time(std::size_t agent)>& due);
-  std::vector<ServerEntry> entries() const;
+  std::vector<Endpoint> entries() const;
   std::size_t cut_off() const;
-  void strike_links(const emulator::FaultSpec& fault, ServerId node, bool on);
+  void strike_links(const emulator::FaultSpec& fault, EndpointId node, bool on);
   void strike_proxies(const emulator::FaultSpec& fault, bool begins);
   void begin(std::size_t fault);
   void end(std::size_t fault);
 
   runtime::Scheduler& scheduler_;
-  const LabClock& clock_;
+  const TestbedClock& clock_;
   const emulator::Scenario& s_;
-  Books* books_;
-  std::vector<std::unique_ptr<StandInDiscovery>> agents_;  // by proxy
-  std::vector<std::unique_ptr<StandInNode>> nodes_;
-  std::map<std::pair<std::size_t, ServerId>, std::unique_ptr<Relay>>
+  ObservationLog* books_;
+  std::vector<std::unique_ptr<FakeDiscovery>> agents_;  // by proxy
+  std::vector<std::unique_ptr<FakeBackend>> nodes_;
+  std::map<std::pair<std::size_t, EndpointId>, std::unique_ptr<TcpFaultProxy>>
       relays_;  // where a fault cuts between the two
-  std::vector<std::vector<ServerId>> struck_;
+  std::vector<std::vector<EndpointId>> struck_;
   emulator::Stream lags_;
   Duration stale_{0};
   StrikeProxies proxies_;
--- a/src/lab/state_folder.cpp
+++ b/src/lab/state_folder.cpp
@@ -29,18 +29,18 @@
 
 }  // namespace
 
-StateFolder::StateFolder(fs::path folder, std::string aside, std::uint64_t seed)
+StateDirectoryFaults::StateDirectoryFaults(fs::path folder, std::string aside, std::uint64_t seed)
     : folder_(std::move(folder)),
       aside_(folder_ / aside),
       random_(seed, emulator::Actor::kFaults, kStateStream) {
   fs::create_directories(folder_);
 }
 
-StateFolder::~StateFolder() {
+StateDirectoryFaults::~StateDirectoryFaults() {
   unblock();
 }
 
-void StateFolder::strike(FaultKind kind, bool begins, std::chrono::milliseconds by) {
+void StateDirectoryFaults::strike(FaultKind kind, bool begins, std::chrono::milliseconds by) {
   switch (kind) {
     case FaultKind::kStateLost:
       if (begins) {
@@ -76,7 +76,7 @@
   }
 }
 
-void StateFolder::remember() {
+void StateDirectoryFaults::remember() {
   copy_.clear();
   for (const auto& entry : fs::directory_iterator(folder_)) {
     if (entry.is_regular_file()) {
@@ -85,7 +85,7 @@
   }
 }
 
-void StateFolder::put_back() {
+void StateDirectoryFaults::put_back() {
   for (const auto& entry : fs::directory_iterator(folder_)) {
     if (entry.is_regular_file() && !copy_.contains(entry.path().filename().string())) {
       fs::remove(entry.path());
@@ -96,7 +96,7 @@
   }
 }
 
-void StateFolder::damage(bool cut) {
+void StateDirectoryFaults::damage(bool cut) {
   for (const auto& entry : fs::directory_iterator(folder_)) {
     if (!entry.is_regular_file()) {
       continue;
@@ -115,22 +115,22 @@
   }
 }
 
-void StateFolder::age(std::chrono::milliseconds by) {
+void StateDirectoryFaults::age(std::chrono::milliseconds by) {
   for (const auto& entry : fs::directory_iterator(folder_)) {
     auto snapshot =
         entry.is_regular_file() ? snapshot::decode(contents(entry.path())) : std::nullopt;
     if (!snapshot) {
       continue;
     }
-    snapshot->written -= by;
-    for (snapshot::Row& row : snapshot->rows) {
-      row.at -= by;
+    snapshot->written_at -= by;
+    for (snapshot::EndpointRecord& row : snapshot->records) {
+      row.recorded_at -= by;
     }
     put(entry.path(), snapshot::encode(*snapshot));
   }
 }
 
-void StateFolder::block(FaultKind kind) {
+void StateDirectoryFaults::block(FaultKind kind) {
   std::error_code none;
   fs::remove_all(aside_, none);
   if (kind == FaultKind::kDiskFull) {
@@ -144,7 +144,7 @@
   }
 }
 
-void StateFolder::unblock() {
+void StateDirectoryFaults::unblock() {
   std::error_code none;
   if (fs::is_fifo(aside_, none)) {
     drain_ = net::Fd(::open(aside_.c_str(), O_RDONLY | O_NONBLOCK | O_CLOEXEC));
--- a/src/lab/state_folder.h
+++ b/src/lab/state_folder.h
@@ -14,13 +14,13 @@
 
 namespace beechhill::lab {
 
-class StateFolder {
+class StateDirectoryFaults {
  public:
   // Makes the folder. `aside`: the file in it that the process writes before it renames it.
-  StateFolder(std::filesystem::path folder, std::string aside, std::uint64_t seed);
-  ~StateFolder();
-  StateFolder(const StateFolder&) = delete;
-  StateFolder& operator=(const StateFolder&) = delete;
+  StateDirectoryFaults(std::filesystem::path folder, std::string aside, std::uint64_t seed);
+  ~StateDirectoryFaults();
+  StateDirectoryFaults(const StateDirectoryFaults&) = delete;
+  StateDirectoryFaults& operator=(const StateDirectoryFaults&) = delete;
 
   std::string path() const { return folder_.string(); }
   // A fault of state (emulator::strikes_state) begins or ends. Faults of the disk may overlap: the
--- a/src/lab/switchboard.cpp
+++ b/src/lab/switchboard.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-Switchboard::Switchboard(runtime::Scheduler& scheduler, std::size_t processes, std::uint64_t seed)
+DatagramFaultProxy::DatagramFaultProxy(runtime::Scheduler& scheduler, std::size_t processes, std::uint64_t seed)
     : scheduler_(scheduler),
       count_(processes),
       random_(seed, emulator::Actor::kDiscovery, kBoardStream),
@@ -27,12 +27,12 @@
 }
 
 // By the lab's process id, so that labs side by side do not meet.
-std::string Switchboard::address(std::size_t i, std::size_t from) const {
+std::string DatagramFaultProxy::address(std::size_t i, std::size_t from) const {
   const auto pid = static_cast<unsigned>(::getpid());
   return fmt::format("127.{}.{}.{}:{}", 1 + pid / 250 % 250, pid % 250, from + i, kPort);
 }
 
-runtime::Task<> Switchboard::pass(std::size_t to) {
+runtime::Task<> DatagramFaultProxy::pass(std::size_t to) {
   for (;;) {
     runtime::Wait wait(scheduler_);
     wait.readable(sockets_[to]->io());
@@ -59,7 +59,7 @@
   }
 }
 
-runtime::Task<> Switchboard::later(std::size_t from, std::size_t to, std::string bytes,
+runtime::Task<> DatagramFaultProxy::later(std::size_t from, std::size_t to, std::string bytes,
                                    runtime::Clock::duration after) {
   runtime::Wait wait(scheduler_);
   wait.until(runtime::Clock::now() + after);
--- a/src/lab/switchboard.h
+++ b/src/lab/switchboard.h
@@ -12,10 +12,10 @@
 
 namespace beechhill::lab {
 
-class Switchboard {
+class DatagramFaultProxy {
  public:
   // For so many processes, on addresses of loopback that are this process's own.
-  Switchboard(runtime::Scheduler& scheduler, std::size_t processes, std::uint64_t seed);
+  DatagramFaultProxy(runtime::Scheduler& scheduler, std::size_t processes, std::uint64_t seed);
   std::string listens(std::size_t i) const {
     return address(i, 1);
   }  // where the process is to listen
--- a/src/lab/talk.cpp
+++ b/src/lab/talk.cpp
@@ -45,13 +45,13 @@
   Row row;
   TalkWorld world(spec);
   row.joined = until_agreed(world);
-  const auto before = world.books();
+  const auto before = world.traffic();
   constexpr auto kCalm = 300s;
   world.run(kCalm);
   const double seconds = to_s(Duration(kCalm)) * spec.members;
-  row.bytes = static_cast<double>(world.books().bytes - before.bytes) / seconds;
+  row.bytes = static_cast<double>(world.traffic().bytes - before.bytes) / seconds;
   row.false_deaths =
-      static_cast<double>(world.books().false_deaths - before.false_deaths) / seconds * 3600;
+      static_cast<double>(world.traffic().false_deaths - before.false_deaths) / seconds * 3600;
   // A tenth is stopped where it stands: when does each of the others hold it for dead?
   std::vector<std::size_t> struck;
   for (std::size_t i = 0; i < std::max<std::size_t>(1, spec.members / 10); ++i) {
@@ -138,19 +138,19 @@
 // shortest that the bounds allow.
 void play_round(std::uint32_t backends, std::uint32_t followers, std::uint64_t seed,
                 bool leader_dies) {
-  emulator::WorksSpec s;
+  emulator::MaintenanceSimulationSpec s;
   s.seed = seed, s.backends = backends, s.followers = followers;
   s.use = 0.7, s.calls_per_s = 5;
   s.work = 10s, s.warm = 2s;
-  s.bounds.needs_approval = false, s.bounds.reserve = 0.1, s.bounds.calm = 5;
-  s.bounds.most_out = std::max<std::uint32_t>(1, backends / 10);
-  s.bounds.most_out_zone = s.bounds.most_out_cell = s.bounds.most_out;
-  emulator::WorksWorld w(s);
+  s.bounds.needs_approval = false, s.bounds.capacity_reserve = 0.1, s.bounds.quiet_period = 5;
+  s.bounds.max_out = std::max<std::uint32_t>(1, backends / 10);
+  s.bounds.max_out_per_zone = s.bounds.max_out_per_cell = s.bounds.max_out;
+  emulator::MaintenanceSimulation w(s);
   w.run(3s);
   maintenance::Command ask;
-  ask.what = maintenance::What::kAsk;
+  ask.type = maintenance::CommandType::kSubmitRequest;
   ask.request = maintenance::Request{};
-  ask.request->id = "all", ask.request->at_once = backends;
+  ask.request->id = "all", ask.request->max_concurrent = backends;
   for (int i = 0; i < 3; ++i) {
     w.order(0, ask), w.run(300ms);
   }
@@ -167,18 +167,18 @@
     w.kill(lead);
     w.run(2s);
     w.start(lead);
-    while (w.now() - died < 120s && !(w.leader() && w.taken_out() > before + s.bounds.most_out)) {
+    while (w.now() - died < 120s && !(w.leader() && w.taken_out() > before + s.bounds.max_out)) {
       w.run(100ms);
     }
     to_go_on = w.now() - died;
   }
   const double took = to_s(w.now() - from),
-               shortest = std::ceil(backends / static_cast<double>(s.bounds.most_out)) *
+               shortest = std::ceil(backends / static_cast<double>(s.bounds.max_out)) *
                           to_s(s.work + s.warm);
   fmt::print(
       "{} backends, {} at a time, {} proxies: {:.1f} s, {:.2f} times the shortest; kept back {} of "
       "{} calls; {} broke a bound{}\n",
-      backends, s.bounds.most_out, s.voters + followers, took, took / shortest, w.calls_kept_back(),
+      backends, s.bounds.max_out, s.voters + followers, took, took / shortest, w.calls_kept_back(),
       w.calls() + w.calls_kept_back(), w.verdict().all(),
       to_go_on ? fmt::format("; {:.1f} s from the leader's death until later grants had ended",
                              to_s(*to_go_on))
@@ -213,7 +213,7 @@
     }
     std::uint64_t broken = 0, silent = 0, out = 0, whole = 0;
     for (std::uint64_t seed = o->seed; seed < o->seed + o->plans; ++seed) {
-      const emulator::WorksPlay p = emulator::play_drawn_works(seed, o->followers);
+      const emulator::MaintenanceRun p = emulator::run_drawn_maintenance(seed, o->followers);
       out += p.taken_out;
       whole += p.open.empty();
       silent += p.silent.size();
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -116,7 +116,7 @@
   c->callback([&] { code = check(config, operator_file); });
 
 #ifdef BEECHHILL_TALK
-  maintenance::add_command(app, code);
+  maintenance::add_maintenance_command(app, code);
 #endif
 
   for (const auto& [name, text] :
--- a/src/maintenance/agreement.cpp
+++ b/src/maintenance/agreement.cpp
@@ -17,8 +17,8 @@
 
 namespace beechhill::maintenance {
 
-using membership::Reader;
-using membership::Writer;
+using membership::ByteReader;
+using membership::ByteWriter;
 
 namespace {
 
@@ -45,34 +45,34 @@
   return {static_cast<const char*>(b.base), b.len};
 }
 
-void set_servers(raft_configuration& c, const std::vector<Server>& servers) {
+void set_servers(raft_configuration& c, const std::vector<RaftServer>& servers) {
   raft_configuration_init(&c);
-  for (const Server& s : servers) {
+  for (const RaftServer& s : servers) {
     raft_configuration_add(&c, id_of(s.address), s.address.c_str(), s.role);
   }
 }
 
-std::vector<Server> servers_in(const raft_configuration& c) {
-  std::vector<Server> all;
+std::vector<RaftServer> servers_in(const raft_configuration& c) {
+  std::vector<RaftServer> all;
   for (unsigned i = 0; i < c.n; ++i) {
     all.push_back({c.servers[i].address, c.servers[i].role});
   }
   return all;
 }
 
-raft_entry* entries_from(const std::vector<Entry>& entries) {
+raft_entry* entries_from(const std::vector<LogEntry>& entries) {
   if (entries.empty()) {
     return nullptr;
   }
   std::size_t size = 1;
-  for (const Entry& e : entries) {
+  for (const LogEntry& e : entries) {
     size += e.data.size();
   }
   auto* const all = static_cast<raft_entry*>(raft_calloc(entries.size(), sizeof(raft_entry)));
   char* batch = static_cast<char*>(raft_malloc(size));
   char* at = batch;
   for (std::size_t i = 0; i < entries.size(); ++i) {
-    const Entry& e = entries[i];
+    const LogEntry& e = entries[i];
     std::memcpy(at, e.data.data(), e.data.size());
     all[i] = {e.term, e.type, {at, e.data.size()}, batch};
     at += e.data.size();
@@ -80,8 +80,8 @@
   return all;
 }
 
-std::vector<Entry> entries_in(const raft_entry* entries, unsigned n) {
-  std::vector<Entry> all;
+std::vector<LogEntry> entries_in(const raft_entry* entries, unsigned n) {
+  std::vector<LogEntry> all;
   for (unsigned i = 0; i < n; ++i) {
     all.push_back({entries[i].term, entries[i].type, std::string(text(entries[i].buf))});
   }
@@ -90,7 +90,7 @@
 
 }  // namespace
 
-std::optional<Voter> voter_from(std::string_view address) {
+std::optional<Voter> parse_voter(std::string_view address) {
   const auto at = address.rfind('#');
   if (at == std::string_view::npos || at == 0 || at + 1 == address.size()) {
     return std::nullopt;
@@ -105,12 +105,12 @@
   return v;
 }
 
-std::vector<Record> founding(const std::vector<std::string>& voters) {
-  std::vector<Server> servers;
+std::vector<LogRecord> initial_records(const std::vector<std::string>& voters) {
+  std::vector<RaftServer> servers;
   for (const std::string& name : voters) {
     servers.push_back({Voter{name, 1}.address(), RAFT_VOTER});
   }
-  std::sort(servers.begin(), servers.end(), [](const Server& a, const Server& b) {
+  std::sort(servers.begin(), servers.end(), [](const RaftServer& a, const RaftServer& b) {
     return a.address < b.address;
   });  // the same everywhere
   raft_configuration c;
@@ -121,19 +121,19 @@
   if (error != 0) {
     throw std::runtime_error(raft_strerror(error));
   }
-  Record first{Record::What::kAppend, 1, {{1, RAFT_CHANGE, std::string(text(encoded))}}, {}};
+  LogRecord first{LogRecord::RecordType::kAppend, 1, {{1, RAFT_CHANGE, std::string(text(encoded))}}, {}};
   raft_free(encoded.base);
-  return {{Record::What::kTerm, 1, {}, {}}, std::move(first)};
+  return {{LogRecord::RecordType::kTerm, 1, {}, {}}, std::move(first)};
 }
 
-struct Agreement::Impl {
-  Impl(Agreement& o, const Voter& s, Storage& st, Ledger& l, std::uint64_t seed)
+struct RaftNode::Impl {
+  Impl(RaftNode& o, const Voter& s, RaftStorage& st, MaintenanceStateMachine& l, std::uint64_t seed)
       : owner(o), self(s), storage(st), ledger(l), random(seed) {}
 
-  Agreement& owner;
+  RaftNode& owner;
   const Voter self;
-  Storage& storage;
-  Ledger& ledger;
+  RaftStorage& storage;
+  MaintenanceStateMachine& ledger;
   std::mt19937_64 random;
   Time now{0}, tick_every{100'000}, next_tick{0};
   raft_io io{};
@@ -169,16 +169,16 @@
 
   static Impl& of(raft_io* i) { return *static_cast<Impl*>(i->impl); }
 
-  void start(const Timing& timing) {
+  void start(const RaftTiming& timing) {
     io.version = 2, io.impl = this;
     io.init = [](raft_io*, raft_id, const char*) { return 0; };
     io.close = [](raft_io* i, raft_io_close_cb cb) { of(i).on_closed = cb; };
     io.load = [](raft_io* i, raft_term* term, raft_id* vote, raft_snapshot** snapshot,
                  raft_index* first, raft_entry** entries, size_t* n) {
-      const Image& image = of(i).storage.image();
-      *term = image.term, *vote = image.vote, *first = image.first, *n = image.entries.size();
+      const DurableState& image = of(i).storage.state();
+      *term = image.term, *vote = image.vote, *first = image.first_index, *n = image.entries.size();
       *entries = entries_from(image.entries);
-      *snapshot = image.kept ? made(*image.kept) : nullptr;
+      *snapshot = image.snapshot ? made(*image.snapshot) : nullptr;
       return 0;
     };
     io.start = [](raft_io* i, unsigned ms, raft_io_tick_cb tick, raft_io_recv_cb recv) {
@@ -189,10 +189,10 @@
     io.bootstrap = [](raft_io*, const raft_configuration*) { return int{RAFT_CANTBOOTSTRAP}; };
     io.recover = [](raft_io*, const raft_configuration*) { return int{RAFT_INVALID}; };
     io.set_term = [](raft_io* i, raft_term term) {
-      return of(i).write({Record::What::kTerm, term, {}, {}}), 0;
+      return of(i).write({LogRecord::RecordType::kTerm, term, {}, {}}), 0;
     };
     io.set_vote = [](raft_io* i, raft_id id) {
-      return of(i).write({Record::What::kVote, id, {}, {}}), 0;
+      return of(i).write({LogRecord::RecordType::kVote, id, {}, {}}), 0;
     };
     io.send = [](raft_io* i, raft_io_send* request, const raft_message* m, raft_io_send_cb cb) {
       of(i).say(*m);
@@ -202,30 +202,30 @@
     io.append = [](raft_io* i, raft_io_append* request, const raft_entry entries[], unsigned n,
                    raft_io_append_cb cb) {
       const std::uint64_t after =
-          of(i).write({Record::What::kAppend, 0, entries_in(entries, n), {}});
+          of(i).write({LogRecord::RecordType::kAppend, 0, entries_in(entries, n), {}});
       of(i).written.push_back({after, [request, cb](int status) { cb(request, status); }});
       return 0;
     };
     io.truncate = [](raft_io* i, raft_index index) {
-      return of(i).write({Record::What::kTruncate, index, {}, {}}), 0;
+      return of(i).write({LogRecord::RecordType::kTruncate, index, {}, {}}), 0;
     };
     io.snapshot_put = [](raft_io* i, unsigned trailing, raft_io_snapshot_put* request,
                          const raft_snapshot* s, raft_io_snapshot_put_cb cb) {
-      Kept kept{s->index, s->term, s->configuration_index, servers_in(s->configuration), {}};
+      RaftSnapshot kept{s->index, s->term, s->configuration_index, servers_in(s->configuration), {}};
       for (unsigned b = 0; b < s->n_bufs; ++b) {
         kept.data += text(s->bufs[b]);
       }
       const std::uint64_t after =
-          of(i).write({Record::What::kSnapshot, trailing, {}, std::move(kept)});
+          of(i).write({LogRecord::RecordType::kSnapshot, trailing, {}, std::move(kept)});
       of(i).written.push_back({after, [request, cb](int status) { cb(request, status); }});
       return 0;
     };
     io.snapshot_get = [](raft_io* i, raft_io_snapshot_get* request, raft_io_snapshot_get_cb cb) {
       Impl& me = of(i);
-      if (!me.storage.image().kept) {
+      if (!me.storage.state().snapshot) {
         return int{RAFT_NOTFOUND};
       }
-      me.later.push_back([&me, request, cb] { cb(request, made(*me.storage.image().kept), 0); });
+      me.later.push_back([&me, request, cb] { cb(request, made(*me.storage.state().snapshot), 0); });
       return 0;
     };
     io.time = [](raft_io* i) {
@@ -264,9 +264,9 @@
     const std::string address = self.address();
     check(raft_init(&r, &io, &fsm, id_of(address), address.c_str()));
     raft_set_election_timeout(
-        &r, static_cast<unsigned>(timing.election / std::chrono::milliseconds(1)));
+        &r, static_cast<unsigned>(timing.election_timeout / std::chrono::milliseconds(1)));
     raft_set_heartbeat_timeout(
-        &r, static_cast<unsigned>(timing.heartbeat / std::chrono::milliseconds(1)));
+        &r, static_cast<unsigned>(timing.heartbeat_interval / std::chrono::milliseconds(1)));
     raft_set_snapshot_threshold(&r, kSnapshotAfter);
     raft_set_snapshot_trailing(&r, kTrailing);
     raft_set_pre_vote(&r, true);
@@ -281,9 +281,9 @@
     }
   }
 
-  static raft_snapshot* made(const Kept& k) {
+  static raft_snapshot* made(const RaftSnapshot& k) {
     auto* const s = static_cast<raft_snapshot*>(raft_calloc(1, sizeof(raft_snapshot)));
-    s->index = k.index, s->term = k.term, s->configuration_index = k.servers_index;
+    s->index = k.index, s->term = k.term, s->configuration_index = k.configuration_index;
     set_servers(s->configuration, k.servers);
     s->bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
     s->bufs[0] = buffer(k.data);
@@ -291,19 +291,19 @@
     return s;
   }
 
-  std::uint64_t write(Record record) { return storage.write(std::move(record)); }
+  std::uint64_t write(LogRecord record) { return storage.append(std::move(record)); }
 
   // ---- Messages
 
   void say(const raft_message& m) {
-    const auto to = voter_from(m.server_address);
+    const auto to = parse_voter(m.server_address);
     if (!to) {
       return;
     }
-    Writer w;
+    ByteWriter w;
     w.text(self.address())
         .text(m.server_address)
-        .number(storage.written())
+        .number(storage.appended_records())
         .number(static_cast<std::uint8_t>(m.type));
     switch (m.type) {
       case RAFT_IO_APPEND_ENTRIES: {
@@ -315,7 +315,7 @@
             .number(a.prev_log_term)
             .number(a.leader_commit)
             .number(static_cast<std::uint16_t>(n));
-        for (const Entry& e : entries_in(a.entries, n)) {
+        for (const LogEntry& e : entries_in(a.entries, n)) {
           w.number(e.term).number(e.type).blob(e.data);
         }
         break;
@@ -347,7 +347,7 @@
             .number(s.last_term)
             .number(s.conf_index)
             .number(static_cast<std::uint8_t>(s.conf.n));
-        for (const Server& server : servers_in(s.conf)) {
+        for (const RaftServer& server : servers_in(s.conf)) {
           w.text(server.address).number(static_cast<std::uint8_t>(server.role));
         }
         w.blob(text(s.data));
@@ -361,23 +361,23 @@
       default:
         return;
     }
-    said.push_back({storage.written(), {to->name, w.bytes()}});
+    said.push_back({storage.appended_records(), {to->name, w.bytes()}});
     if (said.size() > kMostOutgoing) {
       said.pop_front();
     }
   }
 
   void hear(std::string_view bytes) {
-    Reader in(bytes);
+    ByteReader in(bytes);
     const std::string from = in.text(kLongestAddress), to = in.text(kLongestAddress);
     const auto records = in.number<std::uint64_t>();
     const auto type = in.number<std::uint8_t>();
-    const auto voter = voter_from(from);
+    const auto voter = parse_voter(from);
     if (!in.ok() || !voter || voter->name == self.name) {
       return;
     }
     if (type == kRolledBack) {
-      if (to == self.address() && records > storage.written()) {
+      if (to == self.address() && records > storage.appended_records()) {
         owner.rolled_back_ = true;
       }
       return;
@@ -392,7 +392,7 @@
       return;
     }
     if (voter->generation == known.first && records < known.second) {
-      Writer w;
+      ByteWriter w;
       w.text(self.address()).text(from).number(known.second).number(kRolledBack);
       said.push_back({0, {voter->name, w.bytes()}});
       return;
@@ -405,9 +405,9 @@
         a.term = in.number<std::uint64_t>(), a.prev_log_index = in.number<std::uint64_t>(),
         a.prev_log_term = in.number<std::uint64_t>();
         a.leader_commit = in.number<std::uint64_t>();
-        std::vector<Entry> entries;
+        std::vector<LogEntry> entries;
         for (auto n = in.number<std::uint16_t>(); n > 0 && in.ok(); --n) {
-          Entry& e = entries.emplace_back();
+          LogEntry& e = entries.emplace_back();
           e.term = in.number<std::uint64_t>(), e.type = in.number<std::uint16_t>();
           e.data = in.blob();
         }
@@ -443,13 +443,13 @@
         s.term = in.number<std::uint64_t>(), s.last_index = in.number<std::uint64_t>(),
         s.last_term = in.number<std::uint64_t>();
         s.conf_index = in.number<std::uint64_t>();
-        std::vector<Server> servers;
+        std::vector<RaftServer> servers;
         for (auto n = in.number<std::uint8_t>(); n > 0 && in.ok(); --n) {
-          Server& server = servers.emplace_back();
+          RaftServer& server = servers.emplace_back();
           server.address = in.text(kLongestAddress), server.role = in.number<std::uint8_t>();
         }
         const std::string_view content = in.blob();
-        Ledger probe;
+        MaintenanceStateMachine probe;
         if (!in.done() || !probe.restore(content)) {
           return;
         }
@@ -477,7 +477,7 @@
   // ---- The disk, and what waits to be called back
 
   void settle() {
-    const std::uint64_t durable = storage.durable();
+    const std::uint64_t durable = storage.durable_records();
     for (int turns = 0; turns < 1'000;
          ++turns) {  // each turn may make more; an end of it in any case
       if (!later.empty()) {
@@ -578,8 +578,8 @@
       return 0;
     }
     std::vector<std::pair<Voter, int>> of_name;
-    for (const Server& s : servers_in(r.configuration)) {
-      if (const auto v = voter_from(s.address); v && v->name == name) {
+    for (const RaftServer& s : servers_in(r.configuration)) {
+      if (const auto v = parse_voter(s.address); v && v->name == name) {
         of_name.emplace_back(*v, s.role);
       }
     }
@@ -608,19 +608,19 @@
   }
 };
 
-Agreement::Agreement(Time now, const Voter& self, Storage& storage, Ledger& ledger,
-                     const Timing& timing, std::uint64_t seed)
+RaftNode::RaftNode(Time now, const Voter& self, RaftStorage& storage, MaintenanceStateMachine& ledger,
+                     const RaftTiming& timing, std::uint64_t seed)
     : impl_(std::make_unique<Impl>(*this, self, storage, ledger, seed)) {
   impl_->now = now;
   impl_->start(timing);
   due_ = now;
 }
 
-Agreement::~Agreement() {
+RaftNode::~RaftNode() {
   impl_->stop();
 }
 
-void Agreement::tick(Time now) {
+void RaftNode::tick(Time now) {
   impl_->now = now;
   if (halted_) {
     return;
@@ -634,7 +634,7 @@
   due_ = impl_->next_tick;
 }
 
-void Agreement::receive(Time now, std::string_view bytes) {
+void RaftNode::receive(Time now, std::string_view bytes) {
   impl_->now = now;
   if (halted_) {
     return;
@@ -643,9 +643,9 @@
   impl_->settle();
 }
 
-std::vector<Agreement::Outgoing> Agreement::take_outgoing() {
+std::vector<RaftNode::Outgoing> RaftNode::take_outgoing() {
   std::vector<Outgoing> out;
-  const std::uint64_t durable = impl_->storage.durable();
+  const std::uint64_t durable = impl_->storage.durable_records();
   while (!halted_ && !impl_->said.empty() && impl_->said.front().after <= durable) {
     out.push_back(std::move(impl_->said.front().message));
     impl_->said.pop_front();
@@ -653,49 +653,49 @@
   return out;
 }
 
-bool Agreement::leads() const {
+bool RaftNode::is_leader() const {
   return !halted_ && raft_state(&impl_->r) == RAFT_LEADER;
 }
 
-std::string Agreement::leader() const {
+std::string RaftNode::leader() const {
   raft_id id = 0;
   const char* address = nullptr;
   if (!halted_) {
     raft_leader(&impl_->r, &id, &address);
   }
-  const auto voter = address ? voter_from(address) : std::nullopt;
+  const auto voter = address ? parse_voter(address) : std::nullopt;
   return voter ? voter->name : std::string();
 }
 
-std::uint64_t Agreement::term() const {
+std::uint64_t RaftNode::term() const {
   return impl_->r.current_term;
 }
 
-std::vector<Voter> Agreement::voters() const {
+std::vector<Voter> RaftNode::voters() const {
   std::vector<Voter> all;
-  for (const Server& s : servers_in(impl_->r.configuration)) {
-    if (const auto v = voter_from(s.address); v && s.role == RAFT_VOTER) {
+  for (const RaftServer& s : servers_in(impl_->r.configuration)) {
+    if (const auto v = parse_voter(s.address); v && s.role == RAFT_VOTER) {
       all.push_back(*v);
     }
   }
   return all;
 }
 
-std::uint32_t Agreement::coming(const std::string& name) const {
+std::uint32_t RaftNode::joining_generation(const std::string& name) const {
   std::uint32_t newest = 0;
-  for (const Server& s : servers_in(impl_->r.configuration)) {
-    if (const auto v = voter_from(s.address); v && v->name == name && s.role != RAFT_VOTER) {
+  for (const RaftServer& s : servers_in(impl_->r.configuration)) {
+    if (const auto v = parse_voter(s.address); v && v->name == name && s.role != RAFT_VOTER) {
       newest = std::max(newest, v->generation);
     }
   }
   return newest;
 }
 
-std::vector<std::string> Agreement::unfinished() const {
+std::vector<std::string> RaftNode::pending_readmissions() const {
   std::map<std::string, int> counts;
   std::vector<std::string> names;
-  for (const Server& s : servers_in(impl_->r.configuration)) {
-    if (const auto v = voter_from(s.address);
+  for (const RaftServer& s : servers_in(impl_->r.configuration)) {
+    if (const auto v = parse_voter(s.address);
         v && (++counts[v->name] == 2 || s.role != RAFT_VOTER)) {
       names.push_back(v->name);
     }
@@ -703,13 +703,13 @@
   return names;
 }
 
-void Agreement::propose(const Command& command, Done done) {
+void RaftNode::propose(const Command& command, Done done) {
   impl_->propose(command, std::move(done));
 }
-std::size_t Agreement::proposed() const {
+std::size_t RaftNode::pending_proposals() const {
   return impl_->proposals.size();
 }
-std::uint32_t Agreement::readmit(const std::string& name) {
+std::uint32_t RaftNode::readmit(const std::string& name) {
   return impl_->readmit(name);
 }
 
--- a/src/maintenance/agreement.h
+++ b/src/maintenance/agreement.h
@@ -22,31 +22,31 @@
   std::uint32_t generation = 1;  // counted up when one has lost its storage: it is a new voter then
   std::string address() const { return name + "#" + std::to_string(generation); }
 };
-std::optional<Voter> voter_from(std::string_view address);
+std::optional<Voter> parse_voter(std::string_view address);
 
 // What a voter's storage begins with, where the group is founded: the configuration of all, as a
 // first entry.
-std::vector<Record> founding(const std::vector<std::string>& voters);
+std::vector<LogRecord> initial_records(const std::vector<std::string>& voters);
 
-struct Timing {
-  Duration election{1'000'000};  // without word of a leader, at the least, before another stands
-  Duration heartbeat{200'000};
+struct RaftTiming {
+  Duration election_timeout{1'000'000};  // without word of a leader, at the least, before another stands
+  Duration heartbeat_interval{200'000};
 };
 
-class Agreement {
+class RaftNode {
  public:
   // `storage` and `ledger` must outlive it; the ledger is the machine that settled commands change,
   // from empty. Throws std::runtime_error where the library refuses what is stored.
-  Agreement(Time now, const Voter& self, Storage& storage, Ledger& ledger, const Timing& timing,
+  RaftNode(Time now, const Voter& self, RaftStorage& storage, MaintenanceStateMachine& ledger, const RaftTiming& timing,
             std::uint64_t seed);
-  ~Agreement();
-  Agreement(const Agreement&) = delete;
-  Agreement& operator=(const Agreement&) = delete;
+  ~RaftNode();
+  RaftNode(const RaftNode&) = delete;
+  RaftNode& operator=(const RaftNode&) = delete;
 
   // Lets time pass, and what the disk has done. At due(), or whenever the storage has become more
   // durable.
   void tick(Time now);
-  Time due() const { return due_; }
+  Time next_tick() const { return due_; }
   // From another voter. Damaged or unknown: nothing happens.
   void receive(Time now, std::string_view bytes);
 
@@ -56,7 +56,7 @@
   };
   std::vector<Outgoing> take_outgoing();  // what may be said by now
 
-  bool leads() const;
+  bool is_leader() const;
   std::string leader() const;  // its name; empty: none is known
   std::uint64_t term() const;
   // Whether its storage has failed: it takes no part any more.
@@ -70,15 +70,15 @@
   // yet).
   using Done = std::function<void(const char* reason)>;
   void propose(const Command& command, Done done = {});
-  std::size_t proposed() const;  // not settled yet
+  std::size_t pending_proposals() const;  // not settled yet
 
   // Where this one leads: a voter that has lost its storage takes part again, as its next
   // generation, step by step. Returns that generation, or 0 where another change is under way or
   // the name is no voter's.
   std::uint32_t readmit(const std::string& name);
   // The generation of that name which is on its way in; 0: none is.
-  std::uint32_t coming(const std::string& name) const;
-  std::vector<std::string> unfinished() const;  // names that readmit() is not through with
+  std::uint32_t joining_generation(const std::string& name) const;
+  std::vector<std::string> pending_readmissions() const;  // names that readmit() is not through with
 
  private:
   struct Impl;
--- a/src/maintenance/command.cpp
+++ b/src/maintenance/command.cpp
@@ -89,7 +89,7 @@
     if (std::find(voters.begin(), voters.end(), name) == voters.end()) {
       throw std::runtime_error(name + " is none of maintenance.voters");
     }
-    DiskStorage::found(settings.maintenance.folder, Voter{name, 1}, founding(voters));
+    DiskRaftStorage::found(settings.maintenance.storage_directory, Voter{name, 1}, initial_records(voters));
     std::printf("founded: %s, one of %zu voters\n", name.c_str(), voters.size());
     return 0;
   } catch (const std::exception& error) {
@@ -99,7 +99,7 @@
 
 }  // namespace
 
-void add_command(CLI::App& app, int& code) {
+void add_maintenance_command(CLI::App& app, int& code) {
   struct Options {
     std::string door, id, role = "backend", machines, zone, cell, kind, by, why, machine, proxy,
                           operator_file, name;
--- a/src/maintenance/command.h
+++ b/src/maintenance/command.h
@@ -7,6 +7,6 @@
 namespace beechhill::maintenance {
 
 // `code` becomes the exit code: 0 done, 1 refused or not reached, 2 faulty arguments.
-void add_command(CLI::App& app, int& code);
+void add_maintenance_command(CLI::App& app, int& code);
 
 }  // namespace beechhill::maintenance
--- a/src/maintenance/describe.cpp
+++ b/src/maintenance/describe.cpp
@@ -16,7 +16,7 @@
 const char* stage(const Request& q) {
   return q.cancelled  ? "cancelled"
          : q.ended    ? "done"
-         : q.held     ? "held"
+         : q.on_hold     ? "held"
          : q.approved ? "approved"
                       : "asked";
 }
@@ -31,16 +31,16 @@
   for (const auto& [key, text] : {std::pair("zone", q.select.zone),
                                   {"cell", q.select.cell},
                                   {"kind", q.select.kind},
-                                  {"by", q.by},
-                                  {"why", q.why}}) {
+                                  {"by", q.requested_by},
+                                  {"why", q.reason}}) {
     if (!text.empty()) {
       v[key] = text;
     }
   }
-  v["at_once"] = q.at_once, v["priority"] = q.priority, v["asked"] = Json::Int64(q.asked),
-  v["done"] = as_json(q.done);
-  if (q.length > 0) {
-    v["length_s"] = Json::Int64(q.length);
+  v["at_once"] = q.max_concurrent, v["priority"] = q.priority, v["asked"] = Json::Int64(q.requested_at),
+  v["done"] = as_json(q.completed_machines);
+  if (q.work_duration > 0) {
+    v["length_s"] = Json::Int64(q.work_duration);
   }
   if (q.not_before > 0) {
     v["not_before"] = Json::Int64(q.not_before);
@@ -51,32 +51,32 @@
   return v;
 }
 
-Json::Value as_json(const Course& c) {
+Json::Value as_json(const MaintenanceWorkflow& c) {
   Json::Value v;
-  v["machine"] = c.machine, v["request"] = c.request, v["step"] = name(c.step),
-  v["fence"] = Json::UInt64(c.fence);
-  v["since"] = Json::Int64(c.since), v["confirmed"] = as_json(c.confirmed);
+  v["machine"] = c.machine, v["request"] = c.request, v["step"] = name(c.state),
+  v["fence"] = Json::UInt64(c.fencing_token);
+  v["since"] = Json::Int64(c.state_since), v["confirmed"] = as_json(c.confirmed_proxies);
   return v;
 }
 
 }  // namespace
 
-std::string describe(const Ledger& ledger, const std::map<std::string, Index>& shown,
+std::string status_json(const MaintenanceStateMachine& ledger, const std::map<std::string, LogIndex>& shown,
                      const std::string& request, const std::string& trouble) {
   Json::Value root;
-  root["index"] = Json::UInt64(ledger.index()), root["time"] = Json::Int64(ledger.time()),
+  root["index"] = Json::UInt64(ledger.applied_index()), root["time"] = Json::Int64(ledger.time()),
   root["paused"] = ledger.paused();
   if (!trouble.empty()) {
     root["trouble"] = trouble;
   }
   root["requests"] = root["courses"] = Json::Value(Json::arrayValue);
-  root["proxies"] = as_json(ledger.roster());
+  root["proxies"] = as_json(ledger.proxies());
   for (const auto& [id, q] : ledger.requests()) {
     if (request.empty() || request == id) {
       root["requests"].append(as_json(q));
     }
   }
-  for (const auto& [id, c] : ledger.courses()) {
+  for (const auto& [id, c] : ledger.workflows()) {
     if (request.empty() || request == c.request) {
       root["courses"].append(as_json(c));
     }
--- a/src/maintenance/describe.h
+++ b/src/maintenance/describe.h
@@ -10,7 +10,7 @@
 
 // All requests and courses; or, where `request` names one, that one and why it does not go on.
 // `trouble`: what the one that leads sees now.
-std::string describe(const Ledger& ledger, const std::map<std::string, Index>& shown,
+std::string status_json(const MaintenanceStateMachine& ledger, const std::map<std::string, LogIndex>& shown,
                      const std::string& request, const std::string& trouble);
 
 }  // namespace beechhill::maintenance
--- a/src/maintenance/disk_storage.cpp
+++ b/src/maintenance/disk_storage.cpp
@@ -32,7 +32,7 @@
     256 * 1024 * 1024;  // bytes, in search of what follows a damaged record
 
 std::string framed(std::string_view payload) {
-  membership::Writer w;
+  membership::ByteWriter w;
   w.number(static_cast<std::uint32_t>(payload.size()))
       .number(static_cast<std::uint64_t>(XXH64(payload.data(), payload.size(), 0)))
       .raw(payload);
@@ -41,7 +41,7 @@
 
 // The next whole record, or nothing; `at` moves beyond it.
 std::optional<std::string_view> next(std::string_view file, std::size_t& at) {
-  membership::Reader r(file.substr(at));
+  membership::ByteReader r(file.substr(at));
   const auto size = r.number<std::uint32_t>();
   const auto sum = r.number<std::uint64_t>();
   const std::string_view rest = r.rest();
@@ -58,15 +58,15 @@
 
 // What a file begins with: whose it is, and how many records came before those that follow.
 std::string beginning(const Voter& voter, std::uint64_t before) {
-  membership::Writer w;
+  membership::ByteWriter w;
   w.raw(kMagic).text(voter.address()).number(before);
   return framed(w.bytes());
 }
 
-std::string whole(const Voter& voter, const Image& image, std::uint64_t written) {
-  const std::vector<Record> records = image.records();
+std::string whole(const Voter& voter, const DurableState& image, std::uint64_t written) {
+  const std::vector<LogRecord> records = image.records();
   std::string text = beginning(voter, written - std::min<std::uint64_t>(written, records.size()));
-  for (const Record& r : records) {
+  for (const LogRecord& r : records) {
     text += framed(encode(r));
   }
   return text;
@@ -111,7 +111,7 @@
 
 struct Read {
   Voter voter;
-  Image image;
+  DurableState image;
   std::uint64_t written = 0;
   std::size_t good = 0;  // bytes; what follows was being written when the process died
 };
@@ -122,8 +122,8 @@
   if (!first || !first->starts_with(kMagic)) {
     return std::nullopt;
   }
-  membership::Reader r(first->substr(kMagic.size()));
-  const auto voter = voter_from(r.text(80));
+  membership::ByteReader r(first->substr(kMagic.size()));
+  const auto voter = parse_voter(r.text(80));
   out.written = r.number<std::uint64_t>();
   if (!r.done() || !voter || voter->name != name) {
     return std::nullopt;
@@ -141,7 +141,7 @@
   // on. So is one too long to tell.
   std::size_t looked = 0;
   for (std::size_t at = out.good + 1; at + 12 < file.size(); ++at) {
-    membership::Reader head(file.substr(at));
+    membership::ByteReader head(file.substr(at));
     const auto size = head.number<std::uint32_t>();
     if (size == 0 || size > file.size() - at) {
       continue;
@@ -157,7 +157,7 @@
 
 }  // namespace
 
-struct DiskStorage::Writer {
+struct DiskRaftStorage::Writer {
   struct Job {
     std::string text;
     std::uint64_t upto = 0;
@@ -220,7 +220,7 @@
   }
 };
 
-DiskStorage::DiskStorage(std::string path, net::Fd lock, Voter voter, Image image,
+DiskRaftStorage::DiskRaftStorage(std::string path, net::Fd lock, Voter voter, DurableState image,
                          std::uint64_t written)
     : path_(std::move(path)),
       lock_(std::move(lock)),
@@ -233,7 +233,7 @@
   std::thread([writer = writer_] { writer->run(); }).detach();
 }
 
-DiskStorage::~DiskStorage() {
+DiskRaftStorage::~DiskRaftStorage() {
   std::unique_lock lock(writer_->mutex);
   writer_->ending = true;
   writer_->changed.notify_all();
@@ -242,7 +242,7 @@
   });
 }
 
-net::Fd DiskStorage::lock(const std::string& folder, const std::string& name) {
+net::Fd DiskRaftStorage::lock(const std::string& folder, const std::string& name) {
   const std::string path = path_of(folder, name) + ".lock";
   net::Fd fd(::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
   if (!fd) {
@@ -254,7 +254,7 @@
   return fd;
 }
 
-std::unique_ptr<DiskStorage> DiskStorage::open(const std::string& folder, const std::string& name) {
+std::unique_ptr<DiskRaftStorage> DiskRaftStorage::open(const std::string& folder, const std::string& name) {
   net::Fd held = lock(folder, name);
   const std::string path = path_of(folder, name);
   std::ifstream in(path, std::ios::binary);
@@ -271,38 +271,38 @@
   if (got->good < file.size() && ::truncate(path.c_str(), static_cast<off_t>(got->good)) < 0) {
     throw std::runtime_error(path + ": " + std::strerror(errno));
   }
-  return std::unique_ptr<DiskStorage>(
-      new DiskStorage(path, std::move(held), got->voter, std::move(got->image), got->written));
+  return std::unique_ptr<DiskRaftStorage>(
+      new DiskRaftStorage(path, std::move(held), got->voter, std::move(got->image), got->written));
 }
 
-std::unique_ptr<DiskStorage> DiskStorage::found(const std::string& folder, const Voter& voter,
-                                                const std::vector<Record>& records) {
+std::unique_ptr<DiskRaftStorage> DiskRaftStorage::found(const std::string& folder, const Voter& voter,
+                                                const std::vector<LogRecord>& records) {
   net::Fd held = lock(folder, voter.name);
   const std::string path = path_of(folder, voter.name);
   if (std::filesystem::exists(path)) {
     throw std::runtime_error(path + ": there is one already");
   }
-  Image image;
-  for (const Record& r : records) {
+  DurableState image;
+  for (const LogRecord& r : records) {
     image.apply(r);
   }
   const std::uint64_t written = image.records().size();
   if (!replace(path, whole(voter, image, written))) {
     throw std::runtime_error(path + ": " + std::strerror(errno));
   }
-  return std::unique_ptr<DiskStorage>(
-      new DiskStorage(path, std::move(held), voter, std::move(image), written));
+  return std::unique_ptr<DiskRaftStorage>(
+      new DiskRaftStorage(path, std::move(held), voter, std::move(image), written));
 }
 
-void DiskStorage::set_aside() {
+void DiskRaftStorage::set_aside() {
   const std::lock_guard lock(writer_->mutex);
   writer_->failed = true;
   std::rename(path_.c_str(), (path_ + ".aside").c_str());
   log::warning("agreement_set_aside", {{"reason", std::string_view("rolled_back")}});
 }
 
-std::uint64_t DiskStorage::write(Record record) {
-  const bool replaces = record.what == Record::What::kSnapshot;
+std::uint64_t DiskRaftStorage::append(LogRecord record) {
+  const bool replaces = record.type == LogRecord::RecordType::kSnapshot;
   image_.apply(record);
   ++written_;
   const std::lock_guard lock(writer_->mutex);
@@ -312,12 +312,12 @@
   return written_;
 }
 
-std::uint64_t DiskStorage::durable() {
+std::uint64_t DiskRaftStorage::durable_records() {
   const std::lock_guard lock(writer_->mutex);
   return writer_->durable;
 }
 
-bool DiskStorage::failed() {
+bool DiskRaftStorage::failed() {
   const std::lock_guard lock(writer_->mutex);
   return writer_->failed;
 }
--- a/src/maintenance/ledger.cpp
+++ b/src/maintenance/ledger.cpp
@@ -8,15 +8,15 @@
 
 namespace beechhill::maintenance {
 
-using membership::Reader;
-using membership::Writer;
+using membership::ByteReader;
+using membership::ByteWriter;
 
 namespace {
 
 constexpr Seconds kKeepEnded = 86'400;  // ended requests are listed for a day
 constexpr const char* kNoChange = "nothing_to_change";
 
-void put(Writer& w, const std::set<std::string>& texts) {
+void put(ByteWriter& w, const std::set<std::string>& texts) {
   w.number(static_cast<std::uint32_t>(texts.size()));
   for (const std::string& t : texts) {
     w.text(t);
@@ -24,111 +24,111 @@
 }
 
 // Counts are bounded by what is left to read: a text takes two bytes at the least.
-std::set<std::string> texts(Reader& r) {
+std::set<std::string> texts(ByteReader& r) {
   std::set<std::string> all;
   for (auto n = r.number<std::uint32_t>(); n > 0 && r.ok(); --n) {
-    all.insert(r.text(kLongestText));
+    all.insert(r.text(kMaxTextBytes));
   }
   return all;
 }
 
-void put_real(Writer& w, double v) {
+void put_real(ByteWriter& w, double v) {
   w.number(static_cast<std::int64_t>(std::llround(v * 1e6)));
 }
-double real(Reader& r) {
+double real(ByteReader& r) {
   return static_cast<double>(r.number<std::int64_t>()) / 1e6;
 }
 
-void put(Writer& w, const Machine& m) {
+void put(ByteWriter& w, const Machine& m) {
   w.text(m.id)
       .text(m.zone)
       .text(m.cell)
-      .text(m.kind)
+      .text(m.instance_type)
       .number(m.role)
       .number(m.up)
       .number(m.warm)
-      .number(m.born);
-  put_real(w, m.width);
+      .number(m.started_at);
+  put_real(w, m.relative_capacity);
 }
 
-Machine machine(Reader& r) {
+Machine machine(ByteReader& r) {
   Machine m;
-  m.id = r.text(kLongestText), m.zone = r.text(kLongestText), m.cell = r.text(kLongestText),
-  m.kind = r.text(kLongestText);
+  m.id = r.text(kMaxTextBytes), m.zone = r.text(kMaxTextBytes), m.cell = r.text(kMaxTextBytes),
+  m.instance_type = r.text(kMaxTextBytes);
   m.role = r.number<Role>(), m.up = r.number<bool>(), m.warm = r.number<bool>(),
-  m.born = r.number<std::int64_t>();
-  m.width = real(r);
+  m.started_at = r.number<std::int64_t>();
+  m.relative_capacity = real(r);
   return m;
 }
 
-void put(Writer& w, const Request& q) {
+void put(ByteWriter& w, const Request& q) {
   w.text(q.id).number(q.select.role).text(q.select.zone).text(q.select.cell).text(q.select.kind);
   put(w, q.select.ids);
-  w.number(q.at_once)
-      .number(q.length)
+  w.number(q.max_concurrent)
+      .number(q.work_duration)
       .number(q.not_before)
       .number(q.not_after)
       .number(q.priority)
-      .text(q.by)
-      .text(q.why);
-  w.number(q.approved).number(q.held).number(q.cancelled).number(q.ended).number(q.asked);
-  put(w, q.done);
-  w.number(static_cast<std::uint32_t>(q.put_off.size()));
-  for (const auto& [id, until] : q.put_off) {
+      .text(q.requested_by)
+      .text(q.reason);
+  w.number(q.approved).number(q.on_hold).number(q.cancelled).number(q.ended).number(q.requested_at);
+  put(w, q.completed_machines);
+  w.number(static_cast<std::uint32_t>(q.deferred_until.size()));
+  for (const auto& [id, until] : q.deferred_until) {
     w.text(id).number(until);
   }
 }
 
-Request request(Reader& r) {
+Request request(ByteReader& r) {
   Request q;
-  q.id = r.text(kLongestText), q.select.role = r.number<Role>();
-  q.select.zone = r.text(kLongestText), q.select.cell = r.text(kLongestText),
-  q.select.kind = r.text(kLongestText);
+  q.id = r.text(kMaxTextBytes), q.select.role = r.number<Role>();
+  q.select.zone = r.text(kMaxTextBytes), q.select.cell = r.text(kMaxTextBytes),
+  q.select.kind = r.text(kMaxTextBytes);
   q.select.ids = texts(r);
-  q.at_once = r.number<std::uint32_t>(), q.length = r.number<Seconds>(),
+  q.max_concurrent = r.number<std::uint32_t>(), q.work_duration = r.number<Seconds>(),
   q.not_before = r.number<Seconds>();
   q.not_after = r.number<Seconds>(), q.priority = r.number<std::int32_t>();
-  q.by = r.text(kLongestText), q.why = r.text(kLongestText);
-  q.approved = r.number<bool>(), q.held = r.number<bool>(), q.cancelled = r.number<bool>(),
+  q.requested_by = r.text(kMaxTextBytes), q.reason = r.text(kMaxTextBytes);
+  q.approved = r.number<bool>(), q.on_hold = r.number<bool>(), q.cancelled = r.number<bool>(),
   q.ended = r.number<bool>();
-  q.asked = r.number<Seconds>();
-  q.done = texts(r);
+  q.requested_at = r.number<Seconds>();
+  q.completed_machines = texts(r);
   for (auto n = r.number<std::uint32_t>(); n > 0 && r.ok(); --n) {
-    const std::string id = r.text(kLongestText);
-    q.put_off[id] = r.number<Seconds>();
+    const std::string id = r.text(kMaxTextBytes);
+    q.deferred_until[id] = r.number<Seconds>();
   }
   return q;
 }
 
-void put(Writer& w, const Bounds& b) {
-  put_real(w, b.reserve);
-  w.number(b.most_out)
-      .number(b.most_out_zone)
-      .number(b.most_out_cell)
-      .number(b.keep_zone)
-      .number(b.keep_cell)
-      .number(b.least_proxies);
-  w.number(b.evacuate_within)
-      .number(b.put_off)
-      .number(b.age_step)
-      .number(b.calm)
+void put(ByteWriter& w, const DisruptionBudget& b) {
+  put_real(w, b.capacity_reserve);
+  w.number(b.max_out)
+      .number(b.max_out_per_zone)
+      .number(b.max_out_per_cell)
+      .number(b.preserve_last_in_zone)
+      .number(b.preserve_last_in_cell)
+      .number(b.min_proxies_per_zone);
+  w.number(b.drain_timeout)
+      .number(b.deferral)
+      .number(b.priority_aging_interval)
+      .number(b.quiet_period)
       .number(b.needs_approval);
 }
 
-Bounds bounds(Reader& r) {
-  Bounds b;
-  b.reserve = real(r);
-  b.most_out = r.number<std::uint32_t>(), b.most_out_zone = r.number<std::uint32_t>(),
-  b.most_out_cell = r.number<std::uint32_t>();
-  b.keep_zone = r.number<bool>(), b.keep_cell = r.number<bool>(),
-  b.least_proxies = r.number<std::uint32_t>();
-  b.evacuate_within = r.number<Seconds>(), b.put_off = r.number<Seconds>(),
-  b.age_step = r.number<Seconds>(), b.calm = r.number<Seconds>();
+DisruptionBudget bounds(ByteReader& r) {
+  DisruptionBudget b;
+  b.capacity_reserve = real(r);
+  b.max_out = r.number<std::uint32_t>(), b.max_out_per_zone = r.number<std::uint32_t>(),
+  b.max_out_per_cell = r.number<std::uint32_t>();
+  b.preserve_last_in_zone = r.number<bool>(), b.preserve_last_in_cell = r.number<bool>(),
+  b.min_proxies_per_zone = r.number<std::uint32_t>();
+  b.drain_timeout = r.number<Seconds>(), b.deferral = r.number<Seconds>(),
+  b.priority_aging_interval = r.number<Seconds>(), b.quiet_period = r.number<Seconds>();
   b.needs_approval = r.number<bool>();
   return b;
 }
 
-void put(Writer& w, const std::map<std::string, Machine>& machines,
+void put(ByteWriter& w, const std::map<std::string, Machine>& machines,
          const std::map<std::string, double>& use) {
   w.number(static_cast<std::uint32_t>(machines.size()));
   for (const auto& [id, m] : machines) {
@@ -140,67 +140,67 @@
   }
 }
 
-void read(Reader& r, std::vector<Machine>& machines, std::map<std::string, double>& use) {
+void read(ByteReader& r, std::vector<Machine>& machines, std::map<std::string, double>& use) {
   for (auto n = r.number<std::uint32_t>(); n > 0 && r.ok(); --n) {
     machines.push_back(machine(r));
   }
   for (auto n = r.number<std::uint32_t>(); n > 0 && r.ok(); --n) {
-    const std::string zone = r.text(kLongestText);
+    const std::string zone = r.text(kMaxTextBytes);
     use[zone] = real(r);
   }
 }
 
 }  // namespace
 
-const char* name(Step step) {
+const char* name(WorkflowState step) {
   static constexpr const char* kNames[] = {"announced", "evacuating", "empty", "out", "warming"};
   return kNames[static_cast<std::size_t>(step)];
 }
 
-bool Select::matches(const Machine& m) const {
+bool MachineSelector::matches(const Machine& m) const {
   return m.role == role && (ids.empty() || ids.contains(m.id)) &&
          (zone.empty() || zone == m.zone) && (cell.empty() || cell == m.cell) &&
-         (kind.empty() || kind == m.kind);
+         (kind.empty() || kind == m.instance_type);
 }
 
 std::string encode(const Command& c) {
-  Writer w;
-  w.number(c.what).number(c.at).text(c.id).text(c.machine).text(c.proxy).text(c.by).number(c.fence);
+  ByteWriter w;
+  w.number(c.type).number(c.issued_at).text(c.id).text(c.machine).text(c.proxy).text(c.issued_by).number(c.fencing_token);
   w.number(c.request.has_value());
   if (c.request) {
     put(w, *c.request);
   }
-  w.number(c.bounds.has_value());
-  if (c.bounds) {
-    put(w, *c.bounds);
+  w.number(c.disruption_budget.has_value());
+  if (c.disruption_budget) {
+    put(w, *c.disruption_budget);
   }
   std::map<std::string, Machine> machines;
   for (const Machine& m : c.machines) {
     machines[m.id] = m;
   }
-  put(w, machines, c.use);
-  put(w, c.gone);
-  w.text(c.trouble);
+  put(w, machines, c.zone_utilization);
+  put(w, c.removed_machines);
+  w.text(c.incident);
   return w.bytes();
 }
 
 std::optional<Command> decode(std::string_view bytes) {
-  Reader r(bytes);
+  ByteReader r(bytes);
   Command c;
-  c.what = r.number<What>(), c.at = r.number<Seconds>();
-  c.id = r.text(kLongestText), c.machine = r.text(kLongestText), c.proxy = r.text(kLongestText),
-  c.by = r.text(kLongestText);
-  c.fence = r.number<Fence>();
+  c.type = r.number<CommandType>(), c.issued_at = r.number<Seconds>();
+  c.id = r.text(kMaxTextBytes), c.machine = r.text(kMaxTextBytes), c.proxy = r.text(kMaxTextBytes),
+  c.issued_by = r.text(kMaxTextBytes);
+  c.fencing_token = r.number<FencingToken>();
   if (r.number<bool>()) {
     c.request = request(r);
   }
   if (r.number<bool>()) {
-    c.bounds = bounds(r);
+    c.disruption_budget = bounds(r);
   }
-  read(r, c.machines, c.use);
-  c.gone = texts(r);
-  c.trouble = r.text(kLongestText);
-  if (!r.done() || c.what > What::kCallBack || c.machines.size() > kMostMachines) {
+  read(r, c.machines, c.zone_utilization);
+  c.removed_machines = texts(r);
+  c.incident = r.text(kMaxTextBytes);
+  if (!r.done() || c.type > CommandType::kCallBack || c.machines.size() > kMaxMachines) {
     return std::nullopt;
   }
   return c;
@@ -208,76 +208,76 @@
 
 // ---- What is settled
 
-const char* Ledger::apply(Index index, const Command& c) {
+const char* MaintenanceStateMachine::apply(LogIndex index, const Command& c) {
   index_ = std::max(index_, index);
-  time_ = std::max(time_, c.at);  // clocks step, and leaders change
-  switch (c.what) {
-    case What::kAsk:
+  time_ = std::max(time_, c.issued_at);  // clocks step, and leaders change
+  switch (c.type) {
+    case CommandType::kSubmitRequest:
       return ask(c);
-    case What::kApprove:
-    case What::kHold:
-    case What::kResume:
-    case What::kCancel:
+    case CommandType::kApproveRequest:
+    case CommandType::kHoldRequest:
+    case CommandType::kResumeRequest:
+    case CommandType::kCancelRequest:
       return of_request(c);
-    case What::kBounds:
-      if (!c.bounds || *c.bounds == bounds_) {
+    case CommandType::kSetDisruptionBudget:
+      if (!c.disruption_budget || *c.disruption_budget == bounds_) {
         return kNoChange;
       }
-      bounds_ = *c.bounds;
+      bounds_ = *c.disruption_budget;
       return nullptr;
-    case What::kFacts:
+    case CommandType::kUpdateObservations:
       facts(c);
       return nullptr;
-    case What::kTime:
+    case CommandType::kAdvanceTime:
       tidy();
       return nullptr;
-    case What::kJoin:
-      if (roster_.size() >= kMostRoster) {
+    case CommandType::kAddProxy:
+      if (roster_.size() >= kMaxProxies) {
         return "too_many_proxies";
       }
       return roster_.insert(c.proxy).second ? nullptr : kNoChange;
-    case What::kLeave:
-    case What::kForget:
+    case CommandType::kRemoveProxy:
+    case CommandType::kForgetProxy:
       return roster_.erase(c.proxy) > 0 ? nullptr : "unknown_proxy";
-    case What::kAnnounce:
+    case CommandType::kAnnounceDrain:
       return announce(c);
-    case What::kConfirm:
+    case CommandType::kConfirmDrained:
       return confirm(c);
-    case What::kDone:
-    case What::kGrant:
-    case What::kOut:
-    case What::kWarm:
-    case What::kCallBack:
+    case CommandType::kCompleteWork:
+    case CommandType::kStartDrain:
+    case CommandType::kMarkOut:
+    case CommandType::kMarkWarming:
+    case CommandType::kCallBack:
       return advance(c);
   }
   return "unknown";
 }
 
 // A request of the same id is the same request: it was sent twice.
-const char* Ledger::ask(const Command& c) {
+const char* MaintenanceStateMachine::ask(const Command& c) {
   if (!c.request || c.request->id.empty()) {
     return "no_request";
   }
   const auto there = requests_.find(c.request->id);
   if (there != requests_.end()) {
-    return there->second.select.ids == c.request->select.ids && there->second.by == c.request->by
+    return there->second.select.ids == c.request->select.ids && there->second.requested_by == c.request->requested_by
                ? kNoChange
                : "id_is_taken";
   }
-  if (requests_.size() >= kMostRequests) {
+  if (requests_.size() >= kMaxRequests) {
     return "too_many_requests";
   }
   Request q = *c.request;
   q.approved = !bounds_.needs_approval;
-  q.held = q.cancelled = q.ended = false;
-  q.asked = time_;
-  q.done.clear(), q.put_off.clear();
-  q.at_once = std::max<std::uint32_t>(1, q.at_once);
+  q.on_hold = q.cancelled = q.ended = false;
+  q.requested_at = time_;
+  q.completed_machines.clear(), q.deferred_until.clear();
+  q.max_concurrent = std::max<std::uint32_t>(1, q.max_concurrent);
   requests_.emplace(q.id, std::move(q));
   return nullptr;
 }
 
-const char* Ledger::of_request(const Command& c) {
+const char* MaintenanceStateMachine::of_request(const Command& c) {
   const auto it = requests_.find(c.id);
   if (it == requests_.end()) {
     return "unknown_request";
@@ -286,19 +286,19 @@
   if (!q.open()) {
     return "ended";
   }
-  bool* const flag = c.what == What::kApprove  ? &q.approved
-                     : c.what == What::kCancel ? &q.cancelled
-                                               : &q.held;
-  const bool value = c.what != What::kResume;
+  bool* const flag = c.type == CommandType::kApproveRequest  ? &q.approved
+                     : c.type == CommandType::kCancelRequest ? &q.cancelled
+                                               : &q.on_hold;
+  const bool value = c.type != CommandType::kResumeRequest;
   if (*flag == value) {
     return kNoChange;
   }
   *flag = value;
   // What has not been said to be out is called back; staff end the work on what is.
-  if (c.what == What::kHold || c.what == What::kCancel) {
+  if (c.type == CommandType::kHoldRequest || c.type == CommandType::kCancelRequest) {
     std::vector<std::string> back;
     for (const auto& [id, course] : courses_) {
-      if (course.request == c.id && course.step < Step::kOut) {
+      if (course.request == c.id && course.state < WorkflowState::kOut) {
         back.push_back(id);
       }
     }
@@ -310,26 +310,26 @@
   return nullptr;
 }
 
-void Ledger::facts(const Command& c) {
-  for (const std::string& id : c.gone) {
+void MaintenanceStateMachine::facts(const Command& c) {
+  for (const std::string& id : c.removed_machines) {
     machines_.erase(id);
   }
   for (const Machine& m : c.machines) {
-    if (machines_.contains(m.id) || machines_.size() < kMostMachines) {
+    if (machines_.contains(m.id) || machines_.size() < kMaxMachines) {
       machines_[m.id] = m;
     }
   }
-  use_ = c.use;
-  trouble_ = c.trouble;
+  use_ = c.zone_utilization;
+  trouble_ = c.incident;
   if (!trouble_.empty()) {
-    calm_from_ = time_ + bounds_.calm;
+    calm_from_ = time_ + bounds_.quiet_period;
   }
   tidy();
 }
 
 // The bounds are looked at once more: what was true when the leader reckoned may not be so any
 // more.
-const char* Ledger::announce(const Command& c) {
+const char* MaintenanceStateMachine::announce(const Command& c) {
   const auto q = requests_.find(c.id);
   const auto m = machines_.find(c.machine);
   if (q == requests_.end() || m == machines_.end()) {
@@ -338,53 +338,53 @@
   if (!stands_in_way(q->second, m->second, room(m->second.role)).empty()) {
     return "bound";
   }
-  courses_[c.machine] = {c.id,   c.machine, next_fence_++,  Step::kAnnounced,
-                         index_, time_,     m->second.born, {}};
+  courses_[c.machine] = {c.id,   c.machine, next_fence_++,  WorkflowState::kAnnounced,
+                         index_, time_,     m->second.started_at, {}};
   return nullptr;
 }
 
 // A course goes on by its fence alone: a word that belongs to an earlier one changes nothing.
-const char* Ledger::advance(const Command& c) {
+const char* MaintenanceStateMachine::advance(const Command& c) {
   const auto it = courses_.find(c.machine);
-  if (it == courses_.end() || (c.fence != 0 && it->second.fence != c.fence)) {
+  if (it == courses_.end() || (c.fencing_token != 0 && it->second.fencing_token != c.fencing_token)) {
     return "other_course";
   }
-  Course& course = it->second;
-  const auto to = [&](Step from, Step step) -> const char* {
-    if (course.step != from) {
+  MaintenanceWorkflow& course = it->second;
+  const auto to = [&](WorkflowState from, WorkflowState step) -> const char* {
+    if (course.state != from) {
       return "other_step";
     }
-    course.step = step, course.since = time_, course.since_index = index_;
+    course.state = step, course.state_since = time_, course.state_index = index_;
     return nullptr;
   };
-  switch (c.what) {
-    case What::kGrant:
+  switch (c.type) {
+    case CommandType::kStartDrain:
       if (paused()) {
         return "paused";
       }
-      return to(Step::kAnnounced, Step::kEvacuating);
-    case What::kOut:
+      return to(WorkflowState::kAnnounced, WorkflowState::kDraining);
+    case CommandType::kMarkOut:
       if (paused()) {
         return "paused";
       }
       if (const auto m = machines_.find(c.machine); m != machines_.end()) {
-        course.born = m->second.born;
+        course.started_at = m->second.started_at;
       }
-      return to(Step::kEmpty, Step::kOut);
-    case What::kDone:  // staff's word alone: a start that the list tells late may be one from
+      return to(WorkflowState::kDrained, WorkflowState::kOut);
+    case CommandType::kCompleteWork:  // staff's word alone: a start that the list tells late may be one from
                        // before the work
       if (course.request != c.id) {
         return "other_request";
       }
-      return to(Step::kOut, Step::kWarming);
-    case What::kWarm:
-      if (course.step != Step::kWarming) {
+      return to(WorkflowState::kOut, WorkflowState::kWarming);
+    case CommandType::kMarkWarming:
+      if (course.state != WorkflowState::kWarming) {
         return "other_step";
       }
       drop(c.machine, true);
       return nullptr;
-    case What::kCallBack:
-      if (course.step >= Step::kOut) {
+    case CommandType::kCallBack:
+      if (course.state >= WorkflowState::kOut) {
         return "other_step";
       }
       drop(c.machine, false);
@@ -394,94 +394,94 @@
   }
 }
 
-const char* Ledger::confirm(const Command& c) {
+const char* MaintenanceStateMachine::confirm(const Command& c) {
   const auto it = courses_.find(c.machine);
-  if (it == courses_.end() || it->second.fence != c.fence) {
+  if (it == courses_.end() || it->second.fencing_token != c.fencing_token) {
     return "other_course";
   }
-  Course& course = it->second;
-  if (course.step != Step::kEvacuating) {
+  MaintenanceWorkflow& course = it->second;
+  if (course.state != WorkflowState::kDraining) {
     return "other_step";
   }
-  if (!course.confirmed.insert(c.proxy).second) {
+  if (!course.confirmed_proxies.insert(c.proxy).second) {
     return kNoChange;
   }
   if (waits_for(course, {}).empty()) {
-    course.step = Step::kEmpty, course.since = time_, course.since_index = index_;
+    course.state = WorkflowState::kDrained, course.state_since = time_, course.state_index = index_;
   }
   return nullptr;
 }
 
-void Ledger::drop(const std::string& machine, bool done) {
+void MaintenanceStateMachine::drop(const std::string& machine, bool done) {
   const auto it = courses_.find(machine);
   const auto q = requests_.find(it->second.request);
   if (q != requests_.end() && done) {
-    q->second.done.insert(machine), q->second.put_off.erase(machine);
+    q->second.completed_machines.insert(machine), q->second.deferred_until.erase(machine);
   }
   if (q != requests_.end() && !done) {
-    q->second.put_off[machine] = time_ + bounds_.put_off;
+    q->second.deferred_until[machine] = time_ + bounds_.deferral;
   }
   courses_.erase(it);
   tidy();
 }
 
 // A request ends once all that match it are done; ended ones are forgotten after a day.
-void Ledger::tidy() {
+void MaintenanceStateMachine::tidy() {
   for (auto& [id, q] : requests_) {
     if (!q.open()) {
       continue;
     }
     bool left = machines_.empty();
     for (const auto& [m, machine] : machines_) {
-      left = left || (q.select.matches(machine) && !q.done.contains(m));
+      left = left || (q.select.matches(machine) && !q.completed_machines.contains(m));
     }
     for (const auto& [m, course] : courses_) {
       left = left || course.request == id;
     }
     // One that nothing has matched yet waits: the list may be behind.
-    if (!left && !q.done.empty()) {
+    if (!left && !q.completed_machines.empty()) {
       q.ended = true;
     }
   }
   std::erase_if(requests_, [this](const auto& r) {
     const bool busy = std::any_of(courses_.begin(), courses_.end(),
                                   [&](const auto& c) { return c.second.request == r.first; });
-    return !r.second.open() && !busy && time_ > r.second.asked + kKeepEnded;
+    return !r.second.open() && !busy && time_ > r.second.requested_at + kKeepEnded;
   });
 }
 
 // ---- The order
 
-std::int64_t Ledger::rank(const Request& q) const {
-  return q.priority + (bounds_.age_step > 0 ? (time_ - q.asked) / bounds_.age_step : 0);
+std::int64_t MaintenanceStateMachine::rank(const Request& q) const {
+  return q.priority + (bounds_.priority_aging_interval > 0 ? (time_ - q.requested_at) / bounds_.priority_aging_interval : 0);
 }
 
-std::vector<const Request*> Ledger::in_order() const {
+std::vector<const Request*> MaintenanceStateMachine::in_order() const {
   std::vector<const Request*> all;
   for (const auto& [id, q] : requests_) {
-    if (q.open() && q.approved && !q.held) {
+    if (q.open() && q.approved && !q.on_hold) {
       all.push_back(&q);
     }
   }
   std::sort(all.begin(), all.end(), [this](const Request* a, const Request* b) {
-    return std::tuple(-rank(*a), a->asked, a->id) < std::tuple(-rank(*b), b->asked, b->id);
+    return std::tuple(-rank(*a), a->requested_at, a->id) < std::tuple(-rank(*b), b->requested_at, b->id);
   });
   return all;
 }
 
-Ledger::Room Ledger::room(Role role) const {
+MaintenanceStateMachine::Room MaintenanceStateMachine::room(Role role) const {
   Room r;
   for (const auto& [id, m] : machines_) {
     if (m.role != role) {
       continue;
     }
     const auto use = use_.find(m.zone);
-    const double needed = use == use_.end() ? 0 : use->second * m.width;
+    const double needed = use == use_.end() ? 0 : use->second * m.relative_capacity;
     for (Place* p : {&r.whole, &r.zones[m.zone], &r.cells[{m.zone, m.cell}]}) {
       p->needed += needed;
       p->out += out(m);
       if (serves(m)) {
-        p->left += m.width, ++p->serving;
+        p->left += m.relative_capacity, ++p->serving;
       }
     }
   }
@@ -491,14 +491,14 @@
   return r;
 }
 
-std::string Ledger::stands_in_way(const Request& q, const Machine& m, const Room& room) const {
+std::string MaintenanceStateMachine::stands_in_way(const Request& q, const Machine& m, const Room& room) const {
   if (!q.open()) {
     return "the request has ended";
   }
   if (!q.approved) {
     return "not approved";
   }
-  if (q.held) {
+  if (q.on_hold) {
     return "held by staff";
   }
   if (q.not_before > time_) {
@@ -511,10 +511,10 @@
     return "an incident: " +
            (trouble_.empty() ? "it is over, and the calm after it is not" : trouble_);
   }
-  if (!q.select.matches(m) || q.done.contains(m.id)) {
+  if (!q.select.matches(m) || q.completed_machines.contains(m.id)) {
     return "not of this request";
   }
-  if (const auto off = q.put_off.find(m.id); off != q.put_off.end() && off->second > time_) {
+  if (const auto off = q.deferred_until.find(m.id); off != q.deferred_until.end() && off->second > time_) {
     return m.id + " was called back and is put off";
   }
   if (const auto there = courses_.find(m.id); there != courses_.end()) {
@@ -522,59 +522,59 @@
   }
   const auto own = std::count_if(courses_.begin(), courses_.end(),
                                  [&q](const auto& c) { return c.second.request == q.id; });
-  if (own >= q.at_once) {
+  if (own >= q.max_concurrent) {
     return "at_once: " + std::to_string(own) + " of this request are out";
   }
   const Place& zone = room.zones.at(m.zone);
   const Place& cell = room.cells.at({m.zone, m.cell});
   const std::uint32_t all_out = room.whole.out + room.unlisted, zone_out = zone.out + room.unlisted,
                       cell_out = cell.out + room.unlisted;
-  if (all_out >= bounds_.most_out) {
+  if (all_out >= bounds_.max_out) {
     return "most_out: " + std::to_string(all_out) + " are out";
   }
-  if (zone_out >= bounds_.most_out_zone) {
+  if (zone_out >= bounds_.max_out_per_zone) {
     return "most_out_zone: " + std::to_string(zone_out) + " are out in " + m.zone;
   }
-  if (cell_out >= bounds_.most_out_cell) {
+  if (cell_out >= bounds_.max_out_per_cell) {
     return "most_out_cell: " + std::to_string(cell_out) + " are out in " + m.cell;
   }
   // What would be left without this one, if it serves.
   const std::uint32_t one = serves(m);
-  const double width = one > 0 ? m.width : 0;
+  const double width = one > 0 ? m.relative_capacity : 0;
   if (m.role == Role::kProxy) {
-    return zone.serving - one < bounds_.least_proxies
+    return zone.serving - one < bounds_.min_proxies_per_zone
                ? "least_proxies: " + std::to_string(zone.serving - one) + " would be left in " +
                      m.zone
                : "";
   }
-  if (room.whole.left - width < room.whole.needed * (1 + bounds_.reserve)) {
+  if (room.whole.left - width < room.whole.needed * (1 + bounds_.capacity_reserve)) {
     return "reserve: what would be left does not bear the load with the reserve";
   }
-  if (zone.left - width < zone.needed * (1 + bounds_.reserve)) {
+  if (zone.left - width < zone.needed * (1 + bounds_.capacity_reserve)) {
     return "reserve: what would be left in " + m.zone + " does not bear its load with the reserve";
   }
-  if (bounds_.keep_zone && zone.serving == one) {
+  if (bounds_.preserve_last_in_zone && zone.serving == one) {
     return "keep_zone: the last in " + m.zone;
   }
-  if (bounds_.keep_cell && cell.serving == one) {
+  if (bounds_.preserve_last_in_cell && cell.serving == one) {
     return "keep_cell: the last in " + m.cell;
   }
   return {};
 }
 
-std::string Ledger::waits_for(const Course& c, const std::map<std::string, Index>& shown) const {
+std::string MaintenanceStateMachine::waits_for(const MaintenanceWorkflow& c, const std::map<std::string, LogIndex>& shown) const {
   std::string who;
   const Role role = role_of(c);
   for (const std::string& proxy : roster_) {
     if (role == Role::kProxy && proxy != c.machine) {
       continue;  // what a proxy still has open only it knows
     }
-    if (c.step == Step::kAnnounced) {
+    if (c.state == WorkflowState::kAnnounced) {
       const auto it = shown.find(proxy);
-      if (it != shown.end() && it->second >= c.since_index) {
+      if (it != shown.end() && it->second >= c.state_index) {
         continue;
       }
-    } else if (c.confirmed.contains(proxy)) {
+    } else if (c.confirmed_proxies.contains(proxy)) {
       continue;
     }
     who += (who.empty() ? "" : ", ") + proxy;
@@ -582,27 +582,27 @@
   return who;
 }
 
-std::vector<Command> Ledger::next(const std::map<std::string, Index>& shown) const {
+std::vector<Command> MaintenanceStateMachine::next_commands(const std::map<std::string, LogIndex>& shown) const {
   std::vector<Command> commands;
-  const auto say = [&](What what, const std::string& request, const std::string& machine,
-                       Fence fence) {
+  const auto say = [&](CommandType what, const std::string& request, const std::string& machine,
+                       FencingToken fence) {
     Command c;
-    c.what = what, c.at = time_, c.id = request, c.machine = machine, c.fence = fence;
+    c.type = what, c.issued_at = time_, c.id = request, c.machine = machine, c.fencing_token = fence;
     commands.push_back(std::move(c));
   };
   for (const auto& [id, c] : courses_) {
     const auto m = machines_.find(id);
-    const bool late = time_ > c.since + bounds_.evacuate_within;
-    if (c.step < Step::kOut && (late || paused())) {
-      say(What::kCallBack, c.request, id, c.fence);
-    } else if (c.step == Step::kAnnounced && waits_for(c, shown).empty()) {
-      say(What::kGrant, c.request, id, c.fence);
-    } else if (c.step == Step::kEvacuating && waits_for(c, shown).empty()) {
-      say(What::kConfirm, c.request, id, c.fence);  // of nobody: whom it waited for has left
-    } else if (c.step == Step::kEmpty) {
-      say(What::kOut, c.request, id, c.fence);
-    } else if (c.step == Step::kWarming && m != machines_.end() && m->second.up && m->second.warm) {
-      say(What::kWarm, c.request, id, c.fence);
+    const bool late = time_ > c.state_since + bounds_.drain_timeout;
+    if (c.state < WorkflowState::kOut && (late || paused())) {
+      say(CommandType::kCallBack, c.request, id, c.fencing_token);
+    } else if (c.state == WorkflowState::kAnnounced && waits_for(c, shown).empty()) {
+      say(CommandType::kStartDrain, c.request, id, c.fencing_token);
+    } else if (c.state == WorkflowState::kDraining && waits_for(c, shown).empty()) {
+      say(CommandType::kConfirmDrained, c.request, id, c.fencing_token);  // of nobody: whom it waited for has left
+    } else if (c.state == WorkflowState::kDrained) {
+      say(CommandType::kMarkOut, c.request, id, c.fencing_token);
+    } else if (c.state == WorkflowState::kWarming && m != machines_.end() && m->second.up && m->second.warm) {
+      say(CommandType::kMarkWarming, c.request, id, c.fencing_token);
     }
   }
   // One at a time: each announcement changes what the next may be.
@@ -611,14 +611,14 @@
   for (const Request* q : in_order()) {
     bool starved = false;
     for (const auto& [id, m] : machines_) {
-      if (!q->select.matches(m) || q->done.contains(id) || courses_.contains(id)) {
+      if (!q->select.matches(m) || q->completed_machines.contains(id) || courses_.contains(id)) {
         continue;
       }
       if (!stands_in_way(*q, m, rooms.at(m.role)).empty()) {
-        starved = starved || (time_ - q->asked > bounds_.age_step && q->not_before <= time_);
+        starved = starved || (time_ - q->requested_at > bounds_.priority_aging_interval && q->not_before <= time_);
         continue;
       }
-      say(What::kAnnounce, q->id, id, 0);
+      say(CommandType::kAnnounceDrain, q->id, id, 0);
       return commands;
     }
     // One that has waited for long is not passed by later ones, which would take its turn for ever.
@@ -629,8 +629,8 @@
   return commands;
 }
 
-std::vector<std::string> Ledger::explain(const std::string& id,
-                                         const std::map<std::string, Index>& shown) const {
+std::vector<std::string> MaintenanceStateMachine::explain(const std::string& id,
+                                         const std::map<std::string, LogIndex>& shown) const {
   std::vector<std::string> lines;
   const auto it = requests_.find(id);
   if (it == requests_.end()) {
@@ -647,18 +647,18 @@
     if (c.request != id) {
       continue;
     }
-    std::string line = m + " is " + name(c.step);
-    if (c.step == Step::kAnnounced || c.step == Step::kEvacuating) {
+    std::string line = m + " is " + name(c.state);
+    if (c.state == WorkflowState::kAnnounced || c.state == WorkflowState::kDraining) {
       if (const std::string who = waits_for(c, shown); !who.empty()) {
         line += ", waiting for " + who;
       }
     }
     const auto listed = machines_.find(m);
-    if (c.step == Step::kOut && listed != machines_.end() && listed->second.up &&
-        listed->second.born > c.born) {
+    if (c.state == WorkflowState::kOut && listed != machines_.end() && listed->second.up &&
+        listed->second.started_at > c.started_at) {
       line += ", and has started again since: done?";
     }
-    if (c.step == Step::kOut && q.length > 0 && time_ > c.since + q.length) {
+    if (c.state == WorkflowState::kOut && q.work_duration > 0 && time_ > c.state_since + q.work_duration) {
       line += ", longer than expected";
     }
     lines.push_back(line);
@@ -667,7 +667,7 @@
   const Room now = room(q.select.role);
   bool any = false, free = false;
   for (const auto& [m, machine] : machines_) {
-    if (!q.select.matches(machine) || q.done.contains(m) || courses_.contains(m)) {
+    if (!q.select.matches(machine) || q.completed_machines.contains(m) || courses_.contains(m)) {
       continue;
     }
     any = true;
@@ -687,7 +687,7 @@
     if (other == &q || !free) {
       break;
     }
-    if (time_ - other->asked > bounds_.age_step) {
+    if (time_ - other->requested_at > bounds_.priority_aging_interval) {
       lines.push_back("waits behind " + other->id + ", which has waited longer");
       break;
     }
@@ -695,26 +695,26 @@
   return lines;
 }
 
-Role Ledger::role_of(const Course& c) const {
+Role MaintenanceStateMachine::role_of(const MaintenanceWorkflow& c) const {
   const auto q = requests_.find(c.request);
   return q == requests_.end() ? Role::kBackend : q->second.select.role;
 }
 
-std::map<std::string, Ledger::Right> Ledger::rights(Role role) const {
-  std::map<std::string, Right> all;
+std::map<std::string, MaintenanceStateMachine::DispatchPermission> MaintenanceStateMachine::dispatch_permissions(Role role) const {
+  std::map<std::string, DispatchPermission> all;
   for (const auto& [id, c] : courses_) {
-    if (role_of(c) != role || c.step == Step::kWarming) {
+    if (role_of(c) != role || c.state == WorkflowState::kWarming) {
       continue;
     }
-    all[id] = {c.step != Step::kAnnounced, c.step == Step::kAnnounced, c.fence};
+    all[id] = {c.state != WorkflowState::kAnnounced, c.state == WorkflowState::kAnnounced, c.fencing_token};
   }
   return all;
 }
 
 // ---- Snapshots
 
-std::string Ledger::snapshot() const {
-  Writer w;
+std::string MaintenanceStateMachine::snapshot() const {
+  ByteWriter w;
   w.number(index_).number(time_).number(calm_from_).number(next_fence_);
   put(w, bounds_);
   w.text(trouble_).number(static_cast<std::uint32_t>(requests_.size()));
@@ -725,37 +725,37 @@
   for (const auto& [id, c] : courses_) {
     w.text(c.request)
         .text(c.machine)
-        .number(c.fence)
-        .number(c.step)
-        .number(c.since_index)
-        .number(c.since)
-        .number(c.born);
-    put(w, c.confirmed);
+        .number(c.fencing_token)
+        .number(c.state)
+        .number(c.state_index)
+        .number(c.state_since)
+        .number(c.started_at);
+    put(w, c.confirmed_proxies);
   }
   put(w, machines_, use_);
   put(w, roster_);
   return w.bytes();
 }
 
-bool Ledger::restore(std::string_view bytes) {
-  Reader r(bytes);
-  Ledger l;
-  l.index_ = r.number<Index>(), l.time_ = r.number<Seconds>(), l.calm_from_ = r.number<Seconds>(),
-  l.next_fence_ = r.number<Fence>();
+bool MaintenanceStateMachine::restore(std::string_view bytes) {
+  ByteReader r(bytes);
+  MaintenanceStateMachine l;
+  l.index_ = r.number<LogIndex>(), l.time_ = r.number<Seconds>(), l.calm_from_ = r.number<Seconds>(),
+  l.next_fence_ = r.number<FencingToken>();
   l.bounds_ = maintenance::bounds(r);
-  l.trouble_ = r.text(kLongestText);
+  l.trouble_ = r.text(kMaxTextBytes);
   for (auto n = r.number<std::uint32_t>(); n > 0 && r.ok(); --n) {
     Request q = request(r);
     l.requests_.emplace(q.id, std::move(q));
   }
   for (auto n = r.number<std::uint32_t>(); n > 0 && r.ok(); --n) {
-    Course c;
-    c.request = r.text(kLongestText), c.machine = r.text(kLongestText), c.fence = r.number<Fence>(),
-    c.step = r.number<Step>();
-    c.since_index = r.number<Index>(), c.since = r.number<Seconds>(),
-    c.born = r.number<std::int64_t>();
-    c.confirmed = texts(r);
-    if (c.step > Step::kWarming) {
+    MaintenanceWorkflow c;
+    c.request = r.text(kMaxTextBytes), c.machine = r.text(kMaxTextBytes), c.fencing_token = r.number<FencingToken>(),
+    c.state = r.number<WorkflowState>();
+    c.state_index = r.number<LogIndex>(), c.state_since = r.number<Seconds>(),
+    c.started_at = r.number<std::int64_t>();
+    c.confirmed_proxies = texts(r);
+    if (c.state > WorkflowState::kWarming) {
       return false;
     }
     l.courses_.emplace(c.machine, std::move(c));
--- a/src/maintenance/maintenance_actor.cpp
+++ b/src/maintenance/maintenance_actor.cpp
@@ -22,21 +22,21 @@
       .count();
 }
 
-Works::Answer answer_to(std::shared_ptr<proxy::AskedText> asked) {
+MaintenanceCoordinator::ResponseCallback answer_to(std::shared_ptr<proxy::PendingTextReply> asked) {
   return [asked](bool done, const std::string& text) {
     const bool later =
         text == "no_leader" || text == "no_answer" || text == "lost" || text == "not_leader";
     asked->text = text;
-    asked->answer(done ? 200 : later ? 503 : 409);
+    asked->complete(done ? 200 : later ? 503 : 409);
   };
 }
 
 }  // namespace
 
-MaintenanceActor::MaintenanceActor(runtime::Scheduler& scheduler, WorksSettings settings,
+MaintenanceActor::MaintenanceActor(runtime::Scheduler& scheduler, CoordinatorSettings settings,
                                    std::string folder, std::uint64_t life,
-                                   membership::TalkBox& talk, proxy::DecisionBox& decisions,
-                                   std::function<View()> look, std::function<void(bool)> drain)
+                                   membership::GossipMailbox& talk, proxy::DecisionMailbox& decisions,
+                                   std::function<LocalView()> look, std::function<void(bool)> drain)
     : scheduler_(scheduler),
       settings_(std::move(settings)),
       folder_(std::move(folder)),
@@ -49,7 +49,7 @@
       drain_(std::move(drain)),
       inbox_(kInboxCapacity) {
   if (votes_) {
-    storage_ = DiskStorage::open(folder_, settings_.self);
+    storage_ = DiskRaftStorage::open(folder_, settings_.self);
   }
   if (votes_ && !storage_) {
     log::warning("voter_without_storage", {});
@@ -58,7 +58,7 @@
 }
 
 void MaintenanceActor::begin() {
-  works_ = std::make_unique<Works>(now(), settings_, storage_.get(),
+  works_ = std::make_unique<MaintenanceCoordinator>(now(), settings_, storage_.get(),
                                    storage_ ? storage_->voter().generation : 0, life_,
                                    life_ ^ 0x9e3779b97f4a7c15ULL, unix_now);
 }
@@ -67,7 +67,7 @@
   for (;;) {
     if (now() >= look_at_) {
       look_at_ = now() + kLookEvery;
-      works_->see(look_());
+      works_->update_local_view(look_());
     }
     for (int i = 0; i < kAtOnce && !inbox_.empty(); ++i) {
       MaintenanceMessage message = inbox_.take();
@@ -76,13 +76,13 @@
     works_->tick(now());
     mind_storage();
     pass_on();
-    Time until = std::min(works_->due(), look_at_);
+    Time until = std::min(works_->next_tick(), look_at_);
     for (const auto& [machine, end] : told_) {
       if (end > now()) {
         until = std::min(until, end);  // told again the moment a right lapses
       }
     }
-    if (storage_ && !storage_->failed() && storage_->durable() < storage_->written()) {
+    if (storage_ && !storage_->failed() && storage_->durable_records() < storage_->appended_records()) {
       until = std::min(until, now() + kDiskLook);
     }
     if (!inbox_.empty()) {
@@ -95,25 +95,25 @@
   }
 }
 
-void MaintenanceActor::on(const membership::Heard& heard) {
+void MaintenanceActor::on(const membership::PayloadReceived& heard) {
   works_->receive(
       now(), heard.from,
-      heard.channel == membership::Channel::kAgreement ? Line::kAgreement : Line::kSettled,
-      heard.whole);
+      heard.channel == membership::Channel::kRaft ? Channel::kRaft : Channel::kCoordination,
+      heard.payload);
 }
 
-void MaintenanceActor::on(const membership::Woke&) {
-  works_->woke(now());
+void MaintenanceActor::on(const membership::ProcessResumed&) {
+  works_->on_resume(now());
 }
 
-void MaintenanceActor::on(StaffOrder& order) {
+void MaintenanceActor::on(SubmitCommand& order) {
   log::info("maintenance_order", {{"request", std::string_view(order.command.id)},
-                                  {"by", std::string_view(order.command.by)}});
-  works_->order(now(), std::move(order.command), answer_to(order.asked));
+                                  {"by", std::string_view(order.command.issued_by)}});
+  works_->submit_command(now(), std::move(order.command), answer_to(order.reply));
 }
 
-void MaintenanceActor::on(StaffQuestion& question) {
-  works_->question(now(), question.request, answer_to(question.asked));
+void MaintenanceActor::on(QueryStatus& question) {
+  works_->query(now(), question.request, answer_to(question.reply));
 }
 
 // A voter that cannot rely on its storage goes on without, as any proxy, until the one that leads
@@ -133,7 +133,7 @@
   }
   if (const auto generation = works_->readmitted(); generation && !storage_) {
     try {
-      storage_ = DiskStorage::found(folder_, Voter{settings_.self, *generation}, {});
+      storage_ = DiskRaftStorage::found(folder_, Voter{settings_.self, *generation}, {});
       log::info("voter_readmitted", {{"generation", static_cast<std::uint64_t>(*generation)}});
     } catch (const std::exception& error) {
       proxy::log_fault("voter_without_storage", error);
@@ -145,35 +145,35 @@
 }
 
 void MaintenanceActor::pass_on() {
-  for (Works::Outgoing& o : works_->take_outgoing()) {
-    membership::TalkMessage say(membership::Say{o.to,
-                                                o.line == Line::kAgreement
-                                                    ? membership::Channel::kAgreement
-                                                    : membership::Channel::kSettled,
+  for (MaintenanceCoordinator::Outgoing& o : works_->take_outgoing()) {
+    membership::GossipMessage say(membership::SendPayload{o.to,
+                                                o.line == Channel::kRaft
+                                                    ? membership::Channel::kRaft
+                                                    : membership::Channel::kCoordination,
                                                 std::move(o.bytes)});
     if (!talk_.post(std::move(say))) {
-      proxy::log_lost("say");  // as on any network
+      proxy::log_dropped_message("say");  // as on any network
     }
   }
   std::map<std::string, Time> until;
-  for (const auto& [machine, right] : works_->rights()) {
-    const Time end = works_->may_use_until(machine);
+  for (const auto& [machine, right] : works_->dispatch_permissions()) {
+    const Time end = works_->dispatch_permitted_until(machine);
     until[machine] = end <= now() ? Time::min() : end;
   }
-  const Time serve_until = works_->may_serve_until();
+  const Time serve_until = works_->serving_permitted_until();
   const bool lapsed = std::any_of(told_.begin(), told_.end(), [](const auto& t) {
     return t.second > Time::min() && t.second <= now();
   });
   if (until != told_ || serve_until != told_serve_until_ || lapsed) {
-    proxy::DecisionMessage message(proxy::WorkRights{until, serve_until});
+    proxy::DecisionMessage message(proxy::DispatchPermissions{until, serve_until});
     if (decisions_.post(std::move(message))) {
       told_ = until, told_serve_until_ = serve_until;
     }
   }
-  if (std::exchange(told_out_, works_->self_out()) != told_out_) {
+  if (std::exchange(told_out_, works_->is_self_out()) != told_out_) {
     drain_(told_out_);
   }
-  if (std::exchange(led_, works_->leads()) != led_) {
+  if (std::exchange(led_, works_->is_leader()) != led_) {
     log::info("maintenance", {{"leads", led_}});
   }
 }
--- a/src/maintenance/maintenance_actor.h
+++ b/src/maintenance/maintenance_actor.h
@@ -15,51 +15,51 @@
 
 namespace beechhill::maintenance {
 
-struct StaffOrder {
+struct SubmitCommand {
   Command command;
-  std::shared_ptr<proxy::AskedText> asked;
+  std::shared_ptr<proxy::PendingTextReply> reply;
 };
-struct StaffQuestion {
+struct QueryStatus {
   std::string request;  // empty: all
-  std::shared_ptr<proxy::AskedText> asked;
+  std::shared_ptr<proxy::PendingTextReply> reply;
 };
 using MaintenanceMessage =
-    std::variant<membership::Heard, membership::Woke, StaffOrder, StaffQuestion>;
-using MaintenanceBox = runtime::Mailbox<MaintenanceMessage>;
+    std::variant<membership::PayloadReceived, membership::ProcessResumed, SubmitCommand, QueryStatus>;
+using MaintenanceMailbox = runtime::Mailbox<MaintenanceMessage>;
 
 class MaintenanceActor {
  public:
   // `look`: what this proxy sees; `drain`: called when this proxy itself is to take no clients any
   // more, and when it may again. What is referred to must outlive the actor. Throws
   // std::runtime_error where a voter's folder cannot be used.
-  MaintenanceActor(runtime::Scheduler& scheduler, WorksSettings settings, std::string folder,
-                   std::uint64_t life, membership::TalkBox& talk, proxy::DecisionBox& decisions,
-                   std::function<View()> look, std::function<void(bool)> drain);
+  MaintenanceActor(runtime::Scheduler& scheduler, CoordinatorSettings settings, std::string folder,
+                   std::uint64_t life, membership::GossipMailbox& talk, proxy::DecisionMailbox& decisions,
+                   std::function<LocalView()> look, std::function<void(bool)> drain);
 
-  MaintenanceBox& inbox() { return inbox_; }
+  MaintenanceMailbox& inbox() { return inbox_; }
   runtime::Task<> run();
 
  private:
   void begin();
-  void on(const membership::Heard& heard);
-  void on(const membership::Woke&);
-  void on(StaffOrder& order);
-  void on(StaffQuestion& question);
+  void on(const membership::PayloadReceived& heard);
+  void on(const membership::ProcessResumed&);
+  void on(SubmitCommand& order);
+  void on(QueryStatus& question);
   void mind_storage();
   void pass_on();
 
   runtime::Scheduler& scheduler_;
-  const WorksSettings settings_;
+  const CoordinatorSettings settings_;
   const std::string folder_;
   const std::uint64_t life_;
   const bool votes_;
-  membership::TalkBox& talk_;
-  proxy::DecisionBox& decisions_;
-  const std::function<View()> look_;
+  membership::GossipMailbox& talk_;
+  proxy::DecisionMailbox& decisions_;
+  const std::function<LocalView()> look_;
   const std::function<void(bool)> drain_;
-  MaintenanceBox inbox_;
-  std::unique_ptr<DiskStorage> storage_;
-  std::unique_ptr<Works> works_;
+  MaintenanceMailbox inbox_;
+  std::unique_ptr<DiskRaftStorage> storage_;
+  std::unique_ptr<MaintenanceCoordinator> works_;
   bool led_ = false;
   Time look_at_{0};
   std::map<std::string, Time> told_;
--- a/src/maintenance/staff.cpp
+++ b/src/maintenance/staff.cpp
@@ -18,7 +18,7 @@
     if (needed && value.empty()) {
       fail(key, "missing");
     }
-    if (value.size() > kLongestText) {
+    if (value.size() > kMaxTextBytes) {
       fail(key, "too long");
     }
     return value;
@@ -58,13 +58,13 @@
 
 }  // namespace
 
-std::optional<Command> command_from(const std::string& verb,
+std::optional<Command> parse_operator_command(const std::string& verb,
                                     const std::map<std::string, std::string>& query,
                                     std::string& fault) {
-  static const std::map<std::string, What> kVerbs{
-      {"request", What::kAsk},   {"approve", What::kApprove}, {"hold", What::kHold},
-      {"resume", What::kResume}, {"cancel", What::kCancel},   {"done", What::kDone},
-      {"forget", What::kForget}};
+  static const std::map<std::string, CommandType> kVerbs{
+      {"request", CommandType::kSubmitRequest},   {"approve", CommandType::kApproveRequest}, {"hold", CommandType::kHoldRequest},
+      {"resume", CommandType::kResumeRequest}, {"cancel", CommandType::kCancelRequest},   {"done", CommandType::kCompleteWork},
+      {"forget", CommandType::kForgetProxy}};
   const auto it = kVerbs.find(verb);
   if (it == kVerbs.end()) {
     return fault = "unknown call", std::nullopt;
@@ -72,19 +72,19 @@
   constexpr Seconds kFar = 100'000'000'000;
   Query q(query, fault);
   Command c;
-  c.what = it->second;
-  c.by = q.text("by");
-  if (c.what == What::kForget) {
+  c.type = it->second;
+  c.issued_by = q.text("by");
+  if (c.type == CommandType::kForgetProxy) {
     c.proxy = q.text("proxy", true);
     return q.good() ? std::optional(c) : std::nullopt;
   }
   c.id = q.text("id", true);
-  if (c.what == What::kDone) {
+  if (c.type == CommandType::kCompleteWork) {
     c.machine = q.text("machine", true);
   }
-  if (c.what == What::kAsk) {
+  if (c.type == CommandType::kSubmitRequest) {
     Request r;
-    r.id = c.id, r.by = c.by, r.why = q.text("why");
+    r.id = c.id, r.requested_by = c.issued_by, r.reason = q.text("why");
     const std::string role = q.text("role");
     if (!role.empty() && role != "backend" && role != "proxy") {
       q.fail("role", "backend or proxy");
@@ -97,15 +97,15 @@
     while (!left.empty()) {
       const std::string_view one = left.substr(0, left.find(','));
       left.remove_prefix(std::min(left.size(), one.size() + 1));
-      if (one.empty() || one.size() > kLongestText) {
+      if (one.empty() || one.size() > kMaxTextBytes) {
         q.fail("machines", "not ids with commas between");
       }
       r.select.ids.emplace(one);
     }
     auto others = query;
     others.erase("machines");
-    r.at_once = static_cast<std::uint32_t>(q.number("at_once", 1, 1, 10'000));
-    r.length = q.number("length", 0, 0, kFar), r.not_before = q.number("not_before", 0, 0, kFar),
+    r.max_concurrent = static_cast<std::uint32_t>(q.number("at_once", 1, 1, 10'000));
+    r.work_duration = q.number("length", 0, 0, kFar), r.not_before = q.number("not_before", 0, 0, kFar),
     r.not_after = q.number("not_after", 0, 0, kFar);
     r.priority = static_cast<std::int32_t>(q.number("priority", 0, -1'000, 1'000));
     if (r.select.ids.empty() && r.select.zone.empty() && r.select.cell.empty() &&
--- a/src/maintenance/staff.h
+++ b/src/maintenance/staff.h
@@ -11,7 +11,7 @@
 
 // `verb`: request, approve, hold, resume, cancel, done or forget. Nothing, and `fault` says what is
 // wrong, where it makes no sense.
-std::optional<Command> command_from(const std::string& verb,
+std::optional<Command> parse_operator_command(const std::string& verb,
                                     const std::map<std::string, std::string>& query,
                                     std::string& fault);
 
--- a/src/maintenance/works.cpp
+++ b/src/maintenance/works.cpp
@@ -8,8 +8,8 @@
 
 namespace beechhill::maintenance {
 
-using membership::Reader;
-using membership::Writer;
+using membership::ByteReader;
+using membership::ByteWriter;
 
 namespace {
 
@@ -42,32 +42,32 @@
 constexpr std::uint64_t kTellingRequests = 50;
 constexpr double kUseStep = 0.05;  // smaller changes of use are not settled anew
 
-Writer word(Word w) {
-  Writer out;
+ByteWriter word(Word w) {
+  ByteWriter out;
   out.number(w);
   return out;
 }
 
-void put_rights(Writer& w, const std::map<std::string, Ledger::Right>& rights) {
+void put_rights(ByteWriter& w, const std::map<std::string, MaintenanceStateMachine::DispatchPermission>& rights) {
   w.number(static_cast<std::uint16_t>(rights.size()));
   for (const auto& [id, r] : rights) {
-    w.text(id).number(r.barred).number(r.announced).number(r.fence);
+    w.text(id).number(r.dispatch_forbidden).number(r.lease_required).number(r.fencing_token);
   }
 }
 
-std::map<std::string, Ledger::Right> read_rights(Reader& r) {
-  std::map<std::string, Ledger::Right> rights;
+std::map<std::string, MaintenanceStateMachine::DispatchPermission> read_rights(ByteReader& r) {
+  std::map<std::string, MaintenanceStateMachine::DispatchPermission> rights;
   for (auto n = r.number<std::uint16_t>(); n > 0 && r.ok(); --n) {
-    Ledger::Right& right = rights[r.text(kLongestText)];
-    right.barred = r.number<bool>(), right.announced = r.number<bool>(),
-    right.fence = r.number<Fence>();
+    MaintenanceStateMachine::DispatchPermission& right = rights[r.text(kMaxTextBytes)];
+    right.dispatch_forbidden = r.number<bool>(), right.lease_required = r.number<bool>(),
+    right.fencing_token = r.number<FencingToken>();
   }
   return rights;
 }
 
 }  // namespace
 
-Works::Works(Time now, WorksSettings settings, Storage* storage, std::uint32_t generation,
+MaintenanceCoordinator::MaintenanceCoordinator(Time now, CoordinatorSettings settings, RaftStorage* storage, std::uint32_t generation,
              std::uint64_t life, std::uint64_t seed, std::function<Seconds()> unix)
     : settings_(std::move(settings)),
       life_(life),
@@ -77,23 +77,23 @@
       due_(now),
       ask_at_(now) {
   if (storage) {
-    agreement_ = std::make_unique<Agreement>(now, Voter{settings_.self, generation}, *storage,
-                                             ledger_, settings_.timing, seed);
+    agreement_ = std::make_unique<RaftNode>(now, Voter{settings_.self, generation}, *storage,
+                                             ledger_, settings_.raft_timing, seed);
   }
   next_voter_ = static_cast<std::size_t>(seed);  // not all ask the same one first
 }
 
-void Works::woke(Time now) {
+void MaintenanceCoordinator::on_resume(Time now) {
   now_ = now;
   round_open_ = false;
   ask_at_ = now;
   due_ = now;
 }
 
-std::vector<Works::Outgoing> Works::take_outgoing() {
+std::vector<MaintenanceCoordinator::Outgoing> MaintenanceCoordinator::take_outgoing() {
   if (agreement_) {
-    for (Agreement::Outgoing& o : agreement_->take_outgoing()) {
-      out_.push_back({o.to, Line::kAgreement, std::move(o.bytes)});
+    for (RaftNode::Outgoing& o : agreement_->take_outgoing()) {
+      out_.push_back({o.to, Channel::kRaft, std::move(o.bytes)});
     }
   }
   return std::exchange(out_, {});
@@ -101,29 +101,29 @@
 
 // ---- Rights
 
-Time Works::may_serve_until() const {
+Time MaintenanceCoordinator::serving_permitted_until() const {
   if (!leased_once_) {
-    return settings_.serve_unheard && now_ >= started_ + settings_.hear_within ? Time::max()
+    return settings_.serve_without_lease && now_ >= started_ + settings_.initial_lease_timeout ? Time::max()
                                                                                : Time::min();
   }
-  return settings_.isolated_after > Duration{0} ? lease_until_ + settings_.isolated_after
+  return settings_.isolation_timeout > Duration{0} ? lease_until_ + settings_.isolation_timeout
                                                 : Time::max();
 }
 
-Time Works::may_use_until(const std::string& machine) const {
+Time MaintenanceCoordinator::dispatch_permitted_until(const std::string& machine) const {
   const auto it = rights_.find(machine);
   if (it == rights_.end()) {
-    return may_serve_until();
+    return serving_permitted_until();
   }
-  return it->second.barred ? Time::min() : std::min(lease_until_, may_serve_until());
+  return it->second.dispatch_forbidden ? Time::min() : std::min(lease_until_, serving_permitted_until());
 }
 
 // ---- A proxy's lease
 
-void Works::ask_lease(Time now) {
+void MaintenanceCoordinator::ask_lease(Time now) {
   // While machines are on their way out each asking is what the others wait for.
   ask_at_ = now + (rights_.empty() ? beat() : beat() / 4);
-  std::erase_if(asks_, [&](const auto& a) { return now > a.second + settings_.lease; });
+  std::erase_if(asks_, [&](const auto& a) { return now > a.second + settings_.lease_duration; });
   if (leader_.empty() || asks_.size() > 2) {  // no answer from that one: the next
     leader_ = settings_.voters[next_voter_++ % settings_.voters.size()];
     if (agreement_ && !agreement_->leader().empty()) {
@@ -132,33 +132,33 @@
   }
   const std::uint64_t number = next_number_++;
   asks_[number] = now;
-  Writer w = word(Word::kAsk);
+  ByteWriter w = word(Word::kAsk);
   w.number(number)
       .number(life_)
       .number(held_)
       .text(settings_.zone)
-      .number(view_.warm)
-      .number(view_.idle)
-      .number(view_.ending);
+      .number(view_.has_discovery_update)
+      .number(view_.is_idle)
+      .number(view_.is_shutting_down);
   const bool lost = !agreement_ && std::find(settings_.voters.begin(), settings_.voters.end(),
                                              settings_.self) != settings_.voters.end();
   w.number(lost || halted())
-      .number(view_.served)
-      .number(view_.unserved)
-      .number(static_cast<std::uint8_t>(std::min(kMostZones, view_.use.size())));
+      .number(view_.served_requests)
+      .number(view_.unserved_requests)
+      .number(static_cast<std::uint8_t>(std::min(kMostZones, view_.zone_utilization.size())));
   std::size_t zones = 0;
-  for (const auto& [zone, use] : view_.use) {
+  for (const auto& [zone, use] : view_.zone_utilization) {
     if (zones++ < kMostZones) {
       w.text(zone).number(static_cast<std::int64_t>(use * 1e6));
     }
   }
-  std::vector<std::pair<std::string, Fence>> empty;
+  std::vector<std::pair<std::string, FencingToken>> empty;
   for (const auto& [id, right] : rights_) {
-    if (right.barred && !view_.busy.contains(id)) {
-      empty.emplace_back(id, right.fence);
+    if (right.dispatch_forbidden && !view_.busy_machines.contains(id)) {
+      empty.emplace_back(id, right.fencing_token);
     }
   }
-  if (self_out_ && view_.idle) {
+  if (self_out_ && view_.is_idle) {
     empty.emplace_back(settings_.self, *self_out_);
   }
   w.number(static_cast<std::uint16_t>(empty.size()));
@@ -172,10 +172,10 @@
   }
 }
 
-void Works::hear_lease(std::string_view bytes) {
-  Reader r(bytes);
+void MaintenanceCoordinator::hear_lease(std::string_view bytes) {
+  ByteReader r(bytes);
   const auto number = r.number<std::uint64_t>();
-  const auto held = r.number<Index>();
+  const auto held = r.number<LogIndex>();
   auto rights = read_rights(r);
   const auto proxies = read_rights(r);
   const auto sent = asks_.find(number);
@@ -184,31 +184,31 @@
   }
   lease_until_ =
       std::max(lease_until_,
-               sent->second + settings_.lease);  // from the asking: on its way it grew no longer
+               sent->second + settings_.lease_duration);  // from the asking: on its way it grew no longer
   asks_.erase(asks_.begin(), std::next(sent));
   leased_once_ = true;
   held_ = held;
   rights_ = std::move(rights);
   const auto own = proxies.find(settings_.self);
   self_out_ =
-      own != proxies.end() && own->second.barred ? std::optional(own->second.fence) : std::nullopt;
+      own != proxies.end() && own->second.dispatch_forbidden ? std::optional(own->second.fencing_token) : std::nullopt;
 }
 
 // ---- What comes
 
-void Works::receive(Time now, const std::string& from, Line line, std::string_view bytes) {
+void MaintenanceCoordinator::receive(Time now, const std::string& from, Channel line, std::string_view bytes) {
   now_ = now;
-  if (line == Line::kAgreement) {
+  if (line == Channel::kRaft) {
     if (agreement_) {
       agreement_->receive(now, bytes);
     }
     due_ = now;
     return;
   }
-  Reader r(bytes);
+  ByteReader r(bytes);
   const auto w = r.number<Word>();
   const std::string_view rest = r.rest();
-  Reader in(rest);
+  ByteReader in(rest);
   switch (w) {
     case Word::kAsk:
       hear_ask(now, from, rest);
@@ -218,7 +218,7 @@
       break;
     case Word::kElsewhere: {
       const auto number = in.number<std::uint64_t>();
-      const std::string leader = in.text(kLongestText);
+      const std::string leader = in.text(kMaxTextBytes);
       if (!in.done() || !asks_.contains(number)) {
         break;
       }
@@ -240,7 +240,7 @@
     }
     case Word::kVouched: {
       const auto term = in.number<std::uint64_t>(), round = in.number<std::uint64_t>();
-      if (in.done() && leads() && round_open_ && term == agreement_->term() && round == round_) {
+      if (in.done() && is_leader() && round_open_ && term == agreement_->term() && round == round_) {
         vouched_.insert(from);
       }
       break;
@@ -248,18 +248,18 @@
     case Word::kOrder: {
       const auto number = in.number<std::uint64_t>();
       const auto command = decode(in.rest());
-      if (!command || command->what > What::kForget || asked_.size() >= kMostAsked) {
+      if (!command || command->type > CommandType::kForgetProxy || asked_.size() >= kMostAsked) {
         break;
       }
       const auto answer = [this, from, number](bool done, const std::string& text) {
         say(from, word(Word::kOrdered).number(number).number(done).text(text).bytes());
       };
-      leads() && in_charge_ ? order(now, *command, answer) : answer(false, "no_leader");
+      is_leader() && in_charge_ ? submit_command(now, *command, answer) : answer(false, "no_leader");
       break;
     }
     case Word::kQuestion: {
       const auto number = in.number<std::uint64_t>();
-      const std::string request = in.text(kLongestText);
+      const std::string request = in.text(kMaxTextBytes);
       if (!in.done()) {
         break;
       }
@@ -270,19 +270,19 @@
                       .raw(text.substr(0, kMostAnswers))
                       .bytes());
       };
-      leads() && in_charge_ ? question(now, request, answer) : answer(false, "no_leader");
+      is_leader() && in_charge_ ? query(now, request, answer) : answer(false, "no_leader");
       break;
     }
     case Word::kOrdered:
     case Word::kTold: {
       const auto number = in.number<std::uint64_t>();
       const bool done = in.number<bool>();
-      const std::string text = w == Word::kOrdered ? in.text(kLongestText) : std::string(in.rest());
+      const std::string text = w == Word::kOrdered ? in.text(kMaxTextBytes) : std::string(in.rest());
       const auto it = asked_.find(number);
       if (!in.ok() || it == asked_.end()) {
         break;
       }
-      const Answer answer = std::move(it->second.answer);
+      const ResponseCallback answer = std::move(it->second.answer);
       asked_.erase(it);
       answer(done, text);
       break;
@@ -300,14 +300,14 @@
 
 // ---- Staff
 
-void Works::order(Time now, Command command, Answer answer) {
-  if (leads()) {
+void MaintenanceCoordinator::submit_command(Time now, Command command, ResponseCallback answer) {
+  if (is_leader()) {
     if (!in_charge_) {
       return answer(false, "no_leader");
     }
-    command.at = unix_();
+    command.issued_at = unix_();
     if (command.request) {
-      command.request->asked = command.at;
+      command.request->requested_at = command.issued_at;
     }
     return agreement_->propose(command, [answer](const char* reason) {
       const bool again = reason && std::string_view(reason) ==
@@ -323,9 +323,9 @@
   say(leader_, word(Word::kOrder).number(number).raw(encode(command)).bytes());
 }
 
-void Works::question(Time now, const std::string& request, Answer answer) {
-  if (leads() && in_charge_) {
-    return answer(true, describe(ledger_, shown(), request, trouble_));
+void MaintenanceCoordinator::query(Time now, const std::string& request, ResponseCallback answer) {
+  if (is_leader() && in_charge_) {
+    return answer(true, status_json(ledger_, shown(), request, trouble_));
   }
   if (leader_.empty() || leader_ == settings_.self || asked_.size() >= kMostAsked) {
     return answer(false, "no_leader");
@@ -337,8 +337,8 @@
 
 // ---- The one that leads
 
-std::map<std::string, Index> Works::shown() const {
-  std::map<std::string, Index> all;
+std::map<std::string, LogIndex> MaintenanceCoordinator::shown() const {
+  std::map<std::string, LogIndex> all;
   for (const auto& [proxy, s] : seen_) {
     all[proxy] = s.shown;
   }
@@ -347,7 +347,7 @@
 
 // Of leases that another leader gave nothing is known but that they are no longer than all. One
 // that was heard just now is about to have one: it is not silent.
-Time Works::lease_ends(const std::string& proxy) const {
+Time MaintenanceCoordinator::lease_ends(const std::string& proxy) const {
   const auto it = seen_.find(proxy);
   const Time others = leads_since_ + longest_lease();
   return it == seen_.end()
@@ -356,33 +356,33 @@
 }
 
 // It stopped sending there when its lease ended, and what it had begun has ended since.
-bool Works::confirmed_by_lapse(Time now, const std::string& proxy) const {
-  return now >= lease_ends(proxy) + settings_.drain_grace + settings_.longest_call;
+bool MaintenanceCoordinator::confirmed_by_lapse(Time now, const std::string& proxy) const {
+  return now >= lease_ends(proxy) + settings_.drain_grace + settings_.max_request_duration;
 }
 
-void Works::hear_ask(Time now, const std::string& from, std::string_view bytes) {
-  Reader r(bytes);
+void MaintenanceCoordinator::hear_ask(Time now, const std::string& from, std::string_view bytes) {
+  ByteReader r(bytes);
   const auto number = r.number<std::uint64_t>(), life = r.number<std::uint64_t>();
-  const auto held = r.number<Index>();
-  const std::string zone = r.text(kLongestText);
+  const auto held = r.number<LogIndex>();
+  const std::string zone = r.text(kMaxTextBytes);
   const bool warm = r.number<bool>(), idle = r.number<bool>(), ending = r.number<bool>(),
              lost = r.number<bool>();
   const auto served = r.number<std::uint64_t>(), unserved = r.number<std::uint64_t>();
   std::map<std::string, double> use;
   for (auto n = r.number<std::uint8_t>(); n > 0 && r.ok(); --n) {
-    const std::string of = r.text(kLongestText);
+    const std::string of = r.text(kMaxTextBytes);
     use[of] = static_cast<double>(r.number<std::int64_t>()) / 1e6;
   }
-  std::vector<std::pair<std::string, Fence>> empty;
+  std::vector<std::pair<std::string, FencingToken>> empty;
   for (auto n = r.number<std::uint16_t>(); n > 0 && r.ok(); --n) {
-    const std::string id = r.text(kLongestText);
-    empty.emplace_back(id, r.number<Fence>());
+    const std::string id = r.text(kMaxTextBytes);
+    empty.emplace_back(id, r.number<FencingToken>());
   }
   if (!r.done() || empty.size() > kMostRights) {
     return;
   }
-  if (!leads() || !in_charge_) {
-    const std::string leader = agreement_ && !leads() ? agreement_->leader() : std::string();
+  if (!is_leader() || !in_charge_) {
+    const std::string leader = agreement_ && !is_leader() ? agreement_->leader() : std::string();
     if (from != settings_.self) {
       return say(from, word(Word::kElsewhere).number(number).text(leader).bytes());
     }
@@ -392,14 +392,14 @@
   }
   if (lost) {
     // Told at each asking: the word may be lost on its way, and the change waits for it.
-    if (agreement_->coming(from) == 0) {
+    if (agreement_->joining_generation(from) == 0) {
       agreement_->readmit(from);
     }
-    if (const std::uint32_t generation = agreement_->coming(from)) {
+    if (const std::uint32_t generation = agreement_->joining_generation(from)) {
       say(from, word(Word::kReadmitted).number(generation).bytes());
     }
   }
-  if (!seen_.contains(from) && seen_.size() >= kMostRoster) {
+  if (!seen_.contains(from) && seen_.size() >= kMaxProxies) {
     return;
   }
   Seen& s = seen_[from];
@@ -415,20 +415,20 @@
     s.served = served, s.unserved = unserved;
   }
   for (const auto& [id, fence] : empty) {
-    const auto c = ledger_.courses().find(id);
-    if (c == ledger_.courses().end() || c->second.fence != fence ||
-        c->second.step != Step::kEvacuating) {
+    const auto c = ledger_.workflows().find(id);
+    if (c == ledger_.workflows().end() || c->second.fencing_token != fence ||
+        c->second.state != WorkflowState::kDraining) {
       continue;
     }
-    if (!c->second.confirmed.contains(from)) {
-      propose(What::kConfirm, from, id, fence);
+    if (!c->second.confirmed_proxies.contains(from)) {
+      propose(CommandType::kConfirmDrained, from, id, fence);
     }
   }
-  if (!ledger_.roster().contains(from) && !ending) {
-    return propose(What::kJoin, from);  // its next asking is answered
+  if (!ledger_.proxies().contains(from) && !ending) {
+    return propose(CommandType::kAddProxy, from);  // its next asking is answered
   }
   waiting_.push_back({from, number, round_ + 1});
-  if (waiting_.size() > 2 * kMostRoster) {
+  if (waiting_.size() > 2 * kMaxProxies) {
     waiting_.erase(waiting_.begin());
   }
   vouch(now);
@@ -436,13 +436,13 @@
 
 // Whether another leads by now the other voters know: each answer rests on a round of them that
 // began after it was asked for.
-void Works::vouch(Time now) {
+void MaintenanceCoordinator::vouch(Time now) {
   if (round_open_ || waiting_.empty()) {
     return;
   }
   ++round_;
   round_open_ = true;
-  round_until_ = now + 3 * settings_.timing.heartbeat;
+  round_until_ = now + 3 * settings_.raft_timing.heartbeat_interval;
   vouched_ = {settings_.self};
   for (const Voter& v : agreement_->voters()) {
     if (v.name != settings_.self) {
@@ -451,7 +451,7 @@
   }
 }
 
-void Works::grant_leases(Time now) {
+void MaintenanceCoordinator::grant_leases(Time now) {
   if (!round_open_) {
     return vouch(now);
   }
@@ -465,7 +465,7 @@
     return;
   }
   round_open_ = false;
-  const auto rights = ledger_.rights(Role::kBackend), proxies = ledger_.rights(Role::kProxy);
+  const auto rights = ledger_.dispatch_permissions(Role::kBackend), proxies = ledger_.dispatch_permissions(Role::kProxy);
   std::vector<Waiting> later;
   for (const Waiting& w : std::exchange(waiting_, {})) {
     if (w.round > round_) {
@@ -474,8 +474,8 @@
     }
     Seen& s = seen_[w.proxy];
     s.lease_ends = std::max(s.lease_ends, now + longest_lease());
-    Writer out = word(Word::kLease);
-    out.number(w.number).number(ledger_.index());
+    ByteWriter out = word(Word::kLease);
+    out.number(w.number).number(ledger_.applied_index());
     put_rights(out, rights);
     put_rights(out, proxies);
     if (w.proxy == settings_.self) {
@@ -488,30 +488,30 @@
   vouch(now);
 }
 
-void Works::propose(What what, const std::string& proxy, const std::string& machine, Fence fence) {
+void MaintenanceCoordinator::propose(CommandType what, const std::string& proxy, const std::string& machine, FencingToken fence) {
   const std::string key = std::to_string(static_cast<int>(what)) + "/" + proxy + "/" + machine +
                           "/" + std::to_string(fence);
   if (!proposing_.insert(key).second) {
     return;
   }
   Command c;
-  c.what = what, c.at = unix_(), c.proxy = proxy, c.machine = machine, c.fence = fence;
+  c.type = what, c.issued_at = unix_(), c.proxy = proxy, c.machine = machine, c.fencing_token = fence;
   agreement_->propose(c, [this, key](const char*) { proposing_.erase(key); });
 }
 
-std::string Works::trouble(Time now) {
+std::string MaintenanceCoordinator::trouble(Time now) {
   std::size_t silent = 0;
-  for (const std::string& proxy : ledger_.roster()) {
+  for (const std::string& proxy : ledger_.proxies()) {
     silent += now > lease_ends(proxy);
   }
-  if (static_cast<double>(silent) > kSilentProxies * static_cast<double>(ledger_.roster().size())) {
+  if (static_cast<double>(silent) > kSilentProxies * static_cast<double>(ledger_.proxies().size())) {
     return "silent_proxies: " + std::to_string(silent) + " of " +
-           std::to_string(ledger_.roster().size());
+           std::to_string(ledger_.proxies().size());
   }
   std::map<std::string, std::pair<double, double>> by_zone;  // down, all
   double down = 0, all = 0;
   for (const Machine& m : view_.machines) {
-    const bool away = !m.up && !ledger_.courses().contains(m.id);
+    const bool away = !m.up && !ledger_.workflows().contains(m.id);
     auto& zone = by_zone[m.zone];
     down += away, zone.first += away, all += 1, zone.second += 1;
   }
@@ -543,20 +543,20 @@
 
 // What the log does not say yet of list and load goes into it; without anything new the time does,
 // where it matters.
-void Works::settle_facts(Time now) {
-  if (now < facts_at_ || proposing_.contains("facts") || !view_.warm) {
+void MaintenanceCoordinator::settle_facts(Time now) {
+  if (now < facts_at_ || proposing_.contains("facts") || !view_.has_discovery_update) {
     return;
   }
   facts_at_ = now + kFactsEvery;
   trouble_ = trouble(now);
   Command c;
-  c.what = What::kFacts, c.at = unix_(), c.trouble = trouble_.substr(0, kLongestText);
+  c.type = CommandType::kUpdateObservations, c.issued_at = unix_(), c.incident = trouble_.substr(0, kMaxTextBytes);
   std::map<std::string, Machine> all;
   for (const Machine& m : view_.machines) {
     all[m.id] = m;
   }
   for (const auto& [proxy, s] : seen_) {
-    if (ledger_.roster().contains(proxy)) {
+    if (ledger_.proxies().contains(proxy)) {
       all[proxy] = {proxy,
                     s.zone,
                     {},
@@ -576,8 +576,8 @@
     }
   }
   for (const auto& [id, m] : ledger_.machines()) {
-    if (c.gone.size() < kMostFacts && !all.contains(id)) {
-      c.gone.insert(id);
+    if (c.removed_machines.size() < kMostFacts && !all.contains(id)) {
+      c.removed_machines.insert(id);
     }
   }
   std::map<std::string, std::pair<double, int>> sums;
@@ -586,86 +586,86 @@
       sums[zone].first += use, sums[zone].second += 1;
     }
   }
-  bool moved = sums.size() != ledger_.use().size();
+  bool moved = sums.size() != ledger_.zone_utilization().size();
   for (const auto& [zone, sum] : sums) {
-    c.use[zone] = sum.first / sum.second;
-    const auto held = ledger_.use().find(zone);
-    moved = moved || held == ledger_.use().end() || std::abs(held->second - c.use[zone]) > kUseStep;
+    c.zone_utilization[zone] = sum.first / sum.second;
+    const auto held = ledger_.zone_utilization().find(zone);
+    moved = moved || held == ledger_.zone_utilization().end() || std::abs(held->second - c.zone_utilization[zone]) > kUseStep;
   }
   if (!moved) {
-    c.use = ledger_.use();
+    c.zone_utilization = ledger_.zone_utilization();
   }
-  const bool news = moved || !c.machines.empty() || !c.gone.empty() || !c.trouble.empty() ||
-                    c.trouble != ledger_.trouble();
-  const bool open = !ledger_.courses().empty() ||
+  const bool news = moved || !c.machines.empty() || !c.removed_machines.empty() || !c.incident.empty() ||
+                    c.incident != ledger_.incident();
+  const bool open = !ledger_.workflows().empty() ||
                     std::any_of(ledger_.requests().begin(), ledger_.requests().end(),
                                 [](const auto& q) { return q.second.open(); });
   if (!news && !open) {
     return;
   }
   if (!news) {
-    c = Command{}, c.what = What::kTime, c.at = unix_();
+    c = Command{}, c.type = CommandType::kAdvanceTime, c.issued_at = unix_();
   }
   proposing_.insert("facts");
   agreement_->propose(c, [this](const char*) { proposing_.erase("facts"); });
 }
 
-void Works::conduct(Time now) {
-  for (const auto& [machine, c] : ledger_.courses()) {
-    if (c.step != Step::kEvacuating) {
+void MaintenanceCoordinator::conduct(Time now) {
+  for (const auto& [machine, c] : ledger_.workflows()) {
+    if (c.state != WorkflowState::kDraining) {
       continue;
     }
-    for (const std::string& proxy : ledger_.roster()) {
-      if (!c.confirmed.contains(proxy) && confirmed_by_lapse(now, proxy)) {
-        propose(What::kConfirm, proxy, machine, c.fence);
+    for (const std::string& proxy : ledger_.proxies()) {
+      if (!c.confirmed_proxies.contains(proxy) && confirmed_by_lapse(now, proxy)) {
+        propose(CommandType::kConfirmDrained, proxy, machine, c.fencing_token);
       }
     }
   }
-  for (const std::string& proxy : ledger_.roster()) {
+  for (const std::string& proxy : ledger_.proxies()) {
     const auto it = seen_.find(proxy);
     const bool left = it != seen_.end() && it->second.ending && it->second.idle;
     const Duration isolated =
-        settings_.isolated_after + settings_.isolated_after / 50 + settings_.longest_call;
-    if (left || (settings_.isolated_after > Duration{0} && now >= lease_ends(proxy) + isolated)) {
-      propose(What::kLeave, proxy);
+        settings_.isolation_timeout + settings_.isolation_timeout / 50 + settings_.max_request_duration;
+    if (left || (settings_.isolation_timeout > Duration{0} && now >= lease_ends(proxy) + isolated)) {
+      propose(CommandType::kRemoveProxy, proxy);
     }
   }
-  for (const std::string& name : agreement_->unfinished()) {
+  for (const std::string& name : agreement_->pending_readmissions()) {
     agreement_->readmit(name);
   }
   settle_facts(now);
-  if (agreement_->proposed() > 0) {
+  if (agreement_->pending_proposals() > 0) {
     return;
   }
-  for (Command& c : ledger_.next(shown())) {
-    c.at = unix_();
+  for (Command& c : ledger_.next_commands(shown())) {
+    c.issued_at = unix_();
     agreement_->propose(c);
   }
 }
 
-void Works::tick(Time now) {
+void MaintenanceCoordinator::tick(Time now) {
   now_ = now;
   if (agreement_) {
     agreement_->tick(now);
   }
-  if (leads() && !led_) {
+  if (is_leader() && !led_) {
     led_ = true, in_charge_ = false;
     leads_since_ = now;
     seen_.clear(), waiting_.clear(), proposing_.clear();
     round_open_ = false;
     usual_ = 1, judged_at_ = now, facts_at_ = now + beat();
     Command c;
-    c.what = What::kBounds, c.at = unix_(), c.bounds = settings_.bounds;
+    c.type = CommandType::kSetDisruptionBudget, c.issued_at = unix_(), c.disruption_budget = settings_.disruption_budget;
     const std::uint64_t term = agreement_->term();
     agreement_->propose(c, [this, term](const char* reason) {
       const bool lost = reason && (std::string_view(reason) == "lost" ||
                                    std::string_view(reason) == "not_leader");
-      if (!lost && leads() && agreement_->term() == term) {
+      if (!lost && is_leader() && agreement_->term() == term) {
         in_charge_ = true;
       }
     });
   }
-  if (!leads()) {
+  if (!is_leader()) {
     led_ = in_charge_ = false;
   }
   if (in_charge_) {
@@ -675,7 +675,7 @@
   if (now >= ask_at_) {
     ask_lease(now);
   }
-  std::vector<Answer> late;
+  std::vector<ResponseCallback> late;
   for (auto it = asked_.begin(); it != asked_.end();) {
     if (now < it->second.until) {
       ++it;
@@ -684,12 +684,12 @@
     late.push_back(std::move(it->second.answer));
     it = asked_.erase(it);
   }
-  for (const Answer& answer : late) {
+  for (const ResponseCallback& answer : late) {
     answer(false, "no_answer");
   }
   due_ = ask_at_;
   if (agreement_ && !agreement_->halted()) {
-    due_ = std::min(due_, agreement_->due());
+    due_ = std::min(due_, agreement_->next_tick());
   }
 }
 
--- a/src/maintenance/works.h
+++ b/src/maintenance/works.h
@@ -19,55 +19,55 @@
 
 namespace beechhill::maintenance {
 
-struct WorksSettings {
+struct CoordinatorSettings {
   std::string self, zone;
   std::vector<std::string> voters;  // names; 1, 3, 5 or 7
-  Duration lease{5'000'000};        // how long what was settled holds without being told anew
+  Duration lease_duration{5'000'000};        // how long what was settled holds without being told anew
   // After its lease a proxy uses no machine at all once this has passed: then the others need not
   // wait for it, nor for staff to say that it is off. 0: it serves on by what it last heard, and
   // they wait.
-  Duration isolated_after{0};
+  Duration isolation_timeout{0};
   // A process that has just started uses nothing until it has held a lease; true: it does, after
   // `hear_within`, and a machine that is out may get calls from it.
-  bool serve_unheard = false;
-  Duration hear_within{5'000'000};
+  bool serve_without_lease = false;
+  Duration initial_lease_timeout{5'000'000};
   Duration drain_grace{2'000'000};    // for which what was begun may still leave
-  Duration longest_call{10'000'000};  // the longest deadline of a class
-  Bounds bounds;
-  Timing timing;
+  Duration max_request_duration{10'000'000};  // the longest deadline of a class
+  DisruptionBudget disruption_budget;
+  RaftTiming raft_timing;
 };
 
-struct View {                              // what the proxy itself sees
+struct LocalView {                              // what the proxy itself sees
   std::vector<Machine> machines;           // its list
-  std::map<std::string, double> use;       // of each zone's servers, as they report it
-  std::uint64_t served = 0, unserved = 0;  // requests, since its start
+  std::map<std::string, double> zone_utilization;       // of each zone's servers, as they report it
+  std::uint64_t served_requests = 0, unserved_requests = 0;  // requests, since its start
   std::set<std::string>
-      busy;           // machines with something of its own open, or barred for less than the grace
-  bool idle = false;  // it takes no clients and has nothing open
-  bool warm = true;   // it has heard discovery
-  bool ending = false;
+      busy_machines;           // machines with something of its own open, or barred for less than the grace
+  bool is_idle = false;  // it takes no clients and has nothing open
+  bool has_discovery_update = true;   // it has heard discovery
+  bool is_shutting_down = false;
 };
 
-enum class Line : std::uint8_t { kAgreement, kSettled };  // what a message belongs to
+enum class Channel : std::uint8_t { kRaft, kCoordination };  // what a message belongs to
 
-class Works {
+class MaintenanceCoordinator {
  public:
   // `storage`: a voter's; null where this is none, or where it has lost it. `generation`: of the
   // voter that the storage belongs to. `unix`: gives Unix time, for windows alone. What is referred
   // to must outlive it.
-  Works(Time now, WorksSettings settings, Storage* storage, std::uint32_t generation,
+  MaintenanceCoordinator(Time now, CoordinatorSettings settings, RaftStorage* storage, std::uint32_t generation,
         std::uint64_t life, std::uint64_t seed, std::function<Seconds()> unix);
 
   void tick(Time now);  // at due(), or when the storage has become more durable
-  Time due() const { return due_; }
-  void receive(Time now, const std::string& from, Line line, std::string_view bytes);
-  void see(View view) { view_ = std::move(view); }
+  Time next_tick() const { return due_; }
+  void receive(Time now, const std::string& from, Channel line, std::string_view bytes);
+  void update_local_view(LocalView view) { view_ = std::move(view); }
   // The process did not run: a lease is what it says, yet whoever leads may have been replaced.
-  void woke(Time now);
+  void on_resume(Time now);
 
   struct Outgoing {
     std::string to;
-    Line line = Line::kSettled;
+    Channel line = Channel::kCoordination;
     std::string bytes;
   };
   std::vector<Outgoing> take_outgoing();
@@ -76,30 +76,30 @@
 
   // When the right to send new work to that machine ends: Time::max() where nothing ends it,
   // Time::min() where there is none.
-  Time may_use_until(const std::string& machine) const;
+  Time dispatch_permitted_until(const std::string& machine) const;
   // When the right to send anything at all ends.
-  Time may_serve_until() const;
-  const std::map<std::string, Ledger::Right>& rights() const {
+  Time serving_permitted_until() const;
+  const std::map<std::string, MaintenanceStateMachine::DispatchPermission>& dispatch_permissions() const {
     return rights_;
   }  // of machines in a course, as last heard
-  bool self_out() const { return self_out_.has_value(); }  // this proxy is to be taken out
-  bool leased() const { return leased_once_; }
+  bool is_self_out() const { return self_out_.has_value(); }  // this proxy is to be taken out
+  bool has_held_lease() const { return leased_once_; }
 
   // ---- Staff
 
-  using Answer = std::function<void(bool done, const std::string& text)>;
-  void order(Time now, Command command, Answer answer);  // settled, or the reason
-  void question(Time now, const std::string& request,
-                Answer answer);  // JSON: all, or why that request does not go on
+  using ResponseCallback = std::function<void(bool done, const std::string& text)>;
+  void submit_command(Time now, Command command, ResponseCallback answer);  // settled, or the reason
+  void query(Time now, const std::string& request,
+                ResponseCallback answer);  // JSON: all, or why that request does not go on
 
   // ---- A voter's
 
-  bool leads() const { return agreement_ && agreement_->leads(); }
-  const Ledger& ledger() const { return ledger_; }
+  bool is_leader() const { return agreement_ && agreement_->is_leader(); }
+  const MaintenanceStateMachine& state_machine() const { return ledger_; }
   std::vector<Voter> voters() const {
     return agreement_ ? agreement_->voters() : std::vector<Voter>{};
   }
-  bool votes() const { return agreement_ != nullptr; }
+  bool is_voter() const { return agreement_ != nullptr; }
   bool halted() const { return agreement_ && agreement_->halted(); }
   bool rolled_back() const { return agreement_ && agreement_->rolled_back(); }
   // One that has lost its storage is told which generation it is to found a new one as; then it is
@@ -109,7 +109,7 @@
  private:
   struct Seen {  // a proxy, as the leader hears it
     std::uint64_t life = 0;
-    Index shown = 0;
+    LogIndex shown = 0;
     Time lease_ends{0}, heard{0};
     std::string zone;
     bool warm = true, idle = false, ending = false;
@@ -121,7 +121,7 @@
     std::uint64_t number = 0, round = 0;
   };
   struct Asked {  // of another, by this one
-    Answer answer;
+    ResponseCallback answer;
     Time until{0};
   };
 
@@ -135,30 +135,30 @@
   std::string trouble(Time now);
   bool confirmed_by_lapse(Time now, const std::string& proxy) const;
   Time lease_ends(const std::string& proxy) const;
-  void propose(What what, const std::string& proxy, const std::string& machine = {},
-               Fence fence = 0);
+  void propose(CommandType what, const std::string& proxy, const std::string& machine = {},
+               FencingToken fence = 0);
   void say(const std::string& to, std::string bytes) {
-    out_.push_back({to, Line::kSettled, std::move(bytes)});
+    out_.push_back({to, Channel::kCoordination, std::move(bytes)});
   }
-  std::map<std::string, Index> shown() const;
-  Duration beat() const { return settings_.lease / 5; }
+  std::map<std::string, LogIndex> shown() const;
+  Duration beat() const { return settings_.lease_duration / 5; }
   Duration longest_lease() const {
-    return settings_.lease + settings_.lease / 50;
+    return settings_.lease_duration + settings_.lease_duration / 50;
   }  // by a clock that is 2 % slow
 
-  const WorksSettings settings_;
+  const CoordinatorSettings settings_;
   const std::uint64_t life_;
   const std::function<Seconds()> unix_;
-  Ledger ledger_;
-  std::unique_ptr<Agreement> agreement_;
-  View view_;
+  MaintenanceStateMachine ledger_;
+  std::unique_ptr<RaftNode> agreement_;
+  LocalView view_;
   std::vector<Outgoing> out_;
   Time now_, started_, due_, ask_at_, facts_at_{0};
 
   // As a proxy.
-  Index held_ = 0;
-  std::map<std::string, Ledger::Right> rights_;
-  std::optional<Fence> self_out_;
+  LogIndex held_ = 0;
+  std::map<std::string, MaintenanceStateMachine::DispatchPermission> rights_;
+  std::optional<FencingToken> self_out_;
   bool leased_once_ = false;
   Time lease_until_ = Time::min();
   std::string leader_;  // whom it asks
--- a/src/membership/bytes.h
+++ b/src/membership/bytes.h
@@ -9,25 +9,25 @@
 
 namespace beechhill::membership {
 
-class Writer {
+class ByteWriter {
  public:
   template <typename N>
-  Writer& number(N value) {
+  ByteWriter& number(N value) {
     const auto v = static_cast<std::uint64_t>(value);
     for (std::size_t i = 0; i < sizeof(N); ++i) {
       text_ += static_cast<char>(v >> (8 * i));
     }
     return *this;
   }
-  Writer& text(std::string_view t) {  // of 65,535 bytes at the most
+  ByteWriter& text(std::string_view t) {  // of 65,535 bytes at the most
     number(static_cast<std::uint16_t>(t.size()));
     text_ += t.substr(0, 65'535);
     return *this;
   }
-  Writer& blob(std::string_view t) {
+  ByteWriter& blob(std::string_view t) {
     return number(static_cast<std::uint32_t>(t.size())).raw(t);
   }  // of 4 GiB at the most
-  Writer& raw(std::string_view t) {
+  ByteWriter& raw(std::string_view t) {
     text_ += t;
     return *this;
   }
@@ -37,9 +37,9 @@
   std::string text_;
 };
 
-class Reader {
+class ByteReader {
  public:
-  explicit Reader(std::string_view bytes) : left_(bytes) {}
+  explicit ByteReader(std::string_view bytes) : left_(bytes) {}
   template <typename N>
   N number() {
     std::uint64_t v = 0;
--- a/src/membership/gate.cpp
+++ b/src/membership/gate.cpp
@@ -11,14 +11,14 @@
 namespace beechhill::membership {
 namespace {
 
-static_assert(crypto_auth_KEYBYTES == sizeof(Key));
+static_assert(crypto_auth_KEYBYTES == sizeof(MacKey));
 constexpr std::string_view kMagic = "BHT1";
 constexpr std::size_t kKept = 2;  // of the latest sent to an address: a probe and what went with it
 constexpr std::size_t kMostKeys = 2;
-constexpr std::size_t kPart = kMostPayload - 16;
+constexpr std::size_t kPart = kMaxPayloadBytes - 16;
 constexpr std::size_t kMostParts = 256;  // 300 kB, several times what is ever agreed on at once
 
-bool signed_by(const Key& key, std::string_view body, std::string_view mac) {
+bool signed_by(const MacKey& key, std::string_view body, std::string_view mac) {
   return crypto_auth_verify(reinterpret_cast<const unsigned char*>(mac.data()),
                             reinterpret_cast<const unsigned char*>(body.data()), body.size(),
                             key.data()) == 0;
@@ -26,8 +26,8 @@
 
 }  // namespace
 
-Keys read_keys(std::string_view text) {
-  Keys keys;
+MacKeys parse_keys(std::string_view text) {
+  MacKeys keys;
   while (!text.empty()) {
     std::string_view line = text.substr(0, text.find('\n'));
     text.remove_prefix(std::min(text.size(), line.size() + 1));
@@ -37,7 +37,7 @@
     if (line.empty()) {
       continue;
     }
-    Key& key = keys.emplace_back();
+    MacKey& key = keys.emplace_back();
     std::size_t size = 0;
     const char* end = nullptr;
     if (sodium_hex2bin(key.data(), key.size(), line.data(), line.size(), nullptr, &size, &end) !=
@@ -52,12 +52,12 @@
   return keys;
 }
 
-Gate::Gate(Keys keys, std::string name, std::uint64_t life, std::uint64_t seed)
+DatagramAuthenticator::DatagramAuthenticator(MacKeys keys, std::string name, std::uint64_t life, std::uint64_t seed)
     : keys_(std::move(keys)), name_(std::move(name)), life_(life), random_(seed) {
 }
 
-std::string Gate::write(std::uint64_t ticket, Channel channel, std::string_view payload) {
-  Writer w;
+std::string DatagramAuthenticator::write(std::uint64_t ticket, Channel channel, std::string_view payload) {
+  ByteWriter w;
   w.raw(kMagic).text(name_).number(life_).number(++number_).number(ticket).number(channel).raw(
       payload);
   std::string out = w.bytes();
@@ -68,16 +68,16 @@
 }
 
 // Addresses come from members alone, and are as many; should they be more, all begin again.
-Gate::Link& Gate::link(const std::string& address) {
-  if (links_.size() >= kMostMembers && !links_.contains(address)) {
+DatagramAuthenticator::Link& DatagramAuthenticator::link(const std::string& address) {
+  if (links_.size() >= kMaxMembers && !links_.contains(address)) {
     links_.clear();
   }
   return links_[address];
 }
 
-std::string Gate::seal(const std::string& to, Channel channel, std::string payload) {
+std::string DatagramAuthenticator::sign(const std::string& to, Channel channel, std::string payload) {
   Link& l = link(to);
-  std::string out = write(l.ticket, channel, payload);
+  std::string out = write(l.session_nonce, channel, payload);
   l.last.emplace_back(channel, std::move(payload));
   if (l.last.size() > kKept) {
     l.last.pop_front();
@@ -85,7 +85,7 @@
   return out;
 }
 
-bool Gate::fresh(Sender& s, std::uint64_t number) {
+bool DatagramAuthenticator::fresh(Sender& s, std::uint64_t number) {
   if (number > s.top) {
     const std::uint64_t by = number - s.top;
     s.seen = by < 64 ? s.seen << by : 0;
@@ -101,28 +101,28 @@
   return true;
 }
 
-Gate::Result Gate::open(const std::string& from, std::string_view datagram) {
-  Result result;
-  const auto refuse = [&result](const char* reason) { return result.refused = reason, result; };
-  if (datagram.size() < kMagic.size() + crypto_auth_BYTES || datagram.size() > kMostDatagram) {
+DatagramAuthenticator::VerifyResult DatagramAuthenticator::verify(const std::string& from, std::string_view datagram) {
+  VerifyResult result;
+  const auto refuse = [&result](const char* reason) { return result.rejection_reason = reason, result; };
+  if (datagram.size() < kMagic.size() + crypto_auth_BYTES || datagram.size() > kMaxDatagramBytes) {
     return refuse("size");
   }
   const std::string_view body = datagram.substr(0, datagram.size() - crypto_auth_BYTES);
   const std::string_view mac = datagram.substr(body.size());
   bool known = false;
-  for (const Key& key : keys_) {
+  for (const MacKey& key : keys_) {
     known = known || signed_by(key, body, mac);
   }
   if (!known) {
     return refuse("key");
   }
-  Reader r(body);
+  ByteReader r(body);
   const std::uint32_t magic = r.number<std::uint32_t>();
-  const std::string name = r.text(kLongestName);
+  const std::string name = r.text(kMaxNameBytes);
   const auto life = r.number<std::uint64_t>(), number = r.number<std::uint64_t>(),
              ticket = r.number<std::uint64_t>();
   const auto channel = r.number<Channel>();
-  if (!r.ok() || Reader(kMagic).number<std::uint32_t>() != magic || channel > Channel::kSettled) {
+  if (!r.ok() || ByteReader(kMagic).number<std::uint32_t>() != magic || channel > Channel::kCoordination) {
     return refuse("form");
   }
   if (name.empty() || name == name_) {
@@ -130,13 +130,13 @@
   }
   std::string payload(r.rest());
   if (channel == Channel::kHello) {
-    Reader hello(payload);
+    ByteReader hello(payload);
     const auto for_life = hello.number<std::uint64_t>(), drawn = hello.number<std::uint64_t>();
     if (!hello.done() || for_life != life_) {
       return refuse("hello");
     }
     Link& l = link(from);
-    if (std::exchange(l.ticket, drawn) == drawn) {
+    if (std::exchange(l.session_nonce, drawn) == drawn) {
       return result;
     }
     for (const auto& [what, text] : l.last) {
@@ -144,38 +144,38 @@
     }
     return result;
   }
-  if (!senders_.contains(name) && senders_.size() >= kMostMembers) {
+  if (!senders_.contains(name) && senders_.size() >= kMaxMembers) {
     return refuse("members");
   }
   Sender& s = senders_[name];
   if (ticket != 0 && life == s.next_life && ticket == s.next_ticket) {
     s = {life, ticket, 0, 0, 0, 0};  // it has shown that it lives now: its earlier life is over
   }
-  if (ticket == 0 || life != s.life || ticket != s.ticket) {
+  if (ticket == 0 || life != s.boot_id || ticket != s.session_nonce) {
     if (s.next_life != life || s.next_ticket == 0) {
       s.next_life = life, s.next_ticket = random_() | 1;
     }
-    Writer hello;
+    ByteWriter hello;
     result.replies.push_back(
         write(0, Channel::kHello,
-              hello.number(life).number(life == s.life ? s.ticket : s.next_ticket).bytes()));
+              hello.number(life).number(life == s.boot_id ? s.session_nonce : s.next_ticket).bytes()));
     return refuse("ticket");
   }
   if (!fresh(s, number)) {
     return refuse("again");
   }
-  result.opened = Opened{name, channel, std::move(payload)};
+  result.verified = VerifiedPayload{name, channel, std::move(payload)};
   return result;
 }
 
-std::vector<std::string> split(std::uint64_t number, std::string_view whole) {
+std::vector<std::string> split_payload(std::uint64_t number, std::string_view whole) {
   std::vector<std::string> parts;
   const std::size_t count = std::max<std::size_t>(1, (whole.size() + kPart - 1) / kPart);
   if (count > kMostParts) {
     return parts;
   }
   for (std::size_t i = 0; i < count; ++i) {
-    Writer w;
+    ByteWriter w;
     w.number(number)
         .number(static_cast<std::uint16_t>(i))
         .number(static_cast<std::uint16_t>(count))
@@ -185,8 +185,8 @@
   return parts;
 }
 
-std::optional<std::string> Assembler::add(const std::string& from, std::string_view part) {
-  Reader r(part);
+std::optional<std::string> PayloadAssembler::add(const std::string& from, std::string_view part) {
+  ByteReader r(part);
   const auto number = r.number<std::uint64_t>();
   const std::size_t place = r.number<std::uint16_t>(), count = r.number<std::uint16_t>();
   if (!r.ok() || place >= count || count > kMostParts) {
@@ -195,7 +195,7 @@
   if (count == 1) {
     return std::string(r.rest());
   }
-  if (!open_.contains(from) && open_.size() >= kMostMembers) {
+  if (!open_.contains(from) && open_.size() >= kMaxMembers) {
     return std::nullopt;
   }
   Open& o = open_[from];
--- a/src/membership/gate.h
+++ b/src/membership/gate.h
@@ -16,50 +16,50 @@
 
 namespace beechhill::membership {
 
-using Key = std::array<unsigned char, 32>;  // crypto_auth_KEYBYTES
+using MacKey = std::array<unsigned char, 32>;  // crypto_auth_KEYBYTES
 
 // The first signs; either is believed, so that a key can be changed while all run. Two at the most.
-using Keys = std::vector<Key>;
+using MacKeys = std::vector<MacKey>;
 // A key for each line of 64 hexadecimal digits; empty lines are passed over. Throws
 // std::invalid_argument that says what is wrong.
-Keys read_keys(std::string_view text);
+MacKeys parse_keys(std::string_view text);
 
-enum class Channel : std::uint8_t { kHello, kSwim, kAgreement, kSettled };
+enum class Channel : std::uint8_t { kHello, kSwim, kRaft, kCoordination };
 
-inline constexpr std::size_t kMostDatagram = 1'400;  // passes any link whole
-inline constexpr std::size_t kMostPayload = 1'250;   // of it, whatever the names
+inline constexpr std::size_t kMaxDatagramBytes = 1'400;  // passes any link whole
+inline constexpr std::size_t kMaxPayloadBytes = 1'250;   // of it, whatever the names
 
-class Gate {
+class DatagramAuthenticator {
  public:
   // `life`: this process's, drawn at its start. `seed` draws the tickets: it must not be known to
   // others.
-  Gate(Keys keys, std::string name, std::uint64_t life, std::uint64_t seed);
+  DatagramAuthenticator(MacKeys keys, std::string name, std::uint64_t life, std::uint64_t seed);
 
-  void change_keys(Keys keys) { keys_ = std::move(keys); }
+  void change_keys(MacKeys keys) { keys_ = std::move(keys); }
   // A datagram for the member at that address. `payload` has kMostPayload bytes at the most.
-  std::string seal(const std::string& to, Channel channel, std::string payload);
+  std::string sign(const std::string& to, Channel channel, std::string payload);
 
-  struct Opened {
-    std::string from;  // its name
+  struct VerifiedPayload {
+    std::string sender;  // its name
     Channel channel = Channel::kHello;
     std::string payload;
   };
-  struct Result {
-    std::optional<Opened> opened;
+  struct VerifyResult {
+    std::optional<VerifiedPayload> verified;
     std::vector<std::string> replies;  // to where it came from
-    const char* refused = nullptr;     // a reason code, where it was
+    const char* rejection_reason = nullptr;     // a reason code, where it was
   };
-  Result open(const std::string& from, std::string_view datagram);
+  VerifyResult verify(const std::string& from, std::string_view datagram);
 
  private:
   struct Sender {
-    std::uint64_t life = 0, ticket = 0, top = 0,
+    std::uint64_t boot_id = 0, session_nonce = 0, top = 0,
                   seen = 0;  // `seen`: of the 64 numbers up to `top`, a bit each
     std::uint64_t next_life = 0,
                   next_ticket = 0;  // one that has yet to show the ticket drawn for it
   };
   struct Link {
-    std::uint64_t ticket = 0;
+    std::uint64_t session_nonce = 0;
     std::deque<std::pair<Channel, std::string>>
         last;  // to be sent again if the receiver wants another ticket
   };
@@ -67,7 +67,7 @@
   static bool fresh(Sender& sender, std::uint64_t number);
   Link& link(const std::string& address);
 
-  Keys keys_;
+  MacKeys keys_;
   const std::string name_;
   const std::uint64_t life_;
   std::mt19937_64 random_;
@@ -77,8 +77,8 @@
 };
 
 // A payload longer than a datagram, in parts; put together again if all come, whatever their order.
-std::vector<std::string> split(std::uint64_t number, std::string_view whole);
-class Assembler {
+std::vector<std::string> split_payload(std::uint64_t number, std::string_view whole);
+class PayloadAssembler {
  public:
   // The whole, where this part was the last that lacked.
   std::optional<std::string> add(const std::string& from, std::string_view part);
--- a/src/membership/talk_actor.cpp
+++ b/src/membership/talk_actor.cpp
@@ -29,36 +29,36 @@
 
 }  // namespace
 
-TalkActor::TalkActor(runtime::Scheduler& scheduler, Settings settings, const sockaddr_in& listen,
-                     const std::string& advertise, const std::string& name, Keys keys,
-                     Listener listener)
+GossipActor::GossipActor(runtime::Scheduler& scheduler, SwimSettings settings, const sockaddr_in& listen,
+                     const std::string& advertise, const std::string& name, MacKeys keys,
+                     GossipHandlers listener)
     : scheduler_(scheduler),
       socket_(scheduler, listen),
       life_(drawn()),
       gate_(std::move(keys), name, life_, drawn()),
       swim_(now(), settings, drawn(), name,
             advertise.empty() ? net::to_string(socket_.address()) : advertise, life_),
-      gap_(2 * settings.interval),
+      gap_(2 * settings.probe_interval),
       listener_(std::move(listener)),
       inbox_(kInboxCapacity),
       looked_at_(now()) {
 }
 
-runtime::Task<> TalkActor::run() {
+runtime::Task<> GossipActor::run() {
   for (;;) {
     const Time at = now();
     std::vector<Outgoing> out;
     if (at - std::exchange(looked_at_, at) > gap_) {
       log::info("membership_gap", {});
-      swim_.woke(at, out);
-      if (listener_.woke && !listener_.woke(Woke{})) {
-        proxy::log_lost("woke");
+      swim_.on_resume(at, out);
+      if (listener_.on_resume && !listener_.on_resume(ProcessResumed{})) {
+        proxy::log_dropped_message("woke");
       }
     }
     send(out);
     const bool more = take_datagrams();
     take_orders();
-    if (now() >= swim_.due()) {
+    if (now() >= swim_.next_tick()) {
       swim_.tick(now(), out);
       send(out);
     }
@@ -67,12 +67,12 @@
     // What is left in the socket is not told of again.
     wait.readable(socket_.io())
         .notified(inbox_.arrived())
-        .until(proxy::to_point(more ? now() : swim_.due()));
+        .until(proxy::to_point(more ? now() : swim_.next_tick()));
     co_await wait;
   }
 }
 
-bool TalkActor::take_datagrams() {
+bool GossipActor::take_datagrams() {
   for (int i = 0; i < kAtOnce; ++i) {
     sockaddr_in from{};
     const auto datagram = socket_.take(from);
@@ -80,68 +80,68 @@
       return false;
     }
     const std::string address = net::to_string(from);
-    const Gate::Result got = gate_.open(address, *datagram);
+    const DatagramAuthenticator::VerifyResult got = gate_.verify(address, *datagram);
     for (const std::string& reply : got.replies) {
       socket_.send(from, reply);
     }
-    refused_ += got.refused != nullptr;
-    if (!got.opened) {
+    refused_ += got.rejection_reason != nullptr;
+    if (!got.verified) {
       continue;
     }
-    if (got.opened->channel == Channel::kSwim) {
-      const auto message = decode(got.opened->payload);
+    if (got.verified->channel == Channel::kSwim) {
+      const auto message = decode(got.verified->payload);
       std::vector<Outgoing> out;
       if (message) {
-        swim_.receive(now(), got.opened->from, address, *message, out);
+        swim_.receive(now(), got.verified->sender, address, *message, out);
       }
       send(out);
-    } else if (listener_.heard) {
+    } else if (listener_.on_payload) {
       auto whole = assembler_.add(
-          got.opened->from + "/" + std::to_string(static_cast<int>(got.opened->channel)),
-          got.opened->payload);
+          got.verified->sender + "/" + std::to_string(static_cast<int>(got.verified->channel)),
+          got.verified->payload);
       if (whole) {
-        listener_.heard(Heard{got.opened->from, got.opened->channel, std::move(*whole)});
+        listener_.on_payload(PayloadReceived{got.verified->sender, got.verified->channel, std::move(*whole)});
       }
     }
   }
   return true;
 }
 
-void TalkActor::take_orders() {
+void GossipActor::take_orders() {
   while (!inbox_.empty()) {
-    TalkMessage message = inbox_.take();
-    if (auto* keys = std::get_if<NewKeys>(&message)) {
+    GossipMessage message = inbox_.take();
+    if (auto* keys = std::get_if<ReplaceKeys>(&message)) {
       gate_.change_keys(std::move(keys->keys));
       continue;
     }
-    const Say& say = std::get<Say>(message);
+    const SendPayload& say = std::get<SendPayload>(message);
     const auto member = swim_.members().find(say.to);
     if (member == swim_.members().end()) {
       continue;
     }
-    for (std::string& part : split(next_whole_++, say.whole)) {
-      send_to(member->second.rumour.address, say.channel, std::move(part));
+    for (std::string& part : split_payload(next_whole_++, say.payload)) {
+      send_to(member->second.update.address, say.channel, std::move(part));
     }
   }
 }
 
-void TalkActor::send(std::vector<Outgoing>& out) {
+void GossipActor::send(std::vector<Outgoing>& out) {
   for (const Outgoing& o : std::exchange(out, {})) {
     send_to(o.to, Channel::kSwim, encode(o.message));
   }
 }
 
-void TalkActor::send_to(const std::string& address, Channel channel, std::string payload) {
+void GossipActor::send_to(const std::string& address, Channel channel, std::string payload) {
   const auto to = net::parse_address(address);
   if (to) {
-    socket_.send(*to, gate_.seal(address, channel, std::move(payload)));
+    socket_.send(*to, gate_.sign(address, channel, std::move(payload)));
   }
 }
 
-void TalkActor::tell_changes() {
-  for (const Swim::Change& c : swim_.take_changes()) {
-    if (c.to == State::kSuspect ||
-        (c.from == State::kSuspect && c.to == State::kAlive && !c.restarted)) {
+void GossipActor::tell_changes() {
+  for (const SwimNode::MemberChange& c : swim_.take_changes()) {
+    if (c.to == MemberState::kSuspect ||
+        (c.from == MemberState::kSuspect && c.to == MemberState::kAlive && !c.restarted)) {
       continue;  // no news for staff
     }
     log::info("member", {{"name", std::string_view(c.name)},
@@ -150,7 +150,7 @@
   }
 }
 
-void TalkActor::say_good_bye() {
+void GossipActor::leave() {
   std::vector<Outgoing> out;
   swim_.leave(now(), out);
   send(out);
--- a/src/membership/talk_actor.h
+++ b/src/membership/talk_actor.h
@@ -14,43 +14,43 @@
 
 namespace beechhill::membership {
 
-struct Say {  // to a member, as well as datagrams go
+struct SendPayload {  // to a member, as well as datagrams go
   std::string to;
-  Channel channel = Channel::kSettled;
-  std::string whole;
+  Channel channel = Channel::kCoordination;
+  std::string payload;
 };
-struct NewKeys {
-  Keys keys;
+struct ReplaceKeys {
+  MacKeys keys;
 };
-using TalkMessage = std::variant<Say, NewKeys>;
-using TalkBox = runtime::Mailbox<TalkMessage>;
+using GossipMessage = std::variant<SendPayload, ReplaceKeys>;
+using GossipMailbox = runtime::Mailbox<GossipMessage>;
 
-struct Heard {
+struct PayloadReceived {
   std::string from;
-  Channel channel = Channel::kSettled;
-  std::string whole;
+  Channel channel = Channel::kCoordination;
+  std::string payload;
 };
-struct Woke {};  // the process did not run for a while; told before anything that came meanwhile
+struct ProcessResumed {};  // the process did not run for a while; told before anything that came meanwhile
 // Where they go; false where there is no room, and then they are as good as lost on their way.
-struct Listener {
-  std::function<bool(Heard)> heard;
-  std::function<bool(Woke)> woke;
+struct GossipHandlers {
+  std::function<bool(PayloadReceived)> on_payload;
+  std::function<bool(ProcessResumed)> on_resume;
 };
 
-class TalkActor {
+class GossipActor {
  public:
   // Listens on `listen` and is reached by the others at `advertise`. `listener`: where what is not
   // membership's goes. Throws std::system_error where it cannot listen.
-  TalkActor(runtime::Scheduler& scheduler, Settings settings, const sockaddr_in& listen,
-            const std::string& advertise, const std::string& name, Keys keys,
-            Listener listener = {});
+  GossipActor(runtime::Scheduler& scheduler, SwimSettings settings, const sockaddr_in& listen,
+            const std::string& advertise, const std::string& name, MacKeys keys,
+            GossipHandlers listener = {});
 
-  TalkBox& inbox() { return inbox_; }
+  GossipMailbox& inbox() { return inbox_; }
   runtime::Task<> run();
-  void say_good_bye();  // at the process's end, at once
-  const Swim& swim() const { return swim_; }
-  std::uint64_t life() const { return life_; }
-  std::uint64_t refused() const { return refused_; }  // datagrams
+  void leave();  // at the process's end, at once
+  const SwimNode& membership() const { return swim_; }
+  std::uint64_t boot_id() const { return life_; }
+  std::uint64_t rejected_datagrams() const { return refused_; }  // datagrams
 
  private:
   bool take_datagrams();  // whether more may be there
@@ -62,12 +62,12 @@
   runtime::Scheduler& scheduler_;
   net::DatagramSocket socket_;
   const std::uint64_t life_;
-  Gate gate_;
-  Swim swim_;
+  DatagramAuthenticator gate_;
+  SwimNode swim_;
   const Duration gap_;
-  Assembler assembler_;
-  const Listener listener_;
-  TalkBox inbox_;
+  PayloadAssembler assembler_;
+  const GossipHandlers listener_;
+  GossipMailbox inbox_;
   Time looked_at_;
   std::uint64_t next_whole_ = 1, refused_ = 0;
 };
--- a/src/membership/wire.cpp
+++ b/src/membership/wire.cpp
@@ -10,35 +10,35 @@
 }  // namespace
 
 std::string encode(const Message& m) {
-  Writer w;
-  w.number(m.kind).number(m.number).text(m.about).number(m.digest).number(
-      static_cast<std::uint8_t>(m.rumours.size()));
-  for (const Rumour& r : m.rumours) {
-    w.text(r.name).text(r.address).number(r.state).number(r.incarnation).number(r.life).text(r.by);
+  ByteWriter w;
+  w.number(m.type).number(m.sequence_number).text(m.subject).number(m.digest).number(
+      static_cast<std::uint8_t>(m.updates.size()));
+  for (const MemberUpdate& r : m.updates) {
+    w.text(r.name).text(r.address).number(r.state).number(r.incarnation).number(r.boot_id).text(r.suspected_by);
   }
   return w.bytes();
 }
 
 std::optional<Message> decode(std::string_view bytes) {
-  Reader r(bytes);
+  ByteReader r(bytes);
   Message m;
-  m.kind = r.number<Kind>();
-  m.number = r.number<std::uint64_t>();
-  m.about = r.text(kLongestName);
+  m.type = r.number<MessageType>();
+  m.sequence_number = r.number<std::uint64_t>();
+  m.subject = r.text(kMaxNameBytes);
   m.digest = r.number<std::uint64_t>();
   const std::size_t count = r.number<std::uint8_t>();
-  if (!r.ok() || m.kind > Kind::kList || count > kMostRumours + 2) {
+  if (!r.ok() || m.type > MessageType::kSyncResponse || count > kMaxUpdatesPerMessage + 2) {
     return std::nullopt;
   }
   for (std::size_t i = 0; i < count; ++i) {
-    Rumour& u = m.rumours.emplace_back();
-    u.name = r.text(kLongestName);
+    MemberUpdate& u = m.updates.emplace_back();
+    u.name = r.text(kMaxNameBytes);
     u.address = r.text(kLongestAddress);
-    u.state = r.number<State>();
+    u.state = r.number<MemberState>();
     u.incarnation = r.number<std::uint32_t>();
-    u.life = r.number<std::uint64_t>();
-    u.by = r.text(kLongestName);
-    if (u.name.empty() || u.state > State::kLeft) {
+    u.boot_id = r.number<std::uint64_t>();
+    u.suspected_by = r.text(kMaxNameBytes);
+    if (u.name.empty() || u.state > MemberState::kLeft) {
       return std::nullopt;
     }
   }
--- a/src/proxy/body_pipe.h
+++ b/src/proxy/body_pipe.h
@@ -15,7 +15,7 @@
 class BodyBudget {
  public:
   explicit BodyBudget(std::size_t bytes) : limit_(bytes) {}
-  bool room() const { return used_ < limit_; }
+  bool has_capacity() const { return used_ < limit_; }
   void set_limit(std::size_t bytes) { limit_ = bytes; }
 
  private:
@@ -25,7 +25,7 @@
 
 class BodyPipe {
  public:
-  static constexpr std::size_t kMost = 64 * 1024, kMostWhenShort = 16 * 1024;
+  static constexpr std::size_t kMaxBufferedBytes = 64 * 1024, kMaxBufferedBytesWhenOverBudget = 16 * 1024;
 
   explicit BodyPipe(BodyBudget& budget) : budget_(budget) {}
   ~BodyPipe() { budget_.used_ -= bytes_.size(); }
@@ -36,43 +36,43 @@
   // For as long as the writer is there: `to_writer` is notified when there is room again or the
   // reader has gone. However the writer ends, a body that is not whole is broken off then, and the
   // notifier not touched any more.
-  class Writing {
+  class WriterGuard {
    public:
-    Writing(BodyPipe* pipe, runtime::Notifier& to_writer)
+    WriterGuard(BodyPipe* pipe, runtime::Notifier& to_writer)
         : pipe_(pipe) {  // null: there is nothing to write
       if (pipe_) {
         pipe_->to_writer_ = &to_writer;
       }
     }
-    ~Writing() {
+    ~WriterGuard() {
       if (!pipe_) {
         return;
       }
-      pipe_->break_off();
+      pipe_->abort();
       pipe_->to_writer_ = nullptr;
     }
-    Writing(const Writing&) = delete;
-    Writing& operator=(const Writing&) = delete;
+    WriterGuard(const WriterGuard&) = delete;
+    WriterGuard& operator=(const WriterGuard&) = delete;
 
    private:
     BodyPipe* pipe_;
   };
-  bool full() const { return bytes_.size() >= (budget_.room() ? kMost : kMostWhenShort); }
+  bool full() const { return bytes_.size() >= (budget_.has_capacity() ? kMaxBufferedBytes : kMaxBufferedBytesWhenOverBudget); }
   void push(std::string& bytes) {  // takes all of it: the last piece may go beyond
     budget_.used_ += bytes.size();
     bytes_ += std::exchange(bytes, {});
     to_reader_.notify();
   }
   void finish() { end_ = End::kWhole, to_reader_.notify(); }
-  void break_off() {  // it will never be whole; nothing after the first end
+  void abort() {  // it will never be whole; nothing after the first end
     if (end_ == End::kOpen) {
       end_ = End::kBroken;
     }
     to_reader_.notify();
   }
-  bool unread() const { return gone_; }  // the reader has gone
+  bool reader_closed() const { return gone_; }  // the reader has gone
   // Whether a byte has been taken out: then nobody can have the body from its beginning any more.
-  bool begun() const { return begun_; }
+  bool reading_started() const { return begun_; }
 
   // ---- The reader's side
   bool empty() const { return bytes_.empty(); }
@@ -84,10 +84,10 @@
     }
     return std::exchange(bytes_, {});
   }
-  bool whole() const { return end_ == End::kWhole; }
-  bool broken() const { return end_ == End::kBroken; }
-  runtime::Notifier& arrived() { return to_reader_; }
-  void leave() {
+  bool is_complete() const { return end_ == End::kWhole; }
+  bool is_aborted() const { return end_ == End::kBroken; }
+  runtime::Notifier& data_available() { return to_reader_; }
+  void close_reader() {
     gone_ = true;
     if (to_writer_) {
       to_writer_->notify();
