--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -47,7 +47,7 @@
   HttpPayload(http::Message&& request, std::shared_ptr<BodyPipe> rest,
               std::optional<std::uint64_t> length, Duration wait)
       : request_(std::move(request)), rest_(std::move(rest)), length_(length), wait_(wait) {}
-  std::string_view id() const override { return *request_.headers.find("X-Trace-Id"); }
+  std::string_view trace_id() const override { return *request_.headers.find("X-Trace-Id"); }
   std::string encode(const std::string& host, Duration left) const override {
     using std::chrono::milliseconds;
     const auto ms =
@@ -62,13 +62,13 @@
       return http::write_request(request_.method, request_.target, host, headers, request_.body);
     }
     return http::write_request_head(request_.method, request_.target, host, headers, length_) +
-           framed(request_.body);
+           frame_body(request_.body);
   }
-  const std::shared_ptr<BodyPipe>& rest() const override { return rest_; }
-  std::string framed(std::string bytes) const override {
+  const std::shared_ptr<BodyPipe>& remaining_body() const override { return rest_; }
+  std::string frame_body(std::string bytes) const override {
     return length_ ? bytes : http::write_chunk(bytes);
   }
-  std::string framed_end() const override { return length_ ? "" : http::write_chunk({}); }
+  std::string frame_body_end() const override { return length_ ? "" : http::write_chunk({}); }
 
  private:
   http::Message request_;
@@ -85,7 +85,7 @@
 
 Duration longest_deadline(const config::Config& config) {
   Duration longest{0};
-  for (const ClassSettings& c : config.named.settings.classes) {
+  for (const ClassSettings& c : config.named_settings.settings.classes) {
     longest = std::max(longest, c.deadline);
   }
   return longest;
@@ -93,7 +93,7 @@
 
 }  // namespace
 
-FrontDoor::FrontDoor(runtime::Scheduler& scheduler, DecisionBox& decisions,
+ClientListener::ClientListener(runtime::Scheduler& scheduler, DecisionMailbox& decisions,
                      const config::Config& config, Telemetry& telemetry, BodyBudget& bodies,
                      std::size_t descriptors, std::function<bool()> has_list, bool drained)
     : scheduler_(scheduler),
@@ -103,18 +103,18 @@
       bodies_(bodies),
       budget_(descriptors),
       has_list_(std::move(has_list)),
-      listener_(config.inherited
-                    ? std::make_unique<net::Listener>(scheduler, net::Fd(*config.inherited))
+      listener_(config.inherited_listener_fd
+                    ? std::make_unique<net::Listener>(scheduler, net::Fd(*config.inherited_listener_fd))
                     : std::make_unique<net::Listener>(scheduler, config.listen)),
       inbox_(kInboxCapacity),
       course_(longest_deadline(config)) {
   if (drained) {
-    course_.evacuate(now());
+    course_.drain(now());
   }
-  for (const auto& name : config.named.classes) {
+  for (const auto& name : config.named_settings.classes) {
     classes_.id(name);
   }
-  for (const auto& name : config.named.tenants) {
+  for (const auto& name : config.named_settings.tenants) {
     tenants_.id(name);
   }
 }
@@ -132,9 +132,9 @@
 
 }  // namespace
 
-Task<> FrontDoor::run() {
+Task<> ClientListener::run_accept_loop() {
   // A shared socket's clients wait for whoever can serve them.
-  while (config_.inherited && !has_list_() && !course_.ending()) {
+  while (config_.inherited_listener_fd && !has_list_() && !course_.is_shutting_down()) {
     runtime::Wait wait(scheduler_);
     wait.until(Clock::now() + kAcceptPause);
     co_await wait;
@@ -142,15 +142,15 @@
   accepting_ = true;
   sockaddr_in from{};
   net::Fd fd;
-  for (std::size_t taken = 1; course_.accepts(now()); ++taken) {
+  for (std::size_t taken = 1; course_.accepts_connections(now()); ++taken) {
     if (taken % kAcceptTurn == 0 ||
-        !budget_.room()) {  // those taken have spoken, if ever, after their turn
+        !budget_.has_capacity()) {  // those taken have spoken, if ever, after their turn
       runtime::Wait others(scheduler_);
       others.until(Clock::now());
       co_await others;
     }
     // Stops accepting when descriptors are short: the backlog holds clients until one is free.
-    if (!budget_.room()) {
+    if (!budget_.has_capacity()) {
       co_await room();
       continue;
     }
@@ -167,8 +167,8 @@
   }
   // Guards against a reset of those in the backlog: to them this machine has accepted. The last
   // look and the close are one turn. A shared socket's are its other holders'.
-  while (!config_.inherited && now() < course_.answer_by()) {
-    if (!budget_.room()) {
+  while (!config_.inherited_listener_fd && now() < course_.response_deadline()) {
+    if (!budget_.has_capacity()) {
       co_await room();
       continue;
     }
@@ -180,7 +180,7 @@
   listener_.reset();  // from here on clients are refused, not left waiting
 }
 
-void FrontDoor::admit(net::Fd fd, const sockaddr_in& from) {
+void ClientListener::admit(net::Fd fd, const sockaddr_in& from) {
   try {
     scheduler_.spawn(
         serve_and_free(std::make_unique<ClientConnection>(*this, std::move(fd), from)));
@@ -189,7 +189,7 @@
   }
 }
 
-Task<> FrontDoor::room() {
+Task<> ClientListener::room() {
   evict();
   runtime::Wait wait(scheduler_);
   wait.notified(left_).until(Clock::now() + kAcceptPause);
@@ -201,7 +201,7 @@
 // request. While one is too young to be called silent, those that had a request a moment ago are
 // spared: silent crowds must not drive usual clients out, nor must those that keep a connection for
 // good keep new ones waiting.
-void FrontDoor::evict() {
+void ClientListener::evict() {
   using Phase = ClientConnection::Phase;
   const TimePoint now = Clock::now();
   std::array<ClientConnection*, 4> longest{};
@@ -233,12 +233,12 @@
   }
 }
 
-Task<> FrontDoor::tend() {
+Task<> ClientListener::run_lifecycle() {
   while (listener_ || !sockets_.empty()) {  // whoever stands in the backlog is still to be taken
     while (!inbox_.empty()) {
       heed(inbox_.take());
     }
-    if (course_.clears(now())) {
+    if (course_.closes_idle_connections(now())) {
       for (ClientConnection* socket : sockets_) {
         if (socket->phase() == ClientConnection::Phase::kKept ||
             (socket->phase() == ClientConnection::Phase::kSilent &&
@@ -249,40 +249,40 @@
     }
     runtime::Wait wait(scheduler_);
     wait.notified(inbox_.arrived());
-    if (course_.drained() || course_.ending()) {
+    if (course_.is_draining() || course_.is_shutting_down()) {
       wait.until(Clock::now() + kAcceptPause);
     }
     co_await wait;
   }
 }
 
-void FrontDoor::heed(const DoorOrder& order) {
-  switch (order.word) {
-    case DoorWord::kEvacuate:
-      if (!course_.drained()) {
+void ClientListener::heed(const ListenerCommand& order) {
+  switch (order.type) {
+    case ListenerCommandType::kDrain:
+      if (!course_.is_draining()) {
         log::info("drained");
       }
-      course_.evacuate(now());
+      course_.drain(now());
       break;
-    case DoorWord::kRejoin:
-      if (course_.drained()) {
+    case ListenerCommandType::kResume:
+      if (course_.is_draining()) {
         log::info("rejoined");
       }
-      course_.rejoin();
+      course_.resume();
       break;
-    case DoorWord::kEnd:
-      course_.end(now(), order.succeeded);
+    case ListenerCommandType::kShutdown:
+      course_.begin_shutdown(now(), order.has_successor);
       turned_.notify();
       break;
   }
-  if (order.asked) {
-    order.asked->answer(200);
+  if (order.reply) {
+    order.reply->complete(200);
   }
 }
 
 // Strict: nothing doubtful reaches a backend. A header may be absent where a default stands for it;
 // one that is there must be understood, and stand there once.
-FrontDoor::Target FrontDoor::target_of(http::Message& request, std::optional<std::uint64_t> length,
+ClientListener::Target ClientListener::target_of(http::Message& request, std::optional<std::uint64_t> length,
                                        std::shared_ptr<BodyPipe> upload) {
   const auto& headers = request.headers;
   const std::string path = request.target.substr(1, request.target.find_first_of("/?", 1) - 1);
@@ -290,8 +290,8 @@
   if (!class_id) {
     return {404, nullptr};
   }
-  const ClassSettings& settings = config_.named.settings.classes[*class_id];
-  const bool safe = settings.effect == Effect::kRepeatable;
+  const ClassSettings& settings = config_.named_settings.settings.classes[*class_id];
+  const bool safe = settings.idempotency == Idempotency::kIdempotent;
   if (request.method != (safe ? "GET" : "POST")) {
     return {405, nullptr};
   }
@@ -309,7 +309,7 @@
   if (!trace || trace->size() > kLongestId) {
     return {400, nullptr};
   }
-  if (settings.effect == Effect::kKeyed && !headers.find("Idempotency-Key")) {
+  if (settings.idempotency == Idempotency::kIdempotencyKey && !headers.find("Idempotency-Key")) {
     return {400, nullptr};
   }
   auto operation = std::make_shared<ClientRequest>();
@@ -330,11 +330,11 @@
     const auto longest = std::chrono::ceil<std::chrono::milliseconds>(settings.deadline).count();
     wait = std::chrono::milliseconds(std::min(*ms, static_cast<std::uint64_t>(longest)));
   }
-  operation->arrived = now();
-  operation->wait = wait;
-  operation->deadline = operation->arrived + wait + (upload ? Duration(kUploadGuess) : Duration{0});
-  operation->deadline = std::min(operation->deadline, course_.answer_by());
-  if (!ids_.take(*trace, operation->arrived, operation->deadline + kIdKept)) {
+  operation->arrived_at = now();
+  operation->client_timeout = wait;
+  operation->deadline = operation->arrived_at + wait + (upload ? Duration(kUploadGuess) : Duration{0});
+  operation->deadline = std::min(operation->deadline, course_.response_deadline());
+  if (!ids_.take(*trace, operation->arrived_at, operation->deadline + kIdKept)) {
     return {409, nullptr};
   }
   operation->payload =
@@ -342,7 +342,7 @@
   return {0, std::move(operation)};
 }
 
-bool OpenIds::take(const std::string& id, Time now, Time until) {
+bool OpenRequestIds::take(const std::string& id, Time now, Time until) {
   while (!by_time_.empty() && (by_time_.begin()->first <= now || by_time_.size() >= kMostIds)) {
     ids_.erase(by_time_.begin()->second);
     by_time_.erase(by_time_.begin());
@@ -356,7 +356,7 @@
 
 // ---- One connection
 
-ClientConnection::ClientConnection(FrontDoor& door, net::Fd fd, const sockaddr_in& from)
+ClientConnection::ClientConnection(ClientListener& door, net::Fd fd, const sockaddr_in& from)
     : door_(door),
       slot_(door.budget_),
       remote_(net::to_string(from)),
@@ -408,7 +408,7 @@
     co_return;  // its descriptor is needed now
   }
   // Guards against a reset that destroys an answer still on its way.
-  const TimePoint until = to_point(std::min(now() + kLingerLimit, door_.course_.answer_by()));
+  const TimePoint until = to_point(std::min(now() + kLingerLimit, door_.course_.response_deadline()));
   if (spoilt_) {
     co_await stream_.linger(until, wake_);
   } else {
@@ -497,8 +497,8 @@
 // Not while the next request stands in the buffer, as it has been read; but for the end of all
 // answers.
 bool ClientConnection::parts() const {
-  return (asked_ || door_.course_.parts(came_, now())) &&
-         (buffer_.empty() || now() >= door_.course_.answer_by());
+  return (asked_ || door_.course_.closes_after_response(came_, now())) &&
+         (buffer_.empty() || now() >= door_.course_.response_deadline());
 }
 
 // False: this was the connection's last.
@@ -512,48 +512,48 @@
     co_return co_await reply(bytes, close);
   }
   const bool chunks = request.minor_version >= 1;
-  const bool short_of_room = large_ && !door_.bodies_.room();
+  const bool short_of_room = large_ && !door_.bodies_.has_capacity();
   std::shared_ptr<BodyPipe> upload;
   if (large_) {
     upload = std::make_shared<BodyPipe>(door_.bodies_);
   }
-  FrontDoor::Target target = door_.target_of(request, parser.length(), upload);
+  ClientListener::Target target = door_.target_of(request, parser.length(), upload);
   if (target.error != 0) {
     co_await turn_away(target.error, EndReason::kBadRequest);
     co_return false;
   }
   ++operations_;
-  Telemetry::Open open(door_.telemetry_, target.operation->class_id);
+  Telemetry::RequestScope open(door_.telemetry_, target.operation->class_id);
   const std::shared_ptr<ClientRequest> operation = std::move(target.operation);
-  const BodyPipe::Writing writing(upload.get(), operation->answered);
-  DecisionMessage arrival(Arrived{operation});
+  const BodyPipe::WriterGuard writing(upload.get(), operation->response_ready);
+  DecisionMessage arrival(RequestReceived{operation});
   if (short_of_room || !door_.decisions_.post(std::move(arrival))) {
-    operation->answer = Refusal{};  // nothing has run
+    operation->response = Rejection{};  // nothing has run
   } else if (!co_await await_answer(operation, parser)) {
     co_return false;
   }
   // Answered before its body has come: what still comes is no request.
-  spoilt_ = upload && !upload->whole();
+  spoilt_ = upload && !upload->is_complete();
   close = close || spoilt_ || parts();
   std::string bytes;
-  Ended how = Ended::kFailed;
-  if (const auto* served = std::get_if<Reply>(&*operation->answer)) {
-    const std::string type = served->type.empty() ? "" : "Content-Type: " + served->type + "\r\n";
-    if (served->rest) {
+  RequestOutcome how = RequestOutcome::kFailed;
+  if (const auto* served = std::get_if<BackendResponse>(&*operation->response)) {
+    const std::string type = served->content_type.empty() ? "" : "Content-Type: " + served->content_type + "\r\n";
+    if (served->remaining_body) {
       const bool whole = co_await pass_on(*served, type, close, chunks);
       if (reason_ != EndReason::kWriteFailed) {
-        open.end(whole ? Ended::kCompleted : Ended::kFailed);
+        open.end(whole ? RequestOutcome::kCompleted : RequestOutcome::kFailed);
       }
-      co_return whole && !close && (chunks || served->length);
+      co_return whole && !close && (chunks || served->content_length);
     }
     bytes = http::write_response(200, type, served->body, close);
-    how = Ended::kCompleted;
-  } else if (const auto* busy = std::get_if<Refusal>(&*operation->answer)) {
+    how = RequestOutcome::kCompleted;
+  } else if (const auto* busy = std::get_if<Rejection>(&*operation->response)) {
     const std::string later = busy->retry_after > Duration{0}
                                   ? "Retry-After: " + http::retry_after(busy->retry_after) + "\r\n"
                                   : std::string();
     bytes = http::write_response(503, later, "", close);
-    how = Ended::kRejected;
+    how = RequestOutcome::kRejected;
   } else {
     bytes = http::write_response(502, "", "", close);
   }
@@ -566,23 +566,23 @@
 
 // A large answer, at the pace of its backend and its client. False: its end did not come, or the
 // client left; the connection is then closed without it, so that the client can tell.
-Task<bool> ClientConnection::pass_on(const Reply& reply, const std::string& extra, bool close,
+Task<bool> ClientConnection::pass_on(const BackendResponse& reply, const std::string& extra, bool close,
                                      bool chunks) {
-  BodyPipe& rest = *reply.rest;
+  BodyPipe& rest = *reply.remaining_body;
   struct Leaver {
     BodyPipe& pipe;
-    ~Leaver() { pipe.leave(); }
+    ~Leaver() { pipe.close_reader(); }
   } leaver{rest};
-  const bool stated = reply.length.has_value();
+  const bool stated = reply.content_length.has_value();
   const auto framed = [&](const std::string& bytes) {
     return stated || !chunks ? bytes : http::write_chunk(bytes);
   };
   std::string bytes = chunks || stated
-                          ? http::write_response_head(200, extra, reply.length, close)
+                          ? http::write_response_head(200, extra, reply.content_length, close)
                           : "HTTP/1.1 200 OK\r\n" + extra + "Connection: close\r\n\r\n";
   bytes += framed(reply.body);
   for (;;) {
-    const bool last = rest.whole();
+    const bool last = rest.is_complete();
     if (!rest.empty()) {
       bytes += framed(rest.take());
     }
@@ -595,14 +595,14 @@
       co_return io == Io::kOk;
     }
     bytes.clear();
-    if (!rest.empty() || rest.whole()) {
+    if (!rest.empty() || rest.is_complete()) {
       continue;
     }
-    if (rest.broken()) {
+    if (rest.is_aborted()) {
       co_return false;
     }
     runtime::Wait wait(door_.scheduler_);
-    wait.notified(rest.arrived());
+    wait.notified(rest.data_available());
     co_await wait;
   }
 }
@@ -610,7 +610,7 @@
 // Moves what has come of a large request's body on. False: it cannot be read, or its length was
 // wrong.
 bool ClientConnection::take_upload(ClientRequest& operation, http::Parser& parser) {
-  BodyPipe& upload = *operation.payload->rest();
+  BodyPipe& upload = *operation.payload->remaining_body();
   std::string bytes;
   const http::Progress progress = parser.feed_body(buffer_, bytes);
   if (!bytes.empty()) {
@@ -622,8 +622,8 @@
   if (progress == http::Progress::kBad || !http::may_begin_request(buffer_)) {
     return false;
   }
-  operation.arrived = now();
-  operation.deadline = std::min(operation.arrived + operation.wait, door_.course_.answer_by());
+  operation.arrived_at = now();
+  operation.deadline = std::min(operation.arrived_at + operation.client_timeout, door_.course_.response_deadline());
   upload.finish();
   return true;
 }
@@ -632,26 +632,26 @@
 // body on. False: the client has gone, or been told that its request is wrong.
 Task<bool> ClientConnection::await_answer(const std::shared_ptr<ClientRequest>& operation,
                                           http::Parser& parser) {
-  BodyPipe* const upload = operation->payload->rest().get();
-  while (!operation->answer) {
+  BodyPipe* const upload = operation->payload->remaining_body().get();
+  while (!operation->response) {
     Io io = Io::kNotified;
-    const bool coming = upload && !upload->whole();
+    const bool coming = upload && !upload->is_complete();
     const TimePoint overdue = coming ? whole_by() : to_point(operation->deadline + kOverdue);
     if (coming ? !upload->full() : buffer_.size() < kMaxEarly) {
       const std::size_t before = buffer_.size();
-      io = co_await stream_.read(buffer_, overdue, &operation->answered);
+      io = co_await stream_.read(buffer_, overdue, &operation->response_ready);
       received_ += buffer_.size() - before;
     } else {
       // While a backend holds the body back, its client is not the slow one. It may leave, unread
       // bytes or not.
       const TimePoint from = Clock::now();
       io = co_await stream_.await_end(coming ? to_point(operation->deadline) : overdue,
-                                      operation->answered);
+                                      operation->response_ready);
       if (coming) {
         begun_ += Clock::now() - from;
       }
     }
-    if (operation->answer || io == Io::kNotified) {
+    if (operation->response || io == Io::kNotified) {
       continue;
     }
     bool spoilt = false, slow = false;
@@ -666,13 +666,13 @@
     }
     // Gone, or never decided: an unforeseen failure, and something may have run.
     if (io == Io::kTimeout && !slow) {
-      operation->answer = Failed{};
+      operation->response = Failure{};
     }
     operation->abandoned = io != Io::kTimeout || slow;
     if (upload) {
-      upload->break_off();
+      upload->abort();
     }
-    for (DecisionMessage left(Left{operation}); !door_.decisions_.post(std::move(left));) {
+    for (DecisionMessage left(RequestAbandoned{operation}); !door_.decisions_.post(std::move(left));) {
       runtime::Wait wait(
           door_.scheduler_);  // guards against a request that is held and sent on for nobody
       wait.until(Clock::now() + 1ms);
--- a/src/proxy/client_connection.h
+++ b/src/proxy/client_connection.h
@@ -22,7 +22,7 @@
 class ClientConnection;
 
 // The ids of requests that are open, or were a moment ago.
-class OpenIds {
+class OpenRequestIds {
  public:
   // False where that id is taken. It is kept until then: what was sent for it is over by its
   // deadline.
@@ -33,20 +33,20 @@
   std::multimap<Time, std::string> by_time_;
 };
 
-class FrontDoor {
+class ClientListener {
  public:
-  FrontDoor(runtime::Scheduler& scheduler, DecisionBox& decisions, const config::Config& config,
+  ClientListener(runtime::Scheduler& scheduler, DecisionMailbox& decisions, const config::Config& config,
             Telemetry& telemetry, BodyBudget& bodies, std::size_t descriptors,
             std::function<bool()> has_list, bool drained = false);
 
   sockaddr_in address() const { return listener_->address(); }
-  DoorBox& inbox() { return inbox_; }
-  runtime::Task<> run();   // accepts for as long as the door's course says
-  runtime::Task<> tend();  // follows orders; returns when nothing is left after a planned end
+  ListenerMailbox& inbox() { return inbox_; }
+  runtime::Task<> run_accept_loop();   // accepts for as long as the door's course says
+  runtime::Task<> run_lifecycle();  // follows orders; returns when nothing is left after a planned end
   // Whether this process takes clients: drained or not, until its planned end.
-  bool serving() const { return accepting_ && has_list_() && !course_.ending(); }
-  bool ending() const { return course_.ending(); }
-  FdBudget& budget() { return budget_; }
+  bool is_serving() const { return accepting_ && has_list_() && !course_.is_shutting_down(); }
+  bool is_shutting_down() const { return course_.is_shutting_down(); }
+  DescriptorBudget& descriptor_budget() { return budget_; }
 
  private:
   friend class ClientConnection;
@@ -58,27 +58,27 @@
   // `upload`: where the rest of its body will come; null where it is whole.
   Target target_of(http::Message& request, std::optional<std::uint64_t> length,
                    std::shared_ptr<BodyPipe> upload);
-  bool ready() const { return course_.ready() && has_list_(); }
+  bool ready() const { return course_.is_ready() && has_list_(); }
   void admit(net::Fd fd, const sockaddr_in& from);
   runtime::Task<>
   room();  // waits for one more descriptor, which may come from a client that nothing is owed to
   void evict();
-  void heed(const DoorOrder& order);
+  void heed(const ListenerCommand& order);
 
   runtime::Scheduler& scheduler_;
-  DecisionBox& decisions_;
+  DecisionMailbox& decisions_;
   const config::Config& config_;
   Telemetry& telemetry_;
   BodyBudget& bodies_;
   config::Interner classes_, tenants_;
-  FdBudget budget_;
+  DescriptorBudget budget_;
   std::function<bool()> has_list_;
   std::unique_ptr<net::Listener> listener_;
-  OpenIds ids_;
+  OpenRequestIds ids_;
   std::list<ClientConnection*> sockets_;  // open ones
   runtime::Notifier left_;                // one of them ended
-  DoorBox inbox_;
-  DoorCourse course_;
+  ListenerMailbox inbox_;
+  ListenerLifecycle course_;
   runtime::Notifier turned_;  // the course has
   bool accepting_ = false;
 };
@@ -86,7 +86,7 @@
 // One client's connection: one operation at a time, each answered before the next is read.
 class ClientConnection {
  public:
-  ClientConnection(FrontDoor& door, net::Fd fd, const sockaddr_in& from);
+  ClientConnection(ClientListener& door, net::Fd fd, const sockaddr_in& from);
   ~ClientConnection();
   ClientConnection(const ClientConnection&) = delete;
   ClientConnection& operator=(const ClientConnection&) = delete;
@@ -111,15 +111,15 @@
   runtime::Task<bool> answer_request(http::Parser& parser);
   runtime::Task<bool> await_answer(const std::shared_ptr<ClientRequest>& operation,
                                    http::Parser& parser);
-  runtime::Task<bool> pass_on(const Reply& reply, const std::string& extra, bool close,
+  runtime::Task<bool> pass_on(const BackendResponse& reply, const std::string& extra, bool close,
                               bool chunks);
   runtime::TimePoint whole_by() const;
   bool take_upload(ClientRequest& operation, http::Parser& parser);
   runtime::Task<bool> reply(const std::string& bytes, bool close);
   bool parts() const;
 
-  FrontDoor& door_;
-  FdBudget::Slot slot_;
+  ClientListener& door_;
+  DescriptorBudget::Slot slot_;
   std::string remote_;
   net::Stream stream_;
   std::string buffer_;  // bytes read and not yet used: the next request may come early
--- a/src/proxy/decision_actor.cpp
+++ b/src/proxy/decision_actor.cpp
@@ -18,58 +18,58 @@
 
 // What is heeded on the way back; all else waits for it.
 bool is_news(const DecisionMessage& message) {
-  return std::holds_alternative<config::ServerList>(message) ||
-         std::holds_alternative<CaughtUp>(message) || std::holds_alternative<Exclude>(message) ||
-         std::holds_alternative<WorkRights>(message);
+  return std::holds_alternative<config::EndpointList>(message) ||
+         std::holds_alternative<ResyncComplete>(message) || std::holds_alternative<ExcludeBackend>(message) ||
+         std::holds_alternative<DispatchPermissions>(message);
 }
 
 }  // namespace
 
 DecisionActor::DecisionActor(runtime::Scheduler& scheduler, const config::Config& config,
-                             PeerFactory make_peer, WatchBox& watch,
+                             BackendFactory make_peer, EndpointWatchMailbox& watch,
                              const routing::SubsetSettings& subset, std::set<std::string> barred,
-                             std::vector<snapshot::Row> learned)
+                             std::vector<snapshot::EndpointRecord> learned)
     : scheduler_(scheduler),
       make_peer_(std::move(make_peer)),
       watch_(watch),
       inbox_(kInboxCapacity),
       barred_(std::move(barred)),
-      drain_grace_(config.named.settings.drain_grace),
-      cold_span_(config.named.settings.cold_span),
-      advice_(config.named.settings.max_retry_after),
-      most_tries_(config.named.settings.most_tries),
+      drain_grace_(config.named_settings.settings.drain_grace),
+      cold_span_(config.named_settings.settings.slow_start_window),
+      advice_(config.named_settings.settings.max_retry_after),
+      most_tries_(config.named_settings.settings.max_attempts),
       unix_offset_(
           std::chrono::duration_cast<Time>(std::chrono::system_clock::now().time_since_epoch()) -
           now()),
-      course_(now(), config.named.settings.drain_grace, ServerListActor::kSilence,
-              !config.known.entries.empty()),
-      balancer_(now(), config.named.settings, actions_) {
-  if (subset.nodes > 0) {
-    subset_.emplace(subset, routing::unit_for(config.named.settings.classes), config.name);
+      course_(now(), config.named_settings.settings.drain_grace, EndpointWatchActor::kWatchSilenceTimeout,
+              !config.cached_endpoints.entries.empty()),
+      balancer_(now(), config.named_settings.settings, actions_) {
+  if (subset.min_endpoints > 0) {
+    subset_.emplace(subset, routing::subset_unit_for(config.named_settings.settings.classes), config.name);
   }
-  for (snapshot::Row& row : learned) {
+  for (snapshot::EndpointRecord& row : learned) {
     claims_.try_emplace(row.host, row);
   }
-  for (const ClassSettings& c : config.named.settings.classes) {
-    memory_spans_.push_back(c.effect == Effect::kKeyed ? std::optional(c.memory_span)
+  for (const ClassSettings& c : config.named_settings.settings.classes) {
+    memory_spans_.push_back(c.idempotency == Idempotency::kIdempotencyKey ? std::optional(c.deduplication_window)
                                                        : std::nullopt);
   }
-  zones_.id(config.named.zone);  // the settings' own zone is number 0
+  zones_.id(config.named_settings.zone);  // the settings' own zone is number 0
   perform();
-  take_list(config.known, ListKind::kLastHeld);
+  take_list(config.cached_endpoints, UpdateKind::kCached);
 }
 
 // A gap in which the process did not run is noticed here, before anything is decided on what it
 // holds.
 bool DecisionActor::returning() {
   const Time at = now();
-  if (course_.look(at)) {
+  if (course_.observe_clock(at)) {
     log::info("away", {{"ms", static_cast<std::uint64_t>(course_.gap().count() / 1000)}});
-    if (!watch_.post(CatchUp{course_.asks_again()})) {
-      log_lost("catch_up");
+    if (!watch_.post(Resync{course_.needs_snapshot()})) {
+      log_dropped_message("catch_up");
     }
   }
-  const bool returning = course_.returning(at);
+  const bool returning = course_.is_resyncing(at);
   say_stage();
   return returning;
 }
@@ -120,7 +120,7 @@
     if (!inbox_.empty()) {
       continue;
     }
-    Time until = waits ? course_.hear_by() : now() + course_.beat();
+    Time until = waits ? course_.resync_deadline() : now() + course_.observation_interval();
     if (!waits && !timers_.empty()) {
       until = std::min(until, timers_.begin()->first);
     }
@@ -154,15 +154,15 @@
 
 // ---- Operations
 
-void DecisionActor::on(Arrived& arrived) {
-  ClientRequest& op = *arrived.operation;
+void DecisionActor::on(RequestReceived& arrived) {
+  ClientRequest& op = *arrived.request;
   if (op.abandoned) {
     return;  // its client left while this word waited
   }
   op.id = next_id_++;
-  entries_[op.id].operation = arrived.operation;
-  if (!may_serve()) {  // turned away at once, and harmlessly
-    end(entries_[op.id], Refusal{advice_});
+  entries_[op.id].operation = arrived.request;
+  if (!serving_permitted()) {  // turned away at once, and harmlessly
+    end(entries_[op.id], Rejection{advice_});
     return tidy(op.id);
   }
   Request request;
@@ -170,60 +170,60 @@
   request.class_id = op.class_id;
   request.tenant = op.tenant;
   request.deadline = op.deadline;
-  request.large = op.large();
+  request.streams_body = op.streams_body();
   drive(request);
   tidy(request.id);
 }
 
-void DecisionActor::on(Left& left) {
-  const RequestId id = left.operation->id;
+void DecisionActor::on(RequestAbandoned& left) {
+  const RequestId id = left.request->id;
   const auto it = entries_.find(id);
   if (it == entries_.end() || it->second.over) {
     return;
   }
   it->second.over = true;
-  drive(ClientGone{id});
+  drive(ClientDisconnected{id});
   tidy(id);
 }
 
-void DecisionActor::on(AttemptDone& done) {
-  const auto it = entries_.find(done.operation);
+void DecisionActor::on(AttemptCompleted& done) {
+  const auto it = entries_.find(done.request_id);
   if (it == entries_.end()) {
     return;
   }
   Entry& entry = it->second;
   --entry.out;
-  const bool reached = done.result != Result::kConnectFailed && done.result != Result::kMoot;
+  const bool reached = done.result != Result::kConnectFailed && done.result != Result::kSkipped;
   entry.written = entry.written || reached;
-  if (reached && done.result != Result::kFull && !entry.may_have_run) {
-    entry.may_have_run = done.attempt;
+  if (reached && done.result != Result::kOverloaded && !entry.may_have_run) {
+    entry.may_have_run = done.attempt_number;
   }
   const ClientRequest& op = *entry.operation;
-  const bool spent = op.large() && op.payload->rest()->begun();
-  const std::shared_ptr<BodyPipe> rest = done.reply.rest;
+  const bool spent = op.streams_body() && op.payload->remaining_body()->reading_started();
+  const std::shared_ptr<BodyPipe> rest = done.response.remaining_body;
   if (rest) {
-    ++backends_[entry.sent[done.attempt].server].used;  // until its StreamDone
+    ++backends_[entry.sent[done.attempt_number].server].used;  // until its StreamDone
   }
   if (done.result == Result::kOk && !entry.over) {
-    end(entry, std::move(done.reply));
+    end(entry, std::move(done.response));
   } else if (rest) {
-    rest->leave();
+    rest->close_reader();
   }
-  if (done.attempt < entry.sent.size()) {
-    note_use(entry.sent[done.attempt].server, done.report);
+  if (done.attempt_number < entry.sent.size()) {
+    note_use(entry.sent[done.attempt_number].server, done.load_report);
   }
-  const Outcome outcome{done.operation, done.attempt, done.result, entry.over, done.report, spent};
+  const Outcome outcome{done.request_id, done.attempt_number, done.result, entry.over, done.load_report, spent};
   drive(outcome);
-  tidy(done.operation);
+  tidy(done.request_id);
 }
 
-void DecisionActor::end(Entry& entry, Answer answer) {
+void DecisionActor::end(Entry& entry, ClientResponse answer) {
   if (entry.over) {
     return;  // one final answer for an operation
   }
   entry.over = true;
-  entry.operation->answer = std::move(answer);
-  entry.operation->answered.notify();
+  entry.operation->response = std::move(answer);
+  entry.operation->response_ready.notify();
 }
 
 void DecisionActor::tidy(RequestId id) {
@@ -239,40 +239,40 @@
   }
 }
 
-void DecisionActor::act(const Send& a) {
+void DecisionActor::act(const StartAttempt& a) {
   const auto it = entries_.find(a.id);
   if (it == entries_.end()) {
     return;
   }
   Entry& entry = it->second;
   const ClientRequest& op = *entry.operation;
-  Attempt attempt{a.id,           static_cast<std::uint32_t>(entry.sent.size()),
+  AttemptRequest attempt{a.id,           static_cast<std::uint32_t>(entry.sent.size()),
                   op.deadline,    op.deadline,
-                  op.wait,        op.payload,
+                  op.client_timeout,        op.payload,
                   entry.operation};
   // Past half of its time a client is better told that nothing was sent than kept waiting for a
   // connection.
-  if (!entry.written && entry.out == 0 && !op.large()) {
-    attempt.connect_by = op.arrived + (op.deadline - op.arrived) * 9 / 20;
+  if (!entry.written && entry.out == 0 && !op.streams_body()) {
+    attempt.connect_deadline = op.arrived_at + (op.deadline - op.arrived_at) * 9 / 20;
   }
   // Guards against a repeat that waits, in a mailbox or for a connection, until its group has
   // forgotten the first.
   if (const auto& span = memory_spans_[op.class_id]; span && entry.may_have_run) {
-    attempt.leave_by = entry.sent[*entry.may_have_run].at + *span;
+    attempt.write_deadline = entry.sent[*entry.may_have_run].at + *span;
   }
-  entry.sent.push_back({a.server, now()});
+  entry.sent.push_back({a.endpoint, now()});
   ++entry.out;
-  Backend& backend = backends_[a.server];
+  BackendEntry& backend = backends_[a.endpoint];
   ++backend.used;
   Result never = Result::kOk;
   if (entry.over || op.abandoned || attempt.deadline <= now() || entry.sent.size() > most_tries_) {
-    never = Result::kMoot;
-  } else if (backend.state != ServerState::kUp || backend.barred || now() >= backend.until ||
-             !backend.peer->post(Attempt(attempt))) {
+    never = Result::kSkipped;
+  } else if (backend.state != EndpointStatus::kUp || backend.barred || now() >= backend.until ||
+             !backend.peer->post(AttemptRequest(attempt))) {
     never = Result::kConnectFailed;
   }
   if (never != Result::kOk) {
-    own_.push_back(AttemptDone{a.id, attempt.number, never, {}, {}});
+    own_.push_back(AttemptCompleted{a.id, attempt.attempt_number, never, {}, {}});
   }
 }
 
@@ -282,130 +282,130 @@
     return;
   }
   if (!backends_[it->second.sent[a.attempt].server].peer->post(CancelAttempt{a.id, a.attempt})) {
-    log_lost("cancel");
+    log_dropped_message("cancel");
   }
 }
 
-void DecisionActor::act(const Refuse& a) {
+void DecisionActor::act(const Reject& a) {
   const auto it = entries_.find(a.id);
   if (it != entries_.end()) {
-    end(it->second, Refusal{a.retry_after});
+    end(it->second, Rejection{a.retry_after});
   }
 }
 
 void DecisionActor::act(const Fail& a) {
   const auto it = entries_.find(a.id);
   if (it != entries_.end()) {
-    end(it->second, Failed{});
+    end(it->second, Failure{});
   }
 }
 
 // ---- Discovery, probes, timers
 
-void DecisionActor::on(config::ServerList& pool) {
+void DecisionActor::on(config::EndpointList& pool) {
   heard_ = true;
-  course_.listed();
-  take_list(pool, pool.whole ? ListKind::kFull : ListKind::kChanges);
+  course_.on_endpoint_update();
+  take_list(pool, pool.complete ? UpdateKind::kSnapshot : UpdateKind::kDelta);
 }
 
-void DecisionActor::take_list(const config::ServerList& pool, ListKind kind) {
-  Discovery discovery{kind, {}};
+void DecisionActor::take_list(const config::EndpointList& pool, UpdateKind kind) {
+  EndpointUpdate discovery{kind, {}};
   std::vector<bool> named(backends_.size(), false);
   std::vector<std::uint64_t> hashes;
-  for (const config::ServerListEntry& row : pool.entries) {
-    if (row.state == ServerState::kRemoved && !servers_.known(row.host)) {
+  for (const config::EndpointListEntry& row : pool.entries) {
+    if (row.status == EndpointStatus::kRemoved && !servers_.known(row.host)) {
       continue;  // let go already
     }
-    ServerEntry e;
-    e.server = servers_.id(row.host);
-    e.state = row.state;
+    Endpoint e;
+    e.id = servers_.id(row.host);
+    e.status = row.status;
     e.zone = zones_.id(row.zone);
-    e.kind = kinds_.id(row.kind);
+    e.instance_type = kinds_.id(row.instance_type);
     e.cell = row.cell;
-    if (row.born.count() > 0) {
-      e.born = std::chrono::duration_cast<Time>(row.born) - unix_offset_;
+    if (row.started_at.count() > 0) {
+      e.started_at = std::chrono::duration_cast<Time>(row.started_at) - unix_offset_;
     }
-    if (e.server >= backends_.size()) {
+    if (e.id >= backends_.size()) {
       backends_.emplace_back();
     }
-    backends_[e.server].zone = e.zone, backends_[e.server].kind = e.kind,
-    backends_[e.server].cell = e.cell;
-    if (!backends_[e.server].peer) {
-      backends_[e.server].peer = make_peer_(inbox_, e.server, row.address);
+    backends_[e.id].zone = e.zone, backends_[e.id].kind = e.instance_type,
+    backends_[e.id].cell = e.cell;
+    if (!backends_[e.id].peer) {
+      backends_[e.id].peer = make_peer_(inbox_, e.id, row.address);
       // Before the list itself: a ban outlasts it.
       if (out(row.host)) {
-        bar(e.server, true);
+        bar(e.id, true);
       }
-      const auto right = rights_.until.find(row.host);
-      backends_[e.server].until = right == rights_.until.end() ? Time::max() : right->second;
+      const auto right = rights_.permitted_until.find(row.host);
+      backends_[e.id].until = right == rights_.permitted_until.end() ? Time::max() : right->second;
     }
     named.resize(backends_.size(), false);
-    named[e.server] = true;
-    tell(e.server, PeerStatus{row.state, row.address, row.born});
-    discovery.entries.push_back(e);
+    named[e.id] = true;
+    tell(e.id, BackendStatus{row.status, row.address, row.started_at});
+    discovery.endpoints.push_back(e);
     if (subset_) {
       hashes.push_back(routing::hash_of_name(row.host));
     }
   }
-  if (kind != ListKind::kChanges) {
-    for (ServerId id = 0; id < named.size(); ++id) {
+  if (kind != UpdateKind::kDelta) {
+    for (EndpointId id = 0; id < named.size(); ++id) {
       if (!named[id] && backends_[id].peer) {
-        tell(id, PeerStatus{ServerState::kRemoved, {}, {}});
+        tell(id, BackendStatus{EndpointStatus::kRemoved, {}, {}});
       }
     }
   }
-  std::vector<ServerId> mentioned;
-  for (const ServerEntry& e : discovery.entries) {
-    mentioned.push_back(e.server);
+  std::vector<EndpointId> mentioned;
+  for (const Endpoint& e : discovery.endpoints) {
+    mentioned.push_back(e.id);
   }
   drive(part_of(std::move(discovery), hashes));
   if (!claims_.empty()) {
-    for (const ServerId id : mentioned) {
+    for (const EndpointId id : mentioned) {
       recall(id);
     }
   }
-  if (kind == ListKind::kFull && recalled_ + void_ + claims_.size() > 0) {
+  if (kind == UpdateKind::kSnapshot && recalled_ + void_ + claims_.size() > 0) {
     void_ += claims_.size();  // who is not in it is not there
     claims_.clear();
     log::info("recalled",
               {{"backends", std::exchange(recalled_, 0)}, {"void", std::exchange(void_, 0)}});
   }
-  if (kind == ListKind::kChanges) {
-    for (const ServerId id : mentioned) {
+  if (kind == UpdateKind::kDelta) {
+    for (const EndpointId id : mentioned) {
       let_go(id);
     }
   } else {
-    for (ServerId id = 0; id < backends_.size(); ++id) {
+    for (EndpointId id = 0; id < backends_.size(); ++id) {
       let_go(id);
     }
   }
 }
 
 // What the module is told of a list: all of it, or this proxy's part of the fleet.
-Discovery DecisionActor::part_of(Discovery list, const std::vector<std::uint64_t>& hashes) {
+EndpointUpdate DecisionActor::part_of(EndpointUpdate list, const std::vector<std::uint64_t>& hashes) {
   if (!subset_) {
     return list;
   }
-  const std::size_t before = subset_->used();
-  Discovery part = subset_->apply(list, hashes);
-  if (subset_->used() != before) {
+  const std::size_t before = subset_->used_endpoints();
+  EndpointUpdate part = subset_->apply(list, hashes);
+  if (subset_->used_endpoints() != before) {
     log::event(log::Level::kDebug, "subset",
-               {{"used", static_cast<std::uint64_t>(subset_->used())},
-                {"fleet", static_cast<std::uint64_t>(subset_->fleet())}});
+               {{"used", static_cast<std::uint64_t>(subset_->used_endpoints())},
+                {"fleet", static_cast<std::uint64_t>(subset_->listed_endpoints())}});
   }
   return part;
 }
 
-void DecisionActor::on(CaughtUp&) {
-  course_.caught_up();
+void DecisionActor::on(ResyncComplete&) {
+  course_.on_resync_complete();
 }
 
-void DecisionActor::on(Census& census) {
-  const auto [listed, avoided] = balancer_.census(now());
-  census.asked->members = listed;
-  census.asked->unavailable = avoided;
-  census.asked->stage = recovery::name(course_.stage());
-  census.asked->answer(200);
+void DecisionActor::on(GetEndpointCounts& census) {
+  const auto [listed, avoided] = balancer_.endpoint_counts(now());
+  census.reply->endpoint_count = listed;
+  census.reply->avoided_endpoint_count = avoided;
+  census.reply->recovery_stage = recovery::name(course_.stage());
+  census.reply->complete(200);
 }
 
 bool DecisionActor::ever_listed(const std::string& host) const {
@@ -413,25 +413,25 @@
 }
 
 // Bans by hand belong to an id, whether a list names it now or not.
-void DecisionActor::on(Exclude& order) {
+void DecisionActor::on(ExcludeBackend& order) {
   const bool known =
-      !order.asked || ever_listed(order.host);  // another process of this proxy knew it
+      !order.reply || ever_listed(order.backend_id);  // another process of this proxy knew it
   if (known) {
     const bool changed =
-        order.out ? barred_.insert(order.host).second : barred_.erase(order.host) > 0;
+        order.excluded ? barred_.insert(order.backend_id).second : barred_.erase(order.backend_id) > 0;
     if (changed) {
-      refresh(order.host);
+      refresh(order.backend_id);
     }
   }
-  if (order.asked) {
-    order.asked->answer(known ? 200 : 404);
+  if (order.reply) {
+    order.reply->complete(known ? 200 : 404);
   }
 }
 
 // Left out by hand, or out for work: either bars.
 bool DecisionActor::out(const std::string& host) const {
-  const auto right = rights_.until.find(host);
-  return barred_.contains(host) || (right != rights_.until.end() && right->second <= now());
+  const auto right = rights_.permitted_until.find(host);
+  return barred_.contains(host) || (right != rights_.permitted_until.end() && right->second <= now());
 }
 
 void DecisionActor::refresh(const std::string& host) {
@@ -439,9 +439,9 @@
   if (!server) {
     return;
   }
-  Backend& backend = backends_[*server];
-  const auto right = rights_.until.find(host);
-  const Time until = right == rights_.until.end() ? Time::max() : right->second;
+  BackendEntry& backend = backends_[*server];
+  const auto right = rights_.permitted_until.find(host);
+  const Time until = right == rights_.permitted_until.end() ? Time::max() : right->second;
   const bool barred = out(host);
   if (barred == backend.barred && until == backend.until) {
     return;
@@ -450,52 +450,52 @@
   if (barred != backend.barred) {
     bar(*server, barred);
   }
-  tell(*server, PeerStatus{backend.state, backend.address, backend.born});
+  tell(*server, BackendStatus{backend.state, backend.address, backend.born});
   let_go(*server);
 }
 
-void DecisionActor::on(WorkRights& rights) {
-  const WorkRights before = std::exchange(rights_, std::move(rights));
-  serve_until_ = rights_.serve_until;
-  for (const auto& [host, until] : before.until) {
-    if (!rights_.until.contains(host)) {
+void DecisionActor::on(DispatchPermissions& rights) {
+  const DispatchPermissions before = std::exchange(rights_, std::move(rights));
+  serve_until_ = rights_.serving_permitted_until;
+  for (const auto& [host, until] : before.permitted_until) {
+    if (!rights_.permitted_until.contains(host)) {
       refresh(host);
     }
   }
-  for (const auto& [host, until] : rights_.until) {
+  for (const auto& [host, until] : rights_.permitted_until) {
     refresh(host);
   }
 }
 
-std::vector<DecisionActor::Listed> DecisionActor::listed() const {
-  std::vector<Listed> all;
+std::vector<DecisionActor::ListedBackend> DecisionActor::listed_backends() const {
+  std::vector<ListedBackend> all;
   double rates = 0, utils = 0;
-  for (ServerId id = 0; id < backends_.size(); ++id) {
+  for (EndpointId id = 0; id < backends_.size(); ++id) {
     if (!backends_[id].peer) {
       continue;
     }
-    const Evidence e = balancer_.known(id);
-    rates += e.rates, utils += e.utils;
+    const EndpointStats e = balancer_.endpoint_stats(id);
+    rates += e.weighted_rates, utils += e.weighted_utilizations;
   }
-  for (ServerId id = 0; id < backends_.size(); ++id) {
-    const Backend& b = backends_[id];
-    if (!b.peer || b.state == ServerState::kRemoved) {
+  for (EndpointId id = 0; id < backends_.size(); ++id) {
+    const BackendEntry& b = backends_[id];
+    if (!b.peer || b.state == EndpointStatus::kRemoved) {
       continue;
     }
     const std::string& host = servers_.name(id);
-    const Evidence e = balancer_.known(id);
+    const EndpointStats e = balancer_.endpoint_stats(id);
     // To the nearest half power of two: what is settled must not move with every report.
-    const double weight = e.utils > 1 && rates > 0 ? e.rates / e.utils / (rates / utils) : 1;
+    const double weight = e.weighted_utilizations > 1 && rates > 0 ? e.weighted_rates / e.weighted_utilizations / (rates / utils) : 1;
     const double width = std::exp2(std::round(2 * std::log2(std::clamp(weight, 0.1, 10.0))) / 2);
     const bool warm = b.born.count() == 0 ||
                       now() >= std::chrono::duration_cast<Time>(b.born) - unix_offset_ + cold_span_;
     all.push_back({host, zones_.name(b.zone), kinds_.name(b.kind), b.cell,
-                   b.state == ServerState::kUp && !barred_.contains(host), warm, b.born, width});
+                   b.state == EndpointStatus::kUp && !barred_.contains(host), warm, b.born, width});
   }
   return all;
 }
 
-std::map<std::string, double> DecisionActor::use() const {
+std::map<std::string, double> DecisionActor::utilization_by_zone() const {
   std::map<std::string, double> all;
   for (const auto& [zone, use] : use_) {
     all[zones_.name(zone)] = use;
@@ -503,18 +503,18 @@
   return all;
 }
 
-void DecisionActor::note_use(ServerId server, const LoadReport& report) {
-  if (!report.utilisation || !(*report.utilisation >= 0 && *report.utilisation <= 1)) {
+void DecisionActor::note_use(EndpointId server, const LoadReport& report) {
+  if (!report.utilization || !(*report.utilization >= 0 && *report.utilization <= 1)) {
     return;
   }
-  double& use = use_.try_emplace(backends_[server].zone, *report.utilisation).first->second;
-  use += kUsePart * (*report.utilisation - use);
+  double& use = use_.try_emplace(backends_[server].zone, *report.utilization).first->second;
+  use += kUsePart * (*report.utilization - use);
 }
 
-std::set<std::string> DecisionActor::busy() const {
+std::set<std::string> DecisionActor::busy_excluded_backends() const {
   std::set<std::string> all;
-  for (ServerId id = 0; id < backends_.size(); ++id) {
-    if (const Backend& b = backends_[id];
+  for (EndpointId id = 0; id < backends_.size(); ++id) {
+    if (const BackendEntry& b = backends_[id];
         b.peer && b.barred && (b.used > 0 || now() < b.barred_at + drain_grace_)) {
       all.insert(servers_.name(id));
     }
@@ -522,57 +522,57 @@
   return all;
 }
 
-void DecisionActor::bar(ServerId server, bool barred) {
+void DecisionActor::bar(EndpointId server, bool barred) {
   if (barred && !backends_[server].barred) {
     backends_[server].barred_at = now();
   }
   backends_[server].barred = barred;
-  drive(Barred{server, barred});
+  drive(EndpointExclusion{server, barred});
 }
 
-void DecisionActor::tell(ServerId server, PeerStatus status) {
-  Backend& backend = backends_[server];
-  backend.state = status.state;
-  if (status.state != ServerState::kRemoved) {
-    backend.address = status.address, backend.born = status.born;
+void DecisionActor::tell(EndpointId server, BackendStatus status) {
+  BackendEntry& backend = backends_[server];
+  backend.state = status.status;
+  if (status.status != EndpointStatus::kRemoved) {
+    backend.address = status.address, backend.born = status.started_at;
   }
-  status.until = backend.until;
+  status.permitted_until = backend.until;
   // To its peer a backend that is left out is one that drains: what is not begun stays unsent, idle
   // connections go.
-  if (backend.barred && status.state == ServerState::kUp) {
-    status.state = ServerState::kDraining;
+  if (backend.barred && status.status == EndpointStatus::kUp) {
+    status.status = EndpointStatus::kDraining;
   }
   if (!backends_[server].peer->post(status)) {
-    log_lost("peer_status");
+    log_dropped_message("peer_status");
   }
 }
 
 // What an earlier process had learned of it.
-void DecisionActor::recall(ServerId server) {
+void DecisionActor::recall(EndpointId server) {
   const auto it = claims_.find(servers_.name(server));
   if (it == claims_.end()) {
     return;
   }
-  const snapshot::Row row = it->second;
+  const snapshot::EndpointRecord row = it->second;
   claims_.erase(it);
-  const Duration age = now() + unix_offset_ - std::chrono::duration_cast<Time>(row.at);
-  const auto evidence = snapshot::believed(row.evidence, age, row.born != backends_[server].born);
+  const Duration age = now() + unix_offset_ - std::chrono::duration_cast<Time>(row.recorded_at);
+  const auto evidence = snapshot::discounted(row.stats, age, row.started_at != backends_[server].born);
   evidence ? ++recalled_ : ++void_;
   if (evidence) {
-    drive(Recalled{server, *evidence});
+    drive(RestoredStats{server, *evidence});
   }
 }
 
-std::vector<snapshot::Row> DecisionActor::learned() const {
+std::vector<snapshot::EndpointRecord> DecisionActor::endpoint_records() const {
   const auto at = std::chrono::duration_cast<std::chrono::milliseconds>(now() + unix_offset_);
-  std::vector<snapshot::Row> rows;
+  std::vector<snapshot::EndpointRecord> rows;
   for (const auto& [host, row] : claims_) {
     rows.push_back(row);
   }
-  for (ServerId id = 0; id < backends_.size() && rows.size() < snapshot::kMostRows; ++id) {
-    const Backend& b = backends_[id];
-    const Evidence evidence = balancer_.known(id);
-    if (b.peer && evidence.utils + evidence.answers > 0) {
+  for (EndpointId id = 0; id < backends_.size() && rows.size() < snapshot::kMaxRecords; ++id) {
+    const BackendEntry& b = backends_[id];
+    const EndpointStats evidence = balancer_.endpoint_stats(id);
+    if (b.peer && evidence.weighted_utilizations + evidence.response_weight > 0) {
       rows.push_back({servers_.name(id), b.born, at, evidence});
     }
   }
@@ -581,9 +581,9 @@
 
 // Frees what belongs to a backend that is gone, once nothing refers to it: days are long, and
 // backends many.
-void DecisionActor::let_go(ServerId server) {
-  Backend& backend = backends_[server];
-  if (!backend.peer || backend.state != ServerState::kRemoved || backend.used > 0) {
+void DecisionActor::let_go(EndpointId server) {
+  BackendEntry& backend = backends_[server];
+  if (!backend.peer || backend.state != EndpointStatus::kRemoved || backend.used > 0) {
     return;
   }
   backend.peer.reset();
@@ -601,26 +601,26 @@
   servers_.forget(server);
 }
 
-void DecisionActor::on(StreamDone& done) {
-  --backends_[done.server].used;
-  let_go(done.server);
+void DecisionActor::on(ResponseStreamEnded& done) {
+  --backends_[done.endpoint].used;
+  let_go(done.endpoint);
 }
 
-void DecisionActor::on(ProbeDone& done) {
-  drive(ProbeResult{done.server, done.result, done.report});
-  --backends_[done.server].used;
-  let_go(done.server);
+void DecisionActor::on(HealthCheckCompleted& done) {
+  drive(HealthCheckResult{done.endpoint, done.result, done.load_report});
+  --backends_[done.endpoint].used;
+  let_go(done.endpoint);
 }
 
-void DecisionActor::act(const Probe& a) {
-  ++backends_[a.server].used;
-  if (!backends_[a.server].peer->post(ProbePeer{})) {
-    own_.push_back(ProbeDone{a.server, Result::kConnectFailed, {}});
+void DecisionActor::act(const HealthCheck& a) {
+  ++backends_[a.endpoint].used;
+  if (!backends_[a.endpoint].peer->post(CheckHealth{})) {
+    own_.push_back(HealthCheckCompleted{a.endpoint, Result::kConnectFailed, {}});
   }
 }
 
-void DecisionActor::act(const Watch&) {
-  if (!watch_.post(WatchMessage(WatchNow{}))) {
+void DecisionActor::act(const WatchEndpoints&) {
+  if (!watch_.post(EndpointWatchMessage(StartWatch{}))) {
     log::event(log::Level::kDebug, "watch_ordered_already", {});
   }
 }
--- a/src/proxy/door_course.h
+++ b/src/proxy/door_course.h
@@ -11,44 +11,44 @@
 
 namespace beechhill::proxy {
 
-class DoorCourse {
+class ListenerLifecycle {
  public:
   // `longest`: the longest deadline that a request can have.
-  explicit DoorCourse(Duration longest) : longest_(longest) {}
+  explicit ListenerLifecycle(Duration longest) : longest_(longest) {}
 
-  void evacuate(Time now) { drained_ = drained_.value_or(now); }
-  void rejoin() { drained_.reset(); }
+  void drain(Time now) { drained_ = drained_.value_or(now); }
+  void resume() { drained_.reset(); }
   // `succeeded`: another process takes the clients from here on.
-  void end(Time now, bool succeeded) {
+  void begin_shutdown(Time now, bool succeeded) {
     if (!ending_) {
       ending_ = now, succeeded_ = succeeded;
     }
   }
 
-  bool drained() const { return drained_.has_value(); }
-  bool ending() const { return ending_.has_value(); }
+  bool is_draining() const { return drained_.has_value(); }
+  bool is_shutting_down() const { return ending_.has_value(); }
   // Whether the front may send clients here. With a successor they get there by the same address.
-  bool ready() const { return !drained_ && (!ending_ || succeeded_); }
+  bool is_ready() const { return !drained_ && (!ending_ || succeeded_); }
   // Callers hear of a planned end only some time after it began; with a successor none waits for
   // this process.
-  bool accepts(Time now) const {
+  bool accepts_connections(Time now) const {
     return !ending_ ||
-           (!succeeded_ && now < std::min(*ending_ + kAcceptAfterEnd, answer_by() - kLeastForOne));
+           (!succeeded_ && now < std::min(*ending_ + kAcceptAfterEnd, response_deadline() - kLeastForOne));
   }
   // Whether the answer given now is the last on a connection that came at `came`. Alone in its end
   // the process serves kept connections on, as there may be no other for them; those that came
   // after the word close at once.
-  bool parts(Time came, Time now) const {
+  bool closes_after_response(Time came, Time now) const {
     return (drained_ && now >= *drained_ + kAwayAfter) ||
-           (ending_ && (succeeded_ || came >= *ending_ || now >= answer_by() - kLastTaken));
+           (ending_ && (succeeded_ || came >= *ending_ || now >= response_deadline() - kLastTaken));
   }
   // Whether connections between requests are closed now.
-  bool clears(Time now) const {
+  bool closes_idle_connections(Time now) const {
     return (drained_ && now >= *drained_ + kKeptWhenDrained) ||
-           (ending_ && now >= answer_by() - kLastTaken);
+           (ending_ && now >= response_deadline() - kLastTaken);
   }
   // When the last answer must have been given: 0.2 s before a kill may come.
-  Time answer_by() const {
+  Time response_deadline() const {
     return ending_ ? *ending_ + std::min(longest_, kLongestCounted) + kAnsweredAfterEnd
                    : Time::max();
   }
--- a/src/proxy/fd_budget.h
+++ b/src/proxy/fd_budget.h
@@ -5,23 +5,23 @@
 
 namespace beechhill::proxy {
 
-class FdBudget {
+class DescriptorBudget {
  public:
-  explicit FdBudget(std::size_t limit) : limit_(limit) {}
-  bool room() const { return used_ < limit_; }
+  explicit DescriptorBudget(std::size_t limit) : limit_(limit) {}
+  bool has_capacity() const { return used_ < limit_; }
   std::size_t used() const { return used_; }
   // Under what is used: there is no room until so many have gone.
   void set_limit(std::size_t limit) { limit_ = limit; }
 
   class Slot {  // one descriptor's place, for as long as this lives
    public:
-    explicit Slot(FdBudget& budget) : budget_(budget) { ++budget_.used_; }
+    explicit Slot(DescriptorBudget& budget) : budget_(budget) { ++budget_.used_; }
     ~Slot() { --budget_.used_; }
     Slot(const Slot&) = delete;
     Slot& operator=(const Slot&) = delete;
 
    private:
-    FdBudget& budget_;
+    DescriptorBudget& budget_;
   };
 
  private:
--- a/src/proxy/list_reader.cpp
+++ b/src/proxy/list_reader.cpp
@@ -2,7 +2,7 @@
 
 namespace beechhill::proxy {
 
-ListReader::Got ListReader::next(std::string_view& object) {
+WatchStreamDecoder::Got WatchStreamDecoder::next(std::string_view& object) {
   if (depth_ == 0 && looked_at_ > 0) {  // what was handed out
     bytes_.erase(0, looked_at_);
     looked_at_ = 0;
--- a/src/proxy/list_reader.h
+++ b/src/proxy/list_reader.h
@@ -8,10 +8,10 @@
 
 namespace beechhill::proxy {
 
-class ListReader {
+class WatchStreamDecoder {
  public:
   // `most`: bytes of one object; a longer one is kBad.
-  explicit ListReader(std::size_t most) : most_(most) {}
+  explicit WatchStreamDecoder(std::size_t most) : most_(most) {}
 
   enum class Got {
     kMore,       // nothing whole
--- a/src/proxy/log.cpp
+++ b/src/proxy/log.cpp
@@ -66,7 +66,7 @@
   log::warning(name, {{"fault", std::string_view(error.what())}});
 }
 
-void log_lost(const char* what) {
+void log_dropped_message(const char* what) {
   log::warning("mailbox_full", {{"lost", std::string_view(what)}});
 }
 
--- a/src/proxy/log.h
+++ b/src/proxy/log.h
@@ -39,6 +39,6 @@
 // What went wrong without ending the program, as a warning of that name.
 void log_fault(const char* name, const std::exception& error);
 // A bounded mailbox was full, and this is what it did not take.
-void log_lost(const char* what);
+void log_dropped_message(const char* what);
 
 }  // namespace beechhill::proxy
--- a/src/proxy/peer_actor.cpp
+++ b/src/proxy/peer_actor.cpp
@@ -39,8 +39,8 @@
 LoadReport report_in(const http::Headers& headers) {
   LoadReport report;
   if (const std::string* text = headers.find("Endpoint-Load-Metrics")) {
-    report.utilisation = http::load_value(*text, "cpu_share");
-    report.rate_per_s = http::load_value(*text, "served_ps");
+    report.utilization = http::load_value(*text, "cpu_share");
+    report.requests_per_s = http::load_value(*text, "served_ps");
   }
   return report;
 }
@@ -53,54 +53,54 @@
   // Guards against taking an overloaded tier further down for a full backend: only the mark proves
   // it.
   if ((message.status == 503 || message.status == 504) && never_ran && *never_ran == "1") {
-    return Result::kFull;
+    return Result::kOverloaded;
   }
   return Result::kError;
 }
 
 }  // namespace
 
-PeerPool::PeerPool(std::size_t descriptors, BodyBudget& pipes, Telemetry& figures,
+BackendPool::BackendPool(std::size_t descriptors, BodyBudget& pipes, Telemetry& figures,
                    const Settings& settings)
-    : budget(descriptors), bodies(pipes), telemetry(figures) {
+    : budget(descriptors), body_budget(pipes), telemetry(figures) {
   for (const ClassSettings& c : settings.classes) {
-    answer_pause = std::min(answer_pause, c.deadline / kAnswerPauses);
+    max_response_gap = std::min(max_response_gap, c.deadline / kAnswerPauses);
   }
 }
 
-PeerActor::PeerActor(runtime::Scheduler& scheduler, DecisionBox& decisions, PeerPool& pool,
-                     const Settings& settings, ServerId server, sockaddr_in address)
+BackendActor::BackendActor(runtime::Scheduler& scheduler, DecisionMailbox& decisions, BackendPool& pool,
+                     const Settings& settings, EndpointId server, sockaddr_in address)
     : scheduler_(scheduler),
       decisions_(decisions),
       pool_(pool),
       settings_(settings),
       server_(server),
-      status_{ServerState::kRemoved, address},
+      status_{EndpointStatus::kRemoved, address},
       inbox_(kInboxCapacity),
       actor_(scheduler.spawn(run())) {
-  pool_.peers.push_back(this);
+  pool_.backends.push_back(this);
 }
 
-PeerActor::~PeerActor() {
+BackendActor::~BackendActor() {
   scheduler_.cancel(actor_);
   for (const auto& [key, task] : attempts_) {
     scheduler_.cancel(task);
   }
   drop_all_idle();
-  std::erase(pool_.peers, this);
+  std::erase(pool_.backends, this);
 }
 
-bool PeerActor::post(PeerMessage&& message) {
-  if (std::holds_alternative<Attempt>(message) && inbox_.size() >= kStepsQueued) {
+bool BackendActor::post(BackendMessage&& message) {
+  if (std::holds_alternative<AttemptRequest>(message) && inbox_.size() >= kStepsQueued) {
     return false;
   }
   return inbox_.post(std::move(message));
 }
 
-Task<> PeerActor::run() {
+Task<> BackendActor::run() {
   for (;;) {
     while (!inbox_.empty()) {
-      PeerMessage message = inbox_.take();
+      BackendMessage message = inbox_.take();
       std::visit([this](auto& m) { on(m); }, message);
     }
     sweep();
@@ -113,54 +113,54 @@
   }
 }
 
-void PeerActor::on(Attempt& attempt) {
-  const AttemptKey key{attempt.operation, attempt.number};
+void BackendActor::on(AttemptRequest& attempt) {
+  const AttemptKey key{attempt.request_id, attempt.attempt_number};
   attempts_[key] = scheduler_.spawn(run_attempt(std::move(attempt)));
 }
 
-void PeerActor::on(CancelAttempt& cancel) {
-  const auto it = attempts_.find({cancel.operation, cancel.attempt});
+void BackendActor::on(CancelAttempt& cancel) {
+  const auto it = attempts_.find({cancel.request_id, cancel.attempt_number});
   if (it == attempts_.end()) {
     return;  // its outcome is under way
   }
   scheduler_.cancel(it->second);  // closes its connection: nothing else tells a backend
   attempts_.erase(it);
-  AttemptDone done{cancel.operation, cancel.attempt, Result::kCancelled, {}, {}};
+  AttemptCompleted done{cancel.request_id, cancel.attempt_number, Result::kCancelled, {}, {}};
   scheduler_.spawn(deliver(std::move(done)));
 }
 
-void PeerActor::on(ProbePeer&) {
+void BackendActor::on(CheckHealth&) {
   scheduler_.spawn(run_probe());
 }
 
-void PeerActor::on(PeerStatus& status) {
-  if (status.state == ServerState::kRemoved) {
+void BackendActor::on(BackendStatus& status) {
+  if (status.status == EndpointStatus::kRemoved) {
     status.address = status_.address;
   }
   // Guards against a request on a connection to a process that is gone: written there, it counts as
   // one that may have run.
-  const bool another = !net::same(status.address, status_.address) || status.born != status_.born;
+  const bool another = !net::same(status.address, status_.address) || status.started_at != status_.started_at;
   status_ = status;
-  if (status.state != ServerState::kUp || another) {
+  if (status.status != EndpointStatus::kUp || another) {
     drop_all_idle();
   }
 }
 
 // None of a drain's grace is used: what discovery's agent held counts as told from when it had it,
 // which may be the whole grace before it came here (a start, a watch that broke or fell silent).
-bool PeerActor::may_send() const {
-  return pool_.current() && now() < status_.until && status_.state == ServerState::kUp;
+bool BackendActor::may_send() const {
+  return pool_.endpoints_are_current() && now() < status_.permitted_until && status_.status == EndpointStatus::kUp;
 }
 
 // What an attempt is that may not send. After a gap whether the backend still serves is not known:
 // no fault of its own.
-Result PeerActor::unsent() const {
-  return pool_.current() ? Result::kConnectFailed : Result::kMoot;
+Result BackendActor::unsent() const {
+  return pool_.endpoints_are_current() ? Result::kConnectFailed : Result::kSkipped;
 }
 
 // ---- Connections
 
-std::unique_ptr<PeerActor::Connection> PeerActor::take_idle() {
+std::unique_ptr<BackendActor::Connection> BackendActor::take_idle() {
   sweep();
   // The last used, but for those whose answer came just now: what does not belong to it may be
   // under way. Ordered by time, so only those of the last few milliseconds are passed over.
@@ -183,7 +183,7 @@
   return nullptr;
 }
 
-void PeerActor::Connection::stirred() {
+void BackendActor::Connection::on_readable() {
   if (stirred_at) {
     return;
   }
@@ -192,7 +192,7 @@
   owner.inbox_.arrived().notify();
 }
 
-void PeerActor::keep_idle(std::unique_ptr<Connection> connection) {
+void BackendActor::keep_idle(std::unique_ptr<Connection> connection) {
   Connection& c = *connection;
   c.idle_since = Clock::now();
   c.stream->watch(&c);
@@ -207,7 +207,7 @@
   }
 }
 
-std::unique_ptr<PeerActor::Connection> PeerActor::leave_idle(IdleList::iterator place) {
+std::unique_ptr<BackendActor::Connection> BackendActor::leave_idle(IdleList::iterator place) {
   std::unique_ptr<Connection> connection = std::move(*place);
   idle_.erase(place);
   connection->stream->watch(nullptr);
@@ -217,29 +217,29 @@
   return connection;
 }
 
-void PeerActor::forget_stirred(Connection& connection) {
+void BackendActor::forget_stirred(Connection& connection) {
   stirred_[*connection.stirred_at] = stirred_.back();
   stirred_[*connection.stirred_at]->stirred_at = connection.stirred_at;
   stirred_.pop_back();
   connection.stirred_at.reset();
 }
 
-void PeerActor::drop_idle(IdleList::iterator place, EndReason reason) {
+void BackendActor::drop_idle(IdleList::iterator place, EndReason reason) {
   leave_idle(place)->reason = reason;
 }
 
-void PeerActor::drop_all_idle() {
+void BackendActor::drop_all_idle() {
   while (!idle_.empty()) {
     drop_idle(std::prev(idle_.end()), EndReason::kPeerDrained);
   }
 }
 
-TimePoint PeerActor::oldest_ends() const {
-  return idle_.front()->idle_since + settings_.idle_close / kIdleShare;
+TimePoint BackendActor::oldest_ends() const {
+  return idle_.front()->idle_since + settings_.backend_idle_timeout / kIdleShare;
 }
 
 // Looks at those that epoll has told of and at the oldest, and at no others.
-void PeerActor::sweep() {
+void BackendActor::sweep() {
   while (!stirred_.empty()) {
     Connection& c = *stirred_.back();
     forget_stirred(c);
@@ -254,12 +254,12 @@
 }
 
 // Frees another backend's longest idle connection where descriptors are short.
-bool PeerActor::make_room() {
-  if (pool_.budget.room()) {
+bool BackendActor::make_room() {
+  if (pool_.budget.has_capacity()) {
     return true;
   }
-  PeerActor* owner = nullptr;
-  for (PeerActor* peer : pool_.peers) {
+  BackendActor* owner = nullptr;
+  for (BackendActor* peer : pool_.backends) {
     if (!peer->idle_.empty() &&
         (!owner || peer->idle_.front()->idle_since < owner->idle_.front()->idle_since)) {
       owner = peer;
@@ -273,39 +273,39 @@
 
 // ---- Attempts
 
-Task<> PeerActor::run_attempt(Attempt attempt) {
-  AttemptDone done{attempt.operation, attempt.number, Result::kConnectFailed, {}, {}};
+Task<> BackendActor::run_attempt(AttemptRequest attempt) {
+  AttemptCompleted done{attempt.request_id, attempt.attempt_number, Result::kConnectFailed, {}, {}};
   try {
     Exchanged got =
-        co_await exchange(*attempt.payload, attempt.connect_by, attempt.deadline, &attempt);
+        co_await exchange(*attempt.payload, attempt.connect_deadline, attempt.deadline, &attempt);
     if (got.told) {
-      attempts_.erase({attempt.operation, attempt.number});
-      DecisionMessage ended(StreamDone{server_});
+      attempts_.erase({attempt.request_id, attempt.attempt_number});
+      DecisionMessage ended(ResponseStreamEnded{server_});
       co_await deliver(std::move(ended));
       co_return;
     }
     done.result = got.result;
-    done.report = got.report;
-    done.reply = std::move(got.reply);
+    done.load_report = got.report;
+    done.response = std::move(got.reply);
   } catch (const std::exception& error) {  // guards against a send without an outcome
     log_fault("step_fault", error);
     done.result = Result::kError;  // it may have run
   }
-  attempts_.erase({attempt.operation, attempt.number});
+  attempts_.erase({attempt.request_id, attempt.attempt_number});
   DecisionMessage message(std::move(done));
   co_await deliver(std::move(message));
 }
 
-Task<> PeerActor::run_probe() {
+Task<> BackendActor::run_probe() {
   const ProbePayload payload;
   const Time until = now() + kProbeConnects * settings_.connect_timeout;
   const Exchanged got = co_await exchange(payload, until, until, nullptr);
-  DecisionMessage message(ProbeDone{server_, got.result, got.report});
+  DecisionMessage message(HealthCheckCompleted{server_, got.result, got.report});
   co_await deliver(std::move(message));
 }
 
 // Every send has one outcome: a full mailbox delays it, and nothing drops it.
-Task<> PeerActor::deliver(DecisionMessage message) {
+Task<> BackendActor::deliver(DecisionMessage message) {
   while (!decisions_.post(std::move(message))) {
     runtime::Wait wait(scheduler_);
     wait.until(Clock::now() + 1ms);
@@ -313,12 +313,12 @@
   }
 }
 
-Task<PeerActor::Exchanged> PeerActor::exchange(const Payload& payload, Time connect_by,
-                                               Time deadline, const Attempt* attempt) {
+Task<BackendActor::Exchanged> BackendActor::exchange(const Payload& payload, Time connect_by,
+                                               Time deadline, const AttemptRequest* attempt) {
   Exchanged got;
-  const auto wanted = [&] { return !attempt || !attempt->request || attempt->request->wanted(); };
-  const Time leave_by = attempt ? std::min(deadline, attempt->leave_by) : deadline;
-  got.result = wanted() ? unsent() : Result::kMoot;
+  const auto wanted = [&] { return !attempt || !attempt->request || attempt->request->awaits_response(); };
+  const Time leave_by = attempt ? std::min(deadline, attempt->write_deadline) : deadline;
+  got.result = wanted() ? unsent() : Result::kSkipped;
   if (!may_send() || !wanted() || now() >= leave_by) {
     co_return got;
   }
@@ -340,7 +340,7 @@
     const bool there = may_send() && net::same(connection->address, status_.address);
     if (!there || !wanted() || now() >= leave_by) {
       connection->reason = there ? EndReason::kStepCancelled : EndReason::kPeerDrained;
-      got.result = wanted() ? unsent() : Result::kMoot;
+      got.result = wanted() ? unsent() : Result::kSkipped;
       if (there) {
         keep_idle(std::move(connection));  // paid for, and unused
       }
@@ -350,21 +350,21 @@
   ++connection->operations;
   const std::string bytes = payload.encode(net::to_string(status_.address), deadline - now());
   Io written = co_await connection->stream->write(bytes, to_point(leave_by));
-  if (written == Io::kOk && payload.rest()) {
+  if (written == Io::kOk && payload.remaining_body()) {
     written = co_await send_rest(*connection->stream, payload);
-    deadline = now() + attempt->wait;
+    deadline = now() + attempt->response_timeout;
   }
   if (written != Io::kOk) {  // its last byte never left, so it never ran
     connection->reason = EndReason::kReset;
     co_return got;
   }
-  if (!payload.id().empty()) {
-    pool_.telemetry.attempt_written();  // a probe is no attempt
+  if (!payload.trace_id().empty()) {
+    pool_.telemetry.count_upstream_request();  // a probe is no attempt
   }
   bool reusable = false;
-  got = co_await receive(*connection, payload.id(), deadline, attempt, reusable);
+  got = co_await receive(*connection, payload.trace_id(), deadline, attempt, reusable);
   // Guards against the next request going to where a backend no longer is.
-  if (reusable && status_.state == ServerState::kUp &&
+  if (reusable && status_.status == EndpointStatus::kUp &&
       net::same(connection->address, status_.address)) {
     keep_idle(std::move(connection));
   }
@@ -373,29 +373,29 @@
 
 // The rest of a large request, at the pace of its client. Anything but kOk: its last byte has not
 // left. A backend that ends, or answers before it has all, wants no more of it.
-Task<Io> PeerActor::send_rest(net::Stream& stream, const Payload& payload) {
-  BodyPipe& rest = *payload.rest();
+Task<Io> BackendActor::send_rest(net::Stream& stream, const Payload& payload) {
+  BodyPipe& rest = *payload.remaining_body();
   for (;;) {
     std::string bytes;
-    const bool last = rest.whole();
+    const bool last = rest.is_complete();
     if (!rest.empty()) {
-      bytes = payload.framed(rest.take());
+      bytes = payload.frame_body(rest.take());
     }
     if (last) {
-      bytes += payload.framed_end();
+      bytes += payload.frame_body_end();
     }
     const Io io = co_await stream.write(bytes, Clock::now() + kStreamPause);
     if (io != Io::kOk || last) {
       co_return io;
     }
-    if (rest.broken()) {
+    if (rest.is_aborted()) {
       co_return Io::kError;
     }
-    if (!rest.empty() || rest.whole()) {
+    if (!rest.empty() || rest.is_complete()) {
       continue;
     }
     std::string early;
-    const Io word = co_await stream.read(early, Clock::now() + kStreamPause, &rest.arrived());
+    const Io word = co_await stream.read(early, Clock::now() + kStreamPause, &rest.data_available());
     if (word != Io::kNotified && word != Io::kTimeout) {
       co_return Io::kError;
     }
@@ -404,20 +404,20 @@
 
 // A large answer, whose first part has come: told at once, and passed on until its end. What the
 // backend still gives is not cut off by the request's deadline. True: it came whole.
-Task<bool> PeerActor::pass_on(Connection& connection, http::Parser& parser, std::string& buffer,
-                              Exchanged& got, const Attempt& attempt) {
+Task<bool> BackendActor::pass_on(Connection& connection, http::Parser& parser, std::string& buffer,
+                              Exchanged& got, const AttemptRequest& attempt) {
   runtime::Notifier room;
-  const auto pipe = std::make_shared<BodyPipe>(pool_.bodies);
-  const BodyPipe::Writing writing(pipe.get(), room);
-  AttemptDone done{attempt.operation, attempt.number, Result::kOk, got.report,
+  const auto pipe = std::make_shared<BodyPipe>(pool_.body_budget);
+  const BodyPipe::WriterGuard writing(pipe.get(), room);
+  AttemptCompleted done{attempt.request_id, attempt.attempt_number, Result::kOk, got.report,
                    std::move(got.reply)};
-  done.reply.rest = pipe;
+  done.response.remaining_body = pipe;
   got.told = true;
   DecisionMessage message(std::move(done));
   co_await deliver(std::move(message));
   http::Progress progress = http::Progress::kMore;
   std::string bytes;
-  while (!pipe->unread()) {
+  while (!pipe->reader_closed()) {
     progress = parser.feed_body(buffer, bytes);
     if (progress == http::Progress::kBad) {
       break;
@@ -444,7 +444,7 @@
     break;
   }
   if (progress != http::Progress::kDone) {
-    connection.reason = pipe->unread() ? EndReason::kStepCancelled : EndReason::kBadReply;
+    connection.reason = pipe->reader_closed() ? EndReason::kStepCancelled : EndReason::kBadReply;
     co_return false;
   }
   pipe->finish();
@@ -453,8 +453,8 @@
 
 // An answer counts only as a whole one to this request; whatever else comes may have run, and its
 // connection is of no more use.
-Task<PeerActor::Exchanged> PeerActor::receive(Connection& connection, std::string_view id,
-                                              Time deadline, const Attempt* attempt,
+Task<BackendActor::Exchanged> BackendActor::receive(Connection& connection, std::string_view id,
+                                              Time deadline, const AttemptRequest* attempt,
                                               bool& reusable) {
   Exchanged got;
   std::string buffer;
@@ -469,7 +469,7 @@
             message.body.size() > (stated ? kFirstPart : http::kMaxBody);
   };
   while (progress == http::Progress::kMore && !large) {
-    const Time until = begun ? std::min(deadline, now() + pool_.answer_pause) : deadline;
+    const Time until = begun ? std::min(deadline, now() + pool_.max_response_gap) : deadline;
     const Io io = co_await connection.stream->read(buffer, to_point(until));
     if (io == Io::kOk) {
       advance();
@@ -505,14 +505,14 @@
   got.report = report_in(message.headers);
   got.reply.body = std::move(message.body);
   if (const std::string* type = message.headers.find("Content-Type")) {
-    got.reply.type = *type;
+    got.reply.content_type = *type;
   }
   if (large && (!attempt || got.result != Result::kOk)) {  // nobody is to have it
     connection.reason = EndReason::kBadReply;
     co_return got;
   }
   if (large) {
-    got.reply.length = parser.length();
+    got.reply.content_length = parser.length();
     if (!co_await pass_on(connection, parser, buffer, got, *attempt)) {
       co_return got;
     }
--- a/src/proxy/peer_actor.h
+++ b/src/proxy/peer_actor.h
@@ -18,43 +18,43 @@
 
 namespace beechhill::proxy {
 
-class PeerActor;
+class BackendActor;
 
 // What all peers share: the descriptors they may hold, and each other's idle connections.
-struct PeerPool {
-  PeerPool(std::size_t descriptors, BodyBudget& pipes, Telemetry& figures,
+struct BackendPool {
+  BackendPool(std::size_t descriptors, BodyBudget& pipes, Telemetry& figures,
            const Settings& settings);
-  FdBudget budget;
-  BodyBudget& bodies;
+  DescriptorBudget budget;
+  BodyBudget& body_budget;
   Telemetry& telemetry;
-  std::vector<PeerActor*> peers;
-  Duration answer_pause = Duration::max();  // the longest within an answer that has begun
-  std::function<bool()> current = [] {
+  std::vector<BackendActor*> backends;
+  Duration max_response_gap = Duration::max();  // the longest within an answer that has begun
+  std::function<bool()> endpoints_are_current = [] {
     return true;
   };  // whether the list held may still be acted on
 };
 
-class PeerActor : public Peer {
+class BackendActor : public Backend {
  public:
-  PeerActor(runtime::Scheduler& scheduler, DecisionBox& decisions, PeerPool& pool,
-            const Settings& settings, ServerId server, sockaddr_in address);
-  ~PeerActor() override;
+  BackendActor(runtime::Scheduler& scheduler, DecisionMailbox& decisions, BackendPool& pool,
+            const Settings& settings, EndpointId server, sockaddr_in address);
+  ~BackendActor() override;
 
-  [[nodiscard]] bool post(PeerMessage&& message) override;
+  [[nodiscard]] bool post(BackendMessage&& message) override;
 
  private:
   using AttemptKey = std::pair<RequestId, std::uint32_t>;
   struct Connection;
   using IdleList = std::list<std::unique_ptr<Connection>>;
   struct Connection final : runtime::IoWatcher {  // logs its end
-    Connection(PeerActor& peer, sockaddr_in to)
+    Connection(BackendActor& peer, sockaddr_in to)
         : owner(peer), slot(peer.pool_.budget), address(to) {}
     ~Connection() { log_end("peer", net::to_string(address), reason, operations); }
     Connection(const Connection&) = delete;
     Connection& operator=(const Connection&) = delete;
-    void stirred() override;  // only while it is idle
-    PeerActor& owner;
-    FdBudget::Slot slot;
+    void on_readable() override;  // only while it is idle
+    BackendActor& owner;
+    DescriptorBudget::Slot slot;
     sockaddr_in address;
     std::unique_ptr<net::Stream> stream;
     EndReason reason = EndReason::kStepCancelled;  // what it is if its attempt is destroyed
@@ -68,27 +68,27 @@
   struct Exchanged {
     Result result = Result::kConnectFailed;
     LoadReport report;
-    Reply reply;
+    BackendResponse reply;
     bool told = false;  // the outcome is delivered already, with the answer's first part
   };
 
   runtime::Task<> run();
-  runtime::Task<> run_attempt(Attempt attempt);
+  runtime::Task<> run_attempt(AttemptRequest attempt);
   runtime::Task<> run_probe();
   runtime::Task<> deliver(DecisionMessage message);
   // `attempt`: whose outcome may be delivered before the answer's end; null for a probe.
   runtime::Task<Exchanged> exchange(const Payload& payload, Time connect_by, Time deadline,
-                                    const Attempt* attempt);
+                                    const AttemptRequest* attempt);
   runtime::Task<net::Io> send_rest(net::Stream& stream, const Payload& payload);
   runtime::Task<Exchanged> receive(Connection& connection, std::string_view id, Time deadline,
-                                   const Attempt* attempt, bool& reusable);
+                                   const AttemptRequest* attempt, bool& reusable);
   runtime::Task<bool> pass_on(Connection& connection, http::Parser& parser, std::string& buffer,
-                              Exchanged& got, const Attempt& attempt);
+                              Exchanged& got, const AttemptRequest& attempt);
 
-  void on(Attempt& attempt);
+  void on(AttemptRequest& attempt);
   void on(CancelAttempt& cancel);
-  void on(ProbePeer&);
-  void on(PeerStatus& status);
+  void on(CheckHealth&);
+  void on(BackendStatus& status);
   bool may_send() const;
   Result unsent() const;
   std::unique_ptr<Connection> take_idle();
@@ -102,12 +102,12 @@
   runtime::TimePoint oldest_ends() const;
 
   runtime::Scheduler& scheduler_;
-  DecisionBox& decisions_;
-  PeerPool& pool_;
+  DecisionMailbox& decisions_;
+  BackendPool& pool_;
   const Settings& settings_;
-  ServerId server_;
-  PeerStatus status_;
-  runtime::Mailbox<PeerMessage> inbox_;
+  EndpointId server_;
+  BackendStatus status_;
+  runtime::Mailbox<BackendMessage> inbox_;
   IdleList idle_;                     // the most recently used last
   std::vector<Connection*> stirred_;  // idle ones that the backend has closed or written to
   std::map<AttemptKey, runtime::TaskId> attempts_;
--- a/src/proxy/server_list_actor.cpp
+++ b/src/proxy/server_list_actor.cpp
@@ -33,16 +33,16 @@
 
 }  // namespace
 
-ServerListActor::ServerListActor(runtime::Scheduler& scheduler, const config::Config& config)
+EndpointWatchActor::EndpointWatchActor(runtime::Scheduler& scheduler, const config::Config& config)
     : scheduler_(scheduler),
       inbox_(kInboxCapacity),
       address_(config.discovery),
       most_object_(std::size_t{config.memory_mb} * 1024 * 1024 / kObjectShare),
-      version_(config.known.version),
-      random_(config.named.settings.seed) {
+      version_(config.cached_endpoints.version),
+      random_(config.named_settings.settings.seed) {
 }
 
-Task<> ServerListActor::run(DecisionBox& decisions) {
+Task<> EndpointWatchActor::run(DecisionMailbox& decisions) {
   for (;;) {
     moved();
     anew_ = false;  // a new watch is begun at any rate
@@ -70,15 +70,15 @@
   }
 }
 
-bool ServerListActor::moved() {
+bool EndpointWatchActor::moved() {
   bool elsewhere = false;
   while (!inbox_.empty()) {
-    const WatchMessage message = inbox_.take();
-    if (const auto* catch_up = std::get_if<CatchUp>(&message)) {
-      catching_ = true, anew_ |= catch_up->anew;
+    const EndpointWatchMessage message = inbox_.take();
+    if (const auto* catch_up = std::get_if<Resync>(&message)) {
+      catching_ = true, anew_ |= catch_up->from_snapshot;
     }
     const auto* move =
-        std::get_if<MoveWatch>(&message);  // an order to watch is met by the watch itself
+        std::get_if<RedirectWatch>(&message);  // an order to watch is met by the watch itself
     if (!move || net::same(move->address, address_)) {
       continue;
     }
@@ -91,24 +91,24 @@
   return elsewhere;
 }
 
-void ServerListActor::caught_up(DecisionBox& decisions) {
+void EndpointWatchActor::caught_up(DecisionMailbox& decisions) {
   if (!std::exchange(catching_, false)) {
     return;
   }
-  DecisionMessage word(std::in_place_type<CaughtUp>);
+  DecisionMessage word(std::in_place_type<ResyncComplete>);
   if (!decisions.post(std::move(word))) {
-    log_lost("caught_up");  // its wait ends by itself
+    log_dropped_message("caught_up");  // its wait ends by itself
   }
 }
 
-Task<> ServerListActor::watch(DecisionBox& decisions, End& end) {
+Task<> EndpointWatchActor::watch(DecisionMailbox& decisions, End& end) {
   const auto stream =
       co_await net::Stream::connect(scheduler_, address_, Clock::now() + kConnectLimit);
   if (!stream) {
     end.reason = EndReason::kConnectFailed;
     co_return;
   }
-  const auto first_word = std::min<Clock::duration>(kFirstWord * (1 + mute_ / kPatience), kSilence);
+  const auto first_word = std::min<Clock::duration>(kFirstWord * (1 + mute_ / kPatience), kWatchSilenceTimeout);
   ++mute_;
   // What changed since version 0 is the whole list, and comes at once: where nothing has changed
   // nothing would.
@@ -122,7 +122,7 @@
   }
   http::Parser parser(http::Parser::Kind::kResponseHead);
   http::ChunkedDecoder chunked;
-  ListReader reader(most_object_);
+  WatchStreamDecoder reader(most_object_);
   std::string buffer, body;
   for (;;) {
     // What stands in the socket is read up to its end; where the whole list was asked for, once
@@ -159,7 +159,7 @@
         co_return;
       }
       if (!whole) {
-        silent = Clock::now() + kSilence;  // nothing may have changed
+        silent = Clock::now() + kWatchSilenceTimeout;  // nothing may have changed
       }
     }
     http::Progress progress = http::Progress::kMore;
@@ -176,7 +176,7 @@
       co_return;
     }
     if (*said) {
-      silent = Clock::now() + kSilence, mute_ = 0;
+      silent = Clock::now() + kWatchSilenceTimeout, mute_ = 0;
     }
     end.reason = EndReason::kDiscoveryEnded;
     if (progress == http::Progress::kDone) {
@@ -186,21 +186,21 @@
 }
 
 // Whether the watch gave a sign of life; nothing where it can't be read on.
-std::optional<bool> ServerListActor::take_lists(ListReader& reader, DecisionBox& decisions,
+std::optional<bool> EndpointWatchActor::take_lists(WatchStreamDecoder& reader, DecisionMailbox& decisions,
                                                 std::uint64_t& lists) {
   std::string_view object;
   for (bool said = false;; said = true) {
-    const ListReader::Got got = reader.next(object);
-    if (got == ListReader::Got::kBad) {
+    const WatchStreamDecoder::Got got = reader.next(object);
+    if (got == WatchStreamDecoder::Got::kBad) {
       return std::nullopt;
     }
-    if (got == ListReader::Got::kMore) {
+    if (got == WatchStreamDecoder::Got::kMore) {
       return said;
     }
-    if (got == ListReader::Got::kEmptyLine) {
+    if (got == WatchStreamDecoder::Got::kEmptyLine) {
       continue;
     }
-    config::ServerList list = config::read_server_list(
+    config::EndpointList list = config::read_endpoint_list(
         config::parse(object.data(), object.data() + object.size(), "server list"));
     const std::uint64_t version = list.version;
     if (!decisions.post(std::move(list))) {
--- a/src/proxy/server_list_actor.h
+++ b/src/proxy/server_list_actor.h
@@ -11,14 +11,14 @@
 
 namespace beechhill::proxy {
 
-class ServerListActor {
+class EndpointWatchActor {
  public:
   // A watch sends at least an empty line every 2 s; one that says nothing for so long is given up.
-  static constexpr std::chrono::milliseconds kSilence{2500};
+  static constexpr std::chrono::milliseconds kWatchSilenceTimeout{2500};
 
-  ServerListActor(runtime::Scheduler& scheduler, const config::Config& config);
-  WatchBox& inbox() { return inbox_; }
-  runtime::Task<> run(DecisionBox& decisions);
+  EndpointWatchActor(runtime::Scheduler& scheduler, const config::Config& config);
+  EndpointWatchMailbox& inbox() { return inbox_; }
+  runtime::Task<> run(DecisionMailbox& decisions);
 
  private:
   struct End {
@@ -26,13 +26,13 @@
     std::uint64_t lists = 0;
     sockaddr_in address{};  // where it was
   };
-  runtime::Task<> watch(DecisionBox& decisions, End& end);
+  runtime::Task<> watch(DecisionMailbox& decisions, End& end);
   bool moved();  // takes what is in the mailbox: whether discovery is elsewhere now
-  void caught_up(DecisionBox& decisions);
-  std::optional<bool> take_lists(ListReader& reader, DecisionBox& decisions, std::uint64_t& lists);
+  void caught_up(DecisionMailbox& decisions);
+  std::optional<bool> take_lists(WatchStreamDecoder& reader, DecisionMailbox& decisions, std::uint64_t& lists);
 
   runtime::Scheduler& scheduler_;
-  WatchBox inbox_;
+  EndpointWatchMailbox inbox_;
   sockaddr_in address_;
   std::size_t most_object_;  // bytes of one
   std::uint64_t version_;
--- a/src/proxy/telemetry.h
+++ b/src/proxy/telemetry.h
@@ -13,7 +13,7 @@
 // How a request ended. One that is answered at the door for what is wrong with it (400, 404, 405,
 // 409, 413...) is no request of a class and is counted nowhere; one that the door refuses as its
 // queue is full is rejected like any other.
-enum class Ended {
+enum class RequestOutcome {
   kCompleted,
   kRejected,
   kFailed,
@@ -30,16 +30,16 @@
 
   // One request, from when it was taken to its one end. It ends as abandoned where nothing else was
   // said.
-  class Open {
+  class RequestScope {
    public:
-    Open(Telemetry& telemetry, ClassId class_id) : telemetry_(&telemetry), class_id_(class_id) {
+    RequestScope(Telemetry& telemetry, ClassId class_id) : telemetry_(&telemetry), class_id_(class_id) {
       ++telemetry.taken_;
     }
-    Open(Open&& other) noexcept
+    RequestScope(RequestScope&& other) noexcept
         : telemetry_(std::exchange(other.telemetry_, nullptr)), class_id_(other.class_id_) {}
-    Open& operator=(Open&&) = delete;
-    ~Open() { end(Ended::kAbandoned); }
-    void end(Ended how) {  // the first word counts
+    RequestScope& operator=(RequestScope&&) = delete;
+    ~RequestScope() { end(RequestOutcome::kAbandoned); }
+    void end(RequestOutcome how) {  // the first word counts
       if (Telemetry* t = std::exchange(telemetry_, nullptr)) {
         t->ended(class_id_, how);
       }
@@ -50,20 +50,20 @@
     ClassId class_id_;
   };
 
-  void attempt_written() { ++upstream_requests_; }  // its last byte has gone to a backend
+  void count_upstream_request() { ++upstream_requests_; }  // its last byte has gone to a backend
 
   const Counts& of(ClassId class_id) const { return by_class_[class_id]; }
-  std::uint64_t taken() const { return taken_; }
+  std::uint64_t accepted_requests() const { return taken_; }
   std::uint64_t upstream_requests() const { return upstream_requests_; }
-  std::uint64_t pending() const { return taken_ - ended_; }
+  std::uint64_t pending_requests() const { return taken_ - ended_; }
 
  private:
-  void ended(ClassId class_id, Ended how) {
+  void ended(ClassId class_id, RequestOutcome how) {
     Counts& c = by_class_[class_id];
     ++ended_;
-    ++(how == Ended::kCompleted  ? c.completed
-       : how == Ended::kRejected ? c.rejected
-       : how == Ended::kFailed   ? c.failed
+    ++(how == RequestOutcome::kCompleted  ? c.completed
+       : how == RequestOutcome::kRejected ? c.rejected
+       : how == RequestOutcome::kFailed   ? c.failed
                                  : c.abandoned);
   }
 
--- a/src/recovery/course.cpp
+++ b/src/recovery/course.cpp
@@ -19,17 +19,17 @@
 
 const char* name(Stage stage) {
   switch (stage) {
-    case Stage::kEmpty:
+    case Stage::kNoEndpoints:
       return "empty";
-    case Stage::kHearing:
+    case Stage::kResyncing:
       return "hearing";
-    case Stage::kFull:
+    case Stage::kReady:
       return "full";
   }
   return "unknown";
 }
 
-Course::Course(Time now, Duration drain_grace, Duration watch_silence, bool has_list)
+RecoveryTracker::RecoveryTracker(Time now, Duration drain_grace, Duration watch_silence, bool has_list)
     : away_after_((drain_grace > Duration{0} ? drain_grace : kNoGrace) / kGapShare),
       hear_within_(std::min(away_after_, kMostHearing)),
       watch_silence_(watch_silence),
@@ -40,7 +40,7 @@
       starting_(has_list) {
 }
 
-bool Course::look(Time now) {
+bool RecoveryTracker::observe_clock(Time now) {
   const Duration since = now - std::exchange(looked_at_, std::max(now, looked_at_));
   if (since <= away_after_) {
     return false;
@@ -51,19 +51,19 @@
   return returning_;
 }
 
-void Course::listed() {
+void RecoveryTracker::on_endpoint_update() {
   has_list_ = true;
   if (!returning_) {
     heard_ = true;  // after a gap one line of several is not all
   }
 }
 
-void Course::caught_up() {
+void RecoveryTracker::on_resync_complete() {
   heard_ = heard_ || returning_;
   returning_ = starting_ = false;
 }
 
-bool Course::returning(Time now) {
+bool RecoveryTracker::is_resyncing(Time now) {
   if (returning_ && now >= hear_by_) {
     returning_ = starting_ = heard_ = false;  // on with what is held: still hearing
   }
--- a/src/recovery/course.h
+++ b/src/recovery/course.h
@@ -10,41 +10,41 @@
 namespace beechhill::recovery {
 
 enum class Stage {
-  kEmpty,    // no list: nothing can be sent
-  kHearing,  // a list is held, and discovery has not spoken since the start or the gap
-  kFull,
+  kNoEndpoints,    // no list: nothing can be sent
+  kResyncing,  // a list is held, and discovery has not spoken since the start or the gap
+  kReady,
 };
 const char* name(Stage stage);
 
-class Course {
+class RecoveryTracker {
  public:
   // `drain_grace`: how long after discovery's word work may still go to a backend that drains; zero
   // where none is stated. `watch_silence`: how long a live watch may say nothing. `has_list`: one
   // is held at the start. It may be old, and what discovery's agent holds by then counts as told: a
   // start with a list is a return like one after a gap.
-  Course(Time now, Duration drain_grace, Duration watch_silence, bool has_list);
+  RecoveryTracker(Time now, Duration drain_grace, Duration watch_silence, bool has_list);
 
   // The host looks at its clock: before anything else that it does, and every beat() at the least.
   // True: a gap has ended just now, and discovery is to be heard, anew where asks_again() says so.
-  bool look(Time now);
-  Duration beat() const { return away_after_ / 2; }
+  bool observe_clock(Time now);
+  Duration observation_interval() const { return away_after_ / 2; }
   // The gap outlasted the watch's own signs of life: what stands in the socket may not be all.
-  bool asks_again() const { return gap_ >= watch_silence_; }
+  bool needs_snapshot() const { return gap_ >= watch_silence_; }
   Duration gap() const { return gap_; }  // the latest
 
-  void listed();     // discovery has spoken: a list, or changes of it
-  void caught_up();  // all that it wrote up to now has been heard
+  void on_endpoint_update();     // discovery has spoken: a list, or changes of it
+  void on_resync_complete();  // all that it wrote up to now has been heard
   // Whether what is held may decide where something new goes. False within a gap that nobody has
   // looked at yet.
-  bool current(Time now) const { return !returning_ && now - looked_at_ <= away_after_; }
+  bool endpoints_are_current(Time now) const { return !returning_ && now - looked_at_ <= away_after_; }
   // Whether the wait for discovery after a gap, or a start, goes on; it ends by itself at
   // hear_by().
-  bool returning(Time now);
+  bool is_resyncing(Time now);
   // Whether the process may be put to use: it has a list, and its start is over.
   bool ready() const { return has_list_ && !starting_; }
-  Time hear_by() const { return hear_by_; }
+  Time resync_deadline() const { return hear_by_; }
   Stage stage() const {
-    return !has_list_ ? Stage::kEmpty : heard_ && !returning_ ? Stage::kFull : Stage::kHearing;
+    return !has_list_ ? Stage::kNoEndpoints : heard_ && !returning_ ? Stage::kReady : Stage::kResyncing;
   }
 
  private:
--- a/src/routing/subset.cpp
+++ b/src/routing/subset.cpp
@@ -33,22 +33,22 @@
   return XXH3_64bits(name.data(), name.size());
 }
 
-Unit unit_for(const std::vector<ClassSettings>& classes) {
-  Unit unit = Unit::kNode;
+Unit subset_unit_for(const std::vector<ClassSettings>& classes) {
+  Unit unit = Unit::kEndpoint;
   for (const ClassSettings& c : classes) {
-    if (c.effect != Effect::kKeyed || c.group == Group::kAll) {
+    if (c.idempotency != Idempotency::kIdempotencyKey || c.deduplication_scope == DeduplicationScope::kAll) {
       continue;
     }
-    unit = std::max(unit, c.group == Group::kZone ? Unit::kZone : Unit::kCell);
+    unit = std::max(unit, c.deduplication_scope == DeduplicationScope::kZone ? Unit::kZone : Unit::kCell);
   }
   return unit;
 }
 
 double arc_width(const SubsetSettings& s, std::size_t fleet) {
-  if (s.nodes == 0 || fleet <= s.nodes) {
+  if (s.min_endpoints == 0 || fleet <= s.min_endpoints) {
     return 1;
   }
-  double width = static_cast<double>(s.nodes) / static_cast<double>(fleet);
+  double width = static_cast<double>(s.min_endpoints) / static_cast<double>(fleet);
   if (s.proxies > 0) {
     width = std::max(width, static_cast<double>(s.coverage) / s.proxies);
   }
@@ -56,11 +56,11 @@
 }
 
 double arc_start(const SubsetSettings& s, const std::string& name) {
-  if (!s.place) {
+  if (!s.proxy_index) {
     return fraction(hash_of_name(name));
   }
   double at = 0, half = 0.5;  // its bits, reversed behind the point
-  for (std::uint32_t left = *s.place; left > 0; left >>= 1, half /= 2) {
+  for (std::uint32_t left = *s.proxy_index; left > 0; left >>= 1, half /= 2) {
     at += (left & 1) * half;
   }
   return at;
@@ -70,19 +70,19 @@
     : settings_(settings), unit_(unit), start_(arc_start(settings, name)) {
 }
 
-bool SubsetView::uses(ServerId server) const {
+bool SubsetView::uses(EndpointId server) const {
   return server < nodes_.size() && nodes_[server].used;
 }
 
 double SubsetView::turned(const Node& n) const {
-  const std::uint64_t unit = unit_ == Unit::kNode   ? n.hash
+  const std::uint64_t unit = unit_ == Unit::kEndpoint   ? n.hash
                              : unit_ == Unit::kCell ? n.entry.cell
                                                     : n.entry.zone;
   const double at = fraction(hash_of(unit, 1)) - start_;
   return at - std::floor(at);
 }
 
-void SubsetView::review(ServerId id, bool mentioned, std::vector<ServerEntry>& out) {
+void SubsetView::review(EndpointId id, bool mentioned, std::vector<Endpoint>& out) {
   Node& n = nodes_[id];
   const bool used = n.listed && in_arc(n);
   const bool was = std::exchange(n.used, used);
@@ -92,56 +92,56 @@
   }
   if (was && !used) {
     out.push_back(n.entry);
-    out.back().state = ServerState::kRemoved;
+    out.back().status = EndpointStatus::kRemoved;
   }
 }
 
-Discovery SubsetView::apply(const Discovery& told, const std::vector<std::uint64_t>& node_hashes) {
-  if (told.kind == ListKind::kFailed) {
+EndpointUpdate SubsetView::apply(const EndpointUpdate& told, const std::vector<std::uint64_t>& node_hashes) {
+  if (told.kind == UpdateKind::kFailed) {
     return told;
   }
-  const bool whole = told.kind != ListKind::kChanges;
+  const bool whole = told.kind != UpdateKind::kDelta;
   if (whole) {
     for (Node& n : nodes_) {
       n.listed = false;
     }
   }
-  std::vector<ServerId> mentioned;
-  for (std::size_t i = 0; i < told.entries.size(); ++i) {
-    const ServerEntry& e = told.entries[i];
-    if (e.server >= nodes_.size()) {
-      nodes_.resize(e.server + 1);
+  std::vector<EndpointId> mentioned;
+  for (std::size_t i = 0; i < told.endpoints.size(); ++i) {
+    const Endpoint& e = told.endpoints[i];
+    if (e.id >= nodes_.size()) {
+      nodes_.resize(e.id + 1);
     }
-    Node& n = nodes_[e.server];
+    Node& n = nodes_[e.id];
     if (!n.listed) {
       n.hash = node_hashes[i];
     }
     n.entry = e;
-    n.listed = e.state != ServerState::kRemoved;
+    n.listed = e.status != EndpointStatus::kRemoved;
     n.turned = turned(n);
-    mentioned.push_back(e.server);
+    mentioned.push_back(e.id);
   }
   listed_ = static_cast<std::size_t>(
       std::count_if(nodes_.begin(), nodes_.end(), [](const Node& n) { return n.listed; }));
-  Discovery out{told.kind, {}};
+  EndpointUpdate out{told.kind, {}};
   const double width = width_;
   widen();
   if (!whole && width == width_) {
-    for (const ServerId id : mentioned) {
-      review(id, true, out.entries);
+    for (const EndpointId id : mentioned) {
+      review(id, true, out.endpoints);
     }
     return out;
   }
   std::vector<bool> said(nodes_.size(), false);
-  for (const ServerId id : mentioned) {
+  for (const EndpointId id : mentioned) {
     said[id] = true;
   }
-  for (ServerId id = 0; id < nodes_.size(); ++id) {
-    review(id, whole || said[id], out.entries);
+  for (EndpointId id = 0; id < nodes_.size(); ++id) {
+    review(id, whole || said[id], out.endpoints);
   }
   if (whole) {
-    std::erase_if(out.entries,
-                  [](const ServerEntry& e) { return e.state == ServerState::kRemoved; });
+    std::erase_if(out.endpoints,
+                  [](const Endpoint& e) { return e.status == EndpointStatus::kRemoved; });
   }
   return out;
 }
@@ -153,7 +153,7 @@
   while (width_ < 1) {
     std::size_t in = 0;
     for (const Node& n : nodes_) {
-      in += n.listed && n.entry.state == ServerState::kUp && in_arc(n);
+      in += n.listed && n.entry.status == EndpointStatus::kUp && in_arc(n);
     }
     if (static_cast<double>(in) >= kFewest * width_ * static_cast<double>(listed_)) {
       return;
--- a/src/routing/subset.h
+++ b/src/routing/subset.h
@@ -19,17 +19,17 @@
 namespace beechhill::routing {
 
 struct SubsetSettings {
-  std::uint32_t nodes = 0;  // wanted in a subset, at the least; 0: no subsets, all nodes are used
+  std::uint32_t min_endpoints = 0;  // wanted in a subset, at the least; 0: no subsets, all nodes are used
   std::uint32_t coverage =
       8;  // proxies that are to use each node, at the least, where `proxies` is told
   std::uint32_t proxies = 0;  // how many there are; 0: not told. Wrong by two, the arcs are, too
-  std::optional<std::uint32_t> place;  // among them, from 0; absent: the name's hash stands for it
+  std::optional<std::uint32_t> proxy_index;  // among them, from 0; absent: the name's hash stands for it
 };
 
 // What must stay together: a keyed request may have to be sent again within the group of its first
 // node.
-enum class Unit { kNode, kCell, kZone };
-Unit unit_for(const std::vector<ClassSettings>& classes);
+enum class Unit { kEndpoint, kCell, kZone };
+Unit subset_unit_for(const std::vector<ClassSettings>& classes);
 
 // The part of a ring, from 0 to 1, that is used. It moves in steps of a half octave, so that a
 // fleet that grows by one node does not move every arc: for all n between two steps it is the same.
@@ -49,22 +49,22 @@
 
   // `node_hashes[i]` is the same at every proxy for the node of entries[i], such as the hash of its
   // name; it is kept from a node's first mention on. O(n) comparisons for each list or change.
-  Discovery apply(const Discovery& told, const std::vector<std::uint64_t>& node_hashes);
+  EndpointUpdate apply(const EndpointUpdate& told, const std::vector<std::uint64_t>& node_hashes);
 
-  std::size_t fleet() const { return listed_; }
-  std::size_t used() const { return used_; }
-  bool uses(ServerId server) const;
+  std::size_t listed_endpoints() const { return listed_; }
+  std::size_t used_endpoints() const { return used_; }
+  bool uses(EndpointId server) const;
 
  private:
   struct Node {
-    ServerEntry entry;
+    Endpoint entry;
     std::uint64_t hash = 0;
     double turned = 0;  // its unit's place on the ring, from where this proxy's arc begins
     bool listed = false, used = false;
   };
   double turned(const Node& node) const;
   bool in_arc(const Node& node) const { return node.turned < width_; }
-  void review(ServerId id, bool mentioned, std::vector<ServerEntry>& out);
+  void review(EndpointId id, bool mentioned, std::vector<Endpoint>& out);
   void widen();
 
   SubsetSettings settings_;
--- a/src/runtime/scheduler.cpp
+++ b/src/runtime/scheduler.cpp
@@ -200,7 +200,7 @@
       if (io.reader_) {
         io.reader_->fire(Wake::kReadable);
       } else if (io.watcher_) {
-        io.watcher_->stirred();
+        io.watcher_->on_readable();
       }
     }
     if (io.writer_ && (bits & (EPOLLOUT | EPOLLHUP | EPOLLERR))) {
--- a/src/runtime/scheduler.h
+++ b/src/runtime/scheduler.h
@@ -35,7 +35,7 @@
 // to come.
 class IoWatcher {
  public:
-  virtual void stirred() = 0;
+  virtual void on_readable() = 0;
 
  protected:
   ~IoWatcher() = default;
--- a/src/serve/group.h
+++ b/src/serve/group.h
@@ -11,24 +11,24 @@
 
 namespace beechhill::service {
 
-class Group {
+class Cluster {
  public:
-  virtual ~Group() = default;
-  virtual admin::Group calls() = 0;                                   // for the operators' door
+  virtual ~Cluster() = default;
+  virtual admin::ClusterHandler admin_handler() = 0;                                   // for the operators' door
   virtual void reload(const config::OperatorSettings& settings) = 0;  // takes over keys
-  virtual void say_good_bye() = 0;                                    // at the process's end
+  virtual void leave() = 0;                                    // at the process's end
 };
 
-struct GroupParts {  // must outlive the group
+struct ClusterDependencies {  // must outlive the group
   runtime::Scheduler& scheduler;
   const config::Config& config;
   const config::OperatorSettings& settings;
   proxy::DecisionActor& decisions;
-  handover::OrderBox& orders;
+  handover::OperatorCommandMailbox& orders;
   const proxy::Telemetry& telemetry;
   std::function<bool()> ending;
 };
 // Its actors are spawned. Null where it is off. Throws std::exception that says what is wrong.
-std::unique_ptr<Group> join_group(const GroupParts& parts);
+std::unique_ptr<Cluster> join_cluster(const ClusterDependencies& parts);
 
 }  // namespace beechhill::service
--- a/src/serve/serve.cpp
+++ b/src/serve/serve.cpp
@@ -45,7 +45,7 @@
   std::size_t front() const { return usable_ * kFrontPercent / 100; }
   std::size_t peers() const { return usable_ - front(); }
   // What is left beside the proxy's other processes: together they hold no more than one may.
-  std::size_t beside(const handover::Folder::Others& others) const {
+  std::size_t beside(const handover::SharedStateDirectory::ProcessGroupStatus& others) const {
     if (others.alive == 0) {
       return usable_;
     }
@@ -64,15 +64,15 @@
 }
 
 // Null where no other process can share with this one; the service goes on without.
-std::unique_ptr<handover::Folder> join(const config::Config& config) {
-  if (!config.inherited) {
+std::unique_ptr<handover::SharedStateDirectory> join(const config::Config& config) {
+  if (!config.inherited_listener_fd) {
     return nullptr;
   }
   try {
-    if (config.shared_folder.empty()) {
+    if (config.shared_state_directory.empty()) {
       throw std::runtime_error("TMPDIR: not set");
     }
-    return std::make_unique<handover::Folder>(config.shared_folder, config.name);
+    return std::make_unique<handover::SharedStateDirectory>(config.shared_state_directory, config.name);
   } catch (const std::exception& error) {
     log_fault("handover_off", error);
     return nullptr;
@@ -86,42 +86,42 @@
 
 // What learning depends on: under another zone, tier or other classes it says nothing.
 std::string fleet_of(const config::Config& config) {
-  std::string text = config.named.zone + "/" + std::to_string(config.named.settings.tier);
-  for (const std::string& name : config.named.classes) {
+  std::string text = config.named_settings.zone + "/" + std::to_string(config.named_settings.settings.tier);
+  for (const std::string& name : config.named_settings.classes) {
     text += "/" + name;
   }
   return text;
 }
 
 // Null where none are kept; without them the service goes on as from an empty start.
-std::unique_ptr<snapshot::Keeper> open_keeper(const config::Config& config,
+std::unique_ptr<snapshot::SnapshotStore> open_keeper(const config::Config& config,
                                               const config::SnapshotSettings& settings) {
-  if (settings.folder.empty()) {
+  if (settings.directory.empty()) {
     return nullptr;
   }
   try {
-    return std::make_unique<snapshot::Keeper>(settings.folder, config.name, fleet_of(config));
+    return std::make_unique<snapshot::SnapshotStore>(settings.directory, config.name, fleet_of(config));
   } catch (const std::exception& error) {
     log_fault("snapshot_off", error);
     return nullptr;
   }
 }
 
-runtime::Task<> keep_snapshots(runtime::Scheduler& scheduler, snapshot::Keeper& keeper,
+runtime::Task<> keep_snapshots(runtime::Scheduler& scheduler, snapshot::SnapshotStore& keeper,
                                const DecisionActor& decisions, std::chrono::milliseconds every) {
   for (;;) {
     runtime::Wait wait(scheduler);
     wait.until(runtime::Clock::now() + every);
     co_await wait;
-    keeper.keep(decisions.learned(), decisions.barred(), unix_now());
+    keeper.save_async(decisions.endpoint_records(), decisions.excluded_backends(), unix_now());
   }
 }
 
-runtime::Task<> tend(runtime::Scheduler& scheduler, FrontDoor& door,
-                     const std::unique_ptr<Group>& group) {
-  co_await door.tend();
+runtime::Task<> tend(runtime::Scheduler& scheduler, ClientListener& door,
+                     const std::unique_ptr<Cluster>& group) {
+  co_await door.run_lifecycle();
   if (group) {
-    group->say_good_bye();
+    group->leave();
   }
   log::info("ended");
   scheduler.stop();
@@ -129,14 +129,14 @@
 
 // Of a new configuration only discovery's address is taken over, of a new operator file the log's
 // level; a faulty one changes nothing.
-void reload(WatchBox& watch, const std::string& operator_file, Group* group) {
+void reload(EndpointWatchMailbox& watch, const std::string& operator_file, Cluster* group) {
   try {
     const sockaddr_in discovery = config::reload_config().discovery;
     const config::OperatorSettings settings = config::load_operator(operator_file);
     // Guards against staying with a discovery that is gone, for good, where a call to it holds the
     // mailbox full.
-    watch.replace(MoveWatch{discovery},
-                  [](const WatchMessage& m) { return std::holds_alternative<MoveWatch>(m); });
+    watch.replace(RedirectWatch{discovery},
+                  [](const EndpointWatchMessage& m) { return std::holds_alternative<RedirectWatch>(m); });
     log::set_level(settings.log.level);
     if (group) {
       group->reload(settings);
@@ -148,10 +148,10 @@
   }
 }
 
-runtime::Task<> heed_signals(runtime::Scheduler& scheduler, net::Fd signals, FrontDoor& door,
-                             handover::HandoverActor& handover, WatchBox& watch,
+runtime::Task<> heed_signals(runtime::Scheduler& scheduler, net::Fd signals, ClientListener& door,
+                             handover::HotRestartActor& handover, EndpointWatchMailbox& watch,
                              const std::string& operator_file,
-                             const std::unique_ptr<Group>& group) {
+                             const std::unique_ptr<Cluster>& group) {
   runtime::IoSource io(scheduler, signals.get());
   bool ending = false;
   for (;;) {
@@ -163,10 +163,10 @@
     } else if (info.ssi_signo == SIGHUP) {
       reload(watch, operator_file, group.get());
     } else if (!std::exchange(ending, true)) {
-      const bool succeeded = handover.succeeded();
+      const bool succeeded = handover.has_successor();
       log::info("ending", {{"succeeded", succeeded}});
-      if (!door.inbox().post({DoorWord::kEnd, succeeded, nullptr})) {
-        ending = false, log_lost("end");
+      if (!door.inbox().post({ListenerCommandType::kShutdown, succeeded, nullptr})) {
+        ending = false, log_dropped_message("end");
       }
     }
   }
@@ -194,67 +194,67 @@
   const config::OperatorSettings settings = config::load_operator(operator_file);
   log::start(settings.log);
 
-  std::unique_ptr<handover::Folder> folder = join(config);
+  std::unique_ptr<handover::SharedStateDirectory> folder = join(config);
 
   runtime::Scheduler scheduler;
-  const Shares shares(config.sockets - kOtherDescriptors - admin::kMostCallers);
-  Telemetry telemetry(config.named.classes.size());
+  const Shares shares(config.max_descriptors - kOtherDescriptors - admin::kMaxConnections);
+  Telemetry telemetry(config.named_settings.classes.size());
   BodyBudget bodies(body_bytes(config));
-  PeerPool pool(shares.peers(), bodies, telemetry, config.named.settings);
-  const auto make_peer = [&](DecisionBox& inbox, ServerId server, const sockaddr_in& address) {
-    return std::make_unique<PeerActor>(scheduler, inbox, pool, config.named.settings, server,
+  BackendPool pool(shares.peers(), bodies, telemetry, config.named_settings.settings);
+  const auto make_peer = [&](DecisionMailbox& inbox, EndpointId server, const sockaddr_in& address) {
+    return std::make_unique<BackendActor>(scheduler, inbox, pool, config.named_settings.settings, server,
                                        address);
   };
-  ServerListActor server_list(scheduler, config);
+  EndpointWatchActor server_list(scheduler, config);
   handover::SharedState before = folder ? folder->state() : handover::SharedState{};
-  const std::unique_ptr<snapshot::Keeper> keeper = open_keeper(config, settings.snapshot);
-  std::optional<snapshot::Snapshot> found = keeper ? keeper->found(unix_now()) : std::nullopt;
+  const std::unique_ptr<snapshot::SnapshotStore> keeper = open_keeper(config, settings.snapshot);
+  std::optional<snapshot::Snapshot> found = keeper ? keeper->load(unix_now()) : std::nullopt;
   if (found) {
-    log::info("snapshot_found", {{"rows", static_cast<std::uint64_t>(found->rows.size())},
-                                 {"barred", static_cast<std::uint64_t>(found->barred.size())}});
+    log::info("snapshot_found", {{"rows", static_cast<std::uint64_t>(found->records.size())},
+                                 {"barred", static_cast<std::uint64_t>(found->excluded_backends.size())}});
   }
   if (found && !folder) {
-    before.barred = found->barred;  // with a folder, what stands there is newer
+    before.excluded_backends = found->excluded_backends;  // with a folder, what stands there is newer
   }
   DecisionActor decisions(scheduler, config, make_peer, server_list.inbox(), settings.subset,
-                          before.barred,
-                          found ? std::move(found->rows) : std::vector<snapshot::Row>{});
-  pool.current = [&decisions] { return decisions.current(); };
+                          before.excluded_backends,
+                          found ? std::move(found->records) : std::vector<snapshot::EndpointRecord>{});
+  pool.endpoints_are_current = [&decisions] { return decisions.endpoints_are_current(); };
   // What the list last held says may be old: with another process there to serve, discovery is
   // heard first.
   const runtime::TimePoint patience = runtime::Clock::now() + kHearDiscovery;
-  const bool patient = folder && folder->others().alive > 0;
+  const bool patient = folder && folder->process_group_status().alive > 0;
   const auto has_list = [&] {
-    return decisions.ready() && decisions.may_serve() &&
-           (!patient || decisions.heard() || runtime::Clock::now() >= patience);
+    return decisions.ready() && decisions.serving_permitted() &&
+           (!patient || decisions.has_discovery_update() || runtime::Clock::now() >= patience);
   };
-  FrontDoor door(scheduler, decisions.inbox(), config, telemetry, bodies, shares.front(), has_list,
+  ClientListener door(scheduler, decisions.inbox(), config, telemetry, bodies, shares.front(), has_list,
                  before.drained);
-  const auto look = [&](const handover::Folder::Others& others) {
+  const auto look = [&](const handover::SharedStateDirectory::ProcessGroupStatus& others) {
     const Shares now(shares.beside(others));
-    door.budget().set_limit(now.front());
+    door.descriptor_budget().set_limit(now.front());
     pool.budget.set_limit(now.peers());
     bodies.set_limit(body_bytes(config) / (others.alive > 0 ? 2 : 1));
     const std::size_t held =
-        door.budget().used() + pool.budget.used() + kOtherDescriptors + admin::kMostCallers;
-    return handover::HandoverActor::Own{door.serving(), static_cast<std::uint32_t>(held)};
+        door.descriptor_budget().used() + pool.budget.used() + kOtherDescriptors + admin::kMaxConnections;
+    return handover::HotRestartActor::ProcessStatus{door.is_serving(), static_cast<std::uint32_t>(held)};
   };
-  handover::HandoverActor handover(scheduler, std::move(folder), decisions.inbox(), door.inbox(),
+  handover::HotRestartActor handover(scheduler, std::move(folder), decisions.inbox(), door.inbox(),
                                    look);
   scheduler.spawn(handover.run());
   scheduler.spawn(decisions.run());
   scheduler.spawn(server_list.run(decisions.inbox()));
-  scheduler.spawn(door.run());
-  const std::unique_ptr<Group> group =
-      join_group({scheduler, config, settings, decisions, handover.inbox(), telemetry,
-                  [&door] { return door.ending(); }});
+  scheduler.spawn(door.run_accept_loop());
+  const std::unique_ptr<Cluster> group =
+      join_cluster({scheduler, config, settings, decisions, handover.inbox(), telemetry,
+                  [&door] { return door.is_shutting_down(); }});
   scheduler.spawn(tend(scheduler, door, group));
-  std::optional<admin::AdminDoor> operators;
+  std::optional<admin::AdminServer> operators;
   if (config.admin) {
     operators.emplace(
         scheduler, *config.admin, decisions.inbox(), handover.inbox(), telemetry,
-        config.named.classes, [&] { return door.serving() && handover.told_ready(); },
-        group ? group->calls() : admin::Group{});
+        config.named_settings.classes, [&] { return door.is_serving() && handover.readiness_published(); },
+        group ? group->admin_handler() : admin::ClusterHandler{});
     scheduler.spawn(operators->run());
   }
   scheduler.spawn(heed_signals(scheduler, std::move(signals), door, handover, server_list.inbox(),
@@ -265,11 +265,11 @@
                         {"name", std::string_view(config.name)},
                         {"admin", std::string_view(admin)}});
   if (keeper) {
-    scheduler.spawn(keep_snapshots(scheduler, *keeper, decisions, settings.snapshot.every));
+    scheduler.spawn(keep_snapshots(scheduler, *keeper, decisions, settings.snapshot.interval));
   }
   scheduler.run();
   if (keeper) {
-    keeper->keep(decisions.learned(), decisions.barred(), unix_now());
+    keeper->save_async(decisions.endpoint_records(), decisions.excluded_backends(), unix_now());
   }
 }
 
--- a/src/snapshot/keeper.cpp
+++ b/src/snapshot/keeper.cpp
@@ -44,7 +44,7 @@
   if (!fd) {
     return std::nullopt;
   }
-  std::string text(kMostBytes + 1, '\0');
+  std::string text(kMaxSnapshotBytes + 1, '\0');
   std::size_t size = 0;
   while (size < text.size()) {
     const ssize_t n = ::read(fd.get(), text.data() + size, text.size() - size);
@@ -59,7 +59,7 @@
 
 }  // namespace
 
-bool store_durably(const std::string& path, const std::string& text) {
+bool write_durably(const std::string& path, const std::string& text) {
   const std::string fresh = path + ".new";
   {
     const net::Fd fd = opened(fresh, O_WRONLY | O_CREAT | O_TRUNC);
@@ -76,12 +76,12 @@
 }
 
 // Shared with its thread, which may outlive the keeper by one write to a disk that hangs.
-struct Keeper::Writer {
+struct SnapshotStore::Writer {
   std::mutex mutex;
   std::condition_variable changed;
   std::optional<Snapshot> waiting;
   bool ending = false, idle = true;
-  Store store;
+  DurableWrite store;
   std::string path;
 
   void run() {
@@ -115,7 +115,7 @@
   }
 };
 
-Keeper::Keeper(const std::string& folder, std::string name, std::string fleet, Store store)
+SnapshotStore::SnapshotStore(const std::string& folder, std::string name, std::string fleet, DurableWrite store)
     : path_([&] {
         std::string file = name;
         std::replace(file.begin(), file.end(), '/', '_');
@@ -136,22 +136,22 @@
   std::thread([writer = writer_] { writer->run(); }).detach();
 }
 
-Keeper::~Keeper() {
+SnapshotStore::~SnapshotStore() {
   std::unique_lock lock(writer_->mutex);
   writer_->ending = true;
   writer_->changed.notify_all();
   writer_->changed.wait_for(lock, kLastWait, [this] { return writer_->idle && !writer_->waiting; });
 }
 
-std::optional<Snapshot> Keeper::found(std::chrono::milliseconds now) {
+std::optional<Snapshot> SnapshotStore::load(std::chrono::milliseconds now) {
   const auto text = contents(path_);
   if (!text) {
     return std::nullopt;  // the first process
   }
   std::optional<Snapshot> snapshot = decode(*text);
-  const char* reason = snapshot ? refusal(*snapshot, name_, fleet_, now) : "not_whole";
+  const char* reason = snapshot ? rejection_reason(*snapshot, name_, fleet_, now) : "not_whole";
   if (snapshot) {
-    life_ = snapshot->life + 1;
+    life_ = snapshot->incarnation + 1;
   }
   if (!reason) {
     return snapshot;
@@ -161,11 +161,11 @@
   if (!snapshot || snapshot->name != name_) {
     return std::nullopt;
   }
-  snapshot->rows.clear();
+  snapshot->records.clear();
   return snapshot;
 }
 
-void Keeper::keep(std::vector<Row> rows, std::set<std::string> barred,
+void SnapshotStore::save_async(std::vector<EndpointRecord> rows, std::set<std::string> barred,
                   std::chrono::milliseconds now) {
   const std::lock_guard lock(writer_->mutex);
   writer_->waiting = Snapshot{name_, fleet_, life_, now, std::move(rows), std::move(barred)};
--- a/src/snapshot/keeper.h
+++ b/src/snapshot/keeper.h
@@ -14,26 +14,26 @@
 
 // Puts `text` at `path`, so that after a crash either the old or the new is there, whole. False,
 // and errno, where it could not.
-using Store = std::function<bool(const std::string& path, const std::string& text)>;
-bool store_durably(const std::string& path,
+using DurableWrite = std::function<bool(const std::string& path, const std::string& text)>;
+bool write_durably(const std::string& path,
                    const std::string& text);  // written aside, fsynced, renamed
 
-class Keeper {
+class SnapshotStore {
  public:
   // Throws std::runtime_error where the folder cannot be used, or another process keeps snapshots
   // there under that name.
-  Keeper(const std::string& folder, std::string name, std::string fleet,
-         Store store = store_durably);
+  SnapshotStore(const std::string& folder, std::string name, std::string fleet,
+         DurableWrite store = write_durably);
   // Waits 300 ms at the most for what is being written; a disk that takes longer is left to itself.
-  ~Keeper();
-  Keeper(const Keeper&) = delete;
-  Keeper& operator=(const Keeper&) = delete;
+  ~SnapshotStore();
+  SnapshotStore(const SnapshotStore&) = delete;
+  SnapshotStore& operator=(const SnapshotStore&) = delete;
 
   // What the last process left. What may not be used now (Unix time) is set aside, with a line in
   // the log; of one that is whole and of this name the bans are left even then.
-  std::optional<Snapshot> found(std::chrono::milliseconds now);
+  std::optional<Snapshot> load(std::chrono::milliseconds now);
   // Hands on to the thread. What still waits there is replaced.
-  void keep(std::vector<Row> rows, std::set<std::string> barred, std::chrono::milliseconds now);
+  void save_async(std::vector<EndpointRecord> rows, std::set<std::string> barred, std::chrono::milliseconds now);
 
  private:
   struct Writer;
--- a/src/snapshot/state.cpp
+++ b/src/snapshot/state.cpp
@@ -27,7 +27,7 @@
   return std::isfinite(value) && value >= 0;
 }
 
-bool read_row(const Json::Value& v, Row& row) {
+bool read_row(const Json::Value& v, EndpointRecord& row) {
   if (!v.isObject() || !v["host"].isString() || !v["born"].isInt64() || !v["at"].isInt64()) {
     return false;
   }
@@ -37,9 +37,9 @@
     }
   }
   row.host = v["host"].asString();
-  row.born = std::chrono::milliseconds(v["born"].asInt64());
-  row.at = std::chrono::milliseconds(v["at"].asInt64());
-  row.evidence = {v["rate"].asDouble(), v["util"].asDouble(), v["paces"].asDouble(),
+  row.started_at = std::chrono::milliseconds(v["born"].asInt64());
+  row.recorded_at = std::chrono::milliseconds(v["at"].asInt64());
+  row.stats = {v["rate"].asDouble(), v["util"].asDouble(), v["paces"].asDouble(),
                   v["answers"].asDouble()};
   return !row.host.empty();
 }
@@ -49,36 +49,36 @@
 std::string encode(const Snapshot& s) {
   Json::Value root;
   root["name"] = s.name;
-  root["fleet"] = s.fleet;
-  root["life"] = Json::UInt64(s.life);
-  root["written"] = Json::Int64(s.written.count());
+  root["fleet"] = s.settings_hash;
+  root["life"] = Json::UInt64(s.incarnation);
+  root["written"] = Json::Int64(s.written_at.count());
   root["rows"] = Json::Value(Json::arrayValue);
-  for (const Row& r : s.rows) {
-    if (root["rows"].size() >= kMostRows) {
+  for (const EndpointRecord& r : s.records) {
+    if (root["rows"].size() >= kMaxRecords) {
       break;
     }
     Json::Value row;
     row["host"] = r.host;
-    row["born"] = Json::Int64(r.born.count());
-    row["at"] = Json::Int64(r.at.count());
-    row["rate"] = r.evidence.rates;
-    row["util"] = r.evidence.utils;
-    row["paces"] = r.evidence.paces;
-    row["answers"] = r.evidence.answers;
+    row["born"] = Json::Int64(r.started_at.count());
+    row["at"] = Json::Int64(r.recorded_at.count());
+    row["rate"] = r.stats.weighted_rates;
+    row["util"] = r.stats.weighted_utilizations;
+    row["paces"] = r.stats.weighted_latency_ratios;
+    row["answers"] = r.stats.response_weight;
     root["rows"].append(std::move(row));
   }
   root["barred"] = Json::Value(Json::arrayValue);
-  for (const std::string& host : s.barred) {
+  for (const std::string& host : s.excluded_backends) {
     root["barred"].append(host);
   }
-  return config::seal(std::move(root), kMagic, kFormat, kDigits);
+  return config::encode_checksummed(std::move(root), kMagic, kFormat, kDigits);
 }
 
 std::optional<Snapshot> decode(std::string_view text) {
-  if (text.size() > kMostBytes) {
+  if (text.size() > kMaxSnapshotBytes) {
     return std::nullopt;
   }
-  const auto sealed = config::unseal(text, kMagic, kFormat);
+  const auto sealed = config::decode_checksummed(text, kMagic, kFormat);
   if (!sealed) {
     return std::nullopt;
   }
@@ -86,60 +86,60 @@
   if (!root["name"].isString() || !root["fleet"].isString() || !root["life"].isUInt64()) {
     return std::nullopt;
   }
-  if (!root["written"].isInt64() || !root["rows"].isArray() || root["rows"].size() > kMostRows) {
+  if (!root["written"].isInt64() || !root["rows"].isArray() || root["rows"].size() > kMaxRecords) {
     return std::nullopt;
   }
   Snapshot s;
   s.name = root["name"].asString();
-  s.fleet = root["fleet"].asString();
-  s.life = root["life"].asUInt64();
-  s.written = std::chrono::milliseconds(root["written"].asInt64());
-  if (!root["barred"].isArray() || root["barred"].size() > kMostRows) {
+  s.settings_hash = root["fleet"].asString();
+  s.incarnation = root["life"].asUInt64();
+  s.written_at = std::chrono::milliseconds(root["written"].asInt64());
+  if (!root["barred"].isArray() || root["barred"].size() > kMaxRecords) {
     return std::nullopt;
   }
   for (const Json::Value& host : root["barred"]) {
     if (!host.isString()) {
       return std::nullopt;
     }
-    s.barred.insert(host.asString());
+    s.excluded_backends.insert(host.asString());
   }
   for (const Json::Value& row : root["rows"]) {
-    if (!read_row(row, s.rows.emplace_back())) {
+    if (!read_row(row, s.records.emplace_back())) {
       return std::nullopt;
     }
   }
   return s;
 }
 
-const char* refusal(const Snapshot& s, std::string_view name, std::string_view fleet,
+const char* rejection_reason(const Snapshot& s, std::string_view name, std::string_view fleet,
                     std::chrono::milliseconds now) {
   if (s.name != name) {
     return "another_process";
   }
-  if (s.fleet != fleet) {
+  if (s.settings_hash != fleet) {
     return "other_settings";
   }
-  if (s.written > now + kClockStep) {
+  if (s.written_at > now + kClockStep) {
     return "from_the_future";
   }
-  if (s.written + kOldest < now) {
+  if (s.written_at + kOldest < now) {
     return "too_old";
   }
   return nullptr;
 }
 
-std::optional<Evidence> believed(const Evidence& e, Duration age, bool started) {
-  if (started || e.utils > kMostReports * kMostUtilisation || e.rates > kMostReports * kMostRate) {
+std::optional<EndpointStats> discounted(const EndpointStats& e, Duration age, bool started) {
+  if (started || e.weighted_utilizations > kMostReports * kMostUtilisation || e.weighted_rates > kMostReports * kMostRate) {
     return std::nullopt;
   }
-  if (e.answers > kMostAnswers || e.paces > kMostPace * e.answers) {
+  if (e.response_weight > kMostAnswers || e.weighted_latency_ratios > kMostPace * e.response_weight) {
     return std::nullopt;
   }
   const double kept = std::exp(-std::chrono::duration<double>(std::max(age, Duration{0})) / kFades);
-  if (kept * (e.utils + e.answers) < kLeast) {
+  if (kept * (e.weighted_utilizations + e.response_weight) < kLeast) {
     return std::nullopt;
   }
-  return Evidence{kept * e.rates, kept * e.utils, kept * e.paces, kept * e.answers};
+  return EndpointStats{kept * e.weighted_rates, kept * e.weighted_utilizations, kept * e.weighted_latency_ratios, kept * e.response_weight};
 }
 
 }  // namespace beechhill::snapshot
--- a/src/snapshot/state.h
+++ b/src/snapshot/state.h
@@ -15,24 +15,24 @@
 
 namespace beechhill::snapshot {
 
-struct Row {
+struct EndpointRecord {
   std::string host;
-  std::chrono::milliseconds born{0};  // Unix time of its start as the list told it; 0: not told
-  std::chrono::milliseconds at{0};    // Unix time
-  Evidence evidence;
+  std::chrono::milliseconds started_at{0};  // Unix time of its start as the list told it; 0: not told
+  std::chrono::milliseconds recorded_at{0};    // Unix time
+  EndpointStats stats;
 };
 
 struct Snapshot {
   std::string name;   // the process's
-  std::string fleet;  // the settings it ran under, by their hash: what was learned under others
+  std::string settings_hash;  // the settings it ran under, by their hash: what was learned under others
                       // says nothing
-  std::uint64_t life = 0;
-  std::chrono::milliseconds written{0};  // Unix time
-  std::vector<Row> rows;
-  std::set<std::string> barred;  // ids that operators had left out: no age makes these void
+  std::uint64_t incarnation = 0;
+  std::chrono::milliseconds written_at{0};  // Unix time
+  std::vector<EndpointRecord> records;
+  std::set<std::string> excluded_backends;  // ids that operators had left out: no age makes these void
 };
 
-inline constexpr std::size_t kMostRows = 10'000, kMostBytes = 4 * 1024 * 1024;
+inline constexpr std::size_t kMaxRecords = 10'000, kMaxSnapshotBytes = 4 * 1024 * 1024;
 
 // One line of JSON and one with its checksum (xxHash64).
 std::string encode(const Snapshot& snapshot);
@@ -40,11 +40,11 @@
 std::optional<Snapshot> decode(std::string_view text);
 
 // Why its rows may not be used by that process now, as a reason code; null where they may.
-const char* refusal(const Snapshot& snapshot, std::string_view name, std::string_view fleet,
+const char* rejection_reason(const Snapshot& snapshot, std::string_view name, std::string_view fleet,
                     std::chrono::milliseconds now);
 
 // What of it is still to be believed at that age; nothing where it says nothing any more, is
 // absurd, or stands for another start of the backend (`started`).
-std::optional<Evidence> believed(const Evidence& evidence, Duration age, bool started);
+std::optional<EndpointStats> discounted(const EndpointStats& evidence, Duration age, bool started);
 
 }  // namespace beechhill::snapshot
--- a/src/state.h
+++ b/src/state.h
@@ -30,7 +30,7 @@
 }
 
 struct Attempt {
-  ServerId server = 0;
+  EndpointId server = 0;
   std::uint32_t life = 0;  // of the server, then
   std::uint32_t zone = 0,
                 cell = 0;  // where the server stood then: its entry may say another place by now
@@ -122,7 +122,7 @@
 }
 
 struct Learned {  // of one life of a server
-  Evidence own;
+  EndpointStats own;
   std::vector<Tally> tallies;  // by class
   int open = 0;
   double recent = 0;  // decayed count of own sends
@@ -134,7 +134,7 @@
 };
 
 struct Server : Learned {
-  ServerEntry entry;
+  Endpoint entry;
   bool listed = false;
   std::uint64_t list = 0;         // that named it last, by number
   bool barred = false;            // by an operator
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -9,7 +9,7 @@
   Driver d;
   d.servers(4);
   for (RequestId id = 0; id < 40; ++id) {
-    EXPECT_EQ(count<Send>(d.request(id, id % 3)), 1u);
+    EXPECT_EQ(count<StartAttempt>(d.request(id, id % 3)), 1u);
   }
   EXPECT_TRUE(d.answers.empty());
 }
@@ -20,9 +20,9 @@
   for (RequestId id = 0; id < 40; ++id) {
     d.request(id);
   }
-  std::map<ServerId, int> per;
+  std::map<EndpointId, int> per;
   for (const auto& s : d.sends) {
-    ++per[s.server];
+    ++per[s.endpoint];
   }
   for (const auto& [server, n] : per) {
     EXPECT_EQ(n, 10) << server;
@@ -33,14 +33,14 @@
   Driver d;
   d.servers(2);
   for (int i = 0; i < 20; ++i) {
-    d.give(ProbeResult{0, Result::kOk, {0.5, 30.0}});
-    d.give(ProbeResult{1, Result::kOk, {0.5, 10.0}});
+    d.give(HealthCheckResult{0, Result::kOk, {0.5, 30.0}});
+    d.give(HealthCheckResult{1, Result::kOk, {0.5, 10.0}});
   }
   for (RequestId id = 0; id < 40; ++id) {
     d.request(id);
   }
   const auto fast =
-      std::count_if(d.sends.begin(), d.sends.end(), [](auto& s) { return s.server == 0; });
+      std::count_if(d.sends.begin(), d.sends.end(), [](auto& s) { return s.endpoint == 0; });
   EXPECT_NEAR(static_cast<double>(fast), 29, 2);  // 3 to 1, less a little for the prior
 }
 
@@ -48,25 +48,25 @@
   Driver d;
   d.servers(2);
   for (int i = 0; i < 20; ++i) {
-    d.give(ProbeResult{0, Result::kOk, {0.5, 1000.0}});
-    d.give(ProbeResult{1, Result::kOk, {0.5, 0.01}});
+    d.give(HealthCheckResult{0, Result::kOk, {0.5, 1000.0}});
+    d.give(HealthCheckResult{1, Result::kOk, {0.5, 0.01}});
   }
   for (RequestId id = 0; id < 100; ++id) {
     d.request(id);
   }
-  EXPECT_GE(std::count_if(d.sends.begin(), d.sends.end(), [](auto& s) { return s.server == 1; }),
+  EXPECT_GE(std::count_if(d.sends.begin(), d.sends.end(), [](auto& s) { return s.endpoint == 1; }),
             3);
 }
 
 TEST(Ordinary, NearIdleReportsSayNothing) {
   Driver d;
   d.servers(2);
-  d.give(ProbeResult{0, Result::kOk, {0.001, 50.0}});  // would be a weight of 50,000
-  d.give(ProbeResult{1, Result::kOk, {0.5, 10.0}});
+  d.give(HealthCheckResult{0, Result::kOk, {0.001, 50.0}});  // would be a weight of 50,000
+  d.give(HealthCheckResult{1, Result::kOk, {0.5, 10.0}});
   for (RequestId id = 0; id < 20; ++id) {
     d.request(id);
   }
-  EXPECT_NEAR(std::count_if(d.sends.begin(), d.sends.end(), [](auto& s) { return s.server == 1; }),
+  EXPECT_NEAR(std::count_if(d.sends.begin(), d.sends.end(), [](auto& s) { return s.endpoint == 1; }),
               7, 3);
 }
 
@@ -74,16 +74,16 @@
 // alike.
 TEST(Ordinary, AServerNotYetReportedStartsFromItsKind) {
   Driver d;
-  d.servers_of_kinds(8, [](ServerId i) { return i % 2; });
+  d.servers_of_kinds(8, [](EndpointId i) { return i % 2; });
   for (int i = 0; i < 20; ++i) {
-    d.give(ProbeResult{0, Result::kOk, {0.5, 30.0}});
-    d.give(ProbeResult{1, Result::kOk, {0.5, 10.0}});
+    d.give(HealthCheckResult{0, Result::kOk, {0.5, 30.0}});
+    d.give(HealthCheckResult{1, Result::kOk, {0.5, 10.0}});
   }
   for (RequestId id = 0; id < 120; ++id) {
     d.request(id);
   }
   const auto fast =
-      std::count_if(d.sends.begin(), d.sends.end(), [](auto& s) { return s.server % 2 == 0; });
+      std::count_if(d.sends.begin(), d.sends.end(), [](auto& s) { return s.endpoint % 2 == 0; });
   EXPECT_GT(fast, 80);
 }
 
@@ -95,10 +95,10 @@
     Settings settings = basic_settings();
     settings.seed = seed;
     Driver d(settings);
-    d.servers_of_kinds(40, [](ServerId i) { return i % 5 == 0; });
+    d.servers_of_kinds(40, [](EndpointId i) { return i % 5 == 0; });
     for (RequestId id = 0; id < 24; ++id) {  // half of the servers are never met
       d.request(id);
-      d.pass(milliseconds(d.sends.back().server % 5 == 0 ? 900 : 100));
+      d.pass(milliseconds(d.sends.back().endpoint % 5 == 0 ? 900 : 100));
       d.outcome(id, 0, Result::kOk);
     }
     const std::size_t before = d.sends.size();
@@ -106,7 +106,7 @@
       d.request(id);
     }
     slow += std::count_if(d.sends.begin() + static_cast<std::ptrdiff_t>(before), d.sends.end(),
-                          [](auto& s) { return s.server % 5 == 0; });
+                          [](auto& s) { return s.endpoint % 5 == 0; });
   }
   EXPECT_LT(slow, 20 * 5);  // an even share is 20 * 8
 }
@@ -153,10 +153,10 @@
     for (const auto pause : {milliseconds(1500), milliseconds(30)}) {
       Driver d(settings);
       d.servers(60);
-      std::set<ServerId> sent;
+      std::set<EndpointId> sent;
       for (RequestId id = 0; id < 200; ++id) {
         d.request(id);
-        sent.insert(d.sends.back().server);
+        sent.insert(d.sends.back().endpoint);
         d.pass(milliseconds(100));
         d.outcome(id, 0, Result::kOk);
         d.pass(pause);
@@ -177,11 +177,11 @@
   for (settings.seed = 0; settings.seed < 10; ++settings.seed) {
     Driver d(settings);
     d.servers(60);
-    std::set<ServerId> sent;
+    std::set<EndpointId> sent;
     for (RequestId id = 0; id < 100; ++id) {
       d.request(id);
       if (id >= 64) {
-        sent.insert(d.sends.back().server);  // from the second second on
+        sent.insert(d.sends.back().endpoint);  // from the second second on
       }
       d.pass(milliseconds(10));
       d.outcome(id, 0, Result::kOk);
@@ -195,20 +195,20 @@
 // Guards against crowding the slowest kind in an instance's first seconds (incident ic9b421).
 TEST(Probing, ANewInstanceAsksAFewServersOfKindsItDoesNotKnow) {
   Settings s = basic_settings();
-  s.reports_need_probes = s.may_probe = true;
-  s.probe_price = 0.05;
+  s.load_reports_require_health_checks = s.health_checks_allowed = true;
+  s.health_check_cost = 0.05;
   Driver d(s);
-  d.servers_of_kinds(20, [](ServerId i) { return i / 10; });
+  d.servers_of_kinds(20, [](EndpointId i) { return i / 10; });
   std::set<std::uint32_t> kinds;
   std::size_t probes = 0;
   for (int i = 0; i < 200; ++i) {
     const std::size_t seen = d.all.size();
     d.pass(milliseconds(100));
     for (std::size_t k = seen; k < d.all.size(); ++k) {
-      if (const auto* probe = std::get_if<Probe>(&d.all[k])) {
+      if (const auto* probe = std::get_if<HealthCheck>(&d.all[k])) {
         ++probes;
-        kinds.insert(probe->server / 10);
-        d.give(ProbeResult{probe->server, Result::kOk, {1.5, 10.0}});
+        kinds.insert(probe->endpoint / 10);
+        d.give(HealthCheckResult{probe->endpoint, Result::kOk, {1.5, 10.0}});
         d.request(1000 + k);  // each sees what the reports so far say
       }
     }
@@ -219,19 +219,19 @@
 
 // Guards against all instances starting with the same server (incidents id9112b, ic9b421, i225916).
 TEST(Ordinary, InstancesThatSeeOneCallEachSpreadOverTheServersByWeight) {
-  std::map<ServerId, int> sent;
+  std::map<EndpointId, int> sent;
   for (std::uint64_t seed = 0; seed < 400; ++seed) {
     Settings s = basic_settings();
     s.seed = seed;
     Driver d(s);
     d.servers(4);
     for (int i = 0; i < 40; ++i) {
-      for (ServerId id = 0; id < 4; ++id) {
-        d.give(ProbeResult{id, Result::kOk, {0.5, id == 3 ? 30.0 : 10.0}});
+      for (EndpointId id = 0; id < 4; ++id) {
+        d.give(HealthCheckResult{id, Result::kOk, {0.5, id == 3 ? 30.0 : 10.0}});
       }
     }
     d.request(1);
-    ++sent[d.sends.at(0).server];
+    ++sent[d.sends.at(0).endpoint];
   }
   EXPECT_NEAR(sent[3], 190, 50);  // near half, by weight
   EXPECT_NEAR(sent[0], 70, 30);
@@ -241,10 +241,10 @@
 TEST(Ordinary, AFewCallsASecondStillTakeTurnsOverServers) {
   Driver d;
   d.servers(12);
-  std::map<ServerId, int> sent;
+  std::map<EndpointId, int> sent;
   for (RequestId id = 0; id < 100; ++id) {
     d.request(id);
-    ++sent[d.sends.back().server];
+    ++sent[d.sends.back().endpoint];
     d.pass(milliseconds(20));
     d.outcome(id, 0, Result::kOk);
     d.pass(milliseconds(500));
@@ -261,7 +261,7 @@
     d.request(id, kRepeatable, 0);
   }
   for (RequestId id = from; id < from + 20; ++id) {
-    d.outcome(id, 0, Result::kFull, true);
+    d.outcome(id, 0, Result::kOverloaded, true);
   }
 }
 
@@ -272,7 +272,7 @@
   d.pass(milliseconds(500));
   std::size_t sent = 0;
   for (RequestId id = 100; id < 140; ++id) {
-    sent += count<Send>(d.request(id));
+    sent += count<StartAttempt>(d.request(id));
   }
   EXPECT_LT(sent, 10u);
 }
@@ -287,7 +287,7 @@
   const auto burst = [&](RequestId from) {
     std::size_t sent = 0;
     for (RequestId id = from; id < from + 40; ++id) {
-      sent += count<Send>(d.request(id));
+      sent += count<StartAttempt>(d.request(id));
     }
     return sent;
   };
@@ -321,7 +321,7 @@
   }
   std::size_t sent = 0;
   for (RequestId id = 100; id < 140; ++id) {
-    sent += count<Send>(d.request(id));
+    sent += count<StartAttempt>(d.request(id));
   }
   EXPECT_EQ(sent, 40u);
 }
@@ -342,7 +342,7 @@
   }
   std::size_t sent = 0;
   for (int i = 0; i < 60; ++i) {
-    sent += count<Send>(d.request(id++));
+    sent += count<StartAttempt>(d.request(id++));
   }
   EXPECT_LT(sent, 30u);
 }
@@ -383,7 +383,7 @@
 
 TEST(Queueing, WorthMoreGoesFirst) {
   Settings s = basic_settings();
-  s.classes[kKeyed].worth = 5;
+  s.classes[kKeyed].priority_weight = 5;
   Driver d(s);
   for (RequestId id = 0; id < 10; ++id) {
     d.request(id, kRepeatable);
@@ -396,7 +396,7 @@
 
 TEST(Queueing, TrafficBeyondATenantsShareGoesLast) {
   Settings s = basic_settings();
-  s.over_share_worth = 0.1;
+  s.over_quota_priority_factor = 0.1;
   s.tenants = {{0.5, 1}, {0.5, 100}};
   Driver d(s);
   for (RequestId id = 0; id < 20; ++id) {
@@ -416,7 +416,7 @@
 // second.
 TEST(Queueing, FewRequestsOfATenantAreWithinItsShareAtOneOfManyInstances) {
   Settings s = basic_settings();
-  s.over_share_worth = 0.1;
+  s.over_quota_priority_factor = 0.1;
   s.replicas = 400;
   s.tenants = {{0.5, 24}, {0.5, 24}};
   Driver d(s);
@@ -437,7 +437,7 @@
   std::size_t to_bad = 0;
   for (RequestId id = 0; id < 200; ++id) {
     d.request(id, kOnce);
-    const ServerId server = d.sends.back().server;
+    const EndpointId server = d.sends.back().endpoint;
     to_bad += server == 0;
     d.pass(milliseconds(server == 0 ? 1 : 20));
     d.outcome(id, 0, server == 0 ? Result::kError : Result::kOk);
@@ -448,10 +448,10 @@
 TEST(Failing, ErrorsOfAllMoveNone) {  // the tier below, or a dependency that all share
   Driver d;
   d.servers(6);
-  std::map<ServerId, int> per;
+  std::map<EndpointId, int> per;
   for (RequestId id = 0; id < 300; ++id) {
     d.request(id, kOnce);
-    ++per[d.sends.back().server];
+    ++per[d.sends.back().endpoint];
     d.pass(milliseconds(10));
     d.outcome(id, 0, id * 7 % 11 < 5 ? Result::kError : Result::kOk);
   }
@@ -470,7 +470,7 @@
   std::size_t to_bad = 0;
   for (RequestId id = 0; id < 600; ++id) {
     d.request(id, kOnce);
-    const bool bad = d.sends.back().server < 5;
+    const bool bad = d.sends.back().endpoint < 5;
     to_bad += id >= 100 && bad;
     d.pass(milliseconds(bad ? 2 : 40));
     d.outcome(id, 0, bad && id % 4 ? Result::kError : Result::kOk);
@@ -486,10 +486,10 @@
   s.tier = 0, s.tier_count = 2;
   Driver d(s);
   d.servers(4);
-  std::map<ServerId, int> per;
+  std::map<EndpointId, int> per;
   for (RequestId id = 0; id < 400; ++id) {
     d.request(id, kOnce);
-    ++per[d.sends.back().server];
+    ++per[d.sends.back().endpoint];
     d.pass(milliseconds(20));
     d.outcome(id, 0, id % 9 == 4 ? Result::kError : Result::kOk);
   }
@@ -507,10 +507,10 @@
   for (RequestId id = 0; id < 400; ++id) {
     const ClassId c = id % 2 == 0 ? kRepeatable : kOnce;
     d.request(id, c);
-    const Send send = d.sends.back();
-    const bool fails = c == kOnce && send.server < 3 && id > 100;
+    const StartAttempt send = d.sends.back();
+    const bool fails = c == kOnce && send.endpoint < 3 && id > 100;
     if (id > 200) {
-      (c == kOnce ? failing : others) += send.server < 3;
+      (c == kOnce ? failing : others) += send.endpoint < 3;
     }
     d.pass(milliseconds(10));
     d.outcome(id, 0, fails ? Result::kError : Result::kOk);
@@ -539,7 +539,7 @@
   std::size_t to_frozen = 0;
   for (int i = 0; i < 100; ++i) {
     d.request(id);
-    const ServerId server = d.sends.back().server;
+    const EndpointId server = d.sends.back().endpoint;
     d.pass(milliseconds(20));
     if (server == 0) {
       ++to_frozen;
@@ -554,10 +554,10 @@
 TEST(Lagging, OneSlowerThanItsReportExplainsGetsLess) {
   Driver d;
   d.servers(4);
-  std::map<ServerId, int> per;
+  std::map<EndpointId, int> per;
   for (RequestId id = 0; id < 200; ++id) {
     d.request(id);
-    const ServerId server = d.sends.back().server;
+    const EndpointId server = d.sends.back().endpoint;
     ++per[server];
     d.pass(milliseconds(server == 0 ? 200 : 20));
     d.outcome(id, 0, Result::kOk);
@@ -568,10 +568,10 @@
 TEST(Lagging, ASlownessOfAllCostsNoneItsShare) {
   Driver d;
   d.servers(4);
-  std::map<ServerId, int> per;
+  std::map<EndpointId, int> per;
   for (RequestId id = 0; id < 200; ++id) {
     d.request(id);
-    ++per[d.sends.back().server];
+    ++per[d.sends.back().endpoint];
     d.pass(milliseconds(id < 50 ? 20 : 120));
     d.outcome(id, 0, Result::kOk);
   }
@@ -584,12 +584,12 @@
 
 TEST(Asking, SubscribesAtStartAtAMomentOfItsOwn) {
   Settings s = basic_settings();
-  s.must_ask_discovery = true;
+  s.discovery_polling_required = true;
   std::set<Time> moments;
   for (s.seed = 0; s.seed < 8; ++s.seed) {
     Driver d(s);
     const auto& timer = std::get<SetTimer>(d.all.at(0));
-    EXPECT_LE(timer.at - d.now, s.ask_within / 2);
+    EXPECT_LE(timer.at - d.now, s.discovery_poll_interval / 2);
     moments.insert(timer.at);
   }
   EXPECT_EQ(moments.size(), 8u);
@@ -597,40 +597,40 @@
 
 TEST(Asking, AFailureIsAskedAgainLater) {
   Settings s = basic_settings();
-  s.must_ask_discovery = true;
+  s.discovery_polling_required = true;
   Driver d(s);
-  d.pass(s.ask_within / 2);
-  EXPECT_EQ(count<Watch>(d.all), 1u);
-  EXPECT_EQ(count<Watch>(d.give(Discovery{ListKind::kFailed, {}})), 0u);
-  d.pass(s.ask_within);
-  EXPECT_EQ(count<Watch>(d.all), 2u);
+  d.pass(s.discovery_poll_interval / 2);
+  EXPECT_EQ(count<WatchEndpoints>(d.all), 1u);
+  EXPECT_EQ(count<WatchEndpoints>(d.give(EndpointUpdate{UpdateKind::kFailed, {}})), 0u);
+  d.pass(s.discovery_poll_interval);
+  EXPECT_EQ(count<WatchEndpoints>(d.all), 2u);
 }
 
 TEST(Asking, NobodyAsksWhereChangesArePushed) {
   Driver d;
   d.pass(milliseconds(20000));
-  EXPECT_EQ(count<Watch>(d.all), 0u);
+  EXPECT_EQ(count<WatchEndpoints>(d.all), 0u);
 }
 
 TEST(Probing, OnlyWhereReportsNeedItAndItIsAllowed) {
   for (const bool need : {false, true}) {
     for (const bool may : {false, true}) {
       Settings s = basic_settings();
-      s.reports_need_probes = need, s.may_probe = may;
+      s.load_reports_require_health_checks = need, s.health_checks_allowed = may;
       Driver d(s);
       d.servers(3);
       for (RequestId id = 0; id < 20; ++id) {
         d.request(id);
         d.pass(milliseconds(500));
       }
-      EXPECT_EQ(count<Probe>(d.all) > 0, need && may);
+      EXPECT_EQ(count<HealthCheck>(d.all) > 0, need && may);
     }
   }
 }
 
 TEST(Settings, NonsenseIsRefusedByName) {
   Settings s = basic_settings();
-  s.cold_from = 0;
+  s.slow_start_initial_weight = 0;
   std::vector<Action> out;
   try {
     Balancer b(Time{0}, s, out);
@@ -650,10 +650,10 @@
     d.request(id);
   }
   d.pass(milliseconds(4000));  // no server ever comes
-  ASSERT_EQ(count<Refuse>(d.all), 40u);
+  ASSERT_EQ(count<Reject>(d.all), 40u);
   Duration least = Duration::max(), most{0};
   for (const auto& a : d.all) {
-    if (const auto* refuse = std::get_if<Refuse>(&a)) {
+    if (const auto* refuse = std::get_if<Reject>(&a)) {
       least = std::min(least, refuse->retry_after);
       most = std::max(most, refuse->retry_after);
     }
@@ -664,13 +664,13 @@
 }
 
 // How many of `n` calls, one each 10 ms and each answered at once, a server gets.
-inline std::size_t share_of(Driver& d, ServerId server, RequestId from, int n) {
+inline std::size_t share_of(Driver& d, EndpointId server, RequestId from, int n) {
   std::size_t got = 0;
   for (int i = 0; i < n; ++i) {
     const std::size_t before = d.sends.size();
     d.request(from + i);
     for (std::size_t k = before; k < d.sends.size(); ++k) {
-      got += d.sends[k].server == server;
+      got += d.sends[k].endpoint == server;
     }
     d.pass(milliseconds(10));
     d.outcome(from + i, 0, Result::kOk);
@@ -680,11 +680,11 @@
 
 TEST(Barred, GetsNothingWhateverTheListSays) {
   Driver d;
-  d.give(Barred{1, true});  // before any list
+  d.give(EndpointExclusion{1, true});  // before any list
   d.servers(3);
   EXPECT_EQ(share_of(d, 1, 100, 60), 0u);
-  d.change({1, ServerState::kRemoved, 0, 0, {}});
-  d.change({1, ServerState::kUp, 0, 0, d.now});
+  d.change({1, EndpointStatus::kRemoved, 0, 0, {}});
+  d.change({1, EndpointStatus::kUp, 0, 0, d.now});
   d.servers(3);
   EXPECT_EQ(share_of(d, 1, 200, 60), 0u);
 }
@@ -696,13 +696,13 @@
     Driver d;
     d.servers(3);
     share_of(d, 1, 100, 300);
-    d.give(Barred{1, true});
+    d.give(EndpointExclusion{1, true});
     const Time restarted = d.now + milliseconds(100);
     share_of(d, 1, 1000, 900);  // 9 s, most of the cold span
     if (told) {
-      d.change({1, ServerState::kUp, 0, 0, restarted});
+      d.change({1, EndpointStatus::kUp, 0, 0, restarted});
     }
-    d.give(Barred{1, false});
+    d.give(EndpointExclusion{1, false});
     const std::size_t got = share_of(d, 1, 5000, 200);
     EXPECT_GE(got, 2u);
     EXPECT_EQ(got > 40, told);
@@ -714,14 +714,14 @@
   s.max_retry_after = milliseconds(1500);
   Driver d(s);
   d.servers(2);
-  d.give(Barred{0, true});
-  d.give(Barred{1, true});
+  d.give(EndpointExclusion{0, true});
+  d.give(EndpointExclusion{1, true});
   const auto actions = d.request(1);
-  ASSERT_EQ(count<Refuse>(actions), 1u);
-  EXPECT_GT(std::get<Refuse>(actions[0]).retry_after, Duration{0});
-  d.give(Barred{0, false});
+  ASSERT_EQ(count<Reject>(actions), 1u);
+  EXPECT_GT(std::get<Reject>(actions[0]).retry_after, Duration{0});
+  d.give(EndpointExclusion{0, false});
   d.pass(milliseconds(1500));
-  EXPECT_EQ(count<Send>(d.request(2)), 1u);
+  EXPECT_EQ(count<StartAttempt>(d.request(2)), 1u);
 }
 
 // ---- The list changes under calls
@@ -729,15 +729,15 @@
 // What calls to a former life come to says nothing of a server that has started anew.
 TEST(Lists, OutcomesOfAFormerLifeAreNotTheNewOnes) {
   Settings settings = basic_settings();
-  settings.cold_span = Duration{0};
+  settings.slow_start_window = Duration{0};
   Driver d(settings);
   d.servers(4);
   for (RequestId id = 0; id < 40; ++id) {
     d.request(id, kOnce);
   }
-  d.change({0, ServerState::kUp, 0, 0, d.now});
-  for (const Send& s : std::vector<Send>(d.sends)) {
-    d.outcome(s.id, 0, s.server == 0 ? Result::kReset : Result::kOk);
+  d.change({0, EndpointStatus::kUp, 0, 0, d.now});
+  for (const StartAttempt& s : std::vector<StartAttempt>(d.sends)) {
+    d.outcome(s.id, 0, s.endpoint == 0 ? Result::kReset : Result::kOk);
   }
   EXPECT_GT(share_of(d, 0, 100, 100), 12u);  // an even share is 25
 }
@@ -746,15 +746,15 @@
 // are summed.
 TEST(Lists, AFleetThatComesAsChangesIsUsedAtOnce) {
   Driver d;
-  Discovery changes{ListKind::kChanges, {}};
-  for (ServerId i = 0; i < 100; ++i) {
-    changes.entries.push_back({i, ServerState::kUp, 0, 0, {}});
+  EndpointUpdate changes{UpdateKind::kDelta, {}};
+  for (EndpointId i = 0; i < 100; ++i) {
+    changes.endpoints.push_back({i, EndpointStatus::kUp, 0, 0, {}});
   }
   d.give(changes);
-  std::set<ServerId> met;
+  std::set<EndpointId> met;
   for (RequestId id = 0; id < 8; ++id) {
     d.request(id);
-    met.insert(d.sends.back().server);
+    met.insert(d.sends.back().endpoint);
   }
   EXPECT_GT(met.size(), 4u);
 }
@@ -765,9 +765,9 @@
 // are warm.
 TEST(Limit, KeepsRoomForCallsOverAColdFleet) {
   Driver d;
-  Discovery list{ListKind::kFull, {}};
-  for (ServerId i = 0; i < 4; ++i) {
-    list.entries.push_back({i, ServerState::kUp, 0, 0, d.now});
+  EndpointUpdate list{UpdateKind::kSnapshot, {}};
+  for (EndpointId i = 0; i < 4; ++i) {
+    list.endpoints.push_back({i, EndpointStatus::kUp, 0, 0, d.now});
   }
   d.give(list);
   for (RequestId id = 0; id < 400; ++id) {
@@ -780,7 +780,7 @@
   }
   std::size_t sent = 0;
   for (RequestId id = 1000; id < 1010; ++id) {
-    sent += count<Send>(d.request(id));
+    sent += count<StartAttempt>(d.request(id));
   }
   EXPECT_GE(sent, 5u);  // of ten: four widths a server are kept
 }
@@ -791,7 +791,7 @@
 TEST(Limit, GivesUpCallsThatNobodyAnswers) {
   Settings s = basic_settings();
   for (ClassSettings& c : s.classes) {
-    c.deadline = std::chrono::seconds(40), c.aim = std::chrono::seconds(4);
+    c.deadline = std::chrono::seconds(40), c.latency_objective = std::chrono::seconds(4);
   }
   Driver d(s);
   d.servers(4);
@@ -842,16 +842,16 @@
         LoadReport{-1.0, 10.0}, LoadReport{0.5, 1e300}}) {
     Driver d;
     d.servers(4);
-    for (ServerId id = 0; id < 4; ++id) {
-      d.give(ProbeResult{id, Result::kOk, {0.5, 10.0}});
+    for (EndpointId id = 0; id < 4; ++id) {
+      d.give(HealthCheckResult{id, Result::kOk, {0.5, 10.0}});
     }
-    d.give(ProbeResult{0, Result::kOk, absurd});
-    std::map<ServerId, int> per;
+    d.give(HealthCheckResult{0, Result::kOk, absurd});
+    std::map<EndpointId, int> per;
     for (RequestId id = 0; id < 100; ++id) {
       d.request(id);
-      ++per[d.sends.back().server];
+      ++per[d.sends.back().endpoint];
     }
-    for (ServerId id = 0; id < 4; ++id) {
+    for (EndpointId id = 0; id < 4; ++id) {
       EXPECT_GT(per[id], 10) << id;
     }
   }
@@ -860,7 +860,7 @@
 // A fleet of cold servers alone is not left without any calls.
 TEST(Barred, AColdServerAloneGetsATrickle) {
   Driver d;
-  d.change({0, ServerState::kUp, 0, 0, d.now});
+  d.change({0, EndpointStatus::kUp, 0, 0, d.now});
   std::size_t sent = 0;
   for (RequestId id = 1; id <= 10; ++id, d.pass(milliseconds(500))) {
     d.request(id);
@@ -876,7 +876,7 @@
 
 Settings priced_zones() {
   Settings s = basic_settings();
-  s.cross_zone_price = 0.05;
+  s.cross_zone_cost = 0.05;
   return s;
 }
 
@@ -884,22 +884,22 @@
 // reports `used`.
 double crossing_share(double used) {
   Driver d(priced_zones());
-  Discovery list{ListKind::kFull, {}};
-  for (ServerId id = 0; id < 8; ++id) {
-    list.entries.push_back({id, ServerState::kUp, id % 2, id % 2, {}});
+  EndpointUpdate list{UpdateKind::kSnapshot, {}};
+  for (EndpointId id = 0; id < 8; ++id) {
+    list.endpoints.push_back({id, EndpointStatus::kUp, id % 2, id % 2, {}});
   }
   d.give(list);
   std::size_t done = 0, crossed = 0;
   for (RequestId id = 1; id <= 600; ++id, d.pass(milliseconds(20))) {
     d.request(id);
     for (; d.sends.size() > done + 10; ++done) {
-      const Send& s = d.sends[done];
-      const double busy = s.server % 2 == 0 ? used : 0.1;
+      const StartAttempt& s = d.sends[done];
+      const double busy = s.endpoint % 2 == 0 ? used : 0.1;
       d.give(Outcome{s.id, 0, Result::kOk, true, {busy, 10 * busy}});
     }
   }
-  for (const Send& s : d.sends) {
-    crossed += s.id > 200 && s.server % 2 == 1;
+  for (const StartAttempt& s : d.sends) {
+    crossed += s.id > 200 && s.endpoint % 2 == 1;
   }
   return static_cast<double>(crossed) / 400;
 }
@@ -921,8 +921,8 @@
 // Where nothing is reported, C that binds tells that home is full.
 TEST(Zones, CallsSpreadWhereCBindsWithoutReports) {
   Driver d(priced_zones());
-  d.change({0, ServerState::kUp, 0, 0, {}});
-  d.change({1, ServerState::kUp, 1, 1, {}});
+  d.change({0, EndpointStatus::kUp, 0, 0, {}});
+  d.change({1, EndpointStatus::kUp, 1, 1, {}});
   RequestId id = 0;
   for (int round = 0; round < 30; ++round) {  // each home call is late: C comes down to its floor
     const RequestId late = ++id;
@@ -935,15 +935,15 @@
     continue;
   }
   EXPECT_GT(d.sends.size() - before, 3u);
-  EXPECT_TRUE(std::any_of(d.sends.begin(), d.sends.end(), [](auto& s) { return s.server == 1; }));
+  EXPECT_TRUE(std::any_of(d.sends.begin(), d.sends.end(), [](auto& s) { return s.endpoint == 1; }));
 }
 
 // A home without servers that may be sent to is no reason to wait.
 TEST(Zones, CallsCrossAtOnceWhereHomeHasNone) {
   Driver d(priced_zones());
-  d.change({0, ServerState::kDraining, 0, 0, {}});
-  d.change({1, ServerState::kUp, 1, 1, {}});
-  EXPECT_EQ(count<Send>(d.request(1)), 1u);
+  d.change({0, EndpointStatus::kDraining, 0, 0, {}});
+  d.change({1, EndpointStatus::kUp, 1, 1, {}});
+  EXPECT_EQ(count<StartAttempt>(d.request(1)), 1u);
 }
 
 }  // namespace
--- a/tests/command_test.cpp
+++ b/tests/command_test.cpp
@@ -166,7 +166,7 @@
     std::string what;
     try {
       config::read_operator(config::parse_toml(c.text, "op"), "op");
-    } catch (const config::TomlFault& fault) {
+    } catch (const config::TomlError& fault) {
       what = fault.what();
     }
     if (!what.starts_with(c.said)) {
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -15,7 +15,7 @@
   std::string encode(const std::string& host, Duration) const override {
     return http::write_request("GET", "/ver", host, "", "");
   }
-  std::string_view id() const override { return "a1"; }
+  std::string_view trace_id() const override { return "a1"; }
 };
 
 // Others have their turn, as often as the longest chain of notices here needs.
@@ -32,19 +32,19 @@
   OnePeer() {
     settings.classes.resize(1);
     settings.classes[0].deadline = 3s;
-    assert(peer.post(proxy::PeerStatus{ServerState::kUp, address, {}}));
+    assert(peer.post(proxy::BackendStatus{EndpointStatus::kUp, address, {}}));
   }
   const Door backend;
   const sockaddr_in address = *net::parse_address(backend.address());
   Settings settings;
   runtime::Scheduler scheduler;
-  proxy::DecisionBox decisions{8};
+  proxy::DecisionMailbox decisions{8};
   proxy::BodyBudget bodies{1024};
   proxy::Telemetry telemetry{1};
-  proxy::PeerPool pool{8, bodies, telemetry, settings};
-  proxy::PeerActor peer{scheduler, decisions, pool, settings, 0, address};
+  proxy::BackendPool pool{8, bodies, telemetry, settings};
+  proxy::BackendActor peer{scheduler, decisions, pool, settings, 0, address};
 
-  proxy::Attempt attempt(std::shared_ptr<const proxy::ClientRequest> request) const {
+  proxy::AttemptRequest attempt(std::shared_ptr<const proxy::ClientRequest> request) const {
     const Time now = proxy::now();
     return {1, 0, now + 3s, now + 3s, {}, std::make_shared<Words>(), std::move(request)};
   }
@@ -68,7 +68,7 @@
     scheduler.run();
     assert(!decisions.empty());
     const proxy::DecisionMessage message = decisions.take();
-    return std::get<proxy::AttemptDone>(message).result;
+    return std::get<proxy::AttemptCompleted>(message).result;
   }
 };
 
@@ -81,7 +81,7 @@
     one.settings.drain_grace = 2s;
     assert(one.peer.post(one.attempt(nullptr)));
     const auto drain = [&] {
-      assert(one.peer.post(proxy::PeerStatus{ServerState::kDraining, one.address, {}}));
+      assert(one.peer.post(proxy::BackendStatus{EndpointStatus::kDraining, one.address, {}}));
     };
     if (!connecting) {
       drain();
@@ -106,11 +106,11 @@
     assert(one.peer.post(one.attempt(request)));
     const auto leave = [&] {
       if (answered) {
-        request->answer = proxy::Failed{};
+        request->response = proxy::Failure{};
       }
       request->abandoned = !answered;
     };
-    assert(one.outcome(leave) == Result::kMoot);
+    assert(one.outcome(leave) == Result::kSkipped);
     Wire server = one.backend.accept();
     assert(!server.readable(50ms));  // it stands, and waits for work
   }
@@ -120,8 +120,8 @@
 // nothing has run.
 void sends_no_repeat_past_its_window() {
   OnePeer one;
-  proxy::Attempt late = one.attempt(nullptr);
-  late.leave_by = proxy::now() + 20ms;
+  proxy::AttemptRequest late = one.attempt(nullptr);
+  late.write_deadline = proxy::now() + 20ms;
   assert(one.peer.post(std::move(late)));
   assert(one.outcome([] { ::usleep(30'000); }) == Result::kConnectFailed);
   Wire server = one.backend.accept();
@@ -129,15 +129,15 @@
 }
 
 // What the decision actor tells a backend's actor, kept.
-class KeptPeer : public proxy::Peer {
+class KeptPeer : public proxy::Backend {
  public:
-  explicit KeptPeer(std::vector<proxy::PeerMessage>& kept) : kept_(kept) {}
-  bool post(proxy::PeerMessage&& message) override {
+  explicit KeptPeer(std::vector<proxy::BackendMessage>& kept) : kept_(kept) {}
+  bool post(proxy::BackendMessage&& message) override {
     return kept_.push_back(std::move(message)), true;
   }
 
  private:
-  std::vector<proxy::PeerMessage>& kept_;
+  std::vector<proxy::BackendMessage>& kept_;
 };
 
 struct Decisions {
@@ -146,7 +146,7 @@
     const std::string tries = R"("most-tries":1)";
     text.replace(text.find(tries), tries.size(), R"("most-tries":)" + std::to_string(most_tries));
     config = config::read_config(config::parse(text.data(), text.data() + text.size(), "config"));
-    const auto make = [this](proxy::DecisionBox&, ServerId server, const sockaddr_in&) {
+    const auto make = [this](proxy::DecisionMailbox&, EndpointId server, const sockaddr_in&) {
       assert(server < kept.size());
       return std::make_unique<KeptPeer>(kept[server]);
     };
@@ -161,23 +161,23 @@
   static std::shared_ptr<proxy::ClientRequest> request(ClassId class_id, Duration time) {
     auto r = std::make_shared<proxy::ClientRequest>();
     r->class_id = class_id;
-    r->arrived = proxy::now();
-    r->wait = time;
-    r->deadline = r->arrived + time;
+    r->arrived_at = proxy::now();
+    r->client_timeout = time;
+    r->deadline = r->arrived_at + time;
     r->payload = std::make_shared<Words>();
     return r;
   }
-  static config::ServerList list(const std::string& hosts) {
+  static config::EndpointList list(const std::string& hosts) {
     const std::string text = R"({"seq":2,"whole":true,"hosts":)" + hosts + "}";
-    return config::read_server_list(config::parse(text.data(), text.data() + text.size(), "list"));
+    return config::read_endpoint_list(config::parse(text.data(), text.data() + text.size(), "list"));
   }
-  std::vector<proxy::Attempt> attempts(ServerId server) const {
-    std::vector<proxy::Attempt> all;
+  std::vector<proxy::AttemptRequest> attempts(EndpointId server) const {
+    std::vector<proxy::AttemptRequest> all;
     if (server >= kept.size()) {
       return all;
     }
     for (const auto& message : kept[server]) {
-      if (const auto* attempt = std::get_if<proxy::Attempt>(&message)) {
+      if (const auto* attempt = std::get_if<proxy::AttemptRequest>(&message)) {
         all.push_back(*attempt);
       }
     }
@@ -198,9 +198,9 @@
 
   runtime::Scheduler scheduler;
   config::Config config;
-  proxy::WatchBox watch{4};
-  std::vector<std::vector<proxy::PeerMessage>> kept =
-      std::vector<std::vector<proxy::PeerMessage>>(4);  // by server
+  proxy::EndpointWatchMailbox watch{4};
+  std::vector<std::vector<proxy::BackendMessage>> kept =
+      std::vector<std::vector<proxy::BackendMessage>>(4);  // by server
   std::optional<proxy::DecisionActor> actor;
 };
 
@@ -209,12 +209,12 @@
 void hears_discovery_before_it_decides() {
   Decisions d("[" + host_json("s-1", "127.0.0.1:9") + "]");
   const auto request = Decisions::request(0, 3s);
-  d.post(proxy::Arrived{request});
+  d.post(proxy::RequestReceived{request});
   d.run([&] {
     assert(!d.actor->ready() && d.attempts(0).empty());
     d.post(Decisions::list("[" + host_json("s-1", "127.0.0.1:9", "terminating") + "," +
                            host_json("s-2", "127.0.0.1:8") + "]"));
-    d.post(proxy::CaughtUp{});
+    d.post(proxy::ResyncComplete{});
   });
   assert(d.actor->ready() && d.attempts(0).empty() && d.attempts(1).size() == 1);
 }
@@ -226,10 +226,10 @@
   const auto gone = Decisions::request(0, 3s), stays = Decisions::request(0, 3s);
   gone->abandoned =
       true;  // set by its connection; the word of it may come much later, or not find room
-  d.post(proxy::Arrived{gone});
-  d.post(proxy::Arrived{stays});
+  d.post(proxy::RequestReceived{gone});
+  d.post(proxy::RequestReceived{stays});
   const auto held = Decisions::request(0, 3s);
-  d.post(proxy::Arrived{held});
+  d.post(proxy::RequestReceived{held});
   d.run([&] {
     held->abandoned = true;
     d.post(Decisions::list("[" + host_json("s-1", "127.0.0.1:9") + "]"));
@@ -244,14 +244,14 @@
   const auto request = Decisions::request(1, 2s);
   const Time before = proxy::now();
   d.post(Decisions::list("[" + host_json("s-1", "127.0.0.1:9") + "]"));
-  d.post(proxy::Arrived{request});
+  d.post(proxy::RequestReceived{request});
   d.run([&] {
-    assert(d.attempts(0).size() == 1 && d.attempts(0)[0].leave_by == Time::max());
-    d.post(proxy::AttemptDone{d.attempts(0)[0].operation, 0, Result::kReset, {}, {}});
+    assert(d.attempts(0).size() == 1 && d.attempts(0)[0].write_deadline == Time::max());
+    d.post(proxy::AttemptCompleted{d.attempts(0)[0].request_id, 0, Result::kReset, {}, {}});
   });
   const auto attempts = d.attempts(0);
   assert(attempts.size() == 2);
-  assert(attempts[1].leave_by >= before + 3s && attempts[1].leave_by <= proxy::now() + 3s);
+  assert(attempts[1].write_deadline >= before + 3s && attempts[1].write_deadline <= proxy::now() + 3s);
 }
 
 // ---- On sockets
--- a/tests/driver.h
+++ b/tests/driver.h
@@ -18,24 +18,24 @@
   Settings s;
   s.seed = 7;
   ClassSettings repeatable, keyed, once;
-  repeatable.effect = Effect::kRepeatable;
-  keyed.effect = Effect::kKeyed;
-  keyed.group = Group::kCell;
-  keyed.memory_span = milliseconds(3000);
-  once.effect = Effect::kOnce;
+  repeatable.idempotency = Idempotency::kIdempotent;
+  keyed.idempotency = Idempotency::kIdempotencyKey;
+  keyed.deduplication_scope = DeduplicationScope::kCell;
+  keyed.deduplication_window = milliseconds(3000);
+  once.idempotency = Idempotency::kNonIdempotent;
   for (auto* c : {&repeatable, &keyed, &once}) {
-    c->aim = milliseconds(1000);
+    c->latency_objective = milliseconds(1000);
     c->deadline = milliseconds(4000);
     s.classes.push_back(*c);
   }
-  s.cold_span = milliseconds(10000);
-  s.cold_from = 0.2;
-  s.fall_multiple = 3;
-  s.tip_after = milliseconds(1000);
-  s.may_cancel = true;
-  s.parallel_tries = true;
-  s.most_tries = 3;
-  s.ask_within = milliseconds(10000);
+  s.slow_start_window = milliseconds(10000);
+  s.slow_start_initial_weight = 0.2;
+  s.overload_collapse_ratio = 3;
+  s.overload_collapse_delay = milliseconds(1000);
+  s.cancellation_allowed = true;
+  s.hedging_allowed = true;
+  s.max_attempts = 3;
+  s.discovery_poll_interval = milliseconds(10000);
   return s;
 }
 inline constexpr ClassId kRepeatable = 0, kKeyed = 1, kOnce = 2;
@@ -60,13 +60,13 @@
 
   void note(const std::vector<Action>& out) {
     for (const auto& a : out) {
-      if (const auto* send = std::get_if<Send>(&a)) {
+      if (const auto* send = std::get_if<StartAttempt>(&a)) {
         sends.push_back(*send);
       }
       if (const auto* timer = std::get_if<SetTimer>(&a)) {
         timers_.emplace(timer->at, timer->token);
       }
-      if (const auto* refuse = std::get_if<Refuse>(&a)) {
+      if (const auto* refuse = std::get_if<Reject>(&a)) {
         answers.insert(refuse->id);
       }
       if (const auto* fail = std::get_if<Fail>(&a)) {
@@ -75,23 +75,23 @@
     }
   }
 
-  void servers(std::uint32_t n, ListKind kind = ListKind::kFull) {
-    Discovery d{kind, {}};
-    for (ServerId i = 0; i < n; ++i) {
-      d.entries.push_back({i, ServerState::kUp, 0, i / 2, {}});
+  void servers(std::uint32_t n, UpdateKind kind = UpdateKind::kSnapshot) {
+    EndpointUpdate d{kind, {}};
+    for (EndpointId i = 0; i < n; ++i) {
+      d.endpoints.push_back({i, EndpointStatus::kUp, 0, i / 2, {}});
     }
     give(d);
   }
   template <typename KindOf>
   void servers_of_kinds(std::uint32_t n, KindOf kind_of) {
-    Discovery d{ListKind::kFull, {}};
-    for (ServerId i = 0; i < n; ++i) {
+    EndpointUpdate d{UpdateKind::kSnapshot, {}};
+    for (EndpointId i = 0; i < n; ++i) {
       const auto kind = static_cast<std::uint32_t>(kind_of(i));
-      d.entries.push_back({i, ServerState::kUp, 0, 0, {}, kind});
+      d.endpoints.push_back({i, EndpointStatus::kUp, 0, 0, {}, kind});
     }
     give(d);
   }
-  void change(ServerEntry entry) { give(Discovery{ListKind::kChanges, {entry}}); }
+  void change(Endpoint entry) { give(EndpointUpdate{UpdateKind::kDelta, {entry}}); }
 
   std::vector<Action> request(RequestId id, ClassId class_id = kRepeatable,
                               TenantId tenant = kNoTenant) {
@@ -117,7 +117,7 @@
   std::function<void(const std::vector<Action>&)> seen;  // after each event
   Time now{1'000'000};
   std::vector<Action> all;
-  std::vector<Send> sends;
+  std::vector<StartAttempt> sends;
   std::multiset<RequestId> answers;  // refused or failed
 
  private:
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -150,7 +150,7 @@
   std::optional<World> world;
   expect_only(rules_after(world, shipped("calm"),
                           [](const Event& e, std::vector<Action>& actions) {
-                            if (const auto* o = std::get_if<Outcome>(&e); o && o->final) {
+                            if (const auto* o = std::get_if<Outcome>(&e); o && o->is_final) {
                               actions.push_back(Fail{o->id});
                             }
                           }),
@@ -160,16 +160,16 @@
 TEST(RuleChecker, CatchesAnEffectSentAgain) {
   std::optional<World> world;
   Scenario s = shipped("fast-errors");
-  s.classes[1].settings.effect = Effect::kOnce;
+  s.classes[1].settings.idempotency = Idempotency::kNonIdempotent;
   expect_only(rules_after(world, s,
                           [](const Event& e, std::vector<Action>& actions) {
                             const auto* o = std::get_if<Outcome>(&e);
-                            if (!o || o->result != Result::kError || o->final) {
+                            if (!o || o->result != Result::kError || o->is_final) {
                               return;
                             }
                             for (Action& a : actions) {
                               if (const auto* f = std::get_if<Fail>(&a); f && f->id == o->id) {
-                                a = Send{o->id, 0};
+                                a = StartAttempt{o->id, 0};
                               }
                             }
                           }),
@@ -179,12 +179,12 @@
 TEST(RuleChecker, CatchesARefusalOfWhatMayHaveRun) {
   std::optional<World> world;
   Scenario s = shipped("fast-errors");
-  s.classes[1].settings.effect = Effect::kOnce;
+  s.classes[1].settings.idempotency = Idempotency::kNonIdempotent;
   expect_only(rules_after(world, s,
                           [](const Event&, std::vector<Action>& actions) {
                             for (Action& a : actions) {
                               if (const auto* f = std::get_if<Fail>(&a)) {
-                                a = Refuse{f->id, Duration{0}};
+                                a = Reject{f->id, Duration{0}};
                               }
                             }
                           }),
@@ -194,19 +194,19 @@
 TEST(RuleChecker, CatchesADrainForgotten) {
   std::optional<World> world;
   const Scenario s = shipped("stale-churn");
-  std::set<ServerId> draining;
+  std::set<EndpointId> draining;
   expect_only(rules_after(world, s,
                           [&draining](const Event& e, std::vector<Action>& actions) {
-                            if (const auto* d = std::get_if<Discovery>(&e)) {
-                              for (const ServerEntry& entry : d->entries) {
-                                if (entry.state == ServerState::kDraining) {
-                                  draining.insert(entry.server);
+                            if (const auto* d = std::get_if<EndpointUpdate>(&e)) {
+                              for (const Endpoint& entry : d->endpoints) {
+                                if (entry.status == EndpointStatus::kDraining) {
+                                  draining.insert(entry.id);
                                 }
                               }
                             }
                             for (Action& a : actions) {
-                              if (auto* send = std::get_if<Send>(&a); send && !draining.empty()) {
-                                send->server = *draining.begin();
+                              if (auto* send = std::get_if<StartAttempt>(&a); send && !draining.empty()) {
+                                send->endpoint = *draining.begin();
                               }
                             }
                           }),
@@ -216,19 +216,19 @@
 TEST(RuleChecker, CatchesAColdNodePushedOver) {
   std::optional<World> world;
   Scenario s = shipped("vanish");
-  std::optional<ServerId> cold;
+  std::optional<EndpointId> cold;
   expect_only(rules_after(world, s,
                           [&cold](const Event& e, std::vector<Action>& actions) {
-                            if (const auto* d = std::get_if<Discovery>(&e)) {
-                              for (const ServerEntry& entry : d->entries) {
-                                if (entry.born) {
-                                  cold = entry.server;
+                            if (const auto* d = std::get_if<EndpointUpdate>(&e)) {
+                              for (const Endpoint& entry : d->endpoints) {
+                                if (entry.started_at) {
+                                  cold = entry.id;
                                 }
                               }
                             }
                             for (Action& a : actions) {
-                              if (auto* send = std::get_if<Send>(&a); send && cold) {
-                                send->server = *cold;
+                              if (auto* send = std::get_if<StartAttempt>(&a); send && cold) {
+                                send->endpoint = *cold;
                               }
                             }
                           }),
@@ -314,10 +314,10 @@
   Node node(t, 1, 0, std::nullopt, Time{0});
   std::vector<Start> starts;
   ASSERT_TRUE(node.take(Time{0}, 1, 100.0, starts));  // busy for long
-  EXPECT_FALSE(node.report(Time{0}, Duration{0}).utilisation);
-  EXPECT_EQ(node.report(Time{5'000'000}, Duration{0}).utilisation, 1.0);
+  EXPECT_FALSE(node.report(Time{0}, Duration{0}).utilization);
+  EXPECT_EQ(node.report(Time{5'000'000}, Duration{0}).utilization, 1.0);
   EXPECT_FALSE(
-      node.report(Time{5'000'000}, Duration{60'000'000}).utilisation);  // later than all it has
+      node.report(Time{5'000'000}, Duration{60'000'000}).utilization);  // later than all it has
   for (JobId id = 2; id < 6; ++id) {
     node.take(Time{5'000'000}, id, 0.1, starts);
   }
@@ -365,12 +365,12 @@
     try {
       scenario_of(whole + b.change);
       ADD_FAILURE() << b.change;
-    } catch (const config::TomlFault& fault) {
+    } catch (const config::TomlError& fault) {
       EXPECT_NE(std::string(fault.what()).find(b.said), std::string::npos)
           << b.change << ": " << fault.what();
     }
   }
-  EXPECT_THROW(scenario_of(""), config::TomlFault);
+  EXPECT_THROW(scenario_of(""), config::TomlError);
 }
 
 // Two data centres with four fifths of the traffic in one: calls stay while it has room, and help
@@ -446,7 +446,7 @@
     try {
       scenario_of(text);
       ++read;
-    } catch (const config::TomlFault& fault) {
+    } catch (const config::TomlError& fault) {
       EXPECT_STRNE(fault.what(), "");
       ++refused;
     }
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -234,22 +234,22 @@
   const Scenario s = day("");
   const auto broken = [&s](const auto& story, emulator::Rule rule) {
     Time now{0};
-    lab::Books books(s, 2, [&now] { return now; });
+    lab::ObservationLog books(s, 2, [&now] { return now; });
     const auto at = [&now](int ms) { now = std::chrono::milliseconds(ms); };
-    std::vector<ServerEntry> list(2);
-    list[1].server = 1;
+    std::vector<Endpoint> list(2);
+    list[1].id = 1;
     books.told(0, list, true);
     story(books, list, at);
     return books.rules().count(rule);
   };
-  const auto drain = [](lab::Books& books, std::vector<ServerEntry> list, const auto& at,
+  const auto drain = [](lab::ObservationLog& books, std::vector<Endpoint> list, const auto& at,
                         int sent) {
     list.pop_back();
     books.told(0, list, true);  // the second is gone
     at(sent);
     books.asked(1, 0, 0, Time(std::chrono::milliseconds(sent + 1500)));
-    ServerEntry to;
-    to.server = 1;
+    Endpoint to;
+    to.id = 1;
     books.arrived(1, to);
   };
   using emulator::Rule;
@@ -257,14 +257,14 @@
                 Rule::kDrains) == 1);
   assert(broken([&](auto& b, const auto& l, const auto& at) { drain(b, l, at, 2400); },
                 Rule::kDrains) == 0);  // the slack
-  const auto twice = [](lab::Books& books, const auto& list, ClassId c) {
+  const auto twice = [](lab::ObservationLog& books, const auto& list, ClassId c) {
     books.asked(1, c, 0, std::chrono::milliseconds(1500));
     books.arrived(1, list[0]);
     books.arrived(1, list[1]);
   };
   assert(broken([&](auto& b, const auto& l, const auto&) { twice(b, l, 2); }, Rule::kEffects) == 1);
   assert(broken([&](auto& b, const auto& l, const auto&) { twice(b, l, 0); }, Rule::kEffects) == 0);
-  const auto silent = [](lab::Books& books, const auto& at, bool stopped) {
+  const auto silent = [](lab::ObservationLog& books, const auto& at, bool stopped) {
     books.asked(1, 0, 0, std::chrono::milliseconds(1500));
     at(500);
     if (stopped) {
@@ -277,8 +277,8 @@
                 Rule::kOneAnswer) == 1);
   assert(broken([&](auto& b, const auto&, const auto& at) { silent(b, at, true); },
                 Rule::kOneAnswer) == 0);
-  assert(lab::Books::call_of("1-2f-3") == lab::Books::call_of(0x2f, 3) &&
-         !lab::Books::call_of("1-2f") && !lab::Books::call_of("1-x-3"));
+  assert(lab::ObservationLog::call_of("1-2f-3") == lab::ObservationLog::call_of(0x2f, 3) &&
+         !lab::ObservationLog::call_of("1-2f") && !lab::ObservationLog::call_of("1-x-3"));
 }
 
 // Two hundred plans drawn from seeds, in the emulator, and that a plan is what its text reads back
--- a/tests/fuzz_snapshot.cpp
+++ b/tests/fuzz_snapshot.cpp
@@ -9,7 +9,7 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace beechhill::snapshot;
   const auto read = decode({reinterpret_cast<const char*>(data), size});
-  if (read && decode(encode(*read))->rows.size() != read->rows.size()) {
+  if (read && decode(encode(*read))->records.size() != read->records.size()) {
     std::abort();  // what is read can be kept again
   }
   return read ? 1 : 0;
--- a/tests/group_test.cpp
+++ b/tests/group_test.cpp
@@ -157,13 +157,13 @@
 
 void wait_durable(DiskStorage& s) {
   const auto end = Clock::now() + kPatience;
-  while (s.durable() < s.written()) {
+  while (s.durable_records() < s.appended_records()) {
     assert(Clock::now() < end && !s.failed()), ::usleep(1000);
   }
 }
 
 Record entries(std::uint64_t first, int count) {
-  Record r{Record::What::kAppend, first, {}, {}};
+  Record r{RecordType::kAppend, first, {}, {}};
   for (int i = 0; i < count; ++i) {
     r.entries.push_back({1, 1, "entry " + std::to_string(i)});
   }
@@ -182,28 +182,28 @@
       refused = true;
     }
     assert(refused);  // one process at a time
-    s->write({Record::What::kTerm, 7, {}, {}});
-    s->write({Record::What::kVote, 42, {}, {}});
-    s->write(entries(0, 3));
-    s->write({Record::What::kTruncate, 5, {}, {}});
+    s->append({RecordType::kTerm, 7, {}, {}});
+    s->append({RecordType::kVote, 42, {}, {}});
+    s->append(entries(0, 3));
+    s->append({RecordType::kTruncate, 5, {}, {}});
     wait_durable(*s);
   }
   std::uint64_t written = 0;
   {
     const auto s = DiskStorage::open(folder.path, "v");
-    assert(s && s->voter().generation == 3 && s->image().term == 7 && s->image().vote == 42 &&
-           s->image().entries.size() == 4);
-    written = s->written();
+    assert(s && s->voter().generation == 3 && s->state().term == 7 && s->state().vote == 42 &&
+           s->state().entries.size() == 4);
+    written = s->appended_records();
     assert(written == 6);  // its term among them
-    maintenance::Kept kept{4, 1, 1, {{"v#3", 1}}, "content"};
-    s->write({Record::What::kSnapshot, 1, {}, kept});  // the file is made anew, and counts on
-    s->write(entries(0, 1));
+    maintenance::RaftSnapshot kept{4, 1, 1, {{"v#3", 1}}, "content"};
+    s->append({RecordType::kSnapshot, 1, {}, kept});  // the file is made anew, and counts on
+    s->append(entries(0, 1));
     wait_durable(*s);
   }
   const auto s = DiskStorage::open(folder.path, "v");
-  assert(s && s->written() == written + 2 && s->image().kept &&
-         s->image().kept->data == "content" && s->image().first == 4 &&
-         s->image().entries.size() == 2);
+  assert(s && s->appended_records() == written + 2 && s->state().snapshot &&
+         s->state().snapshot->data == "content" && s->state().first_index == 4 &&
+         s->state().entries.size() == 2);
 }
 
 // A torn end is cut, as nobody was told of it; damage before sound records sets the whole aside.
@@ -211,7 +211,7 @@
   const Folder folder;
   {
     const auto s = DiskStorage::found(folder.path, {"v", 1}, {entries(1, 1)});
-    s->write(entries(0, 1)), s->write(entries(0, 1));
+    s->append(entries(0, 1)), s->append(entries(0, 1));
     wait_durable(*s);
   }
   const std::string good = contents(folder.file(kFile));
@@ -219,7 +219,7 @@
     std::filesystem::remove(folder.file(kFile) + ".aside");
     std::ofstream(folder.file(kFile), std::ios::binary | std::ios::trunc) << text;
     const auto s = DiskStorage::open(folder.path, "v");
-    return s ? static_cast<int>(s->image().entries.size()) : -1;
+    return s ? static_cast<int>(s->state().entries.size()) : -1;
   };
   assert(with(good) == 3);
   assert(with(good.substr(0, good.size() - 5)) == 2);
@@ -239,12 +239,12 @@
   const auto s = DiskStorage::found(folder.path, {"v", 1}, {entries(1, 1)});
   std::filesystem::remove(folder.file(kFile));
   std::filesystem::create_directory(folder.file(kFile));  // cannot be opened to write
-  s->write(entries(0, 1));
+  s->append(entries(0, 1));
   const auto end = Clock::now() + kPatience;
   while (!s->failed()) {
     assert(Clock::now() < end), ::usleep(1000);
   }
-  assert(s->durable() < s->written());
+  assert(s->durable_records() < s->appended_records());
 }
 
 void reads_staffs_words() {
@@ -254,7 +254,7 @@
       "request",
       {{"id", "r"}, {"machines", "a,b"}, {"at_once", "2"}, {"priority", "-3"}, {"by", "ana"}},
       fault);
-  assert(c && c->request->select.ids.size() == 2 && c->request->at_once == 2 &&
+  assert(c && c->request->select.ids.size() == 2 && c->request->max_concurrent == 2 &&
          c->request->priority == -3);
   const auto refused = [](const std::string& verb,
                           const std::map<std::string, std::string>& query) {
