--- a/tests/maintenance_test.cpp
+++ b/tests/maintenance_test.cpp
@@ -12,23 +12,23 @@
 
 using namespace std::chrono_literals;
 using namespace maintenance;
-using emulator::WorksBug;
-using emulator::WorksSpec;
-using emulator::WorksWorld;
+using emulator::SeededBug;
+using emulator::MaintenanceSimulationSpec;
+using emulator::MaintenanceSimulation;
 
-Command ask_for(const std::string& id, std::set<std::string> machines, std::uint32_t at_once = 1,
+Command ask_for(const std::string& id, std::set<std::string> machines, std::uint32_t max_concurrent = 1,
                 std::int32_t priority = 0) {
   Command c;
-  c.what = What::kAsk;
+  c.what = CommandType::kSubmitRequest;
   c.request.emplace();
   c.request->id = id, c.request->by = "ana", c.request->why = "kernel",
   c.request->select.ids = std::move(machines);
-  c.request->at_once = at_once, c.request->priority = priority;
+  c.request->max_concurrent = max_concurrent, c.request->priority = priority;
   return c;
 }
 
-Command word(What what, const std::string& id, const std::string& machine = {},
-             const std::string& proxy = {}, Fence fence = 0) {
+Command word(CommandType what, const std::string& id, const std::string& machine = {},
+             const std::string& proxy = {}, FencingToken fence = 0) {
   Command c;
   c.what = what, c.id = id, c.machine = machine, c.proxy = proxy, c.fence = fence;
   return c;
@@ -36,22 +36,22 @@
 
 // A ledger with four machines in each of two zones, half used, and two proxies.
 struct Settled {
-  explicit Settled(const Bounds& bounds = {}) {
+  explicit Settled(const DisruptionBudget& bounds = {}) {
     Command c;
-    c.what = What::kBounds, c.bounds = bounds;
+    c.what = CommandType::kSetDisruptionBudget, c.bounds = bounds;
     give(c);
     for (const char* p : {"p-1", "p-2"}) {
-      give(word(What::kJoin, {}, {}, p));
+      give(word(CommandType::kAddProxy, {}, {}, p));
     }
     facts();
   }
   void facts(double use = 0.4, const std::string& trouble = {}) {
     Command c;
-    c.what = What::kFacts, c.use = {{"a", use}, {"b", use}}, c.trouble = trouble;
+    c.what = CommandType::kUpdateObservations, c.use = {{"a", use}, {"b", use}}, c.trouble = trouble;
     for (int i = 0; i < 8; ++i) {
       Machine m;
       m.id = "m-" + std::to_string(i), m.zone = i < 4 ? "a" : "b",
-      m.cell = "c" + std::to_string(i / 2), m.kind = i % 2 ? "x" : "y";
+      m.cell = "c" + std::to_string(i / 2), m.instance_type = i % 2 ? "x" : "y";
       if (changed.contains(m.id)) {
         m = changed[m.id];
       }
@@ -86,58 +86,58 @@
     const auto announced = go();
     both_show();
     go();
-    const Fence fence = ledger.courses().at(announced->machine).fence;
+    const FencingToken fence = ledger.courses().at(announced->machine).fence;
     for (const char* p : {"p-1", "p-2"}) {
-      give(word(What::kConfirm, {}, announced->machine, p, fence));
+      give(word(CommandType::kConfirmDrained, {}, announced->machine, p, fence));
     }
     go();
     return announced->machine;
   }
-  Step step(const std::string& m) { return ledger.courses().at(m).step; }
+  WorkflowState step(const std::string& m) { return ledger.courses().at(m).step; }
 
-  Ledger ledger;
-  Index index = 0;
+  MaintenanceStateMachine ledger;
+  LogIndex index = 0;
   Seconds time = 1'000'000;
-  std::map<std::string, Index> shown;
+  std::map<std::string, LogIndex> shown;
   std::map<std::string, Machine> changed;
 };
 
-Bounds free_bounds() {
-  Bounds b;
+DisruptionBudget free_bounds() {
+  DisruptionBudget b;
   b.needs_approval = false;
   return b;
 }
 
-TEST(Ledger, LeadsOneMachineThroughItsCourse) {
+TEST(MaintenanceStateMachine, LeadsOneMachineThroughItsCourse) {
   Settled s;
   EXPECT_EQ(s.give(ask_for("r", {"m-1"})), nullptr);
   EXPECT_FALSE(s.go());
   EXPECT_EQ(s.why("r"), "not approved\n");
-  EXPECT_EQ(s.give(word(What::kApprove, "r")), nullptr);
-  EXPECT_EQ(s.go()->what, What::kAnnounce);
+  EXPECT_EQ(s.give(word(CommandType::kApproveRequest, "r")), nullptr);
+  EXPECT_EQ(s.go()->what, CommandType::kAnnounceDrain);
   EXPECT_TRUE(s.ledger.rights(Role::kBackend).at("m-1").announced);
   EXPECT_FALSE(s.go());  // not before all proxies have shown that they know
   s.shown = {{"p-1", s.index}};
   EXPECT_EQ(s.why("r"), "m-1 is announced, waiting for p-2\n");
   s.both_show();
-  EXPECT_EQ(s.go()->what, What::kGrant);
+  EXPECT_EQ(s.go()->what, CommandType::kStartDrain);
   EXPECT_TRUE(s.ledger.rights(Role::kBackend).at("m-1").barred);
-  const Fence fence = s.ledger.courses().at("m-1").fence;
-  EXPECT_STREQ(s.give(word(What::kConfirm, {}, "m-1", "p-1", fence + 1)), "other_course");
-  EXPECT_EQ(s.give(word(What::kConfirm, {}, "m-1", "p-1", fence)), nullptr);
+  const FencingToken fence = s.ledger.courses().at("m-1").fence;
+  EXPECT_STREQ(s.give(word(CommandType::kConfirmDrained, {}, "m-1", "p-1", fence + 1)), "other_course");
+  EXPECT_EQ(s.give(word(CommandType::kConfirmDrained, {}, "m-1", "p-1", fence)), nullptr);
   EXPECT_EQ(s.why("r"), "m-1 is evacuating, waiting for p-2\n");
-  EXPECT_EQ(s.give(word(What::kConfirm, {}, "m-1", "p-2", fence)), nullptr);
-  EXPECT_EQ(s.step("m-1"), Step::kEmpty);
-  EXPECT_EQ(s.go()->what, What::kOut);
-  EXPECT_EQ(s.give(word(What::kDone, "r", "m-1")), nullptr);
-  EXPECT_EQ(s.step("m-1"), Step::kWarming);
+  EXPECT_EQ(s.give(word(CommandType::kConfirmDrained, {}, "m-1", "p-2", fence)), nullptr);
+  EXPECT_EQ(s.step("m-1"), WorkflowState::kDrained);
+  EXPECT_EQ(s.go()->what, CommandType::kMarkOut);
+  EXPECT_EQ(s.give(word(CommandType::kCompleteWork, "r", "m-1")), nullptr);
+  EXPECT_EQ(s.step("m-1"), WorkflowState::kWarming);
   EXPECT_TRUE(s.ledger.rights(Role::kBackend)
                   .empty());  // it serves again, and counts as out until it is warm
-  EXPECT_EQ(s.go()->what, What::kWarm);
+  EXPECT_EQ(s.go()->what, CommandType::kMarkWarming);
   EXPECT_TRUE(s.ledger.requests().at("r").ended);
 }
 
-TEST(Ledger, ARequestThatComesTwiceCountsOnce) {
+TEST(MaintenanceStateMachine, ARequestThatComesTwiceCountsOnce) {
   Settled s;
   EXPECT_EQ(s.give(ask_for("r", {"m-1"})), nullptr);
   EXPECT_STREQ(s.give(ask_for("r", {"m-1"})), "nothing_to_change");
@@ -145,8 +145,8 @@
   EXPECT_EQ(s.ledger.requests().size(), 1u);
 }
 
-TEST(Ledger, EachBoundStandsInTheWayAndIsNamed) {
-  const auto reason = [](Bounds b, double use, const std::function<void(Settled&)>& before = {}) {
+TEST(MaintenanceStateMachine, EachBoundStandsInTheWayAndIsNamed) {
+  const auto reason = [](DisruptionBudget b, double use, const std::function<void(Settled&)>& before = {}) {
     b.needs_approval = false;
     Settled s(b);
     s.facts(use);
@@ -161,16 +161,16 @@
   const auto other_out = [](const std::string& m) {
     return [m](Settled& s) { s.give(ask_for("other", {m})), s.take_one(); };
   };
-  Bounds many;
-  many.most_out = many.most_out_zone = many.most_out_cell = 4;
+  DisruptionBudget many;
+  many.max_out = many.max_out_per_zone = many.max_out_per_cell = 4;
   EXPECT_EQ(reason({}, 0.4, other_out("m-7")), "most_out");
-  Bounds b = many;
-  b.most_out_zone = 1;
+  DisruptionBudget b = many;
+  b.max_out_per_zone = 1;
   EXPECT_EQ(reason(b, 0.4, other_out("m-3")), "most_out_zone");
-  b = many, b.most_out_cell = 1;
+  b = many, b.max_out_per_cell = 1;
   EXPECT_EQ(reason(b, 0.4, other_out("m-0")), "most_out_cell");
   EXPECT_EQ(reason(many, 0.7), "reserve");  // 0.7 x 1.25 of four, three left
-  b = many, b.keep_cell = true;
+  b = many, b.preserve_last_in_cell = true;
   EXPECT_EQ(reason(b, 0.1, other_out("m-0")), "keep_cell");
   EXPECT_EQ(reason(many, 0.4, [](Settled& s) { s.facts(0.4, "goodput"); }), "an incident");
   // A cold successor counts as out until it is warm.
@@ -184,11 +184,11 @@
             "reserve");
 }
 
-TEST(Ledger, CountsWidthsNotMachines) {
-  Bounds b = free_bounds();
+TEST(MaintenanceStateMachine, CountsWidthsNotMachines) {
+  DisruptionBudget b = free_bounds();
   Settled s(b);
   Machine wide;
-  wide.id = "m-1", wide.zone = "a", wide.width = 5;
+  wide.id = "m-1", wide.zone = "a", wide.relative_capacity = 5;
   s.changed["m-1"] = wide;
   s.facts(0.5);
   s.give(ask_for("wide", {"m-1"}));
@@ -197,86 +197,86 @@
   EXPECT_EQ(s.go()->machine, "m-2");
 }
 
-TEST(Ledger, AnIncidentCallsBackWhatIsNotOutAndPauses) {
-  Bounds b = free_bounds();
-  b.most_out = b.most_out_zone = 3;
+TEST(MaintenanceStateMachine, AnIncidentCallsBackWhatIsNotOutAndPauses) {
+  DisruptionBudget b = free_bounds();
+  b.max_out = b.max_out_per_zone = 3;
   Settled s(b);
   s.give(ask_for("r", {"m-0", "m-2", "m-4"}, 3));
   const std::string out = s.take_one();
   const std::string next = s.go()->machine;  // announced
   s.facts(0.4, "zone_lost: b");
-  EXPECT_EQ(s.go()->what, What::kCallBack);
+  EXPECT_EQ(s.go()->what, CommandType::kCallBack);
   EXPECT_FALSE(s.ledger.courses().contains(next));
-  EXPECT_EQ(s.step(out), Step::kOut);  // staff may have it open
+  EXPECT_EQ(s.step(out), WorkflowState::kMarkOut);  // staff may have it open
   EXPECT_FALSE(s.go());
   s.facts(0.4);
   EXPECT_FALSE(s.go());  // the calm after it
   s.time += b.calm + b.put_off + 1;
   s.facts(0.4);
-  EXPECT_EQ(s.go()->what, What::kAnnounce);
+  EXPECT_EQ(s.go()->what, CommandType::kAnnounceDrain);
 }
 
-TEST(Ledger, StaffHoldCancelAndResume) {
+TEST(MaintenanceStateMachine, StaffHoldCancelAndResume) {
   Settled s(free_bounds());
   s.give(ask_for("r", {"m-0", "m-1"}));
   const std::string first = s.go()->machine;
-  EXPECT_EQ(s.give(word(What::kHold, "r")), nullptr);
+  EXPECT_EQ(s.give(word(CommandType::kHoldRequest, "r")), nullptr);
   EXPECT_TRUE(s.ledger.courses().empty());
   EXPECT_FALSE(s.go());
-  EXPECT_EQ(s.give(word(What::kResume, "r")), nullptr);
+  EXPECT_EQ(s.give(word(CommandType::kResumeRequest, "r")), nullptr);
   s.time += 61, s.facts();
   EXPECT_EQ(s.go()->machine, first);
-  EXPECT_EQ(s.give(word(What::kCancel, "r")), nullptr);
+  EXPECT_EQ(s.give(word(CommandType::kCancelRequest, "r")), nullptr);
   EXPECT_TRUE(s.ledger.courses().empty() && s.ledger.rights(Role::kBackend).empty());
-  EXPECT_STREQ(s.give(word(What::kApprove, "r")), "ended");
+  EXPECT_STREQ(s.give(word(CommandType::kApproveRequest, "r")), "ended");
 }
 
-TEST(Ledger, AMachineThatCannotBeEmptiedIsCalledBackAndTriedAgain) {
+TEST(MaintenanceStateMachine, AMachineThatCannotBeEmptiedIsCalledBackAndTriedAgain) {
   Settled s(free_bounds());
   s.give(ask_for("r", {"m-0"}));
   s.go(), s.both_show(), s.go();
-  s.time += s.ledger.bounds().evacuate_within + 1, s.facts();
-  EXPECT_EQ(s.go()->what, What::kCallBack);
+  s.time += s.ledger.bounds().drain_timeout + 1, s.facts();
+  EXPECT_EQ(s.go()->what, CommandType::kCallBack);
   EXPECT_EQ(s.why("r"), "m-0 was called back and is put off\n");
   s.time += s.ledger.bounds().put_off + 1, s.facts();
   const auto again = s.go();
-  EXPECT_EQ(again->what, What::kAnnounce);
+  EXPECT_EQ(again->what, CommandType::kAnnounceDrain);
   EXPECT_GT(s.ledger.courses().at("m-0").fence, 1u);  // an old confirmation says nothing of it
 }
 
-TEST(Ledger, AProxyThatLeavesOrIsForgottenIsNotWaitedFor) {
+TEST(MaintenanceStateMachine, AProxyThatLeavesOrIsForgottenIsNotWaitedFor) {
   Settled s(free_bounds());
   s.give(ask_for("r", {"m-0"}));
   s.go(), s.both_show(), s.go();
-  s.give(word(What::kConfirm, {}, "m-0", "p-1", s.ledger.courses().at("m-0").fence));
-  EXPECT_EQ(s.give(word(What::kForget, {}, {}, "p-2")), nullptr);
+  s.give(word(CommandType::kConfirmDrained, {}, "m-0", "p-1", s.ledger.courses().at("m-0").fence));
+  EXPECT_EQ(s.give(word(CommandType::kForgetProxy, {}, {}, "p-2")), nullptr);
   s.go();
-  EXPECT_EQ(s.step("m-0"), Step::kEmpty);
+  EXPECT_EQ(s.step("m-0"), WorkflowState::kDrained);
 }
 
-TEST(Ledger, OneThatWaitedLongIsNotPassedByForEver) {
-  Bounds b = free_bounds();
+TEST(MaintenanceStateMachine, OneThatWaitedLongIsNotPassedByForEver) {
+  DisruptionBudget b = free_bounds();
   Settled s(b);
   s.give(ask_for("urgent", {"m-0", "m-1", "m-2", "m-3"}, 1, 3));
   s.give(ask_for("patient", {"m-4"}));
   EXPECT_EQ(s.take_one(), "m-0");
-  s.time += 4 * b.age_step;  // both age alike, so the patient one stays behind: what makes it go is
+  s.time += 4 * b.priority_aging_interval;  // both age alike, so the patient one stays behind: what makes it go is
                              // what is over
   s.give(ask_for("late", {"m-5"}, 1, 3));
-  s.give(word(What::kDone, "urgent", "m-0"));
+  s.give(word(CommandType::kCompleteWork, "urgent", "m-0"));
   s.facts();
-  EXPECT_EQ(s.go()->what, What::kWarm);
+  EXPECT_EQ(s.go()->what, CommandType::kMarkWarming);
   EXPECT_EQ(s.go()->machine, "m-1");  // the urgent one's, before the late one of the same priority
-  s.give(word(What::kCancel, "urgent"));
+  s.give(word(CommandType::kCancelRequest, "urgent"));
   EXPECT_EQ(s.go()->machine, "m-4");  // aged past the late one
 }
 
-TEST(Ledger, NeverTheLastProxiesOfAZone) {
-  Bounds b = free_bounds();
-  b.least_proxies = 1;
+TEST(MaintenanceStateMachine, NeverTheLastProxiesOfAZone) {
+  DisruptionBudget b = free_bounds();
+  b.min_proxies_per_zone = 1;
   Settled s(b);
   Command c;
-  c.what = What::kFacts;
+  c.what = CommandType::kUpdateObservations;
   for (const char* id : {"p-1", "p-2"}) {
     Machine m;
     m.id = id, m.zone = "a", m.role = Role::kProxy;
@@ -288,22 +288,22 @@
   s.give(ask);
   EXPECT_EQ(s.go()->machine, "p-1");
   s.shown = {{"p-1", s.index}};  // its own course waits for itself alone
-  EXPECT_EQ(s.go()->what, What::kGrant);
+  EXPECT_EQ(s.go()->what, CommandType::kStartDrain);
   EXPECT_FALSE(s.go());
   EXPECT_EQ(s.ledger.rights(Role::kProxy).size(), 1u);
 }
 
-TEST(Ledger, SnapshotsAreWholeOrNothing) {
+TEST(MaintenanceStateMachine, SnapshotsAreWholeOrNothing) {
   Settled s(free_bounds());
   s.give(ask_for("r", {"m-0", "m-1"}));
   s.take_one();
   const std::string good = s.ledger.snapshot();
-  Ledger read;
+  MaintenanceStateMachine read;
   ASSERT_TRUE(read.restore(good));
   EXPECT_EQ(read.snapshot(), good);
-  EXPECT_EQ(describe(read, {}, "r", ""), describe(s.ledger, {}, "r", ""));
+  EXPECT_EQ(status_json(read, {}, "r", ""), status_json(s.ledger, {}, "r", ""));
   for (std::size_t i = 0; i < good.size(); ++i) {
-    EXPECT_FALSE(Ledger().restore(good.substr(0, i)));
+    EXPECT_FALSE(MaintenanceStateMachine().restore(good.substr(0, i)));
   }
   std::mt19937 random(5);
   for (int i = 0; i < 20'000; ++i) {
@@ -311,30 +311,30 @@
     for (unsigned n = 1 + random() % 3; n > 0; --n) {
       bad[random() % bad.size()] = static_cast<char>(random());
     }
-    Ledger l;
-    EXPECT_TRUE(!l.restore(bad) || Ledger().restore(l.snapshot()));
+    MaintenanceStateMachine l;
+    EXPECT_TRUE(!l.restore(bad) || MaintenanceStateMachine().restore(l.snapshot()));
     decode(bad);
   }
 }
 
 // ---- Whole rounds
 
-WorksSpec spec(std::uint64_t seed = 1) {
-  WorksSpec s;
+MaintenanceSimulationSpec spec(std::uint64_t seed = 1) {
+  MaintenanceSimulationSpec s;
   s.seed = seed;
   s.bounds.needs_approval = false;
-  s.bounds.most_out = s.bounds.most_out_zone = s.bounds.most_out_cell = 2;
-  s.bounds.evacuate_within = 30, s.bounds.put_off = 3, s.bounds.calm = 3;
+  s.bounds.max_out = s.bounds.max_out_per_zone = s.bounds.max_out_per_cell = 2;
+  s.bounds.drain_timeout = 30, s.bounds.put_off = 3, s.bounds.calm = 3;
   return s;
 }
 
-void ask_all(WorksWorld& w, std::size_t at = 0) {
+void ask_all(MaintenanceSimulation& w, std::size_t at = 0) {
   for (int i = 0; i < 3; ++i) {
     w.order(at, ask_for("all", {}, 2)), w.run(500ms);
   }
 }
 
-bool done_within(WorksWorld& w, Duration most) {
+bool done_within(MaintenanceSimulation& w, Duration most) {
   for (const Time end = w.now() + most;
        w.now() < end && (!w.leader() || !w.open_requests().empty());) {
     w.run(1s);
@@ -342,12 +342,12 @@
   return w.leader() && w.open_requests().empty();
 }
 
-void expect_kept(const WorksWorld& w) {
+void expect_kept(const MaintenanceSimulation& w) {
   EXPECT_EQ(w.verdict().all(), 0u) << w.verdict().text;
 }
 
-TEST(Works, AllMachinesGoOnce) {
-  WorksWorld w(spec());
+TEST(MaintenanceCoordinator, AllMachinesGoOnce) {
+  MaintenanceSimulation w(spec());
   w.run(3s);
   ASSERT_TRUE(w.leader());
   ask_all(w, w.size() - 1);  // at a proxy that is no voter
@@ -357,8 +357,8 @@
   EXPECT_GT(w.calls(), 3'000u);
 }
 
-TEST(Works, TheLeaderDiesAndTheWorkGoesOn) {
-  WorksWorld w(spec());
+TEST(MaintenanceCoordinator, TheLeaderDiesAndTheWorkGoesOn) {
+  MaintenanceSimulation w(spec());
   w.run(3s);
   ask_all(w, 4);
   const std::size_t lead = w.leader().value();
@@ -370,8 +370,8 @@
   expect_kept(w);
 }
 
-TEST(Works, AllVotersRestartAtOnceAndServeOn) {
-  WorksWorld w(spec());
+TEST(MaintenanceCoordinator, AllVotersRestartAtOnceAndServeOn) {
+  MaintenanceSimulation w(spec());
   w.run(3s);
   ask_all(w, 4);
   w.run(2s);
@@ -386,8 +386,8 @@
 
 // With the quorum lost the followers serve on, by what they last held; what was announced they
 // leave aside.
-TEST(Works, ServesOnWithoutAQuorum) {
-  WorksWorld w(spec());
+TEST(MaintenanceCoordinator, ServesOnWithoutAQuorum) {
+  MaintenanceSimulation w(spec());
   w.run(3s);
   w.kill(0), w.kill(1);
   w.run(20s);
@@ -398,27 +398,27 @@
 }
 
 // One that starts while nobody can say what is out sends nothing; with a leader it does.
-TEST(Works, AStartWithoutWordSendsNothing) {
-  WorksWorld w(spec());
+TEST(MaintenanceCoordinator, AStartWithoutWordSendsNothing) {
+  MaintenanceSimulation w(spec());
   w.run(3s);
   for (std::size_t i = 0; i < 3; ++i) {
     w.kill(i);
   }
   w.kill(5), w.start(5);
   w.run(5s);
-  EXPECT_FALSE(w.works(5).leased());
-  EXPECT_EQ(w.works(5).may_use_until("backend-00001"), Time::min());
+  EXPECT_FALSE(w.works(5).has_held_lease());
+  EXPECT_EQ(w.works(5).dispatch_permitted_until("backend-00001"), Time::min());
   for (std::size_t i = 0; i < 3; ++i) {
     w.start(i);
   }
   w.run(10s);
-  EXPECT_TRUE(w.works(5).leased());
+  EXPECT_TRUE(w.works(5).has_held_lease());
 }
 
 // Stopped for 30 s in the middle: it wakes believing in what it held, and does not act on it.
-TEST(Works, AProxyThatWakesFromALongStopDoesNoHarm) {
+TEST(MaintenanceCoordinator, AProxyThatWakesFromALongStopDoesNoHarm) {
   for (std::size_t i : {std::size_t{0}, std::size_t{4}}) {
-    WorksWorld w(spec());
+    MaintenanceSimulation w(spec());
     w.run(3s);
     ask_all(w, 3);
     w.stop(i);
@@ -431,13 +431,13 @@
 
 // Cut off from the rest with traffic on its side: where isolation ends serving, work goes on
 // without it; else it waits and says for whom.
-TEST(Works, ASplitWithTrafficOnTheOtherSide) {
+TEST(MaintenanceCoordinator, ASplitWithTrafficOnTheOtherSide) {
   for (const bool ends : {false, true}) {
-    WorksSpec s = spec();
+    MaintenanceSimulationSpec s = spec();
     if (ends) {
-      s.isolated_after = 4s;
+      s.isolation_timeout = 4s;
     }
-    WorksWorld w(s);
+    MaintenanceSimulation w(s);
     w.run(3s);
     w.cut([](std::size_t a, std::size_t b) { return (a == 5) == (b == 5); });
     w.run(500ms);
@@ -454,9 +454,9 @@
   }
 }
 
-TEST(Works, AWipedVoterIsLetInAnewAndARolledBackOneGivesUp) {
+TEST(MaintenanceCoordinator, AWipedVoterIsLetInAnewAndARolledBackOneGivesUp) {
   for (const bool wiped : {true, false}) {
-    WorksWorld w(spec());
+    MaintenanceSimulation w(spec());
     w.run(3s);
     w.keep_copy(1);
     ask_all(w, 4);
@@ -474,7 +474,7 @@
     w.kill(other);
     w.run(10s);
     ASSERT_TRUE(w.leader());
-    const Index index = w.works(*w.leader()).ledger().index();
+    const LogIndex index = w.works(*w.leader()).ledger().index();
     w.run(10s);
     ASSERT_TRUE(w.leader());
     EXPECT_GT(w.works(*w.leader()).ledger().index(), index);
@@ -484,8 +484,8 @@
   }
 }
 
-TEST(Works, AFullDiskTakesItsVoterOutAndNoMore) {
-  WorksWorld w(spec());
+TEST(MaintenanceCoordinator, AFullDiskTakesItsVoterOutAndNoMore) {
+  MaintenanceSimulation w(spec());
   w.run(3s);
   ask_all(w, 4);
   w.fail_disk(w.leader().value());
@@ -493,25 +493,25 @@
   expect_kept(w);
 }
 
-TEST(Works, AMachineThatNeverComesBackHoldsItsPlaceAndIsNamed) {
-  WorksSpec s = spec();
-  s.bounds.most_out = 1;
-  WorksWorld w(s);
+TEST(MaintenanceCoordinator, AMachineThatNeverComesBackHoldsItsPlaceAndIsNamed) {
+  MaintenanceSimulationSpec s = spec();
+  s.bounds.max_out = 1;
+  MaintenanceSimulation w(s);
   w.run(3s);
   w.strike();
   ask_all(w, 3);
   w.run(60s);
   const auto& ledger = w.works(w.leader().value()).ledger();
   ASSERT_EQ(ledger.courses().size(), 1u);
-  EXPECT_EQ(ledger.courses().begin()->second.step, Step::kOut);
+  EXPECT_EQ(ledger.courses().begin()->second.step, WorkflowState::kMarkOut);
   EXPECT_NE(ledger.explain("all", {}).back().find("most_out"), std::string::npos);
   w.work_again();
   EXPECT_TRUE(done_within(w, 240s));
   expect_kept(w);
 }
 
-TEST(Works, ClocksThatStepMoveNoBound) {
-  WorksWorld w(spec());
+TEST(MaintenanceCoordinator, ClocksThatStepMoveNoBound) {
+  MaintenanceSimulation w(spec());
   w.run(3s);
   ask_all(w, 3);
   w.shift_clock(w.leader().value(), -5'000);
@@ -522,10 +522,10 @@
 }
 
 // Drawn plans of faults: what never may be is not, and each request ends or says why it waits.
-TEST(Works, DrawnPlansKeepWhatNeverMayBeBroken) {
+TEST(MaintenanceCoordinator, DrawnPlansKeepWhatNeverMayBeBroken) {
   for (std::uint64_t seed = 1; seed <= 12;
        ++seed) {  // `beechhill-lab works` plays as many as are asked for
-    const emulator::WorksPlay p = emulator::play_drawn_works(seed, 4);
+    const emulator::MaintenanceRun p = emulator::run_drawn_maintenance(seed, 4);
     EXPECT_EQ(p.verdict.all(), 0u) << "seed " << seed << "\n" << p.plan << p.verdict.text;
     EXPECT_TRUE(p.silent.empty()) << "seed " << seed << ": " << p.silent.front() << "\n" << p.plan;
   }
@@ -533,18 +533,18 @@
 
 // The course of two machines with three voters, and a crash, a stop or a split of each at every
 // step of it.
-std::uint64_t explore(WorksBug bug, Duration every) {
+std::uint64_t explore(SeededBug bug, Duration every) {
   std::uint64_t broken = 0;
   for (Duration at{0}; at < Duration(9s); at += every) {
     for (int fault = 0; fault < 4; ++fault) {
       for (std::size_t who = 0; who < 3; ++who) {
-        WorksSpec s = spec();
-        s.followers = 0, s.backends = 2, s.zones = 1, s.use = 0.1, s.isolated_after = 3s,
+        MaintenanceSimulationSpec s = spec();
+        s.followers = 0, s.backends = 2, s.zones = 1, s.use = 0.1, s.isolation_timeout = 3s,
         s.bug = bug;
         s.call = 1s, s.work = 2s;
         s.voters = 3;
-        s.bounds.most_out = 1;
-        WorksWorld w(s);
+        s.bounds.max_out = 1;
+        MaintenanceSimulation w(s);
         w.run(2s);
         w.order(w.leader().value_or(0), ask_for("both", {}));
         w.run(at);
@@ -569,15 +569,15 @@
           w.go_on(who);
         }
         w.cut({});
-        if (bug == WorksBug::kNone && !done_within(w, 120s)) {
+        if (bug == SeededBug::kNone && !done_within(w, 120s)) {
           ADD_FAILURE() << "stuck: fault " << fault << " of " << who << " at " << at.count()
-                        << (w.leader() ? describe(w.works(*w.leader()).ledger(), {}, "both", "")
+                        << (w.leader() ? status_json(w.works(*w.leader()).ledger(), {}, "both", "")
                                        : " nobody leads");
         }
-        if (bug != WorksBug::kNone) {
+        if (bug != SeededBug::kNone) {
           w.run(10s);
         }
-        if (bug == WorksBug::kNone && w.verdict().all() > 0) {
+        if (bug == SeededBug::kNone && w.verdict().all() > 0) {
           ADD_FAILURE() << "fault " << fault << " of " << who << " at " << at.count() << "\n"
                         << w.verdict().text;
         }
@@ -591,17 +591,17 @@
   return broken;
 }
 
-TEST(Works, NoFaultAtAnyStepOfACourseBreaksIt) {
-  EXPECT_EQ(explore(WorksBug::kNone, 400ms), 0u);
+TEST(MaintenanceCoordinator, NoFaultAtAnyStepOfACourseBreaksIt) {
+  EXPECT_EQ(explore(SeededBug::kNone, 400ms), 0u);
 }
-TEST(Works, TheExplorationFindsALeaseHeldTooLong) {
-  EXPECT_GT(explore(WorksBug::kLongLease, 100ms), 0u);
+TEST(MaintenanceCoordinator, TheExplorationFindsALeaseHeldTooLong) {
+  EXPECT_GT(explore(SeededBug::kLongLease, 100ms), 0u);
 }
-TEST(Works, TheExplorationFindsAMachineConfirmedBusy) {
-  EXPECT_GT(explore(WorksBug::kConfirmsBusy, 100ms), 0u);
+TEST(MaintenanceCoordinator, TheExplorationFindsAMachineConfirmedBusy) {
+  EXPECT_GT(explore(SeededBug::kConfirmsBusy, 100ms), 0u);
 }
-TEST(Works, TheExplorationFindsAMissingLease) {
-  EXPECT_GT(explore(WorksBug::kNoLease, 100ms), 0u);
+TEST(MaintenanceCoordinator, TheExplorationFindsAMissingLease) {
+  EXPECT_GT(explore(SeededBug::kNoLease, 100ms), 0u);
 }
 
 }  // namespace
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -17,7 +17,7 @@
 using emulator::TalkWorld;
 using membership::Channel;
 using membership::Gate;
-using membership::State;
+using membership::MemberState;
 
 TalkSpec spec(std::uint32_t members, std::uint64_t seed = 1) {
   TalkSpec s;
@@ -27,7 +27,7 @@
 }
 
 State held(const TalkWorld& w, std::size_t by, std::size_t other) {
-  return w.swim(by).members().at(TalkWorld::name_of(other)).rumour.state;
+  return w.swim(by).members().at(TalkWorld::name_of(other)).update.state;
 }
 
 bool agree_within(TalkWorld& w, Duration most) {
@@ -54,13 +54,13 @@
     EXPECT_EQ(held(w, i, 5), State::kDead);
     EXPECT_EQ(held(w, i, 6), State::kLeft);
   }
-  EXPECT_EQ(w.books().false_deaths, 0u);
+  EXPECT_EQ(w.traffic().false_deaths, 0u);
   w.kill(7);
   w.start(7);  // before anybody noticed
   w.start(5);
   w.run(20s);
   EXPECT_TRUE(w.agreed() && held(w, 0, 7) == State::kAlive);
-  EXPECT_GE(w.books().restarts_seen,
+  EXPECT_GE(w.traffic().restarts_seen,
             10u);  // the others, but for whoever heard of it from the newcomer itself as new
 }
 
@@ -70,14 +70,14 @@
   w.stop(3);
   ASSERT_TRUE(agree_within(w, 60s));
   EXPECT_EQ(held(w, 0, 3), State::kDead);
-  const std::uint64_t deaths = w.swim(3).deaths();
+  const std::uint64_t deaths = w.swim(3).times_declared_dead();
   w.go_on(3);
-  EXPECT_FALSE(w.swim(3).sure());
-  for (int i = 0; i < 1000 && !w.swim(3).sure(); ++i) {
+  EXPECT_FALSE(w.swim(3).has_contact());
+  for (int i = 0; i < 1000 && !w.swim(3).has_contact(); ++i) {
     w.run(1ms);
   }
-  EXPECT_TRUE(w.swim(3).sure());
-  EXPECT_EQ(w.swim(3).deaths(), deaths + 1);
+  EXPECT_TRUE(w.swim(3).has_contact());
+  EXPECT_EQ(w.swim(3).times_declared_dead(), deaths + 1);
   EXPECT_TRUE(agree_within(w, 10s));
 }
 
@@ -89,7 +89,7 @@
   w.cut([](std::size_t from, std::size_t to) { return from != 3 && to != 3; });
   w.go_on(3);
   w.run(60s);
-  EXPECT_FALSE(w.swim(3).sure());
+  EXPECT_FALSE(w.swim(3).has_contact());
 }
 
 TEST(Membership, LossAloneKillsNobody) {
@@ -98,7 +98,7 @@
   TalkWorld w(s);
   ASSERT_TRUE(agree_within(w, 60s));
   w.run(600s);
-  EXPECT_EQ(w.books().false_deaths, 0u);
+  EXPECT_EQ(w.traffic().false_deaths, 0u);
 }
 
 // One on a bad line blames itself: it probes more slowly, and none of the others is held for dead
@@ -111,11 +111,11 @@
   unsigned slowness = 0;
   for (int i = 0; i < 200; ++i) {
     w.run(1s);
-    slowness = std::max(slowness, w.swim(11).slowness());
+    slowness = std::max(slowness, w.swim(11).local_health_penalty());
   }
   EXPECT_GT(slowness, 0u);
   for (std::size_t i = 0; i < 11; ++i) {
-    EXPECT_EQ(w.swim(i).deaths(), 0u) << i;
+    EXPECT_EQ(w.swim(i).times_declared_dead(), 0u) << i;
   }
 }
 
@@ -135,7 +135,7 @@
   ASSERT_TRUE(agree_within(w, 10s));
   w.cut([](std::size_t a, std::size_t b) { return a + b != 1; });  // the first two, both ways
   w.run(300s);
-  EXPECT_EQ(w.books().false_deaths, 0u);
+  EXPECT_EQ(w.traffic().false_deaths, 0u);
 }
 
 // Drawn faults; once they are over, all that run know each other again.
@@ -182,15 +182,15 @@
 
 TEST(MembershipWire, ReadsWhatItWroteAndNothingElse) {
   membership::Message m{
-      membership::Kind::kPingFor,
+      membership::MessageType::kPingRequest,
       77,
       "member-9",
       123,
       {{"a", "127.0.0.1:1", State::kSuspect, 4, 9, "b"}, {"c", "", State::kLeft, 0, 0, ""}}};
   const std::string good = membership::encode(m);
   const auto read = membership::decode(good);
-  ASSERT_TRUE(read && read->kind == m.kind && read->number == 77 && read->about == m.about &&
-              read->rumours == m.rumours);
+  ASSERT_TRUE(read && read->type == m.type && read->sequence_number == 77 && read->subject == m.subject &&
+              read->updates == m.updates);
   for (std::size_t i = 0; i < good.size(); ++i) {
     EXPECT_FALSE(membership::decode(good.substr(0, i)));
   }
@@ -206,12 +206,12 @@
   }
 }
 
-membership::Keys keys(char digit) {
-  return membership::read_keys(std::string(64, digit));
+membership::MacKeys keys(char digit) {
+  return membership::parse_keys(std::string(64, digit));
 }
 
 struct Two {  // members with a gate each, and what is on its way between them
-  Two(membership::Keys a, membership::Keys b)
+  Two(membership::MacKeys a, membership::MacKeys b)
       : one(std::move(a), "one", 11, 1), two(std::move(b), "two", 22, 2) {}
   // The payloads that arrive at `to`, with hellos carried both ways.
   std::vector<std::string> pass(Gate& from, Gate& to, std::string datagram) {
@@ -219,14 +219,14 @@
     std::vector<std::string> going{std::move(datagram)}, coming;
     for (int i = 0; i < 4; ++i) {
       for (const std::string& d : std::exchange(going, {})) {
-        const Gate::Result r = to.open("from", d);
-        if (r.opened) {
-          arrived.push_back(r.opened->payload);
+        const Gate::VerifyResult r = to.verify("from", d);
+        if (r.verified) {
+          arrived.push_back(r.verified->payload);
         }
         coming.insert(coming.end(), r.replies.begin(), r.replies.end());
       }
       for (const std::string& d : std::exchange(coming, {})) {
-        const Gate::Result r = from.open("to", d);
+        const Gate::VerifyResult r = from.verify("to", d);
         going.insert(going.end(), r.replies.begin(), r.replies.end());
       }
     }
@@ -239,54 +239,54 @@
 
 TEST(MembershipGate, LetsMembersInAfterTheyShowATicket) {
   Two t(keys('a'), keys('a'));
-  EXPECT_EQ(t.pass(t.one, t.two, t.one.seal("to", Channel::kSwim, "x")), Texts{"x"});
-  EXPECT_EQ(t.pass(t.one, t.two, t.one.seal("to", Channel::kSwim, "y")), Texts{"y"});
+  EXPECT_EQ(t.pass(t.one, t.two, t.one.sign("to", Channel::kSwim, "x")), Texts{"x"});
+  EXPECT_EQ(t.pass(t.one, t.two, t.one.sign("to", Channel::kSwim, "y")), Texts{"y"});
 }
 
 TEST(MembershipGate, RefusesOtherKeysDamageAndItself) {
   Two t(keys('a'), keys('b'));
-  EXPECT_TRUE(t.pass(t.one, t.two, t.one.seal("to", Channel::kSwim, "x")).empty());
-  EXPECT_STREQ(t.two.open("f", t.one.seal("to", Channel::kSwim, "x")).refused, "key");
+  EXPECT_TRUE(t.pass(t.one, t.two, t.one.sign("to", Channel::kSwim, "x")).empty());
+  EXPECT_STREQ(t.two.verify("f", t.one.sign("to", Channel::kSwim, "x")).rejection_reason, "key");
   Two same(keys('a'), keys('a'));
-  std::string good = same.one.seal("to", Channel::kSwim, "x");
-  EXPECT_STREQ(same.one.open("f", good).refused, "name");
+  std::string good = same.one.sign("to", Channel::kSwim, "x");
+  EXPECT_STREQ(same.one.verify("f", good).rejection_reason, "name");
   for (std::size_t i = 0; i < good.size(); ++i) {
     std::string bad = good;
     bad[i] = static_cast<char>(bad[i] ^ 4);
-    EXPECT_STREQ(same.two.open("f", bad).refused, "key");
+    EXPECT_STREQ(same.two.verify("f", bad).rejection_reason, "key");
   }
-  EXPECT_STREQ(same.two.open("f", std::string(2'000, 'x')).refused, "size");
+  EXPECT_STREQ(same.two.verify("f", std::string(2'000, 'x')).rejection_reason, "size");
 }
 
 TEST(MembershipGate, RefusesWhatWasCaughtAndSentAgain) {
   Two t(keys('a'), keys('a'));
-  t.pass(t.one, t.two, t.one.seal("to", Channel::kSwim, "x"));
-  const std::string caught = t.one.seal("to", Channel::kSwim, "y"),
-                    later = t.one.seal("to", Channel::kSwim, "z");
-  EXPECT_TRUE(t.two.open("from", later).opened &&
-              t.two.open("from", caught).opened);  // out of order is no harm
-  EXPECT_STREQ(t.two.open("from", caught).refused, "again");
-  EXPECT_STREQ(t.two.open("from", later).refused, "again");
+  t.pass(t.one, t.two, t.one.sign("to", Channel::kSwim, "x"));
+  const std::string caught = t.one.sign("to", Channel::kSwim, "y"),
+                    later = t.one.sign("to", Channel::kSwim, "z");
+  EXPECT_TRUE(t.two.verify("from", later).verified &&
+              t.two.verify("from", caught).verified);  // out of order is no harm
+  EXPECT_STREQ(t.two.verify("from", caught).rejection_reason, "again");
+  EXPECT_STREQ(t.two.verify("from", later).rejection_reason, "again");
   // A receiver that starts anew knows no numbers, but drew no such ticket.
   Gate reborn(keys('a'), "two", 23, 3);
-  EXPECT_STREQ(reborn.open("from", caught).refused, "ticket");
+  EXPECT_STREQ(reborn.verify("from", caught).rejection_reason, "ticket");
   // A sender's earlier life is over once the next has shown its ticket.
   Gate next(keys('a'), "one", 12, 4);
-  EXPECT_EQ(t.pass(next, t.two, next.seal("to", Channel::kSwim, "new")), Texts{"new"});
-  EXPECT_STREQ(t.two.open("from", t.one.seal("to", Channel::kSwim, "old")).refused, "ticket");
+  EXPECT_EQ(t.pass(next, t.two, next.sign("to", Channel::kSwim, "new")), Texts{"new"});
+  EXPECT_STREQ(t.two.verify("from", t.one.sign("to", Channel::kSwim, "old")).rejection_reason, "ticket");
   // And to another receiver it says nothing.
   Gate third(keys('a'), "three", 33, 5);
-  EXPECT_STREQ(third.open("from", later).refused, "ticket");
+  EXPECT_STREQ(third.verify("from", later).rejection_reason, "ticket");
 }
 
 TEST(MembershipGate, ChangesItsKeyWhileAllRun) {
   Two t(keys('a'), keys('a'));
   const auto both = [](char first, char second) {
-    return membership::read_keys(std::string(64, first) + "\n" + std::string(64, second) + "\n");
+    return membership::parse_keys(std::string(64, first) + "\n" + std::string(64, second) + "\n");
   };
   const auto passes = [&t] {
-    return t.pass(t.one, t.two, t.one.seal("to", Channel::kSwim, "x")).size() +
-           t.pass(t.two, t.one, t.two.seal("to", Channel::kSwim, "x")).size();
+    return t.pass(t.one, t.two, t.one.sign("to", Channel::kSwim, "x")).size() +
+           t.pass(t.two, t.one, t.two.sign("to", Channel::kSwim, "x")).size();
   };
   EXPECT_EQ(passes(), 2u);
   t.one.change_keys(both('a', 'b'));
@@ -297,9 +297,9 @@
   EXPECT_EQ(passes(), 2u);
   t.two.change_keys(keys('b'));
   EXPECT_EQ(passes(), 2u);
-  EXPECT_THROW(membership::read_keys("12"), std::invalid_argument);
-  EXPECT_THROW(membership::read_keys(""), std::invalid_argument);
-  EXPECT_THROW(membership::read_keys(std::string(64, 'a') + "\n" + std::string(64, 'b') + "\n" +
+  EXPECT_THROW(membership::parse_keys("12"), std::invalid_argument);
+  EXPECT_THROW(membership::parse_keys(""), std::invalid_argument);
+  EXPECT_THROW(membership::parse_keys(std::string(64, 'a') + "\n" + std::string(64, 'b') + "\n" +
                                      std::string(64, 'c')),
                std::invalid_argument);
 }
@@ -309,18 +309,18 @@
   for (int i = 0; i < 20'000; ++i) {
     whole += static_cast<char>(i * 7);
   }
-  auto parts = membership::split(5, whole);
+  auto parts = membership::split_payload(5, whole);
   ASSERT_GT(parts.size(), 10u);
   std::shuffle(parts.begin(), parts.end(), std::mt19937(1));
-  membership::Assembler a;
+  membership::PayloadAssembler a;
   for (std::size_t i = 0; i + 1 < parts.size(); ++i) {
     EXPECT_FALSE(a.add("m", parts[i])) << i;
   }
   EXPECT_FALSE(a.add("m", parts.front()));  // twice
   EXPECT_EQ(a.add("m", parts.back()), whole);
   EXPECT_FALSE(a.add("m", "short"));
-  EXPECT_TRUE(membership::split(6, std::string(400'000, 'x')).empty());
-  EXPECT_EQ(a.add("m", membership::split(7, "").front()), "");
+  EXPECT_TRUE(membership::split_payload(6, std::string(400'000, 'x')).empty());
+  EXPECT_EQ(a.add("m", membership::split_payload(7, "").front()), "");
 }
 
 }  // namespace
--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -28,7 +28,7 @@
 }
 
 void reads_calls() {
-  using admin::What;
+  using admin::CommandType;
   const struct {
     const char *method, *target;
     int error;
@@ -51,14 +51,14 @@
       {"PUT", "/api/exclude?target=%4", 400, What::kExclude, ""},
       {"PUT", "/api/exclude?target=%zz", 400, What::kExclude, ""},
       {"PUT", "/api/exclude?target=%+1", 400, What::kExclude, ""},
-      {"PUT", "/api/evacuate", 0, What::kEvacuate, ""},
-      {"PUT", "/api/rejoin", 0, What::kRejoin, ""},
+      {"PUT", "/api/evacuate", 0, What::kDrain, ""},
+      {"PUT", "/api/rejoin", 0, What::kResume, ""},
   };
   for (const auto& c : cases) {
-    const admin::Call call = admin::read_call(c.method, c.target);
-    assert(call.error == c.error);
-    if (call.error == 0) {
-      assert(call.what == c.what && call.target == c.id);
+    const admin::Command call = admin::parse_command(c.method, c.target);
+    assert(call.error_status == c.error);
+    if (call.error_status == 0) {
+      assert(call.type == c.what && call.target == c.id);
     }
   }
 }
@@ -68,22 +68,22 @@
   using proxy::DoorCourse;
   const Time t0 = 100s;
   DoorCourse c{Duration(3s)};
-  assert(c.ready() && c.accepts(t0) && !c.parts(t0, t0 + 1h) && !c.clears(t0 + 1h));
-  c.evacuate(t0);
-  c.evacuate(t0 + 5s);  // once more changes nothing
-  assert(!c.ready() && c.accepts(t0 + 1h) && !c.parts(t0, t0) && c.parts(t0, t0 + 400ms));
-  assert(!c.clears(t0 + 1s) && c.clears(t0 + 2s) && c.answer_by() == Time::max());
-  c.rejoin();
-  assert(c.ready() && !c.parts(t0, t0 + 4s) && !c.clears(t0 + 4s));
+  assert(c.is_ready() && c.accepts_connections(t0) && !c.closes_after_response(t0, t0 + 1h) && !c.closes_idle_connections(t0 + 1h));
+  c.drain(t0);
+  c.drain(t0 + 5s);  // once more changes nothing
+  assert(!c.is_ready() && c.accepts_connections(t0 + 1h) && !c.closes_after_response(t0, t0) && c.closes_after_response(t0, t0 + 400ms));
+  assert(!c.closes_idle_connections(t0 + 1s) && c.closes_idle_connections(t0 + 2s) && c.response_deadline() == Time::max());
+  c.resume();
+  assert(c.is_ready() && !c.closes_after_response(t0, t0 + 4s) && !c.closes_idle_connections(t0 + 4s));
   DoorCourse alone{Duration(3s)}, succeeded{Duration(3s)};
-  alone.end(t0, false);
-  alone.evacuate(t0 + 100ms);
-  assert(!alone.ready() && alone.accepts(t0 + 500ms) && !alone.accepts(t0 + 1100ms) &&
-         alone.clears(t0 + 2s));
-  assert(alone.answer_by() > t0 + 3s && alone.answer_by() < t0 + 3700ms);
-  succeeded.end(t0, true);
-  assert(succeeded.ready() && !succeeded.accepts(t0) && succeeded.parts(t0 - 1s, t0) &&
-         !succeeded.clears(t0 + 1s));
+  alone.begin_shutdown(t0, false);
+  alone.drain(t0 + 100ms);
+  assert(!alone.is_ready() && alone.accepts_connections(t0 + 500ms) && !alone.accepts_connections(t0 + 1100ms) &&
+         alone.closes_idle_connections(t0 + 2s));
+  assert(alone.response_deadline() > t0 + 3s && alone.response_deadline() < t0 + 3700ms);
+  succeeded.begin_shutdown(t0, true);
+  assert(succeeded.is_ready() && !succeeded.accepts_connections(t0) && succeeded.closes_after_response(t0 - 1s, t0) &&
+         !succeeded.closes_idle_connections(t0 + 1s));
 }
 
 // Callers that say nothing, or half of it, fill the door; a real call is answered meanwhile, also
--- a/tests/parser_tables.cpp
+++ b/tests/parser_tables.cpp
@@ -256,8 +256,8 @@
     return config::read_config(config::parse(text.data(), text.data() + text.size(), "config"));
   };
   const config::Config c = read(good);
-  assert(c.sockets == 256 && c.named.settings.seed == 5 && c.named.classes.size() == 2);
-  assert(c.named.settings.connect_timeout == Duration(100'000));
+  assert(c.max_descriptors == 256 && c.named_settings.settings.seed == 5 && c.named_settings.classes.size() == 2);
+  assert(c.named_settings.settings.connect_timeout == Duration(100'000));
   for (const auto& bad : cases) {
     std::string text = good, what;
     const auto at = text.find(bad.from);
--- a/tests/properties_test.cpp
+++ b/tests/properties_test.cpp
@@ -23,7 +23,7 @@
 using emulator::to_span;
 
 constexpr std::size_t kScript = 24;  // events that a failing run prints
-constexpr ServerId kFew = 5;         // servers that are left when all is over
+constexpr EndpointId kFew = 5;         // servers that are left when all is over
 
 double log_uniform(Stream& dice, double from, double to) {
   return from * std::pow(to / from, dice.uniform());
@@ -37,16 +37,16 @@
   emulator::ClassSpec c;
   c.name = "c" + std::to_string(number);
   ClassSettings& k = c.settings;
-  k.effect = static_cast<Effect>(dice.below(3));
-  k.group = static_cast<Group>(dice.below(3));
-  k.aim = to_span(log_uniform(dice, 0.02, 30));
-  k.deadline = k.aim + to_span(3 * dice.uniform() * to_s(k.aim));
-  k.memory_span = to_span(log_uniform(dice, 0.2, 3) * to_s(k.deadline));
-  k.worth = one_of(dice, {0.0, 1.0, 1.0, 3.0, 10.0});
-  k.late_worth = one_of(dice, {0.0, 0.0, 0.3});
-  k.aim_stretch = one_of(dice, {0.0, 2.0});
+  k.idempotency = static_cast<Idempotency>(dice.below(3));
+  k.deduplication_scope = static_cast<DeduplicationScope>(dice.below(3));
+  k.latency_objective = to_span(log_uniform(dice, 0.02, 30));
+  k.deadline = k.latency_objective + to_span(3 * dice.uniform() * to_s(k.latency_objective));
+  k.deduplication_window = to_span(log_uniform(dice, 0.2, 3) * to_s(k.deadline));
+  k.priority_weight = one_of(dice, {0.0, 1.0, 1.0, 3.0, 10.0});
+  k.late_priority_factor = one_of(dice, {0.0, 0.0, 0.3});
+  k.latency_objective_work_factor = one_of(dice, {0.0, 2.0});
   k.streaming = dice.below(4) == 0;
-  c.work_s = to_s(k.aim) / 10;
+  c.work_s = to_s(k.latency_objective) / 10;
   return c;
 }
 
@@ -60,8 +60,8 @@
         driver_(settings()) {
     driver_.seen = [this](const std::vector<Action>& actions) { carry_out(actions); };
     servers_.resize(one_of<std::size_t>(dice_, {1, 2, 6, 20, 60, 300}));
-    for (ServerId id = 0; id < servers_.size(); ++id) {
-      servers_[id].entry = {id, ServerState::kRemoved, 0, 0, {}, 0};
+    for (EndpointId id = 0; id < servers_.size(); ++id) {
+      servers_[id].entry = {id, EndpointStatus::kRemoved, 0, 0, {}, 0};
       renew(servers_[id].entry);
     }
   }
@@ -69,7 +69,7 @@
   // The text of all actions.
   std::string run() {
     if (dice_.below(4) > 0) {
-      whole_list(ListKind::kLastHeld);  // else it knows none yet
+      whole_list(UpdateKind::kCached);  // else it knows none yet
     }
     const Duration longest = emulator::longest_deadline(told_);
     const double gap = to_s(longest) / log_uniform(dice_, 20, 400);
@@ -95,13 +95,13 @@
 
  private:
   struct Server {
-    ServerEntry entry;
+    Endpoint entry;
     bool barred = false;
     std::optional<Time> away;  // since when the module has known that it may not be sent to
     double errors = 0, silent = 0, full = 0, pace = 0.1;
   };
   struct Attempt {
-    ServerId server = 0;
+    EndpointId server = 0;
     bool open = true, maybe = true, streamed = false;
   };
   struct Made {
@@ -136,39 +136,39 @@
     for (std::size_t i = 0; i < tenants; ++i) {
       s.tenants.push_back({1, one_of(dice_, {0.0, 0.1, 5.0})});
     }
-    s.over_share_worth = dice_.uniform();
+    s.over_quota_priority_factor = dice_.uniform();
     s.tier_count = 1 + static_cast<std::uint32_t>(dice_.below(3));
     s.tier = static_cast<std::uint32_t>(dice_.below(s.tier_count));
     s.replicas = one_of<std::uint32_t>(dice_, {1, 2, 15, 100});
-    s.step = one_of(dice_, {milliseconds(1), milliseconds(4)});
-    s.must_ask_discovery = dice_.below(4) == 0;
-    s.ask_within = milliseconds(10000);
-    s.cold_span = to_span(one_of(dice_, {0.0, 2.0, 30.0}));
-    s.cold_from = log_uniform(dice_, 0.05, 1);
-    s.fall_multiple = 1 + 3 * dice_.uniform();
-    s.tip_after = milliseconds(3000);
-    s.reports_need_probes = dice_.below(2) == 0;
-    s.may_probe = dice_.below(2) == 0;
-    s.probe_price = one_of(dice_, {0.0, 0.01, 1.0});
-    s.may_cancel = dice_.below(2) == 0;
-    s.parallel_tries = told_.parallel_tries;
-    s.most_tries = 1 + static_cast<std::uint32_t>(dice_.below(6));
+    s.time_step = one_of(dice_, {milliseconds(1), milliseconds(4)});
+    s.discovery_polling_required = dice_.below(4) == 0;
+    s.discovery_poll_interval = milliseconds(10000);
+    s.slow_start_window = to_span(one_of(dice_, {0.0, 2.0, 30.0}));
+    s.slow_start_initial_weight = log_uniform(dice_, 0.05, 1);
+    s.overload_collapse_ratio = 1 + 3 * dice_.uniform();
+    s.overload_collapse_delay = milliseconds(3000);
+    s.load_reports_require_health_checks = dice_.below(2) == 0;
+    s.health_checks_allowed = dice_.below(2) == 0;
+    s.health_check_cost = one_of(dice_, {0.0, 0.01, 1.0});
+    s.cancellation_allowed = dice_.below(2) == 0;
+    s.hedging_allowed = told_.parallel_tries;
+    s.max_attempts = 1 + static_cast<std::uint32_t>(dice_.below(6));
     s.max_retry_after = milliseconds(1500);
     s.connect_timeout = one_of(dice_, {milliseconds(5), milliseconds(100)});
-    s.cross_zone_price = one_of(dice_, {0.0, 1.0});
+    s.cross_zone_cost = one_of(dice_, {0.0, 1.0});
     settings_ = s;
     return s;
   }
 
-  void renew(ServerEntry& e) {  // a machine of that number, wherever it stands now
+  void renew(Endpoint& e) {  // a machine of that number, wherever it stands now
     e.zone = static_cast<std::uint32_t>(dice_.below(3));
     e.cell = static_cast<std::uint32_t>(dice_.below(4));
-    e.kind = static_cast<std::uint32_t>(dice_.below(3));
-    e.born.reset();
+    e.instance_type = static_cast<std::uint32_t>(dice_.below(3));
+    e.started_at.reset();
     if (dice_.below(2) == 0) {
-      e.born = driver_.now - to_span(20 * dice_.uniform());
+      e.started_at = driver_.now - to_span(20 * dice_.uniform());
     }
-    e.state = ServerState::kUp;
+    e.status = EndpointStatus::kUp;
   }
 
   double absurd() {
@@ -229,7 +229,7 @@
       r.tenant = static_cast<TenantId>(dice_.below(settings_.tenants.size()));
     }
     r.deadline = made.deadline;
-    r.large = made.large;
+    r.streams_body = made.large;
     if (dice_.below(2) == 0) {
       r.work_hint = to_span(to_s(all) / 20);
     }
@@ -248,7 +248,7 @@
     }
     made.over = true;
     rules_.answered(driver_.now, id, false);  // nothing is owed any more
-    give(ClientGone{id}, "client of " + std::to_string(id) + " leaves");
+    give(ClientDisconnected{id}, "client of " + std::to_string(id) + " leaves");
   }
 
   // The embedder stops waiting; what has no answer by now is late.
@@ -270,7 +270,7 @@
     }
     a.open = false;
     a.maybe =
-        result != Result::kFull && result != Result::kConnectFailed && result != Result::kMoot;
+        result != Result::kOverloaded && result != Result::kConnectFailed && result != Result::kSkipped;
     --made.out;
     rules_.ended(driver_.now, id, attempt, result);
     if (result == Result::kOk && !made.over) {
@@ -298,19 +298,19 @@
     check();
   }
 
-  void act(const Send& a) {
-    text_ << a.id << '>' << a.server << ' ';
+  void act(const StartAttempt& a) {
+    text_ << a.id << '>' << a.endpoint << ' ';
     Made& made = calls_.at(a.id);
-    const Server& s = servers_.at(a.server);
-    rules_.sent(driver_.now, a.id, 0, a.server, s.entry, s.away);
+    const Server& s = servers_.at(a.endpoint);
+    rules_.sent(driver_.now, a.id, 0, a.endpoint, s.entry, s.away);
     if (made.spent) {
       fail("request " + std::to_string(a.id) + " sent again, its body gone in part");
     }
-    if (made.attempts.size() >= settings_.most_tries) {
+    if (made.attempts.size() >= settings_.max_attempts) {
       fail("too many attempts of " + std::to_string(a.id));
     }
     const auto attempt = static_cast<std::uint32_t>(made.attempts.size());
-    made.attempts.push_back({a.server});
+    made.attempts.push_back({a.endpoint});
     ++made.out;
     const double chance = dice_.uniform();
     Result result = Result::kOk;
@@ -321,12 +321,12 @@
     if (chance < s.silent + s.errors) {
       result = one_of(dice_, {Result::kError, Result::kReset}), takes = 1e-3;
     } else if (chance < s.silent + s.errors + s.full) {
-      result = Result::kFull, takes = 1e-3;
+      result = Result::kOverloaded, takes = 1e-3;
     } else if (dice_.below(25) == 0) {
       result = static_cast<Result>(dice_.below(8));
     }
     const Duration after =
-        to_span(dice_.exponential(takes * to_s(told_.classes[made.c].settings.aim)));
+        to_span(dice_.exponential(takes * to_s(told_.classes[made.c].settings.latency_objective)));
     const RequestId id = a.id;
     if (driver_.now + after < made.deadline) {
       at(driver_.now + after, [this, id, attempt, result] { outcome(id, attempt, result); });
@@ -347,12 +347,12 @@
     if (!attempt.open || attempt.streamed) {
       fail("cancel of what is over or streams: " + std::to_string(a.id));
     }
-    if (!settings_.may_cancel) {
+    if (!settings_.cancellation_allowed) {
       fail("cancel where none is allowed");
     }
     at(driver_.now, [this, a] { outcome(a.id, a.attempt, Result::kCancelled); });
   }
-  void act(const Refuse& a) { answered(a.id, true); }
+  void act(const Reject& a) { answered(a.id, true); }
   void act(const Fail& a) { answered(a.id, false); }
   void answered(RequestId id, bool refusal) {
     text_ << id << ' ';
@@ -360,37 +360,37 @@
     Made& made = calls_.at(id);
     made.over = true;
     // At the first tier a client that gets nothing hears so before half of its own time is over.
-    const Duration half = (made.deadline - made.came) / 2 + settings_.step;
+    const Duration half = (made.deadline - made.came) / 2 + settings_.time_step;
     if (made.attempts.empty() && settings_.tier == 0 && driver_.now > made.came + half) {
       fail("request " + std::to_string(id) + " was kept waiting, unsent");
     }
   }
-  void act(const Probe& a) {
-    if (!settings_.may_probe) {
+  void act(const HealthCheck& a) {
+    if (!settings_.health_checks_allowed) {
       fail("probe where none is allowed");
     }
-    if (servers_.at(a.server).away) {
+    if (servers_.at(a.endpoint).away) {
       fail("probe of a server that is away");
     }
     const Result result = dice_.below(5) == 0 ? Result::kTimeout : Result::kOk;
     at(driver_.now + milliseconds(5),
-       [this, a, result] { give(ProbeResult{a.server, result, report()}, "probed"); });
+       [this, a, result] { give(HealthCheckResult{a.endpoint, result, report()}, "probed"); });
   }
   void act(const SetTimer& a) {
     if (a.at < driver_.now) {
       fail("a timer in the past");
     }
   }
-  void act(const Watch&) {
+  void act(const WatchEndpoints&) {
     if (dice_.below(2) == 0) {
-      at(driver_.now, [this] { give(Discovery{ListKind::kFailed, {}}, "list fails"); });
+      at(driver_.now, [this] { give(EndpointUpdate{UpdateKind::kFailed, {}}, "list fails"); });
     }
   }
 
   // ---- Servers and their list
 
   void tell(Server& s) {
-    const bool may = s.entry.state == ServerState::kUp && !s.barred;
+    const bool may = s.entry.status == EndpointStatus::kUp && !s.barred;
     if (may) {
       s.away.reset();
     }
@@ -401,68 +401,68 @@
 
   Server& any() { return servers_[dice_.below(servers_.size())]; }
 
-  void whole_list(ListKind kind) {
-    Discovery d{kind, {}};
+  void whole_list(UpdateKind kind) {
+    EndpointUpdate d{kind, {}};
     const double part = one_of(dice_, {0.0, 0.3, 0.9, 1.0, 1.0});
     for (Server& s : servers_) {
-      s.entry.state = ServerState::kRemoved;
+      s.entry.status = EndpointStatus::kRemoved;
       if (dice_.uniform() < part) {
-        s.entry.state = one_of(
-            dice_, {ServerState::kUp, ServerState::kUp, ServerState::kUp, ServerState::kDraining});
-        d.entries.push_back(s.entry);
+        s.entry.status = one_of(
+            dice_, {EndpointStatus::kUp, EndpointStatus::kUp, EndpointStatus::kUp, EndpointStatus::kDraining});
+        d.endpoints.push_back(s.entry);
       }
     }
     for (Server& s : servers_) {
       tell(s);
     }
-    give(d, "whole list of " + std::to_string(d.entries.size()));
+    give(d, "whole list of " + std::to_string(d.endpoints.size()));
   }
 
   void changes() {
-    Discovery d{ListKind::kChanges, {}};
+    EndpointUpdate d{UpdateKind::kDelta, {}};
     const std::size_t most = 1 + dice_.below(std::max<std::size_t>(1, servers_.size() / 3));
-    std::set<ServerId> named;
+    std::set<EndpointId> named;
     for (std::size_t i = 0; i < most; ++i) {
       Server& s = any();
-      if (!named.insert(s.entry.server).second) {
+      if (!named.insert(s.entry.id).second) {
         continue;
       }
       switch (dice_.below(4)) {
         case 0:
-          s.entry.state = ServerState::kDraining;
+          s.entry.status = EndpointStatus::kDraining;
           break;
         case 1:
-          s.entry.state = ServerState::kRemoved;
+          s.entry.status = EndpointStatus::kRemoved;
           break;
         case 2:  // the same number stands for another machine, or it has moved
           renew(s.entry);
           break;
         default:
-          s.entry.state = ServerState::kUp;
-          s.entry.born = driver_.now - to_span(2 * dice_.uniform());
+          s.entry.status = EndpointStatus::kUp;
+          s.entry.started_at = driver_.now - to_span(2 * dice_.uniform());
       }
       tell(s);
-      d.entries.push_back(s.entry);
+      d.endpoints.push_back(s.entry);
       // Of one that has gone a list may leave out where it stood.
-      if (s.entry.state == ServerState::kRemoved && dice_.below(2) == 0) {
-        d.entries.back().zone = d.entries.back().cell = 0;
+      if (s.entry.status == EndpointStatus::kRemoved && dice_.below(2) == 0) {
+        d.endpoints.back().zone = d.endpoints.back().cell = 0;
       }
     }
-    give(d, std::to_string(d.entries.size()) + " changes");
+    give(d, std::to_string(d.endpoints.size()) + " changes");
   }
 
   void disturb() {
     switch (dice_.below(6)) {
       case 0:
-        return whole_list(ListKind::kFull);
+        return whole_list(UpdateKind::kSnapshot);
       case 1:
         return changes();
       case 2: {
         Server& s = any();
         s.barred = !s.barred;
         tell(s);
-        return give(Barred{s.entry.server, s.barred},
-                    (s.barred ? "ban of " : "end of ban of ") + std::to_string(s.entry.server));
+        return give(EndpointExclusion{s.entry.id, s.barred},
+                    (s.barred ? "ban of " : "end of ban of ") + std::to_string(s.entry.id));
       }
       case 3: {
         Server& s = any();
@@ -503,21 +503,21 @@
 
   void aftermath() {
     servers_.resize(std::max<std::size_t>(servers_.size(), kFew));
-    for (ServerId id = 0; id < servers_.size(); ++id) {
+    for (EndpointId id = 0; id < servers_.size(); ++id) {
       Server& s = servers_[id];
-      s.entry.server = id;
+      s.entry.id = id;
       if (s.barred) {
-        s.barred = false, give(Barred{id, false}, "end of ban");
+        s.barred = false, give(EndpointExclusion{id, false}, "end of ban");
       }
-      s.entry.state = id < kFew ? ServerState::kUp : ServerState::kRemoved;
-      s.entry.born.reset();
+      s.entry.status = id < kFew ? EndpointStatus::kUp : EndpointStatus::kRemoved;
+      s.entry.started_at.reset();
       s.errors = s.full = 0, s.silent = 1;
       tell(s);
     }
-    Discovery d{ListKind::kFull, {}};
-    for (ServerId id = 0; id < kFew; ++id) {
-      servers_[id].entry.kind = 0;
-      d.entries.push_back(servers_[id].entry);
+    EndpointUpdate d{UpdateKind::kSnapshot, {}};
+    for (EndpointId id = 0; id < kFew; ++id) {
+      servers_[id].entry.instance_type = 0;
+      d.endpoints.push_back(servers_[id].entry);
     }
     give(d, "the last list");
     advance(driver_.now + std::chrono::hours(2));
@@ -533,30 +533,30 @@
     // part. Where crossing has a price and home has servers, the others may get none: home is half
     // used.
     for (int i = 0; i < 60; ++i) {
-      for (ServerId id = 0; id < kFew; ++id) {
-        give(ProbeResult{id, Result::kOk, {0.5, 10.0}}, "plain report");
+      for (EndpointId id = 0; id < kFew; ++id) {
+        give(HealthCheckResult{id, Result::kOk, {0.5, 10.0}}, "plain report");
       }
     }
-    std::map<ServerId, int> got;
+    std::map<EndpointId, int> got;
     int sent = 0;
     for (int i = 0; i < 100; ++i) {
       const std::size_t before = driver_.sends.size();
       ids.clear();
       send_all(1, &ids);
       if (driver_.sends.size() > before) {
-        ++sent, ++got[driver_.sends.back().server];
+        ++sent, ++got[driver_.sends.back().endpoint];
       }
-      advance(driver_.now + told_.classes[0].settings.aim / 20);
+      advance(driver_.now + told_.classes[0].settings.latency_objective / 20);
       if (!calls_.at(ids[0]).attempts.empty()) {
         outcome(ids[0], 0, Result::kOk);
       }
     }
-    const auto home = [&](ServerId id) { return servers_[id].entry.zone == settings_.zone; };
+    const auto home = [&](EndpointId id) { return servers_[id].entry.zone == settings_.zone; };
     bool all = true;
-    for (ServerId id = 0; id < kFew; ++id) {
-      all &= settings_.cross_zone_price == 0 || !home(id);
+    for (EndpointId id = 0; id < kFew; ++id) {
+      all &= settings_.cross_zone_cost == 0 || !home(id);
     }
-    for (ServerId id = 0; id < kFew; ++id) {
+    for (EndpointId id = 0; id < kFew; ++id) {
       if ((all || home(id)) && 20 * got[id] < sent - 20) {  // a closed C lets few calls through
         fail("server " + std::to_string(id) + " gets " + std::to_string(got[id]) + " of " +
              std::to_string(sent) + " calls");
@@ -649,10 +649,10 @@
   for (std::size_t i = 0; i < classes; ++i) {
     emulator::ClassSpec c = drawn_class(dice, i);
     c.work_s = work * log_uniform(dice, 0.7, 1.4);
-    c.settings.aim = to_span(c.work_s * log_uniform(dice, 6, 30));
-    c.settings.deadline = to_span(to_s(c.settings.aim) * (1.5 + 2 * dice.uniform()));
-    c.settings.memory_span = c.settings.deadline;
-    c.settings.aim_stretch = 0;
+    c.settings.latency_objective = to_span(c.work_s * log_uniform(dice, 6, 30));
+    c.settings.deadline = to_span(to_s(c.settings.latency_objective) * (1.5 + 2 * dice.uniform()));
+    c.settings.deduplication_window = c.settings.deadline;
+    c.settings.latency_objective_work_factor = 0;
     c.settings.streaming = false;
     s.classes.push_back(c);
   }
--- a/tests/proxy_rules.cpp
+++ b/tests/proxy_rules.cpp
@@ -381,23 +381,23 @@
   assert(proxy.exit_status() == 0);
 }
 
-class CountedPeer : public proxy::Peer {
+class CountedPeer : public proxy::Backend {
  public:
   explicit CountedPeer(int& alive) : alive_(alive) { ++alive_; }
   ~CountedPeer() override { --alive_; }
-  bool post(proxy::PeerMessage&&) override { return true; }
+  bool post(proxy::BackendMessage&&) override { return true; }
 
  private:
   int& alive_;
 };
 
-runtime::Task<> replace_backends(runtime::Scheduler& scheduler, proxy::DecisionBox& inbox) {
+runtime::Task<> replace_backends(runtime::Scheduler& scheduler, proxy::DecisionMailbox& inbox) {
   for (std::uint64_t n = 1; n <= 500; ++n) {
-    config::ServerList pool{n, n % 2 == 0, std::vector<config::ServerListEntry>(1 + n % 2)};
+    config::EndpointList pool{n, n % 2 == 0, std::vector<config::EndpointListEntry>(1 + n % 2)};
     pool.entries[0].host = "s-" + std::to_string(n);
     if (n % 2 == 1) {
       pool.entries[1].host = "s-" + std::to_string(n - 1);
-      pool.entries[1].state = ServerState::kRemoved;
+      pool.entries[1].status = EndpointStatus::kRemoved;
     }
     proxy::DecisionMessage message(std::move(pool));
     assert(inbox.post(std::move(message)));
@@ -415,8 +415,8 @@
       config::read_config(config::parse(text.data(), text.data() + text.size(), "config"));
   int alive = 0, made = 0;
   runtime::Scheduler scheduler;
-  proxy::WatchBox watch(4);
-  const auto make = [&](proxy::DecisionBox&, ServerId server, const sockaddr_in&) {
+  proxy::EndpointWatchMailbox watch(4);
+  const auto make = [&](proxy::DecisionMailbox&, EndpointId server, const sockaddr_in&) {
     assert(server < 3);  // numbers are given out again
     return ++made, std::make_unique<CountedPeer>(alive);
   };
--- a/tests/ramp_test.cpp
+++ b/tests/ramp_test.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr double kLoad = 0.75, kColdFrom = 0.2, kColdSpan = 12;  // of all there is; a part; seconds
-constexpr ServerId kServers = 20;
+constexpr EndpointId kServers = 20;
 constexpr Time kColdAt{6'000'000};
 
 struct Fleet {
@@ -26,7 +26,7 @@
   double rate = 15;             // that a server can do, a second
   double multiple = 3;          // of it, at which a cold one falls
   double window = 3;            // seconds
-  ServerId cold = 1;            // of the servers
+  EndpointId cold = 1;            // of the servers
   double most = 1;              // times what another instance sees, the first does
   double restarted = 0;         // of the instances, the moment the servers are
   double burst = 1;             // for 3 s, two after it
@@ -46,15 +46,15 @@
         tries_(balancers_.size()) {
     settings_.replicas = static_cast<std::uint32_t>(f_.instances);
     settings_.classes.resize(1);
-    settings_.classes[0].effect = Effect::kRepeatable;
-    settings_.classes[0].aim = std::chrono::seconds(1);
+    settings_.classes[0].idempotency = Idempotency::kIdempotent;
+    settings_.classes[0].latency_objective = std::chrono::seconds(1);
     settings_.classes[0].deadline = std::chrono::seconds(3);
-    settings_.cold_span = from_s(kColdSpan);
-    settings_.cold_from = kColdFrom;
-    settings_.fall_multiple = f_.multiple;
-    settings_.tip_after = from_s(f_.window);
-    settings_.most_tries = 4;
-    settings_.may_cancel = true;
+    settings_.slow_start_window = from_s(kColdSpan);
+    settings_.slow_start_initial_weight = kColdFrom;
+    settings_.overload_collapse_ratio = f_.multiple;
+    settings_.overload_collapse_delay = from_s(f_.window);
+    settings_.max_attempts = 4;
+    settings_.cancellation_allowed = true;
     for (std::size_t i = 0; i < balancers_.size(); ++i) {
       parts_.push_back((0.5 + uniform()) * (i == 0 ? f_.most : 1));
     }
@@ -70,7 +70,7 @@
         uniform() < f_.restarted ? start(i, true) : list(i, true);
       }
     });
-    while (!events_.empty() && events_.top().at < kColdAt + settings_.cold_span) {
+    while (!events_.empty() && events_.top().at < kColdAt + settings_.slow_start_window) {
       const Happening next = events_.top();
       events_.pop();
       now_ = std::max(now_, next.at);
@@ -103,14 +103,14 @@
     list(i, cold);
   }
   void list(std::size_t i, bool cold) {
-    Discovery d;
-    for (ServerId id = 0; id < kServers; ++id) {
-      ServerEntry e;
-      e.server = id;
+    EndpointUpdate d;
+    for (EndpointId id = 0; id < kServers; ++id) {
+      Endpoint e;
+      e.id = id;
       if (cold && id < f_.cold) {
-        e.born = kColdAt;
+        e.started_at = kColdAt;
       }
-      d.entries.push_back(e);
+      d.endpoints.push_back(e);
     }
     give(i, d);
   }
@@ -145,16 +145,16 @@
           }
         });
       }
-      const auto* send = std::get_if<Send>(&a);
+      const auto* send = std::get_if<StartAttempt>(&a);
       if (!send) {
         continue;
       }
-      const bool cold = send->server < f_.cold && now_ >= kColdAt;
+      const bool cold = send->endpoint < f_.cold && now_ >= kColdAt;
       if (cold) {
-        press(send->server);
+        press(send->endpoint);
       }
       const Result result = uniform() < f_.errors         ? Result::kError
-                            : cold && uniform() < f_.full ? Result::kFull
+                            : cold && uniform() < f_.full ? Result::kOverloaded
                                                           : Result::kOk;
       const Outcome outcome{send->id, tries_[i][send->id]++, result, result == Result::kOk, {}};
       at(now_ + from_s(result == Result::kOk ? 0.05 + 0.1 * uniform() : 0.005),
@@ -165,10 +165,10 @@
          });
     }
   }
-  void press(ServerId server) {
+  void press(EndpointId server) {
     std::deque<Time>& window = windows_[server];
     window.push_back(now_);
-    while (window.front() + settings_.tip_after < now_) {
+    while (window.front() + settings_.overload_collapse_delay < now_) {
       window.pop_front();
     }
     const double age = std::chrono::duration<double>(now_ - kColdAt).count();
@@ -187,7 +187,7 @@
   std::uint64_t order_ = 0;
   RequestId next_id_ = 0;
   Time now_{0};
-  std::map<ServerId, std::deque<Time>> windows_;
+  std::map<EndpointId, std::deque<Time>> windows_;
   double worst_ = -1e9;
 };
 
@@ -196,7 +196,7 @@
 TEST_P(Ramp, HoldsForTheFleet) {
   std::uint64_t seed = 0;
   for (const double rate : {4.0, 15.0}) {
-    for (const ServerId cold : {ServerId{1}, ServerId{12}}) {
+    for (const EndpointId cold : {EndpointId{1}, EndpointId{12}}) {
       for (const auto& [multiple, window] : {std::pair{3.0, 3.0}, std::pair{2.0, 1.5}}) {
         Fleet f;
         f.instances = GetParam(), f.rate = rate, f.cold = cold, f.multiple = multiple,
--- a/tests/readme_example_test.cpp
+++ b/tests/readme_example_test.cpp
@@ -13,22 +13,22 @@
   using namespace beechhill;
   using std::chrono::milliseconds;
   ClassSettings lookup;
-  lookup.effect = Effect::kRepeatable;
-  lookup.aim = milliseconds(500);
+  lookup.idempotency = Idempotency::kIdempotent;
+  lookup.latency_objective = milliseconds(500);
   lookup.deadline = milliseconds(2000);
   Settings settings;
   settings.classes.push_back(lookup);
   std::vector<Action> actions;
   Time now{0};
   Balancer balancer(now, settings, actions);
-  balancer.handle(now, Discovery{ListKind::kFull, {ServerEntry{}}}, actions);
+  balancer.handle(now, EndpointUpdate{UpdateKind::kSnapshot, {Endpoint{}}}, actions);
   Request request;
   request.id = 1;
   request.deadline = now + milliseconds(2000);
   balancer.handle(now, request, actions);
   std::size_t sends = 0;
   for (const Action& action : actions) {
-    sends += std::holds_alternative<Send>(action);
+    sends += std::holds_alternative<StartAttempt>(action);
   }
   return sends;
 }
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -13,44 +13,44 @@
 
 constexpr std::uint32_t kCell = 8;
 
-ServerEntry entry(ServerId id) {
-  ServerEntry e;
-  e.server = id;
+Endpoint entry(EndpointId id) {
+  Endpoint e;
+  e.id = id;
   e.cell = id / kCell;
   e.zone = e.cell % 4;
   return e;
 }
 struct Fleet {
-  explicit Fleet(ServerId nodes, std::uint64_t seed = 0) : salt(seed << 32) {
-    for (ServerId id = 0; id < nodes; ++id) {
-      list.entries.push_back(entry(id));
+  explicit Fleet(EndpointId nodes, std::uint64_t seed = 0) : salt(seed << 32) {
+    for (EndpointId id = 0; id < nodes; ++id) {
+      list.endpoints.push_back(entry(id));
     }
   }
-  std::vector<std::uint64_t> hashes(const Discovery& d) const {
+  std::vector<std::uint64_t> hashes(const EndpointUpdate& d) const {
     std::vector<std::uint64_t> all;
-    for (const ServerEntry& e : d.entries) {
-      all.push_back(salt + e.server + 1);
+    for (const Endpoint& e : d.endpoints) {
+      all.push_back(salt + e.id + 1);
     }
     return all;
   }
-  Discovery list{ListKind::kFull, {}};
+  EndpointUpdate list{UpdateKind::kSnapshot, {}};
   std::uint64_t salt;
 };
 
 std::vector<SubsetView> proxies_of(std::uint32_t count, SubsetSettings s, const Fleet& fleet,
-                                   Unit unit = Unit::kNode) {
+                                   Unit unit = Unit::kEndpoint) {
   std::vector<SubsetView> all;
   for (std::uint32_t i = 0; i < count; ++i) {
-    s.place = i;
+    s.proxy_index = i;
     all.emplace_back(s, unit, "proxy-" + std::to_string(i));
     all.back().apply(fleet.list, fleet.hashes(fleet.list));
   }
   return all;
 }
-std::vector<int> users_of(const std::vector<SubsetView>& proxies, ServerId nodes) {
+std::vector<int> users_of(const std::vector<SubsetView>& proxies, EndpointId nodes) {
   std::vector<int> users(nodes, 0);
   for (const SubsetView& p : proxies) {
-    for (ServerId id = 0; id < nodes; ++id) {
+    for (EndpointId id = 0; id < nodes; ++id) {
       users[id] += p.uses(id);
     }
   }
@@ -61,10 +61,10 @@
   const Fleet fleet(60);
   for (const std::uint32_t nodes : {0u, 60u, 100u}) {
     SubsetView view({nodes, 8, 10, 3u}, Unit::kCell, "p");
-    const Discovery out = view.apply(fleet.list, fleet.hashes(fleet.list));
-    ASSERT_EQ(out.entries.size(), 60u);
+    const EndpointUpdate out = view.apply(fleet.list, fleet.hashes(fleet.list));
+    ASSERT_EQ(out.endpoints.size(), 60u);
     for (std::size_t i = 0; i < 60; ++i) {
-      EXPECT_EQ(out.entries[i].server, i);
+      EXPECT_EQ(out.endpoints[i].id, i);
     }
   }
 }
@@ -87,7 +87,7 @@
       EXPECT_LE(*most, mean + 3) << nodes << " told " << told;
       EXPECT_GE(*least, 1);
       for (const SubsetView& p : proxies) {
-        EXPECT_GE(p.used(), 60u);
+        EXPECT_GE(p.used_endpoints(), 60u);
       }
     }
   }
@@ -98,22 +98,22 @@
 TEST(Subset, OneChangeMovesLittle) {
   std::mt19937_64 random(3);
   for (int round = 0; round < 20; ++round) {
-    const ServerId nodes = 500 + static_cast<ServerId>(random() % 2000);
+    const EndpointId nodes = 500 + static_cast<EndpointId>(random() % 2000);
     Fleet fleet(nodes, random() % 1000);
     auto proxies = proxies_of(40, {100, 8, 40, std::nullopt}, fleet);
     const auto before = users_of(proxies, nodes + 1);
-    Discovery change{ListKind::kChanges, {entry(nodes)}};
+    EndpointUpdate change{UpdateKind::kDelta, {entry(nodes)}};
     if (round % 2) {
-      change.entries[0] = entry(static_cast<ServerId>(random() % nodes));
-      change.entries[0].state = ServerState::kRemoved;
+      change.endpoints[0] = entry(static_cast<EndpointId>(random() % nodes));
+      change.endpoints[0].status = EndpointStatus::kRemoved;
     }
     std::size_t told = 0;
     for (SubsetView& p : proxies) {
-      told += p.apply(change, fleet.hashes(change)).entries.size();
+      told += p.apply(change, fleet.hashes(change)).endpoints.size();
     }
     const auto after = users_of(proxies, nodes + 1);
-    const ServerId touched = change.entries[0].server;
-    for (ServerId id = 0; id <= nodes; ++id) {
+    const EndpointId touched = change.endpoints[0].id;
+    for (EndpointId id = 0; id <= nodes; ++id) {
       EXPECT_TRUE(id == touched || before[id] == after[id]) << id;
     }
     EXPECT_EQ(told, static_cast<std::size_t>(std::abs(after[touched] - before[touched])));
@@ -124,66 +124,66 @@
   const Fleet fleet(4000);
   for (const SubsetView& p : proxies_of(30, {300, 8, 30, std::nullopt}, fleet, Unit::kCell)) {
     std::vector<int> by_zone(4, 0);
-    for (ServerId id = 0; id < 4000; ++id) {
+    for (EndpointId id = 0; id < 4000; ++id) {
       EXPECT_EQ(p.uses(id), p.uses(id / kCell * kCell)) << "cell " << id / kCell;
       by_zone[entry(id).zone] += p.uses(id);
     }
     for (const int n : by_zone) {
-      EXPECT_NEAR(static_cast<double>(n) / static_cast<double>(p.used()), 0.25, 0.12);
+      EXPECT_NEAR(static_cast<double>(n) / static_cast<double>(p.used_endpoints()), 0.25, 0.12);
     }
   }
 }
 
 TEST(Subset, TellsTheModuleOfItsPartAlone) {
   const Fleet fleet(1000);
-  SubsetView view({100, 8, 0, std::nullopt}, Unit::kNode, "proxy-a"),
-      twin({100, 8, 0, std::nullopt}, Unit::kNode, "proxy-a");
-  const Discovery out = view.apply(fleet.list, fleet.hashes(fleet.list));
+  SubsetView view({100, 8, 0, std::nullopt}, Unit::kEndpoint, "proxy-a"),
+      twin({100, 8, 0, std::nullopt}, Unit::kEndpoint, "proxy-a");
+  const EndpointUpdate out = view.apply(fleet.list, fleet.hashes(fleet.list));
   twin.apply(fleet.list, fleet.hashes(fleet.list));
-  EXPECT_EQ(out.entries.size(), view.used());
-  for (ServerId id = 0; id < 1000; ++id) {
+  EXPECT_EQ(out.endpoints.size(), view.used_endpoints());
+  for (EndpointId id = 0; id < 1000; ++id) {
     EXPECT_EQ(view.uses(id), twin.uses(id));  // two of one name: the same part
   }
-  const ServerId mine = out.entries[0].server;
-  ServerId other = 0;
+  const EndpointId mine = out.endpoints[0].id;
+  EndpointId other = 0;
   while (view.uses(other)) {
     ++other;
   }
-  Discovery drain{ListKind::kChanges, {entry(mine), entry(other)}};
-  for (ServerEntry& e : drain.entries) {
-    e.state = ServerState::kDraining;
+  EndpointUpdate drain{UpdateKind::kDelta, {entry(mine), entry(other)}};
+  for (Endpoint& e : drain.endpoints) {
+    e.status = EndpointStatus::kDraining;
   }
-  const Discovery told = view.apply(drain, fleet.hashes(drain));
-  ASSERT_EQ(told.entries.size(), 1u);
-  EXPECT_EQ(told.entries[0].server, mine);
-  EXPECT_EQ(told.entries[0].state, ServerState::kDraining);
-  EXPECT_EQ(view.apply(Discovery{ListKind::kFailed, {}}, {}).kind, ListKind::kFailed);
+  const EndpointUpdate told = view.apply(drain, fleet.hashes(drain));
+  ASSERT_EQ(told.endpoints.size(), 1u);
+  EXPECT_EQ(told.endpoints[0].id, mine);
+  EXPECT_EQ(told.endpoints[0].status, EndpointStatus::kDraining);
+  EXPECT_EQ(view.apply(EndpointUpdate{UpdateKind::kFailed, {}}, {}).kind, UpdateKind::kFailed);
 }
 
 // A subset whose nodes all go is widened; and it is what it was when they are back.
 TEST(Subset, WidensWhereItsNodesAreGone) {
   const Fleet fleet(1000);
-  SubsetView view({60, 8, 0, std::nullopt}, Unit::kNode, "p");
+  SubsetView view({60, 8, 0, std::nullopt}, Unit::kEndpoint, "p");
   view.apply(fleet.list, fleet.hashes(fleet.list));
-  std::vector<ServerId> mine;
-  Discovery down{ListKind::kChanges, {}}, back{ListKind::kChanges, {}};
-  for (ServerId id = 0; id < 1000; ++id) {
+  std::vector<EndpointId> mine;
+  EndpointUpdate down{UpdateKind::kDelta, {}}, back{UpdateKind::kDelta, {}};
+  for (EndpointId id = 0; id < 1000; ++id) {
     if (view.uses(id)) {
       mine.push_back(id);
-      down.entries.push_back(entry(id));
-      back.entries.push_back(entry(id));
-      down.entries.back().state = ServerState::kDraining;
+      down.endpoints.push_back(entry(id));
+      back.endpoints.push_back(entry(id));
+      down.endpoints.back().status = EndpointStatus::kDraining;
     }
   }
-  const Discovery told = view.apply(down, fleet.hashes(down));
+  const EndpointUpdate told = view.apply(down, fleet.hashes(down));
   std::size_t up = 0;
-  for (const ServerEntry& e : told.entries) {
-    up += e.state == ServerState::kUp;
+  for (const Endpoint& e : told.endpoints) {
+    up += e.status == EndpointStatus::kUp;
   }
   EXPECT_GE(up, mine.size() / 2);
   view.apply(back, fleet.hashes(back));
-  EXPECT_EQ(view.used(), mine.size());
-  for (const ServerId id : mine) {
+  EXPECT_EQ(view.used_endpoints(), mine.size());
+  for (const EndpointId id : mine) {
     EXPECT_TRUE(view.uses(id));
   }
 }
@@ -193,23 +193,23 @@
 TEST(Subset, WhatIsToldAddsUp) {
   std::mt19937_64 random(11);
   Fleet fleet(800);
-  SubsetView view({120, 8, 20, 7u}, Unit::kNode, "p");
-  std::set<ServerId> known;
-  const auto take = [&](const Discovery& told) {
-    if (told.kind == ListKind::kFull) {
+  SubsetView view({120, 8, 20, 7u}, Unit::kEndpoint, "p");
+  std::set<EndpointId> known;
+  const auto take = [&](const EndpointUpdate& told) {
+    if (told.kind == UpdateKind::kSnapshot) {
       known.clear();
     }
-    for (const ServerEntry& e : told.entries) {
-      e.state == ServerState::kRemoved ? known.erase(e.server) : known.insert(e.server).second;
+    for (const Endpoint& e : told.endpoints) {
+      e.status == EndpointStatus::kRemoved ? known.erase(e.id) : known.insert(e.id).second;
     }
   };
   take(view.apply(fleet.list, fleet.hashes(fleet.list)));
-  for (ServerId i = 0; i < 400; ++i) {
-    Discovery change{ListKind::kChanges,
-                     {entry(800 + i), entry(static_cast<ServerId>(random() % 800))}};
-    change.entries[1].state = ServerState::kRemoved;
+  for (EndpointId i = 0; i < 400; ++i) {
+    EndpointUpdate change{UpdateKind::kDelta,
+                     {entry(800 + i), entry(static_cast<EndpointId>(random() % 800))}};
+    change.endpoints[1].status = EndpointStatus::kRemoved;
     take(view.apply(change, fleet.hashes(change)));
-    for (ServerId id = 0; i % 40 == 0 && id < 1200; ++id) {
+    for (EndpointId id = 0; i % 40 == 0 && id < 1200; ++id) {
       ASSERT_EQ(known.count(id) > 0, view.uses(id)) << id;
     }
   }
@@ -218,13 +218,13 @@
 TEST(RankedSet, KeepsTheOrderOfRanksWhileOthersComeAndGo) {
   std::mt19937_64 random(5);
   std::uniform_real_distribution<double> rank;
-  std::vector<std::pair<double, ServerId>> all;
-  for (ServerId id = 0; id < 300; ++id) {
+  std::vector<std::pair<double, EndpointId>> all;
+  for (EndpointId id = 0; id < 300; ++id) {
     all.emplace_back(rank(random), id);
   }
   RankedSet set;
   set.assign(all);
-  std::set<std::pair<double, ServerId>> model(all.begin(), all.end());
+  std::set<std::pair<double, EndpointId>> model(all.begin(), all.end());
   for (int i = 0; i < 2000; ++i) {
     const auto& e = all[random() % all.size()];
     if (random() % 2) {  // both may find it done already
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -6,7 +6,7 @@
 
 constexpr Result kMaybeRan[] = {Result::kError, Result::kTimeout, Result::kReset,
                                 Result::kCancelled};
-constexpr Result kNeverRan[] = {Result::kFull, Result::kConnectFailed, Result::kMoot};
+constexpr Result kNeverRan[] = {Result::kOverloaded, Result::kConnectFailed, Result::kSkipped};
 
 TEST(Effects, OnceIsFailedNeverRepeatedOrRefusedAfterItMayHaveRun) {
   for (const Result r : kMaybeRan) {
@@ -14,8 +14,8 @@
     d.servers(4);
     d.request(1, kOnce);
     const auto out = d.outcome(1, 0, r);
-    EXPECT_EQ(count<Send>(out), 0u);
-    EXPECT_EQ(count<Refuse>(out), 0u);
+    EXPECT_EQ(count<StartAttempt>(out), 0u);
+    EXPECT_EQ(count<Reject>(out), 0u);
     EXPECT_EQ(count<Fail>(out), 1u);
   }
 }
@@ -28,7 +28,7 @@
     d.outcome(1, 0, r);
     d.pass(milliseconds(300));
     ASSERT_EQ(d.sends.size(), 2u);
-    EXPECT_NE(d.sends[0].server, d.sends[1].server);
+    EXPECT_NE(d.sends[0].endpoint, d.sends[1].endpoint);
   }
 }
 
@@ -39,7 +39,7 @@
   d.pass(milliseconds(100));
   d.outcome(1, 0, Result::kError);
   ASSERT_EQ(d.sends.size(), 2u);
-  EXPECT_EQ(d.sends[0].server / 2, d.sends[1].server / 2);
+  EXPECT_EQ(d.sends[0].endpoint / 2, d.sends[1].endpoint / 2);
 }
 
 TEST(Effects, KeyedIsNotSentAgainOnceItsRepeatsAreForgotten) {
@@ -48,7 +48,7 @@
   d.request(1, kKeyed);
   d.pass(milliseconds(3000));
   const auto out = d.outcome(1, 0, Result::kError);
-  EXPECT_EQ(count<Send>(out), 0u);
+  EXPECT_EQ(count<StartAttempt>(out), 0u);
   EXPECT_EQ(count<Fail>(out), 1u);
 }
 
@@ -68,30 +68,30 @@
   Driver d;
   d.servers(6);  // cells of two
   d.request(1, kKeyed);
-  const ServerId first = d.sends[0].server, other = (first + 2) % 6;
-  d.give(Discovery{ListKind::kChanges,
-                   {{first, ServerState::kUp, 0, 77, {}}, {other, ServerState::kUp, 0, 77, {}}}});
+  const EndpointId first = d.sends[0].endpoint, other = (first + 2) % 6;
+  d.give(EndpointUpdate{UpdateKind::kDelta,
+                   {{first, EndpointStatus::kUp, 0, 77, {}}, {other, EndpointStatus::kUp, 0, 77, {}}}});
   d.outcome(1, 0, Result::kError);
   ASSERT_EQ(d.sends.size(), 2u);
-  EXPECT_EQ(d.sends[1].server, first ^ 1);
+  EXPECT_EQ(d.sends[1].endpoint, first ^ 1);
 }
 
 TEST(Effects, KeyedIsRefusedOnlyWhereAllServersDropRepeats) {
-  for (const Group group : {Group::kAll, Group::kZone, Group::kCell}) {
+  for (const DeduplicationScope scope : {DeduplicationScope::kAll, DeduplicationScope::kZone, DeduplicationScope::kCell}) {
     Settings s = basic_settings();
-    s.most_tries = 1;
-    s.classes[kKeyed].group = group;
+    s.max_attempts = 1;
+    s.classes[kKeyed].deduplication_scope = scope;
     Driver d(s);
     d.servers(4);
     d.request(1, kKeyed);
     const auto out = d.outcome(1, 0, Result::kError);
-    EXPECT_EQ(count<Refuse>(out), group == Group::kAll ? 1u : 0u);
-    EXPECT_EQ(count<Fail>(out), group == Group::kAll ? 0u : 1u);
+    EXPECT_EQ(count<Reject>(out), scope == DeduplicationScope::kAll ? 1u : 0u);
+    EXPECT_EQ(count<Fail>(out), scope == DeduplicationScope::kAll ? 0u : 1u);
   }
 }
 
 TEST(Drains, NothingNewGoesToADrainingOrRemovedServer) {
-  for (const ServerState state : {ServerState::kDraining, ServerState::kRemoved}) {
+  for (const EndpointStatus state : {EndpointStatus::kDraining, EndpointStatus::kRemoved}) {
     Driver d;
     d.servers(2);
     d.change({0, state, 0, 0, {}});
@@ -99,7 +99,7 @@
       d.request(id);
     }
     for (const auto& s : d.sends) {
-      EXPECT_EQ(s.server, 1u);
+      EXPECT_EQ(s.endpoint, 1u);
     }
   }
 }
@@ -107,12 +107,12 @@
 TEST(Drains, AbsentFromAWholeListIsGone) {
   Driver d;
   d.servers(3);
-  d.give(Discovery{ListKind::kFull, {{2, ServerState::kUp, 0, 1, {}}}});
+  d.give(EndpointUpdate{UpdateKind::kSnapshot, {{2, EndpointStatus::kUp, 0, 1, {}}}});
   for (RequestId id = 0; id < 20; ++id) {
     d.request(id);
   }
   for (const auto& s : d.sends) {
-    EXPECT_EQ(s.server, 2u);
+    EXPECT_EQ(s.endpoint, 2u);
   }
 }
 
@@ -130,12 +130,12 @@
   for (int i = 0; i < 10; ++i) {
     second();
   }
-  d.change({0, ServerState::kUp, 0, 0, d.now});
+  d.change({0, EndpointStatus::kUp, 0, 0, d.now});
   const std::size_t before = d.sends.size();
   second();
   std::size_t to_cold = 0;
   for (std::size_t i = before; i < d.sends.size(); ++i) {
-    to_cold += d.sends[i].server == 0;
+    to_cold += d.sends[i].endpoint == 0;
   }
   EXPECT_LE(to_cold, 4u);  // a warm one takes 13; the server starts at a fifth of that
   for (int i = 0; i < 12; ++i) {
@@ -145,7 +145,7 @@
   second();
   to_cold = 0;
   for (std::size_t i = later; i < d.sends.size(); ++i) {
-    to_cold += d.sends[i].server == 0;
+    to_cold += d.sends[i].endpoint == 0;
   }
   EXPECT_GE(to_cold, 8u);
 }
@@ -154,8 +154,8 @@
   Driver d;
   d.servers(2);
   const auto out = d.give(Request{1, kOnce, kNoTenant, d.now, {}});
-  EXPECT_EQ(count<Send>(out), 0u);
-  EXPECT_EQ(count<Refuse>(out), 1u);
+  EXPECT_EQ(count<StartAttempt>(out), 0u);
+  EXPECT_EQ(count<Reject>(out), 1u);
 }
 
 // Incident i93a7ab: a call with little time left was held past its deadline, then sent.
@@ -188,7 +188,7 @@
 TEST(Answers, NothingMoreForAClientThatLeft) {
   Driver d;
   d.request(1);
-  d.give(ClientGone{1});
+  d.give(ClientDisconnected{1});
   d.servers(2);
   d.pass(milliseconds(5000));
   EXPECT_TRUE(d.sends.empty());
--- a/tests/snapshot_test.cpp
+++ b/tests/snapshot_test.cpp
@@ -32,27 +32,27 @@
 void is_believed_only_where_it_may() {
   const Snapshot s = sample();
   const auto read = snapshot::decode(snapshot::encode(s));
-  assert(read && read->name == s.name && read->fleet == s.fleet && read->life == 7 &&
-         read->written == s.written);
-  assert(read->rows.size() == 2 && read->rows[0].evidence.rates == 12.25 &&
-         read->rows[0].evidence.paces == 3 && read->rows[1].host == "s \"2\"");
+  assert(read && read->name == s.name && read->settings_hash == s.settings_hash && read->incarnation == 7 &&
+         read->written_at == s.written_at);
+  assert(read->records.size() == 2 && read->records[0].stats.weighted_rates == 12.25 &&
+         read->records[0].stats.weighted_latency_ratios == 3 && read->records[1].host == "s \"2\"");
   const auto why = [&s](const char* name, const char* fleet, std::chrono::milliseconds now) {
-    const char* reason = snapshot::refusal(s, name, fleet, now);
+    const char* reason = snapshot::rejection_reason(s, name, fleet, now);
     return std::string(reason ? reason : "");
   };
-  assert(why("t", "z/0/ver", s.written + 5s).empty() &&
-         why("t", "z/0/ver", s.written - 1s).empty());
-  assert(why("u", "z/0/ver", s.written) == "another_process" &&
-         why("t", "z/1/ver", s.written) == "other_settings");
-  assert(why("t", "z/0/ver", s.written - 1min) == "from_the_future" &&
-         why("t", "z/0/ver", s.written + 1h) == "too_old");
-  const Evidence e{40, 2, 6, 3};
-  const auto left = [&e](std::chrono::seconds age) { return snapshot::believed(e, age, false); };
-  assert(left(0s)->utils == 2 && left(-1s)->answers == 3 &&
-         std::abs(left(60s)->rates - 40 / std::exp(1)) < 1e-9);
-  assert(!left(10min) && !snapshot::believed(e, 0s, true));
-  assert(!snapshot::believed({1e9, 2, 0, 0}, 0s, false) &&
-         !snapshot::believed({40, 2, 300, 3}, 0s, false));  // absurd
+  assert(why("t", "z/0/ver", s.written_at + 5s).empty() &&
+         why("t", "z/0/ver", s.written_at - 1s).empty());
+  assert(why("u", "z/0/ver", s.written_at) == "another_process" &&
+         why("t", "z/1/ver", s.written_at) == "other_settings");
+  assert(why("t", "z/0/ver", s.written_at - 1min) == "from_the_future" &&
+         why("t", "z/0/ver", s.written_at + 1h) == "too_old");
+  const EndpointStats e{40, 2, 6, 3};
+  const auto left = [&e](std::chrono::seconds age) { return snapshot::discounted(e, age, false); };
+  assert(left(0s)->weighted_utilizations == 2 && left(-1s)->response_weight == 3 &&
+         std::abs(left(60s)->weighted_rates - 40 / std::exp(1)) < 1e-9);
+  assert(!left(10min) && !snapshot::discounted(e, 0s, true));
+  assert(!snapshot::discounted({1e9, 2, 0, 0}, 0s, false) &&
+         !snapshot::discounted({40, 2, 300, 3}, 0s, false));  // absurd
 }
 
 // Cut at every byte, bits turned over, parts doubled and versions swapped: none is taken, not by
@@ -91,7 +91,7 @@
   const Folder folder;
   {
     Keeper keeper(folder.path, "t", "f");
-    assert(!keeper.found(1000ms));
+    assert(!keeper.load(1000ms));
     bool refused = false;
     try {
       const Keeper second(folder.path, "t", "f");
@@ -99,13 +99,13 @@
       refused = true;
     }
     assert(refused);
-    keeper.keep({{"s-1", 0ms, 900ms, {10, 0.5, 0, 0}}}, {"s-7"}, 1000ms);
+    keeper.save_async({{"s-1", 0ms, 900ms, {10, 0.5, 0, 0}}}, {"s-7"}, 1000ms);
   }  // its end writes what waits
   Keeper keeper(folder.path, "t", "f");
-  const auto found = keeper.found(2000ms);
-  assert(found && found->life == 1 && found->rows.size() == 1);
-  const auto old = keeper.found(10h);
-  assert(old && old->rows.empty() && old->barred.contains("s-7"));  // a ban does not age
+  const auto found = keeper.load(2000ms);
+  assert(found && found->incarnation == 1 && found->records.size() == 1);
+  const auto old = keeper.load(10h);
+  assert(old && old->records.empty() && old->excluded_backends.contains("s-7"));  // a ban does not age
   assert(!std::filesystem::exists(folder.file(kFile)) &&
          std::filesystem::exists(folder.file(kFile) + ".aside"));
 }
@@ -123,13 +123,13 @@
       errno = ENOSPC;
       return false;
     });
-    keeper.keep({}, {}, 1ms);
+    keeper.save_async({}, {}, 1ms);
     const auto end = Clock::now() + kPatience;
     while (*calls == 0) {
       assert(Clock::now() < end), ::usleep(1000);
     }
     for (int i = 0; i < 1000; ++i) {
-      keeper.keep({}, {}, 2ms);  // would hang here if one waited for the disk
+      keeper.save_async({}, {}, 2ms);  // would hang here if one waited for the disk
     }
     assert(*calls == 1);
     held->release();
@@ -183,7 +183,7 @@
       expect_status(client, 200);
     }
     const auto end = Clock::now() + kPatience;
-    while (reports && left().rows.size() != 2) {
+    while (reports && left().records.size() != 2) {
       assert(Clock::now() < end), ::usleep(5000);
     }
     return went;
@@ -229,12 +229,12 @@
   {
     const Proxy proxy(lives.hosts());
     assert(proxy.call("PUT", "/api/exclude?target=s-1").status == 200);
-    while (!lives.left().barred.contains("s-1")) {
+    while (!lives.left().excluded_backends.contains("s-1")) {
       assert(Clock::now() < end), ::usleep(5000);
     }
   }
   Snapshot old = lives.left();
-  old.written -= 1h;
+  old.written_at -= 1h;
   std::ofstream(lives.folder.file(kFile)) << snapshot::encode(old);
   const Proxy proxy(lives.hosts());
   Wire client = proxy.client();
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -95,12 +95,12 @@
   using namespace handover;
   SharedState s;
   s.generation = 7;
-  apply(s, Change::kExclude, "s-1");
-  apply(s, Change::kExclude, "s \"2\"\n");
-  apply(s, Change::kExclude, "s-1");
-  apply(s, Change::kEvacuate, "");
+  apply(s, StateChange::kExclude, "s-1");
+  apply(s, StateChange::kExclude, "s \"2\"\n");
+  apply(s, StateChange::kExclude, "s-1");
+  apply(s, StateChange::kDrain, "");
   const std::string text = encode(s);
-  assert(decode(text) == s && s.drained && s.barred.size() == 2);
+  assert(decode(text) == s && s.drained && s.excluded_backends.size() == 2);
   for (std::size_t n = 0; n < text.size(); ++n) {
     assert(!decode(text.substr(0, n)));  // torn
   }
@@ -110,10 +110,10 @@
     assert(!decode(changed));
   }
   assert(!decode(text + "x") && !decode("{}\n123\n"));
-  apply(s, Change::kInclude, "s-1");
-  apply(s, Change::kInclude, "s-1");
-  apply(s, Change::kRejoin, "");
-  assert(!s.drained && s.barred.size() == 1);
+  apply(s, StateChange::kInclude, "s-1");
+  apply(s, StateChange::kInclude, "s-1");
+  apply(s, StateChange::kResume, "");
+  assert(!s.drained && s.excluded_backends.size() == 1);
 }
 
 // A steady load, on kept and on new connections, over two upgrades in a row.
