--- a/include/beechhill/balancer.h
+++ b/include/beechhill/balancer.h
@@ -24,7 +24,11 @@
 inline constexpr TenantId kNoTenant = std::numeric_limits<TenantId>::max();
 
 enum class Idempotency { kIdempotent, kIdempotencyKey, kNonIdempotent };
-enum class DeduplicationScope { kAll, kZone, kCell };  // the servers that discard a keyed request's repeats
+enum class DeduplicationScope {
+  kAll,
+  kZone,
+  kCell
+};  // the servers that discard a keyed request's repeats
 
 struct ClassSettings {
   Idempotency idempotency = Idempotency::kNonIdempotent;
@@ -32,7 +36,8 @@
   Duration deduplication_window{0};
   Duration latency_objective{0};
   Duration deadline{0};
-  double latency_objective_work_factor = 0;  // the aim grows by this multiple of the request's own work
+  double latency_objective_work_factor =
+      0;  // the aim grows by this multiple of the request's own work
   double late_priority_factor = 0;
   double priority_weight = 1;
   bool streaming = false;
@@ -68,7 +73,8 @@
   Duration max_retry_after{0};
   Duration connect_timeout{
       100'000};  // for whoever carries out the sends: a connection not up by then failed
-  Duration backend_idle_timeout{30'000'000};  // servers close a connection that has stood idle this long
+  Duration backend_idle_timeout{
+      30'000'000};  // servers close a connection that has stood idle this long
   double health_check_cost = 0;
   double cross_zone_cost = 0;
 };
@@ -90,8 +96,8 @@
   EndpointStatus status = EndpointStatus::kUp;
   std::uint32_t zone = 0;
   std::uint32_t cell = 0;
-  std::optional<Time> started_at;  // absent: long ago
-  std::uint32_t instance_type = 0;    // servers of one kind are built alike
+  std::optional<Time> started_at;   // absent: long ago
+  std::uint32_t instance_type = 0;  // servers of one kind are built alike
 };
 
 enum class UpdateKind { kDelta, kSnapshot, kCached, kFailed };
@@ -107,7 +113,8 @@
   TenantId tenant = kNoTenant;
   Time deadline{0};  // when the client abandons this try
   std::optional<Duration> work_hint;
-  bool streams_body = false;  // its body is still coming: how long it takes says nothing of its server
+  bool streams_body =
+      false;  // its body is still coming: how long it takes says nothing of its server
 };
 
 struct FirstByte {
@@ -115,7 +122,16 @@
   std::uint32_t attempt = 0;
 };
 
-enum class Result { kOk, kError, kOverloaded, kTimeout, kConnectFailed, kReset, kCancelled, kSkipped };
+enum class Result {
+  kOk,
+  kError,
+  kOverloaded,
+  kTimeout,
+  kConnectFailed,
+  kReset,
+  kCancelled,
+  kSkipped
+};
 
 struct Outcome {
   RequestId id = 0;
@@ -123,7 +139,8 @@
   Result result = Result::kOk;
   bool is_final = false;
   LoadReport report;
-  bool body_consumed = false;  // its body has gone out in part and is not kept: it cannot be sent again
+  bool body_consumed =
+      false;  // its body has gone out in part and is not kept: it cannot be sent again
 };
 
 struct ClientDisconnected {
@@ -144,7 +161,7 @@
 // stands behind them mean something.
 struct EndpointStats {
   double weighted_rates = 0, weighted_utilizations = 0;  // reported
-  double weighted_latency_ratios = 0;             // times of answers over what their class usually takes
+  double weighted_latency_ratios = 0;  // times of answers over what their class usually takes
   double response_weight = 0;
 
   void add_latency_ratio(double pace, double fading) {
@@ -175,8 +192,8 @@
   bool excluded = true;
 };
 
-using Event = std::variant<EndpointUpdate, Request, FirstByte, Outcome, ClientDisconnected, HealthCheckResult, Timer,
-                           EndpointExclusion, RestoredStats>;
+using Event = std::variant<EndpointUpdate, Request, FirstByte, Outcome, ClientDisconnected,
+                           HealthCheckResult, Timer, EndpointExclusion, RestoredStats>;
 
 // ---- Actions
 
@@ -210,7 +227,8 @@
 
 struct WatchEndpoints {};  // subscribe to discovery
 
-using Action = std::variant<StartAttempt, Cancel, Reject, Fail, HealthCheck, SetTimer, WatchEndpoints>;
+using Action =
+    std::variant<StartAttempt, Cancel, Reject, Fail, HealthCheck, SetTimer, WatchEndpoints>;
 
 // One load balancer instance. Equal settings and events give equal actions. Not thread-safe.
 class Balancer {
--- a/adapter/wire.cpp
+++ b/simhost/wire.cpp
@@ -17,13 +17,13 @@
 namespace beechhill::wire {
 namespace {
 
-using config::require_array;
 using config::convert;
-using config::throw_json_error;
 using config::find_member;
 using config::get_member;
+using config::require_array;
 using config::require_member;
 using config::require_object;
+using config::throw_json_error;
 
 constexpr std::size_t kSlots = 16;
 
@@ -181,8 +181,8 @@
   };
 
   Settings settings_from(const Json::Value& begin) {
-    config::NamedSettings named =
-        config::read_settings(require_object(begin, "env"), get_member<std::uint64_t>(begin, "prng"));
+    config::NamedSettings named = config::read_settings(require_object(begin, "env"),
+                                                        get_member<std::uint64_t>(begin, "prng"));
     for (const auto& name : named.classes) {
       classes_.id(name);
     }
@@ -228,8 +228,8 @@
     }
     Open& open = open_.at(*id);
     --open.attempts;
-    Outcome o{*id, get_member<std::uint32_t>(e, "send-no"), result_from(e), get_member<bool>(e, "final"),
-              report_in(e)};
+    Outcome o{*id, get_member<std::uint32_t>(e, "send-no"), result_from(e),
+              get_member<bool>(e, "final"), report_in(e)};
     open.over |= o.is_final;
     return o;
   }
@@ -265,7 +265,7 @@
     }
     for (const ListEntry& row : lists[slot]) {
       d.endpoints.push_back({servers_.id(row.upstream), row.state, zones_.id(row.zone), row.cell,
-                           row.born, kinds_.id(row.kind)});
+                             row.born, kinds_.id(row.kind)});
     }
     return d;
   }
--- a/src/admin/admin_door.cpp
+++ b/src/admin/admin_server.cpp
@@ -1,4 +1,4 @@
-#include "admin/admin_door.h"
+#include "admin/admin_server.h"
 
 #include <json/json.h>
 
@@ -7,14 +7,14 @@
 
 #include "http/message.h"
 #include "log/log.h"
-#include "proxy/log.h"
+#include "proxy/connection_log.h"
 
 namespace beechhill::admin {
 
 using namespace std::chrono_literals;
 using net::Io;
-using proxy::Asked;
 using runtime::Clock;
+using runtime::PendingReply;
 using runtime::Task;
 
 namespace {
@@ -31,9 +31,10 @@
 }  // namespace
 
 AdminServer::AdminServer(runtime::Scheduler& scheduler, const sockaddr_in& address,
-                     proxy::DecisionMailbox& decisions, handover::OperatorCommandMailbox& orders,
-                     const proxy::Telemetry& telemetry, const std::vector<std::string>& classes,
-                     std::function<bool()> serving, ClusterHandler group)
+                         proxy::DecisionMailbox& decisions,
+                         hot_restart::OperatorCommandMailbox& orders,
+                         const proxy::Telemetry& telemetry, const std::vector<std::string>& classes,
+                         std::function<bool()> serving, ClusterHandler group)
     : scheduler_(scheduler),
       decisions_(decisions),
       orders_(orders),
@@ -57,7 +58,7 @@
           callers_.push_back(std::make_shared<Caller>(scheduler_, std::move(fd)));
           scheduler_.spawn(serve(callers_.back()));
         } catch (const std::system_error& error) {  // epoll takes no more
-          proxy::log_fault("operator_let_go", error);
+          log::fault("operator_let_go", error);
         }
       }
     }
@@ -89,7 +90,7 @@
   try {
     co_await converse(*caller);
   } catch (const std::exception& error) {
-    proxy::log_fault("operator_fault", error);
+    log::fault("operator_fault", error);
   }
   callers_.remove(caller);
   left_.notify();
@@ -126,7 +127,7 @@
 }
 
 Task<std::string> AdminServer::answer_to(const std::string& method, const std::string& target) {
-  using handover::Change;
+  using hot_restart::StateChange;
   const Command call = parse_command(method, target);
   int status = call.error_status;
   if (status == 0 && call.type == CommandType::kTelemetry) {
@@ -140,15 +141,15 @@
   if (status == 0 && call.type == CommandType::kReady) {
     status = serving_() ? 200 : 503;
   } else if (status == 0) {
-    const auto asked = std::make_shared<Asked>();
-    handover::OperatorCommand order{call.type == CommandType::kExclude    ? StateChange::kExclude
-                          : call.type == CommandType::kInclude  ? StateChange::kInclude
-                          : call.type == CommandType::kDrain ? StateChange::kDrain
-                                                         : StateChange::kResume,
-                          call.target, asked};
+    const auto asked = std::make_shared<PendingReply>();
+    hot_restart::OperatorCommand order{call.type == CommandType::kExclude   ? StateChange::kExclude
+                                       : call.type == CommandType::kInclude ? StateChange::kInclude
+                                       : call.type == CommandType::kDrain   ? StateChange::kDrain
+                                                                            : StateChange::kResume,
+                                       call.target, asked};
     status = 503;
     if (orders_.post(std::move(order))) {
-      status = co_await proxy::await_reply(scheduler_, asked, kAnswerLimit);
+      status = co_await runtime::await_reply(scheduler_, asked, kAnswerLimit);
     }
     log::info("operator",
               {{"call", std::string_view(target)}, {"status", static_cast<std::int64_t>(status)}});
@@ -159,11 +160,11 @@
 
 Task<std::string> AdminServer::of_group(const Command& call) {
   int status = 404;
-  const auto asked = std::make_shared<proxy::PendingTextReply>();
+  const auto asked = std::make_shared<runtime::PendingTextReply>();
   if (group_) {
     group_(call, asked);
-    const std::shared_ptr<Asked> base = asked;
-    status = co_await proxy::await_reply(scheduler_, base, kGroupLimit);
+    const std::shared_ptr<PendingReply> base = asked;
+    status = co_await runtime::await_reply(scheduler_, base, kGroupLimit);
   }
   const bool json = status == 200 && call.type != CommandType::kMaintenanceCommand;
   std::string answer = http::write_response(
@@ -172,11 +173,11 @@
 }
 
 Task<std::string> AdminServer::figures() {
-  const auto asked = std::make_shared<Asked>();
+  const auto asked = std::make_shared<PendingReply>();
   int status = 503;
   proxy::DecisionMessage question(std::in_place_type<proxy::GetEndpointCounts>, asked);
   if (decisions_.post(std::move(question))) {
-    status = co_await proxy::await_reply(scheduler_, asked, kAnswerLimit);
+    status = co_await runtime::await_reply(scheduler_, asked, kAnswerLimit);
   }
   Json::Value root(Json::objectValue);
   for (const char* name : {"completed", "rejected", "failed"}) {
--- a/src/admin/admin_door.h
+++ b/src/admin/admin_server.h
@@ -8,10 +8,10 @@
 #include <memory>
 #include <string>
 
-#include "admin/call.h"
-#include "handover/handover_actor.h"
+#include "admin/command.h"
+#include "hot_restart/hot_restart_actor.h"
 #include "net/socket.h"
-#include "proxy/operation.h"
+#include "proxy/messages.h"
 #include "proxy/telemetry.h"
 
 namespace beechhill::admin {
@@ -22,7 +22,8 @@
 
 // Calls on membership and maintenance, where this process has them: answers `asked`, with a body.
 // Null: they are unknown here.
-using ClusterHandler = std::function<void(const Command& call, std::shared_ptr<proxy::PendingTextReply> asked)>;
+using ClusterHandler =
+    std::function<void(const Command& call, std::shared_ptr<runtime::PendingTextReply> asked)>;
 
 class AdminServer {
  public:
@@ -30,9 +31,9 @@
   // whether this process takes clients. Throws std::system_error where the address cannot be
   // listened on.
   AdminServer(runtime::Scheduler& scheduler, const sockaddr_in& address,
-            proxy::DecisionMailbox& decisions, handover::OperatorCommandMailbox& orders,
-            const proxy::Telemetry& telemetry, const std::vector<std::string>& classes,
-            std::function<bool()> serving, ClusterHandler group = {});
+              proxy::DecisionMailbox& decisions, hot_restart::OperatorCommandMailbox& orders,
+              const proxy::Telemetry& telemetry, const std::vector<std::string>& classes,
+              std::function<bool()> serving, ClusterHandler group = {});
 
   sockaddr_in address() const { return listener_.address(); }
   runtime::Task<> run();
@@ -55,7 +56,7 @@
 
   runtime::Scheduler& scheduler_;
   proxy::DecisionMailbox& decisions_;
-  handover::OperatorCommandMailbox& orders_;
+  hot_restart::OperatorCommandMailbox& orders_;
   const proxy::Telemetry& telemetry_;
   const std::vector<std::string>& classes_;
   std::function<bool()> serving_;
--- a/src/admin/call.cpp
+++ b/src/admin/command.cpp
@@ -1,4 +1,4 @@
-#include "admin/call.h"
+#include "admin/command.h"
 
 #include <charconv>
 
@@ -90,11 +90,17 @@
   call.error_status = 404;
   constexpr std::string_view kWorks = "/api/maintenance";
   if (path.starts_with(kWorks) && (path.size() == kWorks.size() || path[kWorks.size()] == '/')) {
-    call.type = path.size() == kWorks.size() ? CommandType::kMaintenanceStatus : CommandType::kMaintenanceCommand;
-    call.action = call.type == CommandType::kMaintenanceStatus ? "" : std::string(path.substr(kWorks.size() + 1));
+    call.type = path.size() == kWorks.size() ? CommandType::kMaintenanceStatus
+                                             : CommandType::kMaintenanceCommand;
+    call.action = call.type == CommandType::kMaintenanceStatus
+                      ? ""
+                      : std::string(path.substr(kWorks.size() + 1));
     auto query = parts_of(question == std::string_view::npos ? std::string_view{}
                                                              : target.substr(question + 1));
-    call.error_status = method != (call.type == CommandType::kMaintenanceStatus ? "GET" : "PUT") ? 405 : query ? 0 : 400;
+    call.error_status = method != (call.type == CommandType::kMaintenanceStatus ? "GET" : "PUT")
+                            ? 405
+                        : query ? 0
+                                : 400;
     if (query) {
       call.query = std::move(*query);
     }
--- a/src/admin/call.h
+++ b/src/admin/command.h
@@ -25,7 +25,7 @@
   int error_status = 0;  // 0: it can be carried out; else 400, 404 or 405
   CommandType type = CommandType::kReady;
   std::string target;                        // a backend's id, for kExclude and kInclude
-  std::string action;                          // of kWorksOrder: the last part of its path
+  std::string action;                        // of kWorksOrder: the last part of its path
   std::map<std::string, std::string> query;  // of kWorks and kWorksOrder
 };
 
--- a/src/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -11,8 +11,8 @@
 #include <unordered_map>
 #include <utility>
 
-#include "ranked_set.h"
-#include "state.h"
+#include "balancer/ranked_set.h"
+#include "balancer/state.h"
 
 namespace beechhill {
 namespace {
--- a/src/serve/group.cpp
+++ b/src/bootstrap/cluster.cpp
@@ -1,4 +1,4 @@
-#include "serve/group.h"
+#include "bootstrap/cluster.h"
 
 #include <json/json.h>
 
@@ -7,15 +7,15 @@
 #include <iterator>
 #include <stdexcept>
 
+#include "cluster/gossip_actor.h"
+#include "cluster/maintenance_actor.h"
 #include "log/log.h"
-#include "maintenance/maintenance_actor.h"
-#include "maintenance/staff.h"
-#include "membership/talk_actor.h"
-#include "proxy/log.h"
+#include "maintenance/operator_commands.h"
+#include "proxy/connection_log.h"
 
-namespace beechhill::service {
+namespace beechhill::bootstrap {
 
-using proxy::now;
+using runtime::now;
 
 namespace {
 
@@ -38,8 +38,9 @@
  public:
   explicit TalkingGroup(const ClusterDependencies& parts)
       : parts_(parts),
-        talk_(parts.scheduler, membership_settings(), *net::parse_address(settings().listen_address),
-              settings().advertised_address, name(), keys_from(settings().key_file), listener()) {
+        talk_(parts.scheduler, membership_settings(),
+              *net::parse_address(settings().listen_address), settings().advertised_address, name(),
+              keys_from(settings().key_file), listener()) {
     const auto& m = parts_.settings.maintenance;
     if (!m.voters.empty()) {
       parts_.decisions.require_permissions();
@@ -52,19 +53,20 @@
   }
 
   admin::ClusterHandler admin_handler() override {
-    return [this](const admin::Command& call, std::shared_ptr<proxy::PendingTextReply> asked) {
+    return [this](const admin::Command& call, std::shared_ptr<runtime::PendingTextReply> asked) {
       answer(call, std::move(asked));
     };
   }
 
   void reload(const config::OperatorSettings& fresh) override {
     try {
-      membership::GossipMessage message(membership::ReplaceKeys{keys_from(fresh.membership.key_file)});
+      membership::GossipMessage message(
+          membership::ReplaceKeys{keys_from(fresh.membership.key_file)});
       if (!talk_.inbox().post(std::move(message))) {
-        proxy::log_dropped_message("keys");
+        log::dropped_message("keys");
       }
     } catch (const std::exception& error) {
-      proxy::log_fault("keys_kept", error);
+      log::fault("keys_kept", error);
     }
   }
 
@@ -101,7 +103,8 @@
     maintenance::CoordinatorSettings w;
     w.self = name(), w.zone = parts_.config.named_settings.zone;
     w.voters = m.voters;
-    w.lease_duration = m.lease_duration, w.isolation_timeout = m.isolation_timeout, w.serve_without_lease = m.serve_without_lease,
+    w.lease_duration = m.lease_duration, w.isolation_timeout = m.isolation_timeout,
+    w.serve_without_lease = m.serve_without_lease,
     w.initial_lease_timeout = m.initial_lease_timeout;
     w.drain_grace = s.drain_grace;
     w.max_request_duration = Duration{0};
@@ -109,13 +112,19 @@
       w.max_request_duration = std::max(w.max_request_duration, c.deadline);
       // Whoever remembers a keyed request's repeats must not be taken out to the last one.
       w.disruption_budget.preserve_last_in_zone =
-          w.disruption_budget.preserve_last_in_zone || (c.idempotency == Idempotency::kIdempotencyKey && c.deduplication_scope == beechhill::DeduplicationScope::kZone);
+          w.disruption_budget.preserve_last_in_zone ||
+          (c.idempotency == Idempotency::kIdempotencyKey &&
+           c.deduplication_scope == beechhill::DeduplicationScope::kZone);
       w.disruption_budget.preserve_last_in_cell =
-          w.disruption_budget.preserve_last_in_cell || (c.idempotency == Idempotency::kIdempotencyKey && c.deduplication_scope == beechhill::DeduplicationScope::kCell);
+          w.disruption_budget.preserve_last_in_cell ||
+          (c.idempotency == Idempotency::kIdempotencyKey &&
+           c.deduplication_scope == beechhill::DeduplicationScope::kCell);
     }
-    const bool zone = w.disruption_budget.preserve_last_in_zone, cell = w.disruption_budget.preserve_last_in_cell;
+    const bool zone = w.disruption_budget.preserve_last_in_zone,
+               cell = w.disruption_budget.preserve_last_in_cell;
     w.disruption_budget = m.disruption_budget;
-    w.disruption_budget.preserve_last_in_zone = zone, w.disruption_budget.preserve_last_in_cell = cell;
+    w.disruption_budget.preserve_last_in_zone = zone,
+    w.disruption_budget.preserve_last_in_cell = cell;
     return w;
   }
 
@@ -123,7 +132,8 @@
     maintenance::LocalView v;
     for (const proxy::DecisionActor::ListedBackend& b : parts_.decisions.listed_backends()) {
       v.machines.push_back({b.id, b.zone, std::to_string(b.cell), b.instance_type,
-                            maintenance::Role::kBackend, b.relative_capacity, b.up, b.warm, b.started_at.count()});
+                            maintenance::Role::kBackend, b.relative_capacity, b.up, b.warm,
+                            b.started_at.count()});
     }
     v.zone_utilization = parts_.decisions.utilization_by_zone();
     v.busy_machines = parts_.decisions.busy_excluded_backends();
@@ -134,25 +144,26 @@
     v.has_discovery_update = parts_.decisions.stage() == recovery::Stage::kReady;
     v.is_shutting_down = parts_.ending();
     v.is_idle = parts_.telemetry.pending_requests() == 0 &&
-             (v.is_shutting_down || (drained_ && now() >= *drained_ + kDrained));
+                (v.is_shutting_down || (drained_ && now() >= *drained_ + kDrained));
     return v;
   }
 
   void drain(bool out) {
     drained_ = out ? std::optional(now()) : std::nullopt;
-    handover::OperatorCommand order{out ? handover::StateChange::kDrain : handover::StateChange::kResume,
-                          {},
-                          std::make_shared<proxy::PendingReply>()};
+    hot_restart::OperatorCommand order{
+        out ? hot_restart::StateChange::kDrain : hot_restart::StateChange::kResume,
+        {},
+        std::make_shared<runtime::PendingReply>()};
     if (!parts_.orders.post(std::move(order))) {
-      proxy::log_dropped_message("drain");
+      log::dropped_message("drain");
     }
   }
 
   std::string members() const {
     const membership::SwimNode& swim = talk_.membership();
     Json::Value root;
-    root["self"] = name(), root["sure"] = swim.has_contact(), root["slowness"] = swim.local_health_penalty(),
-    root["incarnation"] = swim.incarnation();
+    root["self"] = name(), root["sure"] = swim.has_contact(),
+    root["slowness"] = swim.local_health_penalty(), root["incarnation"] = swim.incarnation();
     root["refused_datagrams"] = Json::UInt64(talk_.rejected_datagrams());
     root["members"] = Json::Value(Json::arrayValue);
     for (const auto& [name, m] : swim.members()) {
@@ -167,7 +178,7 @@
     return Json::writeString(writer, root) + "\n";
   }
 
-  void answer(const admin::Command& call, std::shared_ptr<proxy::PendingTextReply> asked) {
+  void answer(const admin::Command& call, std::shared_ptr<runtime::PendingTextReply> asked) {
     if (call.type == admin::CommandType::kMembers) {
       asked->text = members();
       return asked->complete(200);
@@ -206,4 +217,4 @@
   return std::make_unique<TalkingGroup>(parts);
 }
 
-}  // namespace beechhill::service
+}  // namespace beechhill::bootstrap
--- a/src/serve/no_group.cpp
+++ b/src/bootstrap/no_cluster.cpp
@@ -1,9 +1,9 @@
-#include "serve/group.h"
+#include "bootstrap/cluster.h"
 
-namespace beechhill::service {
+namespace beechhill::bootstrap {
 
 std::unique_ptr<Group> join_group(const GroupParts&) {
   return nullptr;
 }  // the operator file's reader has refused anything else
 
-}  // namespace beechhill::service
+}  // namespace beechhill::bootstrap
--- a/src/serve/serve.cpp
+++ b/src/bootstrap/serve.cpp
@@ -1,4 +1,4 @@
-#include "serve/serve.h"
+#include "bootstrap/serve.h"
 
 #include <sys/signalfd.h>
 #include <unistd.h>
@@ -10,19 +10,19 @@
 #include <stdexcept>
 #include <utility>
 
-#include "admin/admin_door.h"
+#include "admin/admin_server.h"
+#include "bootstrap/cluster.h"
 #include "config/operator_file.h"
-#include "handover/handover_actor.h"
+#include "hot_restart/hot_restart_actor.h"
 #include "log/log.h"
+#include "proxy/backend_actor.h"
 #include "proxy/client_connection.h"
+#include "proxy/connection_log.h"
 #include "proxy/decision_actor.h"
-#include "proxy/log.h"
-#include "proxy/peer_actor.h"
-#include "proxy/server_list_actor.h"
-#include "serve/group.h"
-#include "snapshot/keeper.h"
+#include "proxy/endpoint_watch_actor.h"
+#include "snapshot/snapshot_store.h"
 
-namespace beechhill::service {
+namespace beechhill::bootstrap {
 
 using namespace proxy;
 
@@ -45,7 +45,7 @@
   std::size_t front() const { return usable_ * kFrontPercent / 100; }
   std::size_t peers() const { return usable_ - front(); }
   // What is left beside the proxy's other processes: together they hold no more than one may.
-  std::size_t beside(const handover::SharedStateDirectory::ProcessGroupStatus& others) const {
+  std::size_t beside(const hot_restart::SharedStateDirectory::ProcessGroupStatus& others) const {
     if (others.alive == 0) {
       return usable_;
     }
@@ -64,7 +64,7 @@
 }
 
 // Null where no other process can share with this one; the service goes on without.
-std::unique_ptr<handover::SharedStateDirectory> join(const config::Config& config) {
+std::unique_ptr<hot_restart::SharedStateDirectory> join(const config::Config& config) {
   if (!config.inherited_listener_fd) {
     return nullptr;
   }
@@ -72,9 +72,10 @@
     if (config.shared_state_directory.empty()) {
       throw std::runtime_error("TMPDIR: not set");
     }
-    return std::make_unique<handover::SharedStateDirectory>(config.shared_state_directory, config.name);
+    return std::make_unique<hot_restart::SharedStateDirectory>(config.shared_state_directory,
+                                                               config.name);
   } catch (const std::exception& error) {
-    log_fault("handover_off", error);
+    log::fault("handover_off", error);
     return nullptr;
   }
 }
@@ -86,7 +87,8 @@
 
 // What learning depends on: under another zone, tier or other classes it says nothing.
 std::string fleet_of(const config::Config& config) {
-  std::string text = config.named_settings.zone + "/" + std::to_string(config.named_settings.settings.tier);
+  std::string text =
+      config.named_settings.zone + "/" + std::to_string(config.named_settings.settings.tier);
   for (const std::string& name : config.named_settings.classes) {
     text += "/" + name;
   }
@@ -95,14 +97,15 @@
 
 // Null where none are kept; without them the service goes on as from an empty start.
 std::unique_ptr<snapshot::SnapshotStore> open_keeper(const config::Config& config,
-                                              const config::SnapshotSettings& settings) {
+                                                     const config::SnapshotSettings& settings) {
   if (settings.directory.empty()) {
     return nullptr;
   }
   try {
-    return std::make_unique<snapshot::SnapshotStore>(settings.directory, config.name, fleet_of(config));
+    return std::make_unique<snapshot::SnapshotStore>(settings.directory, config.name,
+                                                     fleet_of(config));
   } catch (const std::exception& error) {
-    log_fault("snapshot_off", error);
+    log::fault("snapshot_off", error);
     return nullptr;
   }
 }
@@ -135,8 +138,9 @@
     const config::OperatorSettings settings = config::load_operator(operator_file);
     // Guards against staying with a discovery that is gone, for good, where a call to it holds the
     // mailbox full.
-    watch.replace(RedirectWatch{discovery},
-                  [](const EndpointWatchMessage& m) { return std::holds_alternative<RedirectWatch>(m); });
+    watch.replace(RedirectWatch{discovery}, [](const EndpointWatchMessage& m) {
+      return std::holds_alternative<RedirectWatch>(m);
+    });
     log::set_level(settings.log.level);
     if (group) {
       group->reload(settings);
@@ -144,12 +148,12 @@
     const std::string address = net::to_string(discovery);
     log::info("configuration_read", {{"discovery", std::string_view(address)}});
   } catch (const std::exception& error) {
-    log_fault("configuration_kept", error);
+    log::fault("configuration_kept", error);
   }
 }
 
 runtime::Task<> heed_signals(runtime::Scheduler& scheduler, net::Fd signals, ClientListener& door,
-                             handover::HotRestartActor& handover, EndpointWatchMailbox& watch,
+                             hot_restart::HotRestartActor& handover, EndpointWatchMailbox& watch,
                              const std::string& operator_file,
                              const std::unique_ptr<Cluster>& group) {
   runtime::IoSource io(scheduler, signals.get());
@@ -166,7 +170,7 @@
       const bool succeeded = handover.has_successor();
       log::info("ending", {{"succeeded", succeeded}});
       if (!door.inbox().post({ListenerCommandType::kShutdown, succeeded, nullptr})) {
-        ending = false, log_dropped_message("end");
+        ending = false, log::dropped_message("end");
       }
     }
   }
@@ -194,31 +198,34 @@
   const config::OperatorSettings settings = config::load_operator(operator_file);
   log::start(settings.log);
 
-  std::unique_ptr<handover::SharedStateDirectory> folder = join(config);
+  std::unique_ptr<hot_restart::SharedStateDirectory> folder = join(config);
 
   runtime::Scheduler scheduler;
   const Shares shares(config.max_descriptors - kOtherDescriptors - admin::kMaxConnections);
   Telemetry telemetry(config.named_settings.classes.size());
   BodyBudget bodies(body_bytes(config));
   BackendPool pool(shares.peers(), bodies, telemetry, config.named_settings.settings);
-  const auto make_peer = [&](DecisionMailbox& inbox, EndpointId server, const sockaddr_in& address) {
-    return std::make_unique<BackendActor>(scheduler, inbox, pool, config.named_settings.settings, server,
-                                       address);
+  const auto make_peer = [&](DecisionMailbox& inbox, EndpointId server,
+                             const sockaddr_in& address) {
+    return std::make_unique<BackendActor>(scheduler, inbox, pool, config.named_settings.settings,
+                                          server, address);
   };
   EndpointWatchActor server_list(scheduler, config);
-  handover::SharedState before = folder ? folder->state() : handover::SharedState{};
+  hot_restart::SharedState before = folder ? folder->state() : hot_restart::SharedState{};
   const std::unique_ptr<snapshot::SnapshotStore> keeper = open_keeper(config, settings.snapshot);
   std::optional<snapshot::Snapshot> found = keeper ? keeper->load(unix_now()) : std::nullopt;
   if (found) {
-    log::info("snapshot_found", {{"rows", static_cast<std::uint64_t>(found->records.size())},
-                                 {"barred", static_cast<std::uint64_t>(found->excluded_backends.size())}});
+    log::info("snapshot_found",
+              {{"rows", static_cast<std::uint64_t>(found->records.size())},
+               {"barred", static_cast<std::uint64_t>(found->excluded_backends.size())}});
   }
   if (found && !folder) {
-    before.excluded_backends = found->excluded_backends;  // with a folder, what stands there is newer
+    before.excluded_backends =
+        found->excluded_backends;  // with a folder, what stands there is newer
   }
-  DecisionActor decisions(scheduler, config, make_peer, server_list.inbox(), settings.subset,
-                          before.excluded_backends,
-                          found ? std::move(found->records) : std::vector<snapshot::EndpointRecord>{});
+  DecisionActor decisions(
+      scheduler, config, make_peer, server_list.inbox(), settings.subset, before.excluded_backends,
+      found ? std::move(found->records) : std::vector<snapshot::EndpointRecord>{});
   pool.endpoints_are_current = [&decisions] { return decisions.endpoints_are_current(); };
   // What the list last held says may be old: with another process there to serve, discovery is
   // heard first.
@@ -228,32 +235,34 @@
     return decisions.ready() && decisions.serving_permitted() &&
            (!patient || decisions.has_discovery_update() || runtime::Clock::now() >= patience);
   };
-  ClientListener door(scheduler, decisions.inbox(), config, telemetry, bodies, shares.front(), has_list,
-                 before.drained);
-  const auto look = [&](const handover::SharedStateDirectory::ProcessGroupStatus& others) {
+  ClientListener door(scheduler, decisions.inbox(), config, telemetry, bodies, shares.front(),
+                      has_list, before.drained);
+  const auto look = [&](const hot_restart::SharedStateDirectory::ProcessGroupStatus& others) {
     const Shares now(shares.beside(others));
     door.descriptor_budget().set_limit(now.front());
     pool.budget.set_limit(now.peers());
     bodies.set_limit(body_bytes(config) / (others.alive > 0 ? 2 : 1));
-    const std::size_t held =
-        door.descriptor_budget().used() + pool.budget.used() + kOtherDescriptors + admin::kMaxConnections;
-    return handover::HotRestartActor::ProcessStatus{door.is_serving(), static_cast<std::uint32_t>(held)};
+    const std::size_t held = door.descriptor_budget().used() + pool.budget.used() +
+                             kOtherDescriptors + admin::kMaxConnections;
+    return hot_restart::HotRestartActor::ProcessStatus{door.is_serving(),
+                                                       static_cast<std::uint32_t>(held)};
   };
-  handover::HotRestartActor handover(scheduler, std::move(folder), decisions.inbox(), door.inbox(),
-                                   look);
+  hot_restart::HotRestartActor handover(scheduler, std::move(folder), decisions.inbox(),
+                                        door.inbox(), look);
   scheduler.spawn(handover.run());
   scheduler.spawn(decisions.run());
   scheduler.spawn(server_list.run(decisions.inbox()));
   scheduler.spawn(door.run_accept_loop());
   const std::unique_ptr<Cluster> group =
       join_cluster({scheduler, config, settings, decisions, handover.inbox(), telemetry,
-                  [&door] { return door.is_shutting_down(); }});
+                    [&door] { return door.is_shutting_down(); }});
   scheduler.spawn(tend(scheduler, door, group));
   std::optional<admin::AdminServer> operators;
   if (config.admin) {
     operators.emplace(
         scheduler, *config.admin, decisions.inbox(), handover.inbox(), telemetry,
-        config.named_settings.classes, [&] { return door.is_serving() && handover.readiness_published(); },
+        config.named_settings.classes,
+        [&] { return door.is_serving() && handover.readiness_published(); },
         group ? group->admin_handler() : admin::ClusterHandler{});
     scheduler.spawn(operators->run());
   }
@@ -273,4 +282,4 @@
   }
 }
 
-}  // namespace beechhill::service
+}  // namespace beechhill::bootstrap
--- a/src/serve/serve.h
+++ b/src/bootstrap/serve.h
@@ -4,11 +4,11 @@
 
 #include <string>
 
-namespace beechhill::service {
+namespace beechhill::bootstrap {
 
 // Serves until it is told to end. The configuration is the one of config::load_config();
 // `operator_file` may be empty. Throws JsonFault, TomlFault or std::system_error where it cannot
 // start.
 void run(const std::string& operator_file);
 
-}  // namespace beechhill::service
+}  // namespace beechhill::bootstrap
--- a/src/maintenance/disk_storage.cpp
+++ b/src/cluster/disk_raft_storage.cpp
@@ -1,4 +1,4 @@
-#include "maintenance/disk_storage.h"
+#include "cluster/disk_raft_storage.h"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -18,8 +18,8 @@
 #include <stdexcept>
 #include <thread>
 
+#include "base/byte_codec.h"
 #include "log/log.h"
-#include "membership/bytes.h"
 
 namespace beechhill::maintenance {
 
@@ -221,7 +221,7 @@
 };
 
 DiskRaftStorage::DiskRaftStorage(std::string path, net::Fd lock, Voter voter, DurableState image,
-                         std::uint64_t written)
+                                 std::uint64_t written)
     : path_(std::move(path)),
       lock_(std::move(lock)),
       voter_(std::move(voter)),
@@ -254,7 +254,8 @@
   return fd;
 }
 
-std::unique_ptr<DiskRaftStorage> DiskRaftStorage::open(const std::string& folder, const std::string& name) {
+std::unique_ptr<DiskRaftStorage> DiskRaftStorage::open(const std::string& folder,
+                                                       const std::string& name) {
   net::Fd held = lock(folder, name);
   const std::string path = path_of(folder, name);
   std::ifstream in(path, std::ios::binary);
@@ -275,8 +276,9 @@
       new DiskRaftStorage(path, std::move(held), got->voter, std::move(got->image), got->written));
 }
 
-std::unique_ptr<DiskRaftStorage> DiskRaftStorage::found(const std::string& folder, const Voter& voter,
-                                                const std::vector<LogRecord>& records) {
+std::unique_ptr<DiskRaftStorage> DiskRaftStorage::found(const std::string& folder,
+                                                        const Voter& voter,
+                                                        const std::vector<LogRecord>& records) {
   net::Fd held = lock(folder, voter.name);
   const std::string path = path_of(folder, voter.name);
   if (std::filesystem::exists(path)) {
--- a/src/maintenance/disk_storage.h
+++ b/src/cluster/disk_raft_storage.h
@@ -7,8 +7,8 @@
 #include <optional>
 #include <string>
 
-#include "maintenance/agreement.h"
-#include "maintenance/storage.h"
+#include "maintenance/raft_node.h"
+#include "maintenance/raft_storage.h"
 #include "net/socket.h"
 
 namespace beechhill::maintenance {
@@ -21,7 +21,7 @@
   static std::unique_ptr<DiskRaftStorage> open(const std::string& folder, const std::string& name);
   // Makes one that begins with these records. Throws as open(), and where there is one already.
   static std::unique_ptr<DiskRaftStorage> found(const std::string& folder, const Voter& voter,
-                                            const std::vector<LogRecord>& records);
+                                                const std::vector<LogRecord>& records);
   ~DiskRaftStorage() override;
   // For a voter that cannot rely on it any more. Nothing is written after it.
   void set_aside();
@@ -35,7 +35,8 @@
 
  private:
   struct Writer;
-  DiskRaftStorage(std::string path, net::Fd lock, Voter voter, DurableState image, std::uint64_t written);
+  DiskRaftStorage(std::string path, net::Fd lock, Voter voter, DurableState image,
+                  std::uint64_t written);
   static net::Fd lock(const std::string& folder, const std::string& name);
 
   const std::string path_;
--- a/src/membership/talk_actor.cpp
+++ b/src/cluster/gossip_actor.cpp
@@ -1,15 +1,15 @@
-#include "membership/talk_actor.h"
+#include "cluster/gossip_actor.h"
 
 #include <sodium.h>
 
 #include "log/log.h"
-#include "membership/wire.h"
-#include "proxy/log.h"
-#include "proxy/operation.h"
+#include "membership/message_codec.h"
+#include "proxy/connection_log.h"
+#include "proxy/messages.h"
 
 namespace beechhill::membership {
 
-using proxy::now;
+using runtime::now;
 
 namespace {
 
@@ -29,9 +29,9 @@
 
 }  // namespace
 
-GossipActor::GossipActor(runtime::Scheduler& scheduler, SwimSettings settings, const sockaddr_in& listen,
-                     const std::string& advertise, const std::string& name, MacKeys keys,
-                     GossipHandlers listener)
+GossipActor::GossipActor(runtime::Scheduler& scheduler, SwimSettings settings,
+                         const sockaddr_in& listen, const std::string& advertise,
+                         const std::string& name, MacKeys keys, GossipHandlers listener)
     : scheduler_(scheduler),
       socket_(scheduler, listen),
       life_(drawn()),
@@ -52,7 +52,7 @@
       log::info("membership_gap", {});
       swim_.on_resume(at, out);
       if (listener_.on_resume && !listener_.on_resume(ProcessResumed{})) {
-        proxy::log_dropped_message("woke");
+        log::dropped_message("woke");
       }
     }
     send(out);
@@ -67,7 +67,7 @@
     // What is left in the socket is not told of again.
     wait.readable(socket_.io())
         .notified(inbox_.arrived())
-        .until(proxy::to_point(more ? now() : swim_.next_tick()));
+        .until(runtime::to_point(more ? now() : swim_.next_tick()));
     co_await wait;
   }
 }
@@ -100,7 +100,8 @@
           got.verified->sender + "/" + std::to_string(static_cast<int>(got.verified->channel)),
           got.verified->payload);
       if (whole) {
-        listener_.on_payload(PayloadReceived{got.verified->sender, got.verified->channel, std::move(*whole)});
+        listener_.on_payload(
+            PayloadReceived{got.verified->sender, got.verified->channel, std::move(*whole)});
       }
     }
   }
--- a/src/membership/talk_actor.h
+++ b/src/cluster/gossip_actor.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <variant>
 
-#include "membership/gate.h"
-#include "membership/swim.h"
+#include "membership/datagram_authenticator.h"
+#include "membership/swim_node.h"
 #include "net/datagram.h"
 #include "runtime/mailbox.h"
 
@@ -30,7 +30,8 @@
   Channel channel = Channel::kCoordination;
   std::string payload;
 };
-struct ProcessResumed {};  // the process did not run for a while; told before anything that came meanwhile
+struct ProcessResumed {
+};  // the process did not run for a while; told before anything that came meanwhile
 // Where they go; false where there is no room, and then they are as good as lost on their way.
 struct GossipHandlers {
   std::function<bool(PayloadReceived)> on_payload;
@@ -42,8 +43,8 @@
   // Listens on `listen` and is reached by the others at `advertise`. `listener`: where what is not
   // membership's goes. Throws std::system_error where it cannot listen.
   GossipActor(runtime::Scheduler& scheduler, SwimSettings settings, const sockaddr_in& listen,
-            const std::string& advertise, const std::string& name, MacKeys keys,
-            GossipHandlers listener = {});
+              const std::string& advertise, const std::string& name, MacKeys keys,
+              GossipHandlers listener = {});
 
   GossipMailbox& inbox() { return inbox_; }
   runtime::Task<> run();
--- a/src/maintenance/maintenance_actor.cpp
+++ b/src/cluster/maintenance_actor.cpp
@@ -1,13 +1,13 @@
-#include "maintenance/maintenance_actor.h"
+#include "cluster/maintenance_actor.h"
 
 #include <algorithm>
 
 #include "log/log.h"
-#include "proxy/log.h"
+#include "proxy/connection_log.h"
 
 namespace beechhill::maintenance {
 
-using proxy::now;
+using runtime::now;
 
 namespace {
 
@@ -22,7 +22,8 @@
       .count();
 }
 
-MaintenanceCoordinator::ResponseCallback answer_to(std::shared_ptr<proxy::PendingTextReply> asked) {
+MaintenanceCoordinator::ResponseCallback answer_to(
+    std::shared_ptr<runtime::PendingTextReply> asked) {
   return [asked](bool done, const std::string& text) {
     const bool later =
         text == "no_leader" || text == "no_answer" || text == "lost" || text == "not_leader";
@@ -35,7 +36,8 @@
 
 MaintenanceActor::MaintenanceActor(runtime::Scheduler& scheduler, CoordinatorSettings settings,
                                    std::string folder, std::uint64_t life,
-                                   membership::GossipMailbox& talk, proxy::DecisionMailbox& decisions,
+                                   membership::GossipMailbox& talk,
+                                   proxy::DecisionMailbox& decisions,
                                    std::function<LocalView()> look, std::function<void(bool)> drain)
     : scheduler_(scheduler),
       settings_(std::move(settings)),
@@ -59,8 +61,8 @@
 
 void MaintenanceActor::begin() {
   works_ = std::make_unique<MaintenanceCoordinator>(now(), settings_, storage_.get(),
-                                   storage_ ? storage_->voter().generation : 0, life_,
-                                   life_ ^ 0x9e3779b97f4a7c15ULL, unix_now);
+                                                    storage_ ? storage_->voter().generation : 0,
+                                                    life_, life_ ^ 0x9e3779b97f4a7c15ULL, unix_now);
 }
 
 runtime::Task<> MaintenanceActor::run() {
@@ -82,7 +84,8 @@
         until = std::min(until, end);  // told again the moment a right lapses
       }
     }
-    if (storage_ && !storage_->failed() && storage_->durable_records() < storage_->appended_records()) {
+    if (storage_ && !storage_->failed() &&
+        storage_->durable_records() < storage_->appended_records()) {
       until = std::min(until, now() + kDiskLook);
     }
     if (!inbox_.empty()) {
@@ -90,7 +93,7 @@
     }
     runtime::Wait wait(scheduler_);
     wait.notified(inbox_.arrived())
-        .until(proxy::to_point(std::max(until, now() + Duration{1'000})));
+        .until(runtime::to_point(std::max(until, now() + Duration{1'000})));
     co_await wait;
   }
 }
@@ -136,7 +139,7 @@
       storage_ = DiskRaftStorage::found(folder_, Voter{settings_.self, *generation}, {});
       log::info("voter_readmitted", {{"generation", static_cast<std::uint64_t>(*generation)}});
     } catch (const std::exception& error) {
-      proxy::log_fault("voter_without_storage", error);
+      log::fault("voter_without_storage", error);
       return;
     }
     halted_said_ = false;
@@ -146,13 +149,12 @@
 
 void MaintenanceActor::pass_on() {
   for (MaintenanceCoordinator::Outgoing& o : works_->take_outgoing()) {
-    membership::GossipMessage say(membership::SendPayload{o.to,
-                                                o.line == Channel::kRaft
-                                                    ? membership::Channel::kRaft
-                                                    : membership::Channel::kCoordination,
-                                                std::move(o.bytes)});
+    membership::GossipMessage say(membership::SendPayload{
+        o.to,
+        o.line == Channel::kRaft ? membership::Channel::kRaft : membership::Channel::kCoordination,
+        std::move(o.bytes)});
     if (!talk_.post(std::move(say))) {
-      proxy::log_dropped_message("say");  // as on any network
+      log::dropped_message("say");  // as on any network
     }
   }
   std::map<std::string, Time> until;
--- a/src/maintenance/maintenance_actor.h
+++ b/src/cluster/maintenance_actor.h
@@ -7,24 +7,24 @@
 #include <string>
 #include <variant>
 
+#include "cluster/disk_raft_storage.h"
+#include "cluster/gossip_actor.h"
 #include "config/operator_file.h"
-#include "maintenance/disk_storage.h"
-#include "maintenance/works.h"
-#include "membership/talk_actor.h"
-#include "proxy/operation.h"
+#include "maintenance/maintenance_coordinator.h"
+#include "proxy/messages.h"
 
 namespace beechhill::maintenance {
 
 struct SubmitCommand {
   Command command;
-  std::shared_ptr<proxy::PendingTextReply> reply;
+  std::shared_ptr<runtime::PendingTextReply> reply;
 };
 struct QueryStatus {
   std::string request;  // empty: all
-  std::shared_ptr<proxy::PendingTextReply> reply;
+  std::shared_ptr<runtime::PendingTextReply> reply;
 };
-using MaintenanceMessage =
-    std::variant<membership::PayloadReceived, membership::ProcessResumed, SubmitCommand, QueryStatus>;
+using MaintenanceMessage = std::variant<membership::PayloadReceived, membership::ProcessResumed,
+                                        SubmitCommand, QueryStatus>;
 using MaintenanceMailbox = runtime::Mailbox<MaintenanceMessage>;
 
 class MaintenanceActor {
@@ -33,8 +33,9 @@
   // more, and when it may again. What is referred to must outlive the actor. Throws
   // std::runtime_error where a voter's folder cannot be used.
   MaintenanceActor(runtime::Scheduler& scheduler, CoordinatorSettings settings, std::string folder,
-                   std::uint64_t life, membership::GossipMailbox& talk, proxy::DecisionMailbox& decisions,
-                   std::function<LocalView()> look, std::function<void(bool)> drain);
+                   std::uint64_t life, membership::GossipMailbox& talk,
+                   proxy::DecisionMailbox& decisions, std::function<LocalView()> look,
+                   std::function<void(bool)> drain);
 
   MaintenanceMailbox& inbox() { return inbox_; }
   runtime::Task<> run();
--- a/src/maintenance/command.cpp
+++ b/src/cluster/maintenance_cli.cpp
@@ -1,12 +1,12 @@
-#include "maintenance/command.h"
+#include "cluster/maintenance_cli.h"
 
 #include <cstdio>
 #include <cstdlib>
 
+#include "cluster/disk_raft_storage.h"
 #include "config/operator_file.h"
 #include "http/message.h"
 #include "log/log.h"
-#include "maintenance/disk_storage.h"
 #include "net/socket.h"
 
 namespace beechhill::maintenance {
@@ -89,7 +89,8 @@
     if (std::find(voters.begin(), voters.end(), name) == voters.end()) {
       throw std::runtime_error(name + " is none of maintenance.voters");
     }
-    DiskRaftStorage::found(settings.maintenance.storage_directory, Voter{name, 1}, initial_records(voters));
+    DiskRaftStorage::found(settings.maintenance.storage_directory, Voter{name, 1},
+                           initial_records(voters));
     std::printf("founded: %s, one of %zu voters\n", name.c_str(), voters.size());
     return 0;
   } catch (const std::exception& error) {
--- a/src/config/sealed.cpp
+++ b/src/config/checksummed_json.cpp
@@ -1,4 +1,4 @@
-#include "config/sealed.h"
+#include "config/checksummed_json.h"
 
 #include <xxhash.h>
 
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -49,7 +49,8 @@
   if (word == "terminated") {
     return EndpointStatus::kRemoved;
   }
-  throw_json_error("health", "not one of in_service, terminating, terminated", find_member(row, "health"));
+  throw_json_error("health", "not one of in_service, terminating, terminated",
+                   find_member(row, "health"));
 }
 
 }  // namespace
@@ -93,10 +94,12 @@
     c.memory_mb = get_member<std::uint32_t>(limits, "memory_mb", c.memory_mb);
   }
   if (c.memory_mb < kLeastMemory) {
-    throw_json_error("limits.memory_mb", "under " + std::to_string(kLeastMemory), find_member(root, "limits"));
+    throw_json_error("limits.memory_mb", "under " + std::to_string(kLeastMemory),
+                     find_member(root, "limits"));
   }
   if (c.max_descriptors < kFewestSockets) {
-    throw_json_error("limits.sockets", "under " + std::to_string(kFewestSockets), find_member(root, "limits"));
+    throw_json_error("limits.sockets", "under " + std::to_string(kFewestSockets),
+                     find_member(root, "limits"));
   }
   if (find_member(root, "known")) {
     c.cached_endpoints = read_endpoint_list(require_object(root, "known"));
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -29,10 +29,10 @@
 struct Config {
   std::string name;
   sockaddr_in listen{}, discovery{};
-  std::optional<sockaddr_in> admin;  // where operators call; absent: nowhere
-  std::optional<int>
-      inherited_listener_fd;  // a descriptor that listens for clients already; absent: `listen` is bound
-  std::string shared_state_directory;  // that the processes of one proxy share; empty: none
+  std::optional<sockaddr_in> admin;          // where operators call; absent: nowhere
+  std::optional<int> inherited_listener_fd;  // a descriptor that listens for clients already;
+                                             // absent: `listen` is bound
+  std::string shared_state_directory;        // that the processes of one proxy share; empty: none
   std::uint32_t max_descriptors = 1024;
   std::uint32_t memory_mb = 192;
   EndpointList cached_endpoints;
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -19,7 +19,7 @@
 };
 // `at`: the value that is wrong, or the object that lacks one.
 [[noreturn]] inline void throw_json_error(const std::string& key, const std::string& what,
-                               const Json::Value* at = nullptr) {
+                                          const Json::Value* at = nullptr) {
   throw JsonError(key + ": " + what, at && at->getOffsetLimit() > 0 ? at->getOffsetStart() : -1);
 }
 
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -29,9 +29,9 @@
   if (!m.listen_address.empty() && m.key_file.empty()) {
     r.fault("key_file", "missing");
   }
-#ifndef BEECHHILL_TALK
-  if (!m.listen.empty()) {
-    r.fault("listen", "this build has no membership (BEECHHILL_TALK)");
+#ifndef BEECHHILL_CLUSTER
+  if (!m.listen_address.empty()) {
+    r.fault("listen", "this build has no membership (BEECHHILL_CLUSTER)");
   }
 #endif
   r.finish();
@@ -77,7 +77,8 @@
   b.min_proxies_per_zone = count("least_proxies", b.min_proxies_per_zone);
   b.drain_timeout = whole("evacuate_within", b.drain_timeout),
   b.deferral = whole("put_off", b.deferral);
-  b.priority_aging_interval = whole("age_step", b.priority_aging_interval), b.quiet_period = whole("calm", b.quiet_period);
+  b.priority_aging_interval = whole("age_step", b.priority_aging_interval),
+  b.quiet_period = whole("calm", b.quiet_period);
   b.needs_approval = r.flag("approval", b.needs_approval);
   r.finish();
   return m;
--- a/src/config/operator_file.h
+++ b/src/config/operator_file.h
@@ -9,7 +9,7 @@
 
 #include "config/toml_reader.h"
 #include "log/log.h"
-#include "maintenance/ledger.h"
+#include "maintenance/maintenance_state_machine.h"
 #include "routing/subset.h"
 
 namespace beechhill::config {
@@ -20,8 +20,9 @@
 };
 
 struct MembershipSettings {
-  std::string listen_address;     // UDP, an IPv4 address and a port; empty: the process talks with no other
-  std::string advertised_address;  // where the others reach it; empty: `listen`
+  std::string
+      listen_address;  // UDP, an IPv4 address and a port; empty: the process talks with no other
+  std::string advertised_address;           // where the others reach it; empty: `listen`
   std::vector<std::string> seed_addresses;  // addresses of some of the others
   std::string key_file;  // a key a line, as 64 hexadecimal digits: the first signs, a second one is
                          // believed too
@@ -31,7 +32,7 @@
 
 struct MaintenanceSettings {
   std::vector<std::string> voters;  // names; none: machines are not taken out by agreement
-  std::string storage_directory;               // of a voter's storage, on a disk that lasts
+  std::string storage_directory;    // of a voter's storage, on a disk that lasts
   Duration lease_duration{5'000'000}, isolation_timeout{0}, initial_lease_timeout{5'000'000};
   bool serve_without_lease = false;
   maintenance::DisruptionBudget disruption_budget;
--- a/src/config/settings_reader.cpp
+++ b/src/config/settings_reader.cpp
@@ -67,7 +67,8 @@
   if (find_member(env, "tenants")) {
     for (const Json::Value& t : require_array(env, "tenants")) {
       named.tenants.push_back(get_member<std::string>(t, "name"));
-      s.tenants.push_back({get_member<double>(t, "share", 0), get_member<double>(t, "allowance-per-s", 0)});
+      s.tenants.push_back(
+          {get_member<double>(t, "share", 0), get_member<double>(t, "allowance-per-s", 0)});
     }
   }
   s.over_quota_priority_factor = get_member<double>(env, "over-share-worth", 1);
@@ -104,7 +105,8 @@
     s.cross_zone_cost = get_member<double>(p, "cross-zone", 0);
   }
   if (find_member(env, "report")) {
-    s.load_reports_require_health_checks = get_member<std::string>(require_object(env, "report"), "source", "none") == "probe";
+    s.load_reports_require_health_checks =
+        get_member<std::string>(require_object(env, "report"), "source", "none") == "probe";
   }
   return named;
 }
--- a/src/emulator/clients.cpp
+++ b/src/emulator/clients.cpp
@@ -118,8 +118,10 @@
 std::optional<Duration> wait_before_retry(const Scenario& s, const FailedTry& failed,
                                           Stream& random) {
   const ClassSettings& k = s.classes[failed.c].settings;
-  const bool harmless = failed.refused || failed.unreachable || k.idempotency == Idempotency::kIdempotent ||
-                        (k.idempotency == Idempotency::kIdempotencyKey && k.deduplication_scope == DeduplicationScope::kAll);
+  const bool harmless = failed.refused || failed.unreachable ||
+                        k.idempotency == Idempotency::kIdempotent ||
+                        (k.idempotency == Idempotency::kIdempotencyKey &&
+                         k.deduplication_scope == DeduplicationScope::kAll);
   const ClientSpec& c = s.clients;
   if (c.retry == Retry::kNever || !harmless || failed.tries > c.retries) {
     return std::nullopt;
--- a/src/emulator/talk.cpp
+++ b/src/emulator/gossip_simulation.cpp
@@ -1,14 +1,14 @@
-#include "emulator/talk.h"
+#include "emulator/gossip_simulation.h"
 
 #include <algorithm>
 
 #include "emulator/units.h"
-#include "membership/wire.h"
+#include "membership/message_codec.h"
 
 namespace beechhill::emulator {
 
-using membership::Message;
 using membership::MemberState;
+using membership::Message;
 
 namespace {
 
@@ -39,7 +39,7 @@
     settings.seed_addresses.push_back(std::to_string(s));
   }
   m.swim = std::make_unique<membership::SwimNode>(clock(m), settings, random_.bits(), name_of(i),
-                                              std::to_string(i), random_.bits());
+                                                  std::to_string(i), random_.bits());
   m.planned = Time{-1};
   plan(i);
 }
@@ -146,7 +146,8 @@
   Member& m = members_[i];
   const Time due = std::max(
       now_,
-      Time(static_cast<std::int64_t>(static_cast<double>(m.swim->next_tick().count()) / m.rate) + 1));
+      Time(static_cast<std::int64_t>(static_cast<double>(m.swim->next_tick().count()) / m.rate) +
+           1));
   if (m.planned >= now_ && m.planned <= due) {
     return;
   }
@@ -163,7 +164,8 @@
     for (const auto& [name, held] : members_[i].swim->members()) {
       const std::size_t other =
           static_cast<std::size_t>(std::stoul(name.substr(name.find('-') + 1)));
-      const bool alive = held.update.state == MemberState::kAlive || held.update.state == MemberState::kSuspect;
+      const bool alive =
+          held.update.state == MemberState::kAlive || held.update.state == MemberState::kSuspect;
       if (alive != running(other)) {
         return false;
       }
@@ -182,7 +184,8 @@
 
 std::optional<Time> GossipSimulation::dead_since(std::size_t watcher, std::size_t other) const {
   const auto it = members_[watcher].swim->members().find(name_of(other));
-  if (it == members_[watcher].swim->members().end() || it->second.update.state != MemberState::kDead) {
+  if (it == members_[watcher].swim->members().end() ||
+      it->second.update.state != MemberState::kDead) {
     return std::nullopt;
   }
   return Time(static_cast<std::int64_t>(static_cast<double>(it->second.state_since.count()) /
--- a/src/emulator/talk.h
+++ b/src/emulator/gossip_simulation.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "emulator/random.h"
-#include "membership/swim.h"
+#include "membership/swim_node.h"
 
 namespace beechhill::emulator {
 
--- a/src/emulator/works.cpp
+++ b/src/emulator/maintenance_simulation.cpp
@@ -1,4 +1,4 @@
-#include "emulator/works.h"
+#include "emulator/maintenance_simulation.h"
 
 #include <fmt/format.h>
 
@@ -8,13 +8,13 @@
 
 namespace beechhill::emulator {
 
+using maintenance::Channel;
 using maintenance::Command;
+using maintenance::CommandType;
 using maintenance::FencingToken;
-using maintenance::Channel;
 using maintenance::Machine;
-using maintenance::WorkflowState;
-using maintenance::CommandType;
 using maintenance::MaintenanceCoordinator;
+using maintenance::WorkflowState;
 using namespace std::chrono_literals;
 
 namespace {
@@ -165,7 +165,8 @@
   std::optional<std::size_t> found;
   for (std::size_t i = 0; i < proxies_.size(); ++i) {
     if (running(i) && coordinator(i).is_leader() &&
-        (!found || coordinator(i).state_machine().applied_index() > coordinator(*found).state_machine().applied_index())) {
+        (!found || coordinator(i).state_machine().applied_index() >
+                       coordinator(*found).state_machine().applied_index())) {
       found = i;
     }
   }
@@ -365,7 +366,8 @@
     }
     if (b.in_work && staff_works_ && now_ >= b.work_ends) {
       b.in_work = false, b.out_since.reset();
-      b.machine.up = true, b.machine.warm = false, b.machine.started_at = now_.count(), b.back = now_;
+      b.machine.up = true, b.machine.warm = false, b.machine.started_at = now_.count(),
+      b.back = now_;
       ++taken_out_;
       b.say_done_at = now_;
     }
--- a/src/emulator/works.h
+++ b/src/emulator/maintenance_simulation.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "emulator/random.h"
-#include "maintenance/works.h"
+#include "maintenance/maintenance_coordinator.h"
 
 namespace beechhill::emulator {
 
@@ -55,7 +55,9 @@
   void order(std::size_t at, maintenance::Command command);
   std::optional<std::size_t> leader() const;  // that leads, as far as it knows, and runs
   bool whole() const;  // all voters run and vote: one of them may lose its storage
-  const maintenance::MaintenanceCoordinator& coordinator(std::size_t i) const { return *proxies_[i].works; }
+  const maintenance::MaintenanceCoordinator& coordinator(std::size_t i) const {
+    return *proxies_[i].works;
+  }
   bool running(std::size_t i) const { return proxies_[i].works && !proxies_[i].stopped; }
 
   void kill(std::size_t i);
@@ -95,7 +97,8 @@
  private:
   struct Proxy {
     std::unique_ptr<maintenance::MemoryRaftStorage> storage, copy;
-    std::unique_ptr<maintenance::MaintenanceCoordinator> works;  // after its storage, which it borrows
+    std::unique_ptr<maintenance::MaintenanceCoordinator>
+        works;  // after its storage, which it borrows
     std::uint32_t generation = 1, copy_generation = 1;
     bool votes = false, stopped = false, ending = false;
     Time stopped_at{0};
@@ -146,7 +149,7 @@
   std::multimap<Time, Flying> flying_;
   std::function<bool(std::size_t, std::size_t)> passes_;
   bool staff_works_ = true;
-  std::map<maintenance::LogIndex, std::size_t> states_;  // hashes of settled states, by index
+  std::map<maintenance::LogIndex, std::size_t> states_;      // hashes of settled states, by index
   std::map<maintenance::FencingToken, std::string> fences_;  // whose each is
   std::map<std::size_t, maintenance::LogIndex> checked_;
   std::size_t taken_out_ = 0;
--- a/src/emulator/policies.cpp
+++ b/src/emulator/policies.cpp
@@ -102,11 +102,14 @@
     }
   }
 
-  bool cold(const Known& k) const { return k.entry.started_at && now_ < *k.entry.started_at + s_.slow_start_window; }
+  bool cold(const Known& k) const {
+    return k.entry.started_at && now_ < *k.entry.started_at + s_.slow_start_window;
+  }
   bool credit_allows(Known& k) {  // whether a cold node's credit covers one more
     const double age = to_s(now_ - *k.entry.started_at);
     const double span = to_s(s_.slow_start_window);
-    const double warmth = s_.slow_start_initial_weight + (1 - s_.slow_start_initial_weight) * std::max(0.0, age) / span;
+    const double warmth = s_.slow_start_initial_weight +
+                          (1 - s_.slow_start_initial_weight) * std::max(0.0, age) / span;
     const double dt = to_s(now_ - k.credited);
     k.credit = std::min(1.0, k.credit + warmth * dt * rate_ / static_cast<double>(up_.size()));
     k.credited = now_;
@@ -121,12 +124,14 @@
     if (s.idempotency == Idempotency::kIdempotent) {
       return true;
     }
-    if (s.idempotency == Idempotency::kNonIdempotent || now_ >= c.sent[*c.maybe_ran] + s.deduplication_window) {
+    if (s.idempotency == Idempotency::kNonIdempotent ||
+        now_ >= c.sent[*c.maybe_ran] + s.deduplication_window) {
       return false;
     }
     const Endpoint& first = servers_[c.tried[*c.maybe_ran]].entry;
     return s.deduplication_scope == DeduplicationScope::kAll ||
-           (k.entry.zone == first.zone && (s.deduplication_scope == DeduplicationScope::kZone || k.entry.cell == first.cell));
+           (k.entry.zone == first.zone &&
+            (s.deduplication_scope == DeduplicationScope::kZone || k.entry.cell == first.cell));
   }
 
   // What choose() says, a few times; then whichever is allowed.
@@ -219,7 +224,8 @@
   void give_up(Call& c) {
     const ClassSettings& k = s_.classes[c.request.class_id];
     const bool safe = !c.maybe_ran || k.idempotency == Idempotency::kIdempotent ||
-                      (k.idempotency == Idempotency::kIdempotencyKey && k.deduplication_scope == DeduplicationScope::kAll);
+                      (k.idempotency == Idempotency::kIdempotencyKey &&
+                       k.deduplication_scope == DeduplicationScope::kAll);
     c.over = true;
     out_->push_back(safe ? Action(Reject{c.request.id, Duration{0}}) : Action(Fail{c.request.id}));
   }
--- a/src/emulator/rules.cpp
+++ b/src/emulator/rules.cpp
@@ -84,7 +84,8 @@
   if (!refusal || k.idempotency == Idempotency::kIdempotent) {
     return;
   }
-  if (k.idempotency == Idempotency::kIdempotencyKey && k.deduplication_scope == DeduplicationScope::kAll) {
+  if (k.idempotency == Idempotency::kIdempotencyKey &&
+      k.deduplication_scope == DeduplicationScope::kAll) {
     return;
   }
   for (const Attempt& a : c.attempts) {
@@ -131,7 +132,8 @@
   if (first && k.idempotency == Idempotency::kIdempotencyKey) {
     const bool within =
         k.deduplication_scope == DeduplicationScope::kAll ||
-        (entry.zone == first->zone && (k.deduplication_scope == DeduplicationScope::kZone || entry.cell == first->cell));
+        (entry.zone == first->zone &&
+         (k.deduplication_scope == DeduplicationScope::kZone || entry.cell == first->cell));
     if (!within) {
       broken(now, Rule::kEffects, call, "sent again outside its group", c.trace);
     }
@@ -174,8 +176,8 @@
          it->second.trace);
 }
 
-bool RuleChecker::pressed(Time now, std::uint32_t tier, EndpointId node, double work, double capacity,
-                          double usual_work, bool aware) {
+bool RuleChecker::pressed(Time now, std::uint32_t tier, EndpointId node, double work,
+                          double capacity, double usual_work, bool aware) {
   auto& window = pressure_[(static_cast<std::uint64_t>(tier) << 32) | node];
   window.push_back({now, work, aware});
   while (window.front().at + s_.tip_after < now) {
--- a/src/emulator/scenario.cpp
+++ b/src/emulator/scenario.cpp
@@ -25,7 +25,8 @@
   }
   c.part = r.number("part", 1, 0, 1e6);
   s.idempotency = static_cast<Idempotency>(r.word("repeat", 0, {"repeatable", "by_key", "once"}));
-  s.deduplication_scope = static_cast<DeduplicationScope>(r.word("group", 0, {"all", "zone", "cell"}));
+  s.deduplication_scope =
+      static_cast<DeduplicationScope>(r.word("group", 0, {"all", "zone", "cell"}));
   s.deduplication_window = r.span("memory", Duration{3'000'000});
   s.latency_objective = r.span("aim", Duration{500'000}, Duration{1});
   s.deadline = r.span("deadline", 2 * s.latency_objective, Duration{1});
@@ -119,7 +120,8 @@
                       f.kind == FaultKind::kErrors ? 1 : 1000);
   f.proxies = static_cast<std::uint32_t>(r.integer("proxies", 0, 0, s.proxies));
   f.way = static_cast<Direction>(r.word("way", 0, {"both", "there", "back"}));
-  if (f.way != Direction::kBoth && f.kind != FaultKind::kPartition && f.kind != FaultKind::kTalkCut) {
+  if (f.way != Direction::kBoth && f.kind != FaultKind::kPartition &&
+      f.kind != FaultKind::kTalkCut) {
     r.fault("way", "for a partition or a cut talk alone");
   }
   f.first = static_cast<std::uint32_t>(r.integer("first", 0, 0, s.proxies - 1));
@@ -325,7 +327,8 @@
   c.finish();
 
   TomlReader routing = r.table("routing");
-  s.subset.min_endpoints = static_cast<std::uint32_t>(routing.integer("subset_nodes", 0, 0, kMostNodes));
+  s.subset.min_endpoints =
+      static_cast<std::uint32_t>(routing.integer("subset_nodes", 0, 0, kMostNodes));
   s.subset.coverage =
       static_cast<std::uint32_t>(routing.integer("coverage", s.subset.coverage, 1, kMostProxies));
   s.subset_told = routing.flag("told", true);
@@ -476,7 +479,7 @@
 }
 
 std::vector<EndpointId> nodes_struck(const Scenario& s, std::size_t fault,
-                                   const std::vector<Endpoint>& nodes) {
+                                     const std::vector<Endpoint>& nodes) {
   const FaultSpec& f = s.faults[fault];
   std::vector<EndpointId> all, chosen;
   for (const Endpoint& n : nodes) {
--- a/src/emulator/scenario.h
+++ b/src/emulator/scenario.h
@@ -129,8 +129,8 @@
   Direction way = Direction::kBoth;
 };
 
-struct ClusterSpec {  // proxies that talk with each other and settle which backend is taken out (the
-                    // rig's alone)
+struct ClusterSpec {  // proxies that talk with each other and settle which backend is taken out
+                      // (the rig's alone)
   std::uint32_t voters = 0;  // 0: they do not
   Duration lease{2'000'000}, isolated_after{0};
   std::uint32_t most_out = 2;
@@ -198,7 +198,7 @@
 std::vector<std::uint32_t> proxies_struck(const Scenario& s, const FaultSpec& fault);
 // The nodes that the scenario's fault of that number strikes, by their number; drawn among `nodes`.
 std::vector<EndpointId> nodes_struck(const Scenario& s, std::size_t fault,
-                                   const std::vector<Endpoint>& nodes);
+                                     const std::vector<Endpoint>& nodes);
 
 Duration longest_deadline(const Scenario& s);
 double mean_work_s(const Scenario& s);  // of a request, over all tiers, on a core of speed 1
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -887,9 +887,9 @@
     return wake(index, false);
   }
   const bool answers = p.unheard == 0;
-  queue_.add(
-      answers ? now_ + std::min(kListAgain, p.course->resync_deadline() - now_) : p.course->resync_deadline(),
-      Kind::kWake, index, p.life, answers);
+  queue_.add(answers ? now_ + std::min(kListAgain, p.course->resync_deadline() - now_)
+                     : p.course->resync_deadline(),
+             Kind::kWake, index, p.life, answers);
 }
 
 void World::wake(std::uint32_t index, bool whole_list) {
--- a/src/emulator/world.h
+++ b/src/emulator/world.h
@@ -17,8 +17,8 @@
 #include "emulator/random.h"
 #include "emulator/rules.h"
 #include "emulator/scenario.h"
-#include "recovery/course.h"
-#include "snapshot/state.h"
+#include "recovery/recovery_tracker.h"
+#include "snapshot/snapshot.h"
 
 namespace beechhill::emulator {
 
@@ -118,8 +118,8 @@
     bool leaving = false;       // it takes no new requests
     std::uint32_t unheard = 0;  // faults that keep discovery from it
     std::optional<recovery::RecoveryTracker> course;  // of a stopped one
-    std::deque<ScheduledEvent> held;              // for a stopped one, in order
-    std::vector<Call> unread;                // requests to a stopped one
+    std::deque<ScheduledEvent> held;                  // for a stopped one, in order
+    std::vector<Call> unread;                         // requests to a stopped one
     std::uint64_t life = 0;
     Time died{0}, last_told{0};
     std::unique_ptr<Policy> policy;
--- a/src/handover/handover_actor.cpp
+++ b/src/hot_restart/hot_restart_actor.cpp
@@ -1,12 +1,13 @@
-#include "handover/handover_actor.h"
+#include "hot_restart/hot_restart_actor.h"
 
-#include "proxy/log.h"
+#include "log/log.h"
+#include "proxy/connection_log.h"
 
-namespace beechhill::handover {
+namespace beechhill::hot_restart {
 
 using namespace std::chrono_literals;
-using proxy::Asked;
 using runtime::Clock;
+using runtime::PendingReply;
 using runtime::Task;
 
 namespace {
@@ -20,8 +21,10 @@
 
 }  // namespace
 
-HotRestartActor::HotRestartActor(runtime::Scheduler& scheduler, std::unique_ptr<SharedStateDirectory> folder,
-                             proxy::DecisionMailbox& decisions, proxy::ListenerMailbox& door, StatusExchange look)
+HotRestartActor::HotRestartActor(runtime::Scheduler& scheduler,
+                                 std::unique_ptr<SharedStateDirectory> folder,
+                                 proxy::DecisionMailbox& decisions, proxy::ListenerMailbox& door,
+                                 StatusExchange look)
     : scheduler_(scheduler),
       folder_(std::move(folder)),
       decisions_(decisions),
@@ -62,30 +65,33 @@
 }
 
 Task<> HotRestartActor::carry_out(OperatorCommand order) {
-  const auto owner = std::make_shared<Asked>();
-  const bool of_backend = order.change == StateChange::kExclude || order.change == StateChange::kInclude;
+  const auto owner = std::make_shared<PendingReply>();
+  const bool of_backend =
+      order.change == StateChange::kExclude || order.change == StateChange::kInclude;
   const bool posted =
       of_backend
-          ? decisions_.post(proxy::ExcludeBackend{order.backend_id, order.change == StateChange::kExclude, owner})
+          ? decisions_.post(proxy::ExcludeBackend{order.backend_id,
+                                                  order.change == StateChange::kExclude, owner})
           : door_.post({order.change == StateChange::kDrain ? proxy::ListenerCommandType::kDrain
-                                                          : proxy::ListenerCommandType::kResume,
+                                                            : proxy::ListenerCommandType::kResume,
                         false, owner});
   int status = 503;
   if (posted) {
-    status = co_await proxy::await_reply(scheduler_, owner, kOwnerLimit);
+    status = co_await runtime::await_reply(scheduler_, owner, kOwnerLimit);
   }
   if (folder_ && status == 200) {
     // Done here; a yes binds the other process too.
     const auto written_by = Clock::now() + kLockLimit;
     bool written = false;
     try {
-      while (!(written = folder_->change(order.change, order.backend_id)) && Clock::now() < written_by) {
+      while (!(written = folder_->change(order.change, order.backend_id)) &&
+             Clock::now() < written_by) {
         runtime::Wait wait(scheduler_);
         wait.until(Clock::now() + kLockPause);
         co_await wait;
       }
     } catch (const std::exception& error) {
-      proxy::log_fault("handover_fault", error);
+      log::fault("handover_fault", error);
     }
     if (written) {
       follow();
@@ -112,12 +118,13 @@
     }
   }
   if (now.drained != followed_.drained) {
-    told = door_.post({now.drained ? proxy::ListenerCommandType::kDrain : proxy::ListenerCommandType::kResume, false,
-                       nullptr}) &&
+    told = door_.post({now.drained ? proxy::ListenerCommandType::kDrain
+                                   : proxy::ListenerCommandType::kResume,
+                       false, nullptr}) &&
            told;
   }
   if (!told) {
-    return proxy::log_dropped_message("handover");  // all of it is told again after the next change
+    return log::dropped_message("handover");  // all of it is told again after the next change
   }
   followed_ = now;
 }
@@ -130,4 +137,4 @@
   return folder_->process_group_status().successor;
 }
 
-}  // namespace beechhill::handover
+}  // namespace beechhill::hot_restart
--- a/src/handover/handover_actor.h
+++ b/src/hot_restart/hot_restart_actor.h
@@ -6,15 +6,16 @@
 #include <memory>
 #include <string>
 
-#include "handover/folder.h"
-#include "proxy/operation.h"
+#include "hot_restart/shared_state_directory.h"
+#include "proxy/messages.h"
 
-namespace beechhill::handover {
+namespace beechhill::hot_restart {
 
 struct OperatorCommand {
   StateChange change = StateChange::kExclude;
   std::string backend_id;
-  std::shared_ptr<proxy::PendingReply> reply;  // answered once it is done here and written for the others
+  std::shared_ptr<runtime::PendingReply>
+      reply;  // answered once it is done here and written for the others
 };
 using OperatorCommandMailbox = runtime::Mailbox<OperatorCommand>;
 
@@ -26,9 +27,11 @@
     bool ready = false;
     std::uint32_t descriptors = 0;
   };
-  using StatusExchange = std::function<ProcessStatus(const SharedStateDirectory::ProcessGroupStatus&)>;
+  using StatusExchange =
+      std::function<ProcessStatus(const SharedStateDirectory::ProcessGroupStatus&)>;
   HotRestartActor(runtime::Scheduler& scheduler, std::unique_ptr<SharedStateDirectory> folder,
-                proxy::DecisionMailbox& decisions, proxy::ListenerMailbox& door, StatusExchange look);
+                  proxy::DecisionMailbox& decisions, proxy::ListenerMailbox& door,
+                  StatusExchange look);
 
   OperatorCommandMailbox& inbox() { return inbox_; }
   runtime::Task<> run();
@@ -52,4 +55,4 @@
   SharedState followed_;  // what the actors here have been told
 };
 
-}  // namespace beechhill::handover
+}  // namespace beechhill::hot_restart
--- a/src/handover/state.cpp
+++ b/src/hot_restart/shared_state.cpp
@@ -1,10 +1,10 @@
-#include "handover/state.h"
+#include "hot_restart/shared_state.h"
 
 #include <utility>
 
-#include "config/sealed.h"
+#include "config/checksummed_json.h"
 
-namespace beechhill::handover {
+namespace beechhill::hot_restart {
 namespace {
 
 constexpr int kFormat = 1;
@@ -59,4 +59,4 @@
   return state;
 }
 
-}  // namespace beechhill::handover
+}  // namespace beechhill::hot_restart
--- a/src/handover/state.h
+++ b/src/hot_restart/shared_state.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-namespace beechhill::handover {
+namespace beechhill::hot_restart {
 
 struct SharedState {
   std::uint64_t generation = 0;  // of the process that started last; the first is 1
@@ -29,4 +29,4 @@
 // Nothing where it is torn, foreign or another version's.
 std::optional<SharedState> decode(std::string_view text);
 
-}  // namespace beechhill::handover
+}  // namespace beechhill::hot_restart
--- a/src/handover/folder.cpp
+++ b/src/hot_restart/shared_state_directory.cpp
@@ -1,4 +1,4 @@
-#include "handover/folder.h"
+#include "hot_restart/shared_state_directory.h"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -12,7 +12,7 @@
 
 #include "log/log.h"
 
-namespace beechhill::handover {
+namespace beechhill::hot_restart {
 namespace {
 
 constexpr std::uint64_t kLookBack = 8;  // generations that may still be ending
@@ -158,4 +158,4 @@
   return others;
 }
 
-}  // namespace beechhill::handover
+}  // namespace beechhill::hot_restart
--- a/src/handover/folder.h
+++ b/src/hot_restart/shared_state_directory.h
@@ -8,10 +8,10 @@
 #include <optional>
 #include <string>
 
-#include "handover/state.h"
+#include "hot_restart/shared_state.h"
 #include "net/socket.h"
 
-namespace beechhill::handover {
+namespace beechhill::hot_restart {
 
 class SharedStateDirectory {
  public:
@@ -59,4 +59,4 @@
   net::Fd own_;
 };
 
-}  // namespace beechhill::handover
+}  // namespace beechhill::hot_restart
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -6,6 +6,7 @@
 
 #include <chrono>
 #include <cstdint>
+#include <exception>
 #include <initializer_list>
 #include <string>
 #include <string_view>
@@ -51,5 +52,13 @@
 inline void warning(std::string_view name, std::initializer_list<Field> fields = {}) {
   event(Level::kWarning, name, fields);
 }
+/// A fault that did not end the program, as a warning called `name`.
+inline void fault(std::string_view name, const std::exception& error) {
+  warning(name, {{"fault", std::string_view(error.what())}});
+}
+/// A bounded mailbox was full and did not take the message called `what`.
+inline void dropped_message(std::string_view what) {
+  warning("mailbox_full", {{"lost", what}});
+}
 
 }  // namespace beechhill::log
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,6 +1,6 @@
 // The command line. Without arguments the program serves. Exit codes: 0 done, 1 a fault while
-// starting or serving, 2 faulty arguments or, with `check`, a faulty file; those of beechhill-lab
-// for what it carries out.
+// starting or serving, 2 faulty arguments or, with `check`, a faulty file; those of
+// beechhill-testbed for what it carries out.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -9,12 +9,12 @@
 #include <cstdlib>
 #include <filesystem>
 
+#include "bootstrap/serve.h"
 #include "config/config.h"
 #include "config/operator_file.h"
 #include "log/log.h"
-#include "serve/serve.h"
-#ifdef BEECHHILL_TALK
-#include "maintenance/command.h"
+#ifdef BEECHHILL_CLUSTER
+#include "cluster/maintenance_cli.h"
 #endif
 
 namespace {
@@ -34,7 +34,7 @@
   std::signal(SIGPIPE, SIG_IGN);
   int code = 0;
   try {
-    service::run(operator_file);
+    bootstrap::run(operator_file);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "beechhill: %s\n", error.what());
     code = kFault;
@@ -77,10 +77,10 @@
 int hand_over(char** argv) {
   std::error_code error;
   const auto self = std::filesystem::read_symlink("/proc/self/exe", error);
-  const std::string lab = (self.parent_path() / "beechhill-lab").string();
-  ::execv(lab.c_str(), argv);
+  const std::string testbed = (self.parent_path() / "beechhill-testbed").string();
+  ::execv(testbed.c_str(), argv);
   std::fprintf(stderr, "beechhill: %s is carried out by %s, which cannot be started\n", argv[1],
-               lab.c_str());
+               testbed.c_str());
   return kFault;
 }
 
@@ -98,7 +98,8 @@
   app.footer(
       "Exit codes: 0 done, 1 a fault while starting or serving, 2 faulty arguments or a faulty "
       "file. The commands\n"
-      "marked [lab] are carried out by beechhill-lab, which stands beside this program; its own "
+      "marked [testbed] are carried out by beechhill-testbed, which stands beside this program; "
+      "its own "
       "--help tells more.");
   int code = 0;
   std::string config, operator_file = operator_file_of_environment();
@@ -115,17 +116,19 @@
                 "Operator file (TOML), in place of BEECHHILL_OPERATOR's");
   c->callback([&] { code = check(config, operator_file); });
 
-#ifdef BEECHHILL_TALK
+#ifdef BEECHHILL_CLUSTER
   maintenance::add_maintenance_command(app, code);
 #endif
 
   for (const auto& [name, text] :
-       {std::pair{"emulate", "[lab] Play a scenario in simulated time"},
-        {"experiment", "[lab] Run a grid of scenarios, policies and seeds"},
-        {"plot", "[lab] Draw results into one HTML page"},
-        {"nodes", "[lab] Play stand-in nodes and their discovery on loopback"},
-        {"fleet", "[lab] Many processes under a fault plan, judged by books"},
-        {"demo", "[lab] Nodes, discovery, the real proxy and a load, all on this machine"}}) {
+       {std::pair{"emulate", "[testbed] Play a scenario in simulated time"},
+        {"experiment", "[testbed] Run a grid of scenarios, policies and seeds"},
+        {"plot", "[testbed] Draw results into one HTML page"},
+        {"fake-backends", "[testbed] Play fake backends and their discovery on loopback"},
+        {"cluster-test",
+         "[testbed] Many processes under a fault plan, checked against what clients and backends "
+         "observed"},
+        {"demo", "[testbed] Nodes, discovery, the real proxy and a load, all on this machine"}}) {
     c = app.add_subcommand(name, text);
     c->prefix_command();
     c->set_help_flag();
--- a/src/maintenance/works.cpp
+++ b/src/maintenance/maintenance_coordinator.cpp
@@ -1,10 +1,10 @@
-#include "maintenance/works.h"
+#include "maintenance/maintenance_coordinator.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "maintenance/describe.h"
-#include "membership/bytes.h"
+#include "base/byte_codec.h"
+#include "maintenance/status_json.h"
 
 namespace beechhill::maintenance {
 
@@ -48,7 +48,8 @@
   return out;
 }
 
-void put_rights(ByteWriter& w, const std::map<std::string, MaintenanceStateMachine::DispatchPermission>& rights) {
+void put_rights(ByteWriter& w,
+                const std::map<std::string, MaintenanceStateMachine::DispatchPermission>& rights) {
   w.number(static_cast<std::uint16_t>(rights.size()));
   for (const auto& [id, r] : rights) {
     w.text(id).number(r.dispatch_forbidden).number(r.lease_required).number(r.fencing_token);
@@ -67,8 +68,10 @@
 
 }  // namespace
 
-MaintenanceCoordinator::MaintenanceCoordinator(Time now, CoordinatorSettings settings, RaftStorage* storage, std::uint32_t generation,
-             std::uint64_t life, std::uint64_t seed, std::function<Seconds()> unix)
+MaintenanceCoordinator::MaintenanceCoordinator(Time now, CoordinatorSettings settings,
+                                               RaftStorage* storage, std::uint32_t generation,
+                                               std::uint64_t life, std::uint64_t seed,
+                                               std::function<Seconds()> unix)
     : settings_(std::move(settings)),
       life_(life),
       unix_(std::move(unix)),
@@ -78,7 +81,7 @@
       ask_at_(now) {
   if (storage) {
     agreement_ = std::make_unique<RaftNode>(now, Voter{settings_.self, generation}, *storage,
-                                             ledger_, settings_.raft_timing, seed);
+                                            ledger_, settings_.raft_timing, seed);
   }
   next_voter_ = static_cast<std::size_t>(seed);  // not all ask the same one first
 }
@@ -103,11 +106,12 @@
 
 Time MaintenanceCoordinator::serving_permitted_until() const {
   if (!leased_once_) {
-    return settings_.serve_without_lease && now_ >= started_ + settings_.initial_lease_timeout ? Time::max()
-                                                                               : Time::min();
+    return settings_.serve_without_lease && now_ >= started_ + settings_.initial_lease_timeout
+               ? Time::max()
+               : Time::min();
   }
   return settings_.isolation_timeout > Duration{0} ? lease_until_ + settings_.isolation_timeout
-                                                : Time::max();
+                                                   : Time::max();
 }
 
 Time MaintenanceCoordinator::dispatch_permitted_until(const std::string& machine) const {
@@ -115,7 +119,8 @@
   if (it == rights_.end()) {
     return serving_permitted_until();
   }
-  return it->second.dispatch_forbidden ? Time::min() : std::min(lease_until_, serving_permitted_until());
+  return it->second.dispatch_forbidden ? Time::min()
+                                       : std::min(lease_until_, serving_permitted_until());
 }
 
 // ---- A proxy's lease
@@ -182,21 +187,23 @@
   if (!r.done() || sent == asks_.end() || held < held_) {
     return;  // not asked for, or overtaken
   }
-  lease_until_ =
-      std::max(lease_until_,
-               sent->second + settings_.lease_duration);  // from the asking: on its way it grew no longer
+  lease_until_ = std::max(
+      lease_until_,
+      sent->second + settings_.lease_duration);  // from the asking: on its way it grew no longer
   asks_.erase(asks_.begin(), std::next(sent));
   leased_once_ = true;
   held_ = held;
   rights_ = std::move(rights);
   const auto own = proxies.find(settings_.self);
-  self_out_ =
-      own != proxies.end() && own->second.dispatch_forbidden ? std::optional(own->second.fencing_token) : std::nullopt;
+  self_out_ = own != proxies.end() && own->second.dispatch_forbidden
+                  ? std::optional(own->second.fencing_token)
+                  : std::nullopt;
 }
 
 // ---- What comes
 
-void MaintenanceCoordinator::receive(Time now, const std::string& from, Channel line, std::string_view bytes) {
+void MaintenanceCoordinator::receive(Time now, const std::string& from, Channel line,
+                                     std::string_view bytes) {
   now_ = now;
   if (line == Channel::kRaft) {
     if (agreement_) {
@@ -240,7 +247,8 @@
     }
     case Word::kVouched: {
       const auto term = in.number<std::uint64_t>(), round = in.number<std::uint64_t>();
-      if (in.done() && is_leader() && round_open_ && term == agreement_->term() && round == round_) {
+      if (in.done() && is_leader() && round_open_ && term == agreement_->term() &&
+          round == round_) {
         vouched_.insert(from);
       }
       break;
@@ -254,7 +262,8 @@
       const auto answer = [this, from, number](bool done, const std::string& text) {
         say(from, word(Word::kOrdered).number(number).number(done).text(text).bytes());
       };
-      is_leader() && in_charge_ ? submit_command(now, *command, answer) : answer(false, "no_leader");
+      is_leader() && in_charge_ ? submit_command(now, *command, answer)
+                                : answer(false, "no_leader");
       break;
     }
     case Word::kQuestion: {
@@ -277,7 +286,8 @@
     case Word::kTold: {
       const auto number = in.number<std::uint64_t>();
       const bool done = in.number<bool>();
-      const std::string text = w == Word::kOrdered ? in.text(kMaxTextBytes) : std::string(in.rest());
+      const std::string text =
+          w == Word::kOrdered ? in.text(kMaxTextBytes) : std::string(in.rest());
       const auto it = asked_.find(number);
       if (!in.ok() || it == asked_.end()) {
         break;
@@ -465,7 +475,8 @@
     return;
   }
   round_open_ = false;
-  const auto rights = ledger_.dispatch_permissions(Role::kBackend), proxies = ledger_.dispatch_permissions(Role::kProxy);
+  const auto rights = ledger_.dispatch_permissions(Role::kBackend),
+             proxies = ledger_.dispatch_permissions(Role::kProxy);
   std::vector<Waiting> later;
   for (const Waiting& w : std::exchange(waiting_, {})) {
     if (w.round > round_) {
@@ -488,14 +499,16 @@
   vouch(now);
 }
 
-void MaintenanceCoordinator::propose(CommandType what, const std::string& proxy, const std::string& machine, FencingToken fence) {
+void MaintenanceCoordinator::propose(CommandType what, const std::string& proxy,
+                                     const std::string& machine, FencingToken fence) {
   const std::string key = std::to_string(static_cast<int>(what)) + "/" + proxy + "/" + machine +
                           "/" + std::to_string(fence);
   if (!proposing_.insert(key).second) {
     return;
   }
   Command c;
-  c.type = what, c.issued_at = unix_(), c.proxy = proxy, c.machine = machine, c.fencing_token = fence;
+  c.type = what, c.issued_at = unix_(), c.proxy = proxy, c.machine = machine,
+  c.fencing_token = fence;
   agreement_->propose(c, [this, key](const char*) { proposing_.erase(key); });
 }
 
@@ -504,7 +517,8 @@
   for (const std::string& proxy : ledger_.proxies()) {
     silent += now > lease_ends(proxy);
   }
-  if (static_cast<double>(silent) > kSilentProxies * static_cast<double>(ledger_.proxies().size())) {
+  if (static_cast<double>(silent) >
+      kSilentProxies * static_cast<double>(ledger_.proxies().size())) {
     return "silent_proxies: " + std::to_string(silent) + " of " +
            std::to_string(ledger_.proxies().size());
   }
@@ -550,7 +564,8 @@
   facts_at_ = now + kFactsEvery;
   trouble_ = trouble(now);
   Command c;
-  c.type = CommandType::kUpdateObservations, c.issued_at = unix_(), c.incident = trouble_.substr(0, kMaxTextBytes);
+  c.type = CommandType::kUpdateObservations, c.issued_at = unix_(),
+  c.incident = trouble_.substr(0, kMaxTextBytes);
   std::map<std::string, Machine> all;
   for (const Machine& m : view_.machines) {
     all[m.id] = m;
@@ -590,13 +605,14 @@
   for (const auto& [zone, sum] : sums) {
     c.zone_utilization[zone] = sum.first / sum.second;
     const auto held = ledger_.zone_utilization().find(zone);
-    moved = moved || held == ledger_.zone_utilization().end() || std::abs(held->second - c.zone_utilization[zone]) > kUseStep;
+    moved = moved || held == ledger_.zone_utilization().end() ||
+            std::abs(held->second - c.zone_utilization[zone]) > kUseStep;
   }
   if (!moved) {
     c.zone_utilization = ledger_.zone_utilization();
   }
-  const bool news = moved || !c.machines.empty() || !c.removed_machines.empty() || !c.incident.empty() ||
-                    c.incident != ledger_.incident();
+  const bool news = moved || !c.machines.empty() || !c.removed_machines.empty() ||
+                    !c.incident.empty() || c.incident != ledger_.incident();
   const bool open = !ledger_.workflows().empty() ||
                     std::any_of(ledger_.requests().begin(), ledger_.requests().end(),
                                 [](const auto& q) { return q.second.open(); });
@@ -624,9 +640,10 @@
   for (const std::string& proxy : ledger_.proxies()) {
     const auto it = seen_.find(proxy);
     const bool left = it != seen_.end() && it->second.ending && it->second.idle;
-    const Duration isolated =
-        settings_.isolation_timeout + settings_.isolation_timeout / 50 + settings_.max_request_duration;
-    if (left || (settings_.isolation_timeout > Duration{0} && now >= lease_ends(proxy) + isolated)) {
+    const Duration isolated = settings_.isolation_timeout + settings_.isolation_timeout / 50 +
+                              settings_.max_request_duration;
+    if (left ||
+        (settings_.isolation_timeout > Duration{0} && now >= lease_ends(proxy) + isolated)) {
       propose(CommandType::kRemoveProxy, proxy);
     }
   }
@@ -655,7 +672,8 @@
     round_open_ = false;
     usual_ = 1, judged_at_ = now, facts_at_ = now + beat();
     Command c;
-    c.type = CommandType::kSetDisruptionBudget, c.issued_at = unix_(), c.disruption_budget = settings_.disruption_budget;
+    c.type = CommandType::kSetDisruptionBudget, c.issued_at = unix_(),
+    c.disruption_budget = settings_.disruption_budget;
     const std::uint64_t term = agreement_->term();
     agreement_->propose(c, [this, term](const char* reason) {
       const bool lost = reason && (std::string_view(reason) == "lost" ||
--- a/src/maintenance/works.h
+++ b/src/maintenance/maintenance_coordinator.h
@@ -14,15 +14,15 @@
 #include <utility>
 #include <vector>
 
-#include "maintenance/agreement.h"
-#include "maintenance/ledger.h"
+#include "maintenance/maintenance_state_machine.h"
+#include "maintenance/raft_node.h"
 
 namespace beechhill::maintenance {
 
 struct CoordinatorSettings {
   std::string self, zone;
-  std::vector<std::string> voters;  // names; 1, 3, 5 or 7
-  Duration lease_duration{5'000'000};        // how long what was settled holds without being told anew
+  std::vector<std::string> voters;     // names; 1, 3, 5 or 7
+  Duration lease_duration{5'000'000};  // how long what was settled holds without being told anew
   // After its lease a proxy uses no machine at all once this has passed: then the others need not
   // wait for it, nor for staff to say that it is off. 0: it serves on by what it last heard, and
   // they wait.
@@ -31,20 +31,20 @@
   // `hear_within`, and a machine that is out may get calls from it.
   bool serve_without_lease = false;
   Duration initial_lease_timeout{5'000'000};
-  Duration drain_grace{2'000'000};    // for which what was begun may still leave
+  Duration drain_grace{2'000'000};            // for which what was begun may still leave
   Duration max_request_duration{10'000'000};  // the longest deadline of a class
   DisruptionBudget disruption_budget;
   RaftTiming raft_timing;
 };
 
-struct LocalView {                              // what the proxy itself sees
-  std::vector<Machine> machines;           // its list
-  std::map<std::string, double> zone_utilization;       // of each zone's servers, as they report it
+struct LocalView {                                 // what the proxy itself sees
+  std::vector<Machine> machines;                   // its list
+  std::map<std::string, double> zone_utilization;  // of each zone's servers, as they report it
   std::uint64_t served_requests = 0, unserved_requests = 0;  // requests, since its start
   std::set<std::string>
-      busy_machines;           // machines with something of its own open, or barred for less than the grace
-  bool is_idle = false;  // it takes no clients and has nothing open
-  bool has_discovery_update = true;   // it has heard discovery
+      busy_machines;  // machines with something of its own open, or barred for less than the grace
+  bool is_idle = false;              // it takes no clients and has nothing open
+  bool has_discovery_update = true;  // it has heard discovery
   bool is_shutting_down = false;
 };
 
@@ -55,8 +55,9 @@
   // `storage`: a voter's; null where this is none, or where it has lost it. `generation`: of the
   // voter that the storage belongs to. `unix`: gives Unix time, for windows alone. What is referred
   // to must outlive it.
-  MaintenanceCoordinator(Time now, CoordinatorSettings settings, RaftStorage* storage, std::uint32_t generation,
-        std::uint64_t life, std::uint64_t seed, std::function<Seconds()> unix);
+  MaintenanceCoordinator(Time now, CoordinatorSettings settings, RaftStorage* storage,
+                         std::uint32_t generation, std::uint64_t life, std::uint64_t seed,
+                         std::function<Seconds()> unix);
 
   void tick(Time now);  // at due(), or when the storage has become more durable
   Time next_tick() const { return due_; }
@@ -79,7 +80,8 @@
   Time dispatch_permitted_until(const std::string& machine) const;
   // When the right to send anything at all ends.
   Time serving_permitted_until() const;
-  const std::map<std::string, MaintenanceStateMachine::DispatchPermission>& dispatch_permissions() const {
+  const std::map<std::string, MaintenanceStateMachine::DispatchPermission>& dispatch_permissions()
+      const {
     return rights_;
   }  // of machines in a course, as last heard
   bool is_self_out() const { return self_out_.has_value(); }  // this proxy is to be taken out
@@ -88,9 +90,10 @@
   // ---- Staff
 
   using ResponseCallback = std::function<void(bool done, const std::string& text)>;
-  void submit_command(Time now, Command command, ResponseCallback answer);  // settled, or the reason
+  void submit_command(Time now, Command command,
+                      ResponseCallback answer);  // settled, or the reason
   void query(Time now, const std::string& request,
-                ResponseCallback answer);  // JSON: all, or why that request does not go on
+             ResponseCallback answer);  // JSON: all, or why that request does not go on
 
   // ---- A voter's
 
--- a/src/maintenance/ledger.cpp
+++ b/src/maintenance/maintenance_state_machine.cpp
@@ -1,10 +1,10 @@
-#include "maintenance/ledger.h"
+#include "maintenance/maintenance_state_machine.h"
 
 #include <algorithm>
 #include <cmath>
 #include <tuple>
 
-#include "membership/bytes.h"
+#include "base/byte_codec.h"
 
 namespace beechhill::maintenance {
 
@@ -165,7 +165,13 @@
 
 std::string encode(const Command& c) {
   ByteWriter w;
-  w.number(c.type).number(c.issued_at).text(c.id).text(c.machine).text(c.proxy).text(c.issued_by).number(c.fencing_token);
+  w.number(c.type)
+      .number(c.issued_at)
+      .text(c.id)
+      .text(c.machine)
+      .text(c.proxy)
+      .text(c.issued_by)
+      .number(c.fencing_token);
   w.number(c.request.has_value());
   if (c.request) {
     put(w, *c.request);
@@ -260,7 +266,8 @@
   }
   const auto there = requests_.find(c.request->id);
   if (there != requests_.end()) {
-    return there->second.select.ids == c.request->select.ids && there->second.requested_by == c.request->requested_by
+    return there->second.select.ids == c.request->select.ids &&
+                   there->second.requested_by == c.request->requested_by
                ? kNoChange
                : "id_is_taken";
   }
@@ -288,7 +295,7 @@
   }
   bool* const flag = c.type == CommandType::kApproveRequest  ? &q.approved
                      : c.type == CommandType::kCancelRequest ? &q.cancelled
-                                               : &q.on_hold;
+                                                             : &q.on_hold;
   const bool value = c.type != CommandType::kResumeRequest;
   if (*flag == value) {
     return kNoChange;
@@ -338,7 +345,7 @@
   if (!stands_in_way(q->second, m->second, room(m->second.role)).empty()) {
     return "bound";
   }
-  courses_[c.machine] = {c.id,   c.machine, next_fence_++,  WorkflowState::kAnnounced,
+  courses_[c.machine] = {c.id,   c.machine, next_fence_++,        WorkflowState::kAnnounced,
                          index_, time_,     m->second.started_at, {}};
   return nullptr;
 }
@@ -346,7 +353,8 @@
 // A course goes on by its fence alone: a word that belongs to an earlier one changes nothing.
 const char* MaintenanceStateMachine::advance(const Command& c) {
   const auto it = courses_.find(c.machine);
-  if (it == courses_.end() || (c.fencing_token != 0 && it->second.fencing_token != c.fencing_token)) {
+  if (it == courses_.end() ||
+      (c.fencing_token != 0 && it->second.fencing_token != c.fencing_token)) {
     return "other_course";
   }
   MaintenanceWorkflow& course = it->second;
@@ -371,8 +379,8 @@
         course.started_at = m->second.started_at;
       }
       return to(WorkflowState::kDrained, WorkflowState::kOut);
-    case CommandType::kCompleteWork:  // staff's word alone: a start that the list tells late may be one from
-                       // before the work
+    case CommandType::kCompleteWork:  // staff's word alone: a start that the list tells late may be
+                                      // one from before the work
       if (course.request != c.id) {
         return "other_request";
       }
@@ -453,7 +461,9 @@
 // ---- The order
 
 std::int64_t MaintenanceStateMachine::rank(const Request& q) const {
-  return q.priority + (bounds_.priority_aging_interval > 0 ? (time_ - q.requested_at) / bounds_.priority_aging_interval : 0);
+  return q.priority + (bounds_.priority_aging_interval > 0
+                           ? (time_ - q.requested_at) / bounds_.priority_aging_interval
+                           : 0);
 }
 
 std::vector<const Request*> MaintenanceStateMachine::in_order() const {
@@ -464,7 +474,8 @@
     }
   }
   std::sort(all.begin(), all.end(), [this](const Request* a, const Request* b) {
-    return std::tuple(-rank(*a), a->requested_at, a->id) < std::tuple(-rank(*b), b->requested_at, b->id);
+    return std::tuple(-rank(*a), a->requested_at, a->id) <
+           std::tuple(-rank(*b), b->requested_at, b->id);
   });
   return all;
 }
@@ -491,7 +502,8 @@
   return r;
 }
 
-std::string MaintenanceStateMachine::stands_in_way(const Request& q, const Machine& m, const Room& room) const {
+std::string MaintenanceStateMachine::stands_in_way(const Request& q, const Machine& m,
+                                                   const Room& room) const {
   if (!q.open()) {
     return "the request has ended";
   }
@@ -514,7 +526,8 @@
   if (!q.select.matches(m) || q.completed_machines.contains(m.id)) {
     return "not of this request";
   }
-  if (const auto off = q.deferred_until.find(m.id); off != q.deferred_until.end() && off->second > time_) {
+  if (const auto off = q.deferred_until.find(m.id);
+      off != q.deferred_until.end() && off->second > time_) {
     return m.id + " was called back and is put off";
   }
   if (const auto there = courses_.find(m.id); there != courses_.end()) {
@@ -562,7 +575,8 @@
   return {};
 }
 
-std::string MaintenanceStateMachine::waits_for(const MaintenanceWorkflow& c, const std::map<std::string, LogIndex>& shown) const {
+std::string MaintenanceStateMachine::waits_for(const MaintenanceWorkflow& c,
+                                               const std::map<std::string, LogIndex>& shown) const {
   std::string who;
   const Role role = role_of(c);
   for (const std::string& proxy : roster_) {
@@ -582,12 +596,14 @@
   return who;
 }
 
-std::vector<Command> MaintenanceStateMachine::next_commands(const std::map<std::string, LogIndex>& shown) const {
+std::vector<Command> MaintenanceStateMachine::next_commands(
+    const std::map<std::string, LogIndex>& shown) const {
   std::vector<Command> commands;
   const auto say = [&](CommandType what, const std::string& request, const std::string& machine,
                        FencingToken fence) {
     Command c;
-    c.type = what, c.issued_at = time_, c.id = request, c.machine = machine, c.fencing_token = fence;
+    c.type = what, c.issued_at = time_, c.id = request, c.machine = machine,
+    c.fencing_token = fence;
     commands.push_back(std::move(c));
   };
   for (const auto& [id, c] : courses_) {
@@ -598,10 +614,12 @@
     } else if (c.state == WorkflowState::kAnnounced && waits_for(c, shown).empty()) {
       say(CommandType::kStartDrain, c.request, id, c.fencing_token);
     } else if (c.state == WorkflowState::kDraining && waits_for(c, shown).empty()) {
-      say(CommandType::kConfirmDrained, c.request, id, c.fencing_token);  // of nobody: whom it waited for has left
+      say(CommandType::kConfirmDrained, c.request, id,
+          c.fencing_token);  // of nobody: whom it waited for has left
     } else if (c.state == WorkflowState::kDrained) {
       say(CommandType::kMarkOut, c.request, id, c.fencing_token);
-    } else if (c.state == WorkflowState::kWarming && m != machines_.end() && m->second.up && m->second.warm) {
+    } else if (c.state == WorkflowState::kWarming && m != machines_.end() && m->second.up &&
+               m->second.warm) {
       say(CommandType::kMarkWarming, c.request, id, c.fencing_token);
     }
   }
@@ -615,7 +633,8 @@
         continue;
       }
       if (!stands_in_way(*q, m, rooms.at(m.role)).empty()) {
-        starved = starved || (time_ - q->requested_at > bounds_.priority_aging_interval && q->not_before <= time_);
+        starved = starved || (time_ - q->requested_at > bounds_.priority_aging_interval &&
+                              q->not_before <= time_);
         continue;
       }
       say(CommandType::kAnnounceDrain, q->id, id, 0);
@@ -629,8 +648,8 @@
   return commands;
 }
 
-std::vector<std::string> MaintenanceStateMachine::explain(const std::string& id,
-                                         const std::map<std::string, LogIndex>& shown) const {
+std::vector<std::string> MaintenanceStateMachine::explain(
+    const std::string& id, const std::map<std::string, LogIndex>& shown) const {
   std::vector<std::string> lines;
   const auto it = requests_.find(id);
   if (it == requests_.end()) {
@@ -658,7 +677,8 @@
         listed->second.started_at > c.started_at) {
       line += ", and has started again since: done?";
     }
-    if (c.state == WorkflowState::kOut && q.work_duration > 0 && time_ > c.state_since + q.work_duration) {
+    if (c.state == WorkflowState::kOut && q.work_duration > 0 &&
+        time_ > c.state_since + q.work_duration) {
       line += ", longer than expected";
     }
     lines.push_back(line);
@@ -700,13 +720,15 @@
   return q == requests_.end() ? Role::kBackend : q->second.select.role;
 }
 
-std::map<std::string, MaintenanceStateMachine::DispatchPermission> MaintenanceStateMachine::dispatch_permissions(Role role) const {
+std::map<std::string, MaintenanceStateMachine::DispatchPermission>
+MaintenanceStateMachine::dispatch_permissions(Role role) const {
   std::map<std::string, DispatchPermission> all;
   for (const auto& [id, c] : courses_) {
     if (role_of(c) != role || c.state == WorkflowState::kWarming) {
       continue;
     }
-    all[id] = {c.state != WorkflowState::kAnnounced, c.state == WorkflowState::kAnnounced, c.fencing_token};
+    all[id] = {c.state != WorkflowState::kAnnounced, c.state == WorkflowState::kAnnounced,
+               c.fencing_token};
   }
   return all;
 }
@@ -740,8 +762,8 @@
 bool MaintenanceStateMachine::restore(std::string_view bytes) {
   ByteReader r(bytes);
   MaintenanceStateMachine l;
-  l.index_ = r.number<LogIndex>(), l.time_ = r.number<Seconds>(), l.calm_from_ = r.number<Seconds>(),
-  l.next_fence_ = r.number<FencingToken>();
+  l.index_ = r.number<LogIndex>(), l.time_ = r.number<Seconds>(),
+  l.calm_from_ = r.number<Seconds>(), l.next_fence_ = r.number<FencingToken>();
   l.bounds_ = maintenance::bounds(r);
   l.trouble_ = r.text(kMaxTextBytes);
   for (auto n = r.number<std::uint32_t>(); n > 0 && r.ok(); --n) {
@@ -750,8 +772,8 @@
   }
   for (auto n = r.number<std::uint32_t>(); n > 0 && r.ok(); --n) {
     MaintenanceWorkflow c;
-    c.request = r.text(kMaxTextBytes), c.machine = r.text(kMaxTextBytes), c.fencing_token = r.number<FencingToken>(),
-    c.state = r.number<WorkflowState>();
+    c.request = r.text(kMaxTextBytes), c.machine = r.text(kMaxTextBytes),
+    c.fencing_token = r.number<FencingToken>(), c.state = r.number<WorkflowState>();
     c.state_index = r.number<LogIndex>(), c.state_since = r.number<Seconds>(),
     c.started_at = r.number<std::int64_t>();
     c.confirmed_proxies = texts(r);
--- a/src/maintenance/ledger.h
+++ b/src/maintenance/maintenance_state_machine.h
@@ -15,9 +15,9 @@
 
 namespace beechhill::maintenance {
 
-using Seconds = std::int64_t;  // Unix time, or a span, in whole seconds: people plan in minutes
-using LogIndex = std::uint64_t;   // of a settled command
-using FencingToken = std::uint64_t;   // of one course of a machine; later ones are higher
+using Seconds = std::int64_t;    // Unix time, or a span, in whole seconds: people plan in minutes
+using LogIndex = std::uint64_t;  // of a settled command
+using FencingToken = std::uint64_t;  // of one course of a machine; later ones are higher
 
 enum class Role : std::uint8_t { kBackend, kProxy };
 
@@ -42,14 +42,14 @@
   std::string id;
   MachineSelector select;
   std::uint32_t max_concurrent = 1;
-  Seconds work_duration = 0;                     // expected, of one machine's work; 0: not said
+  Seconds work_duration = 0;              // expected, of one machine's work; 0: not said
   Seconds not_before = 0, not_after = 0;  // 0: any time
   std::int32_t priority = 0;
   std::string requested_by, reason;
   // Settled:
   bool approved = false, on_hold = false, cancelled = false;
   Seconds requested_at = 0;
-  std::set<std::string> completed_machines;              // machines
+  std::set<std::string> completed_machines;       // machines
   std::map<std::string, Seconds> deferred_until;  // machines that were called back: not before then
   bool open() const { return !cancelled && !ended; }
   bool ended = false;  // nothing is left of it
@@ -57,11 +57,11 @@
 
 // What a machine goes through. From kAnnounced on it counts as out.
 enum class WorkflowState : std::uint8_t {
-  kAnnounced,   // all proxies are told that it is next, none has stopped sending
-  kDraining,  // nothing new goes to it; proxies confirm when nothing of theirs is open there
-  kDrained,       // all have confirmed
-  kOut,         // staff may work on it
-  kWarming,     // back, and cold
+  kAnnounced,  // all proxies are told that it is next, none has stopped sending
+  kDraining,   // nothing new goes to it; proxies confirm when nothing of theirs is open there
+  kDrained,    // all have confirmed
+  kOut,        // staff may work on it
+  kWarming,    // back, and cold
 };
 const char* name(WorkflowState step);
 
@@ -71,7 +71,7 @@
   WorkflowState state = WorkflowState::kAnnounced;
   LogIndex state_index = 0;  // of the command that brought it to this step
   Seconds state_since = 0;
-  std::int64_t started_at = 0;            // of the machine, when it was said to be out
+  std::int64_t started_at = 0;              // of the machine, when it was said to be out
   std::set<std::string> confirmed_proxies;  // proxies, for kEvacuating
 };
 
@@ -84,10 +84,11 @@
        preserve_last_in_cell =
            false;  // never the last of a zone, or a cell: it holds the memory of a keyed class
   std::uint32_t min_proxies_per_zone = 1;  // in each zone
-  Seconds drain_timeout = 60;     // then a machine is called back
-  Seconds deferral = 60;             // and tried again so much later
-  Seconds priority_aging_interval = 600;           // a request that waited so long counts as one priority higher
-  Seconds quiet_period = 30;                // without trouble, before an incident's pause ends
+  Seconds drain_timeout = 60;              // then a machine is called back
+  Seconds deferral = 60;                   // and tried again so much later
+  Seconds priority_aging_interval =
+      600;                    // a request that waited so long counts as one priority higher
+  Seconds quiet_period = 30;  // without trouble, before an incident's pause ends
   bool needs_approval = true;
   bool operator==(const DisruptionBudget&) const = default;
 };
@@ -100,8 +101,8 @@
   kHoldRequest,
   kResumeRequest,
   kCancelRequest,
-  kCompleteWork,    // staff's
-  kForgetProxy,  // staff's: that proxy is off for good, or sends nothing
+  kCompleteWork,  // staff's
+  kForgetProxy,   // staff's: that proxy is off for good, or sends nothing
   kSetDisruptionBudget,
   kUpdateObservations,
   kAdvanceTime,
@@ -127,7 +128,7 @@
   std::vector<Machine> machines;
   std::set<std::string> removed_machines;
   std::map<std::string, double> zone_utilization;  // of a zone's width, 0 to 1
-  std::string incident;                // an incident; empty: none
+  std::string incident;                            // an incident; empty: none
 };
 
 std::string encode(const Command& command);
@@ -157,12 +158,15 @@
     bool dispatch_forbidden = false, lease_required = false;
     FencingToken fencing_token = 0;
   };
-  std::map<std::string, DispatchPermission> dispatch_permissions(Role role) const;  // of machines in a course
+  std::map<std::string, DispatchPermission> dispatch_permissions(
+      Role role) const;  // of machines in a course
 
   LogIndex applied_index() const { return index_; }
   Seconds time() const { return time_; }
   const std::map<std::string, Request>& requests() const { return requests_; }
-  const std::map<std::string, MaintenanceWorkflow>& workflows() const { return courses_; }  // by machine
+  const std::map<std::string, MaintenanceWorkflow>& workflows() const {
+    return courses_;
+  }  // by machine
   const std::set<std::string>& proxies() const { return roster_; }
   const DisruptionBudget& disruption_budget() const { return bounds_; }
   const std::map<std::string, Machine>& machines() const { return machines_; }
@@ -201,7 +205,8 @@
   std::int64_t rank(const Request& r) const;
   bool out(const Machine& m) const { return courses_.contains(m.id); }
   Role role_of(const MaintenanceWorkflow& c) const;
-  std::string waits_for(const MaintenanceWorkflow& c, const std::map<std::string, LogIndex>& shown) const;
+  std::string waits_for(const MaintenanceWorkflow& c,
+                        const std::map<std::string, LogIndex>& shown) const;
 
   LogIndex index_ = 0;
   Seconds time_ = 0, calm_from_ = 0;
--- a/src/maintenance/staff.cpp
+++ b/src/maintenance/operator_commands.cpp
@@ -1,4 +1,4 @@
-#include "maintenance/staff.h"
+#include "maintenance/operator_commands.h"
 
 #include <charconv>
 #include <set>
@@ -59,11 +59,12 @@
 }  // namespace
 
 std::optional<Command> parse_operator_command(const std::string& verb,
-                                    const std::map<std::string, std::string>& query,
-                                    std::string& fault) {
+                                              const std::map<std::string, std::string>& query,
+                                              std::string& fault) {
   static const std::map<std::string, CommandType> kVerbs{
-      {"request", CommandType::kSubmitRequest},   {"approve", CommandType::kApproveRequest}, {"hold", CommandType::kHoldRequest},
-      {"resume", CommandType::kResumeRequest}, {"cancel", CommandType::kCancelRequest},   {"done", CommandType::kCompleteWork},
+      {"request", CommandType::kSubmitRequest}, {"approve", CommandType::kApproveRequest},
+      {"hold", CommandType::kHoldRequest},      {"resume", CommandType::kResumeRequest},
+      {"cancel", CommandType::kCancelRequest},  {"done", CommandType::kCompleteWork},
       {"forget", CommandType::kForgetProxy}};
   const auto it = kVerbs.find(verb);
   if (it == kVerbs.end()) {
@@ -105,7 +106,8 @@
     auto others = query;
     others.erase("machines");
     r.max_concurrent = static_cast<std::uint32_t>(q.number("at_once", 1, 1, 10'000));
-    r.work_duration = q.number("length", 0, 0, kFar), r.not_before = q.number("not_before", 0, 0, kFar),
+    r.work_duration = q.number("length", 0, 0, kFar),
+    r.not_before = q.number("not_before", 0, 0, kFar),
     r.not_after = q.number("not_after", 0, 0, kFar);
     r.priority = static_cast<std::int32_t>(q.number("priority", 0, -1'000, 1'000));
     if (r.select.ids.empty() && r.select.zone.empty() && r.select.cell.empty() &&
--- a/src/maintenance/staff.h
+++ b/src/maintenance/operator_commands.h
@@ -5,14 +5,14 @@
 #include <optional>
 #include <string>
 
-#include "maintenance/ledger.h"
+#include "maintenance/maintenance_state_machine.h"
 
 namespace beechhill::maintenance {
 
 // `verb`: request, approve, hold, resume, cancel, done or forget. Nothing, and `fault` says what is
 // wrong, where it makes no sense.
 std::optional<Command> parse_operator_command(const std::string& verb,
-                                    const std::map<std::string, std::string>& query,
-                                    std::string& fault);
+                                              const std::map<std::string, std::string>& query,
+                                              std::string& fault);
 
 }  // namespace beechhill::maintenance
--- a/src/maintenance/agreement.cpp
+++ b/src/maintenance/raft_node.cpp
@@ -1,4 +1,4 @@
-#include "maintenance/agreement.h"
+#include "maintenance/raft_node.h"
 
 #include <algorithm>
 #include <cstdlib>
@@ -13,7 +13,7 @@
 #include <raft.h>
 }
 
-#include "membership/bytes.h"
+#include "base/byte_codec.h"
 
 namespace beechhill::maintenance {
 
@@ -121,7 +121,8 @@
   if (error != 0) {
     throw std::runtime_error(raft_strerror(error));
   }
-  LogRecord first{LogRecord::RecordType::kAppend, 1, {{1, RAFT_CHANGE, std::string(text(encoded))}}, {}};
+  LogRecord first{
+      LogRecord::RecordType::kAppend, 1, {{1, RAFT_CHANGE, std::string(text(encoded))}}, {}};
   raft_free(encoded.base);
   return {{LogRecord::RecordType::kTerm, 1, {}, {}}, std::move(first)};
 }
@@ -211,7 +212,8 @@
     };
     io.snapshot_put = [](raft_io* i, unsigned trailing, raft_io_snapshot_put* request,
                          const raft_snapshot* s, raft_io_snapshot_put_cb cb) {
-      RaftSnapshot kept{s->index, s->term, s->configuration_index, servers_in(s->configuration), {}};
+      RaftSnapshot kept{
+          s->index, s->term, s->configuration_index, servers_in(s->configuration), {}};
       for (unsigned b = 0; b < s->n_bufs; ++b) {
         kept.data += text(s->bufs[b]);
       }
@@ -225,7 +227,8 @@
       if (!me.storage.state().snapshot) {
         return int{RAFT_NOTFOUND};
       }
-      me.later.push_back([&me, request, cb] { cb(request, made(*me.storage.state().snapshot), 0); });
+      me.later.push_back(
+          [&me, request, cb] { cb(request, made(*me.storage.state().snapshot), 0); });
       return 0;
     };
     io.time = [](raft_io* i) {
@@ -608,8 +611,8 @@
   }
 };
 
-RaftNode::RaftNode(Time now, const Voter& self, RaftStorage& storage, MaintenanceStateMachine& ledger,
-                     const RaftTiming& timing, std::uint64_t seed)
+RaftNode::RaftNode(Time now, const Voter& self, RaftStorage& storage,
+                   MaintenanceStateMachine& ledger, const RaftTiming& timing, std::uint64_t seed)
     : impl_(std::make_unique<Impl>(*this, self, storage, ledger, seed)) {
   impl_->now = now;
   impl_->start(timing);
--- a/src/maintenance/agreement.h
+++ b/src/maintenance/raft_node.h
@@ -12,8 +12,8 @@
 #include <vector>
 
 #include "beechhill/balancer.h"
-#include "maintenance/ledger.h"
-#include "maintenance/storage.h"
+#include "maintenance/maintenance_state_machine.h"
+#include "maintenance/raft_storage.h"
 
 namespace beechhill::maintenance {
 
@@ -29,7 +29,8 @@
 std::vector<LogRecord> initial_records(const std::vector<std::string>& voters);
 
 struct RaftTiming {
-  Duration election_timeout{1'000'000};  // without word of a leader, at the least, before another stands
+  Duration election_timeout{
+      1'000'000};  // without word of a leader, at the least, before another stands
   Duration heartbeat_interval{200'000};
 };
 
@@ -37,8 +38,8 @@
  public:
   // `storage` and `ledger` must outlive it; the ledger is the machine that settled commands change,
   // from empty. Throws std::runtime_error where the library refuses what is stored.
-  RaftNode(Time now, const Voter& self, RaftStorage& storage, MaintenanceStateMachine& ledger, const RaftTiming& timing,
-            std::uint64_t seed);
+  RaftNode(Time now, const Voter& self, RaftStorage& storage, MaintenanceStateMachine& ledger,
+           const RaftTiming& timing, std::uint64_t seed);
   ~RaftNode();
   RaftNode(const RaftNode&) = delete;
   RaftNode& operator=(const RaftNode&) = delete;
@@ -78,7 +79,8 @@
   std::uint32_t readmit(const std::string& name);
   // The generation of that name which is on its way in; 0: none is.
   std::uint32_t joining_generation(const std::string& name) const;
-  std::vector<std::string> pending_readmissions() const;  // names that readmit() is not through with
+  std::vector<std::string> pending_readmissions()
+      const;  // names that readmit() is not through with
 
  private:
   struct Impl;
--- a/src/maintenance/storage.cpp
+++ b/src/maintenance/raft_storage.cpp
@@ -1,8 +1,8 @@
-#include "maintenance/storage.h"
+#include "maintenance/raft_storage.h"
 
 #include <algorithm>
 
-#include "membership/bytes.h"
+#include "base/byte_codec.h"
 
 namespace beechhill::maintenance {
 
@@ -90,9 +90,9 @@
       const std::uint64_t last = first_index + entries.size() - 1;
       // With nothing to trail it replaces the log; else only what is older than so many entries
       // before it goes.
-      const std::uint64_t keep_from = r.value == 0             ? last + 1
+      const std::uint64_t keep_from = r.value == 0                 ? last + 1
                                       : snapshot->index >= r.value ? snapshot->index - r.value + 1
-                                                                : 1;
+                                                                   : 1;
       if (keep_from > first_index) {
         entries.erase(entries.begin(),
                       entries.begin() + static_cast<std::ptrdiff_t>(std::min<std::uint64_t>(
--- a/src/maintenance/storage.h
+++ b/src/maintenance/raft_storage.h
@@ -12,7 +12,7 @@
 
 namespace beechhill::maintenance {
 
-struct RaftServer {         // of the voters' configuration
+struct RaftServer {     // of the voters' configuration
   std::string address;  // "name#generation"
   int role = 0;         // as the library's
   bool operator==(const RaftServer&) const = default;
@@ -31,7 +31,13 @@
 };
 
 struct LogRecord {
-  enum class RecordType : std::uint8_t { kTerm, kVote, kAppend, kTruncate, kSnapshot } type = RecordType::kTerm;
+  enum class RecordType : std::uint8_t {
+    kTerm,
+    kVote,
+    kAppend,
+    kTruncate,
+    kSnapshot
+  } type = RecordType::kTerm;
   // The term, the vote, the index of the first entry (0: it follows), the one to truncate from, or
   // how many entries trail a snapshot.
   std::uint64_t value = 0;
--- a/src/maintenance/describe.cpp
+++ b/src/maintenance/status_json.cpp
@@ -1,4 +1,4 @@
-#include "maintenance/describe.h"
+#include "maintenance/status_json.h"
 
 #include <json/json.h>
 
@@ -16,7 +16,7 @@
 const char* stage(const Request& q) {
   return q.cancelled  ? "cancelled"
          : q.ended    ? "done"
-         : q.on_hold     ? "held"
+         : q.on_hold  ? "held"
          : q.approved ? "approved"
                       : "asked";
 }
@@ -37,8 +37,8 @@
       v[key] = text;
     }
   }
-  v["at_once"] = q.max_concurrent, v["priority"] = q.priority, v["asked"] = Json::Int64(q.requested_at),
-  v["done"] = as_json(q.completed_machines);
+  v["at_once"] = q.max_concurrent, v["priority"] = q.priority,
+  v["asked"] = Json::Int64(q.requested_at), v["done"] = as_json(q.completed_machines);
   if (q.work_duration > 0) {
     v["length_s"] = Json::Int64(q.work_duration);
   }
@@ -61,8 +61,9 @@
 
 }  // namespace
 
-std::string status_json(const MaintenanceStateMachine& ledger, const std::map<std::string, LogIndex>& shown,
-                     const std::string& request, const std::string& trouble) {
+std::string status_json(const MaintenanceStateMachine& ledger,
+                        const std::map<std::string, LogIndex>& shown, const std::string& request,
+                        const std::string& trouble) {
   Json::Value root;
   root["index"] = Json::UInt64(ledger.applied_index()), root["time"] = Json::Int64(ledger.time()),
   root["paused"] = ledger.paused();
--- a/src/membership/gate.cpp
+++ b/src/membership/datagram_authenticator.cpp
@@ -1,12 +1,12 @@
-#include "membership/gate.h"
+#include "membership/datagram_authenticator.h"
 
 #include <sodium.h>
 
 #include <stdexcept>
 #include <utility>
 
-#include "membership/bytes.h"
-#include "membership/swim.h"
+#include "base/byte_codec.h"
+#include "membership/swim_node.h"
 
 namespace beechhill::membership {
 namespace {
@@ -52,11 +52,13 @@
   return keys;
 }
 
-DatagramAuthenticator::DatagramAuthenticator(MacKeys keys, std::string name, std::uint64_t life, std::uint64_t seed)
+DatagramAuthenticator::DatagramAuthenticator(MacKeys keys, std::string name, std::uint64_t life,
+                                             std::uint64_t seed)
     : keys_(std::move(keys)), name_(std::move(name)), life_(life), random_(seed) {
 }
 
-std::string DatagramAuthenticator::write(std::uint64_t ticket, Channel channel, std::string_view payload) {
+std::string DatagramAuthenticator::write(std::uint64_t ticket, Channel channel,
+                                         std::string_view payload) {
   ByteWriter w;
   w.raw(kMagic).text(name_).number(life_).number(++number_).number(ticket).number(channel).raw(
       payload);
@@ -75,7 +77,8 @@
   return links_[address];
 }
 
-std::string DatagramAuthenticator::sign(const std::string& to, Channel channel, std::string payload) {
+std::string DatagramAuthenticator::sign(const std::string& to, Channel channel,
+                                        std::string payload) {
   Link& l = link(to);
   std::string out = write(l.session_nonce, channel, payload);
   l.last.emplace_back(channel, std::move(payload));
@@ -101,9 +104,12 @@
   return true;
 }
 
-DatagramAuthenticator::VerifyResult DatagramAuthenticator::verify(const std::string& from, std::string_view datagram) {
+DatagramAuthenticator::VerifyResult DatagramAuthenticator::verify(const std::string& from,
+                                                                  std::string_view datagram) {
   VerifyResult result;
-  const auto refuse = [&result](const char* reason) { return result.rejection_reason = reason, result; };
+  const auto refuse = [&result](const char* reason) {
+    return result.rejection_reason = reason, result;
+  };
   if (datagram.size() < kMagic.size() + crypto_auth_BYTES || datagram.size() > kMaxDatagramBytes) {
     return refuse("size");
   }
@@ -122,7 +128,8 @@
   const auto life = r.number<std::uint64_t>(), number = r.number<std::uint64_t>(),
              ticket = r.number<std::uint64_t>();
   const auto channel = r.number<Channel>();
-  if (!r.ok() || ByteReader(kMagic).number<std::uint32_t>() != magic || channel > Channel::kCoordination) {
+  if (!r.ok() || ByteReader(kMagic).number<std::uint32_t>() != magic ||
+      channel > Channel::kCoordination) {
     return refuse("form");
   }
   if (name.empty() || name == name_) {
@@ -156,9 +163,9 @@
       s.next_life = life, s.next_ticket = random_() | 1;
     }
     ByteWriter hello;
-    result.replies.push_back(
-        write(0, Channel::kHello,
-              hello.number(life).number(life == s.boot_id ? s.session_nonce : s.next_ticket).bytes()));
+    result.replies.push_back(write(
+        0, Channel::kHello,
+        hello.number(life).number(life == s.boot_id ? s.session_nonce : s.next_ticket).bytes()));
     return refuse("ticket");
   }
   if (!fresh(s, number)) {
--- a/src/membership/gate.h
+++ b/src/membership/datagram_authenticator.h
@@ -46,8 +46,8 @@
   };
   struct VerifyResult {
     std::optional<VerifiedPayload> verified;
-    std::vector<std::string> replies;  // to where it came from
-    const char* rejection_reason = nullptr;     // a reason code, where it was
+    std::vector<std::string> replies;        // to where it came from
+    const char* rejection_reason = nullptr;  // a reason code, where it was
   };
   VerifyResult verify(const std::string& from, std::string_view datagram);
 
--- a/src/membership/wire.cpp
+++ b/src/membership/message_codec.cpp
@@ -1,6 +1,6 @@
-#include "membership/wire.h"
+#include "membership/message_codec.h"
 
-#include "membership/bytes.h"
+#include "base/byte_codec.h"
 
 namespace beechhill::membership {
 namespace {
@@ -11,10 +11,18 @@
 
 std::string encode(const Message& m) {
   ByteWriter w;
-  w.number(m.type).number(m.sequence_number).text(m.subject).number(m.digest).number(
-      static_cast<std::uint8_t>(m.updates.size()));
+  w.number(m.type)
+      .number(m.sequence_number)
+      .text(m.subject)
+      .number(m.digest)
+      .number(static_cast<std::uint8_t>(m.updates.size()));
   for (const MemberUpdate& r : m.updates) {
-    w.text(r.name).text(r.address).number(r.state).number(r.incarnation).number(r.boot_id).text(r.suspected_by);
+    w.text(r.name)
+        .text(r.address)
+        .number(r.state)
+        .number(r.incarnation)
+        .number(r.boot_id)
+        .text(r.suspected_by);
   }
   return w.bytes();
 }
--- a/src/membership/wire.h
+++ b/src/membership/message_codec.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-#include "membership/swim.h"
+#include "membership/swim_node.h"
 
 namespace beechhill::membership {
 
--- a/src/membership/swim.cpp
+++ b/src/membership/swim_node.cpp
@@ -1,4 +1,4 @@
-#include "membership/swim.h"
+#include "membership/swim_node.h"
 
 #include <xxhash.h>
 
@@ -7,7 +7,7 @@
 #include <cmath>
 #include <utility>
 
-#include "membership/bytes.h"
+#include "base/byte_codec.h"
 
 namespace beechhill::membership {
 namespace {
@@ -72,8 +72,8 @@
   return "unknown";
 }
 
-SwimNode::SwimNode(Time now, SwimSettings settings, std::uint64_t seed, std::string name, std::string address,
-           std::uint64_t life)
+SwimNode::SwimNode(Time now, SwimSettings settings, std::uint64_t seed, std::string name,
+                   std::string address, std::uint64_t life)
     : settings_(std::move(settings)),
       name_(std::move(name)),
       address_(std::move(address)),
@@ -84,16 +84,18 @@
       due_(now) {
   // Processes often start together: each probes at a moment of its own.
   if (settings_.probe_interval > Duration{0}) {
-    probe_at_ = due_ = now + Duration(static_cast<std::int64_t>(below(
-                                          static_cast<std::uint64_t>(settings_.probe_interval.count()))) /
-                                      4);
+    probe_at_ = due_ =
+        now + Duration(static_cast<std::int64_t>(
+                           below(static_cast<std::uint64_t>(settings_.probe_interval.count()))) /
+                       4);
   }
   sure_ = std::all_of(settings_.seed_addresses.begin(), settings_.seed_addresses.end(),
                       [this](const std::string& s) { return s == address_; });
 }
 
 MemberUpdate SwimNode::self() const {
-  return {name_, address_, left_ ? MemberState::kLeft : MemberState::kAlive, incarnation_, life_, {}};
+  return {name_,        address_, left_ ? MemberState::kLeft : MemberState::kAlive,
+          incarnation_, life_,    {}};
 }
 
 std::size_t SwimNode::alive_members() const {
@@ -104,8 +106,8 @@
 
 // ---- What is heard
 
-void SwimNode::receive(Time now, const std::string& from, const std::string& address, const Message& m,
-                   std::vector<Outgoing>& out) {
+void SwimNode::receive(Time now, const std::string& from, const std::string& address,
+                       const Message& m, std::vector<Outgoing>& out) {
   if (from == name_) {
     return;
   }
@@ -126,8 +128,10 @@
         break;
       }
       const std::uint64_t number = next_number_++;
-      favours_[number] = {address, m.subject, m.sequence_number, now + settings_.probe_interval / 4, false};
-      send(about->second.update.address, Message{MessageType::kPing, number, {}, 0, {}}, m.subject, out);
+      favours_[number] = {address, m.subject, m.sequence_number, now + settings_.probe_interval / 4,
+                          false};
+      send(about->second.update.address, Message{MessageType::kPing, number, {}, 0, {}}, m.subject,
+           out);
       break;
     }
     case MessageType::kAck: {
@@ -187,7 +191,8 @@
   }
   const MemberUpdate& held = it->second.update;
   if (beats(r, held)) {
-    return r.state == MemberState::kSuspect ? (set(now, r), suspect(now, r.name, r.suspected_by)) : set(now, r);
+    return r.state == MemberState::kSuspect ? (set(now, r), suspect(now, r.name, r.suspected_by))
+                                            : set(now, r);
   }
   if (r.state == MemberState::kSuspect && held.state == MemberState::kSuspect &&
       r.incarnation == held.incarnation) {
@@ -294,20 +299,20 @@
 }
 
 void SwimNode::send(const std::string& address, Message message, const std::string& to,
-                std::vector<Outgoing>& out) {
+                    std::vector<Outgoing>& out) {
   carry(message, to);
   out.push_back({address, std::move(message)});
 }
 
 void SwimNode::ask_list(const std::string& address, const std::string& after, const std::string& to,
-                    std::vector<Outgoing>& out) {
+                        std::vector<Outgoing>& out) {
   send(address, Message{MessageType::kSyncRequest, 0, after, 0, {}}, to, out);
 }
 
 // One page: bounded, and begun anew wherever the last one ended, so that nothing is kept for
 // whoever asks.
 void SwimNode::answer_list(const std::string& address, const std::string& after,
-                       std::vector<Outgoing>& out) {
+                           std::vector<Outgoing>& out) {
   Message page{MessageType::kSyncResponse, 0, {}, digest_, {}};
   for (auto it = members_.upper_bound(after);
        it != members_.end() && takes(page, it->second.update); ++it) {
@@ -323,7 +328,8 @@
   for (auto& [number, favour] : favours_) {
     if (!favour.nacked && now >= favour.nack_at) {
       favour.nacked = true;
-      send(favour.for_address, Message{MessageType::kNack, favour.number, favour.about, 0, {}}, {}, out);
+      send(favour.for_address, Message{MessageType::kNack, favour.number, favour.about, 0, {}}, {},
+           out);
     }
   }
   std::erase_if(favours_,
@@ -365,8 +371,8 @@
   std::size_t told = 0;
   for (const auto& [name, s] : suspicions_) {
     if (s.by.contains(name_) && told++ < kHelpers) {
-      send(members_.at(name).update.address, Message{MessageType::kPing, next_number_++, {}, 0, {}}, name,
-           out);
+      send(members_.at(name).update.address, Message{MessageType::kPing, next_number_++, {}, 0, {}},
+           name, out);
     }
   }
   // Round by round through all, each round in an order of its own: everybody is probed within two
@@ -395,7 +401,8 @@
   p.ask_others = now + period() / 3;
   p.over = now + period();
   probe_ = p;
-  send(members_.at(p.name).update.address, Message{MessageType::kPing, p.number, {}, 0, {}}, p.name, out);
+  send(members_.at(p.name).update.address, Message{MessageType::kPing, p.number, {}, 0, {}}, p.name,
+       out);
 }
 
 void SwimNode::ask_others(std::vector<Outgoing>& out) {
@@ -405,8 +412,8 @@
          return m.update.name != about && m.update.state == MemberState::kAlive;
        })) {
     ++probe_->helpers;
-    send(members_.at(helper).update.address, Message{MessageType::kPingRequest, probe_->number, about, 0, {}},
-         helper, out);
+    send(members_.at(helper).update.address,
+         Message{MessageType::kPingRequest, probe_->number, about, 0, {}}, helper, out);
   }
 }
 
@@ -445,15 +452,16 @@
       kSuspectPeriods * std::max(1.0, std::log10(static_cast<double>(members_.size()) + 1));
   const std::size_t confirmed = holders > 0 ? holders - 1 : 0;
   // Few members can confirm little: with two there is nobody else to ask.
-  const std::size_t wanted = std::min(kConfirmations, alive_members() > 2 ? alive_members() - 2 : 0);
+  const std::size_t wanted =
+      std::min(kConfirmations, alive_members() > 2 ? alive_members() - 2 : 0);
   double times = 1;
   if (wanted > 0) {
     times = std::max(1.0, kUnconfirmed - (kUnconfirmed - 1) *
                                              std::log(static_cast<double>(confirmed) + 1) /
                                              std::log(static_cast<double>(wanted) + 1));
   }
-  return Duration(
-      static_cast<std::int64_t>(least * times * static_cast<double>(settings_.probe_interval.count())));
+  return Duration(static_cast<std::int64_t>(least * times *
+                                            static_cast<double>(settings_.probe_interval.count())));
 }
 
 // Suspicions that nobody met become deaths; what is long gone is forgotten.
@@ -483,8 +491,8 @@
 void SwimNode::look_for_lost(std::vector<Outgoing>& out) {
   const auto lost = some(1, [](const Member& m) { return !is_up(m.update.state); });
   for (const std::string& name : lost) {
-    send(members_.at(name).update.address, Message{MessageType::kPing, next_number_++, {}, 0, {}}, name,
-         out);
+    send(members_.at(name).update.address, Message{MessageType::kPing, next_number_++, {}, 0, {}},
+         name, out);
   }
   if (!lost.empty() && alive_members() > 0) {
     return;
@@ -492,7 +500,8 @@
   std::vector<std::string> seeds = settings_.seed_addresses;
   std::erase(seeds, address_);
   if (!seeds.empty()) {
-    send(seeds[below(seeds.size())], Message{MessageType::kPing, next_number_++, {}, 0, {}}, {}, out);
+    send(seeds[below(seeds.size())], Message{MessageType::kPing, next_number_++, {}, 0, {}}, {},
+         out);
   }
 }
 
@@ -507,8 +516,8 @@
   sure_ = members_.empty();
   for (const std::string& name :
        some(kHelpers, [](const Member& m) { return is_up(m.update.state); })) {
-    send(members_.at(name).update.address, Message{MessageType::kPing, next_number_++, {}, 0, {}}, name,
-         out);
+    send(members_.at(name).update.address, Message{MessageType::kPing, next_number_++, {}, 0, {}},
+         name, out);
   }
   probe_at_ = now + settings_.probe_interval / 4;
   reckon();
@@ -521,13 +530,13 @@
   digest_ ^= digest_of(self());
   for (const std::string& name :
        some(kHelpers + 1, [](const Member& m) { return is_up(m.update.state); })) {
-    send(members_.at(name).update.address, Message{MessageType::kPing, next_number_++, {}, 0, {}}, name,
-         out);
+    send(members_.at(name).update.address, Message{MessageType::kPing, next_number_++, {}, 0, {}},
+         name, out);
   }
 }
 
 std::vector<std::string> SwimNode::some(std::size_t count,
-                                    const std::function<bool(const Member&)>& which) {
+                                        const std::function<bool(const Member&)>& which) {
   std::vector<std::string> all;
   for (const auto& [name, m] : members_) {
     if (which(m)) {
--- a/src/membership/swim.h
+++ b/src/membership/swim_node.h
@@ -30,7 +30,7 @@
   std::uint32_t incarnation =
       0;  // counted up by the member alone; of two rumours the higher one holds
   std::uint64_t boot_id =
-      0;           // of its process, drawn at its start: another one means that it restarted
+      0;  // of its process, drawn at its start: another one means that it restarted
   std::string suspected_by;  // of a suspicion: who holds it
 
   bool operator==(const MemberUpdate&) const = default;
@@ -40,7 +40,7 @@
   kPing,
   kPingRequest,  // ping `about` for me
   kAck,
-  kNack,     // `about` did not answer me either: you are heard, at least
+  kNack,         // `about` did not answer me either: you are heard, at least
   kSyncRequest,  // all you know, from the member after `about` on
   kSyncResponse,
 };
@@ -66,16 +66,16 @@
 inline constexpr unsigned kMaxLocalHealthPenalty = 8;
 
 struct SwimSettings {
-  Duration probe_interval{1'000'000};          // between two probes of one member's
-  Duration forget_after{3'600'000'000};  // members that are dead or left
-  std::vector<std::string> seed_addresses;        // addresses where others may be found
+  Duration probe_interval{1'000'000};       // between two probes of one member's
+  Duration forget_after{3'600'000'000};     // members that are dead or left
+  std::vector<std::string> seed_addresses;  // addresses where others may be found
 };
 
 class SwimNode {
  public:
   // `life`: drawn anew by each process. `self`: its name and address as the others reach it.
-  SwimNode(Time now, SwimSettings settings, std::uint64_t seed, std::string name, std::string address,
-       std::uint64_t life);
+  SwimNode(Time now, SwimSettings settings, std::uint64_t seed, std::string name,
+           std::string address, std::uint64_t life);
 
   // A message of a member that has shown who it is. Appends what is to be sent.
   void receive(Time now, const std::string& from, const std::string& address,
--- a/src/proxy/peer_actor.cpp
+++ b/src/proxy/backend_actor.cpp
@@ -1,9 +1,10 @@
-#include "proxy/peer_actor.h"
+#include "proxy/backend_actor.h"
 
 #include <algorithm>
 #include <iterator>
 
 #include "http/message.h"
+#include "log/log.h"
 
 namespace beechhill::proxy {
 
@@ -61,15 +62,16 @@
 }  // namespace
 
 BackendPool::BackendPool(std::size_t descriptors, BodyBudget& pipes, Telemetry& figures,
-                   const Settings& settings)
+                         const Settings& settings)
     : budget(descriptors), body_budget(pipes), telemetry(figures) {
   for (const ClassSettings& c : settings.classes) {
     max_response_gap = std::min(max_response_gap, c.deadline / kAnswerPauses);
   }
 }
 
-BackendActor::BackendActor(runtime::Scheduler& scheduler, DecisionMailbox& decisions, BackendPool& pool,
-                     const Settings& settings, EndpointId server, sockaddr_in address)
+BackendActor::BackendActor(runtime::Scheduler& scheduler, DecisionMailbox& decisions,
+                           BackendPool& pool, const Settings& settings, EndpointId server,
+                           sockaddr_in address)
     : scheduler_(scheduler),
       decisions_(decisions),
       pool_(pool),
@@ -139,7 +141,8 @@
   }
   // Guards against a request on a connection to a process that is gone: written there, it counts as
   // one that may have run.
-  const bool another = !net::same(status.address, status_.address) || status.started_at != status_.started_at;
+  const bool another =
+      !net::same(status.address, status_.address) || status.started_at != status_.started_at;
   status_ = status;
   if (status.status != EndpointStatus::kUp || another) {
     drop_all_idle();
@@ -149,7 +152,8 @@
 // None of a drain's grace is used: what discovery's agent held counts as told from when it had it,
 // which may be the whole grace before it came here (a start, a watch that broke or fell silent).
 bool BackendActor::may_send() const {
-  return pool_.endpoints_are_current() && now() < status_.permitted_until && status_.status == EndpointStatus::kUp;
+  return pool_.endpoints_are_current() && now() < status_.permitted_until &&
+         status_.status == EndpointStatus::kUp;
 }
 
 // What an attempt is that may not send. After a gap whether the backend still serves is not known:
@@ -288,7 +292,7 @@
     done.load_report = got.report;
     done.response = std::move(got.reply);
   } catch (const std::exception& error) {  // guards against a send without an outcome
-    log_fault("step_fault", error);
+    log::fault("step_fault", error);
     done.result = Result::kError;  // it may have run
   }
   attempts_.erase({attempt.request_id, attempt.attempt_number});
@@ -314,9 +318,11 @@
 }
 
 Task<BackendActor::Exchanged> BackendActor::exchange(const Payload& payload, Time connect_by,
-                                               Time deadline, const AttemptRequest* attempt) {
+                                                     Time deadline, const AttemptRequest* attempt) {
   Exchanged got;
-  const auto wanted = [&] { return !attempt || !attempt->request || attempt->request->awaits_response(); };
+  const auto wanted = [&] {
+    return !attempt || !attempt->request || attempt->request->awaits_response();
+  };
   const Time leave_by = attempt ? std::min(deadline, attempt->write_deadline) : deadline;
   got.result = wanted() ? unsent() : Result::kSkipped;
   if (!may_send() || !wanted() || now() >= leave_by) {
@@ -395,7 +401,8 @@
       continue;
     }
     std::string early;
-    const Io word = co_await stream.read(early, Clock::now() + kStreamPause, &rest.data_available());
+    const Io word =
+        co_await stream.read(early, Clock::now() + kStreamPause, &rest.data_available());
     if (word != Io::kNotified && word != Io::kTimeout) {
       co_return Io::kError;
     }
@@ -405,12 +412,12 @@
 // A large answer, whose first part has come: told at once, and passed on until its end. What the
 // backend still gives is not cut off by the request's deadline. True: it came whole.
 Task<bool> BackendActor::pass_on(Connection& connection, http::Parser& parser, std::string& buffer,
-                              Exchanged& got, const AttemptRequest& attempt) {
+                                 Exchanged& got, const AttemptRequest& attempt) {
   runtime::Notifier room;
   const auto pipe = std::make_shared<BodyPipe>(pool_.body_budget);
   const BodyPipe::WriterGuard writing(pipe.get(), room);
   AttemptCompleted done{attempt.request_id, attempt.attempt_number, Result::kOk, got.report,
-                   std::move(got.reply)};
+                        std::move(got.reply)};
   done.response.remaining_body = pipe;
   got.told = true;
   DecisionMessage message(std::move(done));
@@ -454,8 +461,8 @@
 // An answer counts only as a whole one to this request; whatever else comes may have run, and its
 // connection is of no more use.
 Task<BackendActor::Exchanged> BackendActor::receive(Connection& connection, std::string_view id,
-                                              Time deadline, const AttemptRequest* attempt,
-                                              bool& reusable) {
+                                                    Time deadline, const AttemptRequest* attempt,
+                                                    bool& reusable) {
   Exchanged got;
   std::string buffer;
   http::Parser parser(http::Parser::Kind::kResponse);
--- a/src/proxy/peer_actor.h
+++ b/src/proxy/backend_actor.h
@@ -11,9 +11,9 @@
 
 #include "http/message.h"
 #include "net/socket.h"
-#include "proxy/fd_budget.h"
-#include "proxy/log.h"
-#include "proxy/operation.h"
+#include "proxy/connection_log.h"
+#include "proxy/descriptor_budget.h"
+#include "proxy/messages.h"
 #include "proxy/telemetry.h"
 
 namespace beechhill::proxy {
@@ -23,7 +23,7 @@
 // What all peers share: the descriptors they may hold, and each other's idle connections.
 struct BackendPool {
   BackendPool(std::size_t descriptors, BodyBudget& pipes, Telemetry& figures,
-           const Settings& settings);
+              const Settings& settings);
   DescriptorBudget budget;
   BodyBudget& body_budget;
   Telemetry& telemetry;
@@ -37,7 +37,7 @@
 class BackendActor : public Backend {
  public:
   BackendActor(runtime::Scheduler& scheduler, DecisionMailbox& decisions, BackendPool& pool,
-            const Settings& settings, EndpointId server, sockaddr_in address);
+               const Settings& settings, EndpointId server, sockaddr_in address);
   ~BackendActor() override;
 
   [[nodiscard]] bool post(BackendMessage&& message) override;
--- a/src/proxy/body_pipe.h
+++ b/src/proxy/body_pipe.h
@@ -25,7 +25,8 @@
 
 class BodyPipe {
  public:
-  static constexpr std::size_t kMaxBufferedBytes = 64 * 1024, kMaxBufferedBytesWhenOverBudget = 16 * 1024;
+  static constexpr std::size_t kMaxBufferedBytes = 64 * 1024,
+                               kMaxBufferedBytesWhenOverBudget = 16 * 1024;
 
   explicit BodyPipe(BodyBudget& budget) : budget_(budget) {}
   ~BodyPipe() { budget_.used_ -= bytes_.size(); }
@@ -57,7 +58,10 @@
    private:
     BodyPipe* pipe_;
   };
-  bool full() const { return bytes_.size() >= (budget_.has_capacity() ? kMaxBufferedBytes : kMaxBufferedBytesWhenOverBudget); }
+  bool full() const {
+    return bytes_.size() >=
+           (budget_.has_capacity() ? kMaxBufferedBytes : kMaxBufferedBytesWhenOverBudget);
+  }
   void push(std::string& bytes) {  // takes all of it: the last piece may go beyond
     budget_.used_ += bytes.size();
     bytes_ += std::exchange(bytes, {});
--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -94,8 +94,9 @@
 }  // namespace
 
 ClientListener::ClientListener(runtime::Scheduler& scheduler, DecisionMailbox& decisions,
-                     const config::Config& config, Telemetry& telemetry, BodyBudget& bodies,
-                     std::size_t descriptors, std::function<bool()> has_list, bool drained)
+                               const config::Config& config, Telemetry& telemetry,
+                               BodyBudget& bodies, std::size_t descriptors,
+                               std::function<bool()> has_list, bool drained)
     : scheduler_(scheduler),
       decisions_(decisions),
       config_(config),
@@ -103,9 +104,10 @@
       bodies_(bodies),
       budget_(descriptors),
       has_list_(std::move(has_list)),
-      listener_(config.inherited_listener_fd
-                    ? std::make_unique<net::Listener>(scheduler, net::Fd(*config.inherited_listener_fd))
-                    : std::make_unique<net::Listener>(scheduler, config.listen)),
+      listener_(
+          config.inherited_listener_fd
+              ? std::make_unique<net::Listener>(scheduler, net::Fd(*config.inherited_listener_fd))
+              : std::make_unique<net::Listener>(scheduler, config.listen)),
       inbox_(kInboxCapacity),
       course_(longest_deadline(config)) {
   if (drained) {
@@ -126,7 +128,7 @@
   try {
     co_await socket->serve();
   } catch (const std::exception& error) {
-    log_fault("front_fault", error);
+    log::fault("front_fault", error);
   }
 }
 
@@ -185,7 +187,7 @@
     scheduler_.spawn(
         serve_and_free(std::make_unique<ClientConnection>(*this, std::move(fd), from)));
   } catch (const std::system_error& error) {  // epoll takes no more: the client is let go
-    log_fault("connection_let_go", error);
+    log::fault("connection_let_go", error);
   }
 }
 
@@ -282,8 +284,9 @@
 
 // Strict: nothing doubtful reaches a backend. A header may be absent where a default stands for it;
 // one that is there must be understood, and stand there once.
-ClientListener::Target ClientListener::target_of(http::Message& request, std::optional<std::uint64_t> length,
-                                       std::shared_ptr<BodyPipe> upload) {
+ClientListener::Target ClientListener::target_of(http::Message& request,
+                                                 std::optional<std::uint64_t> length,
+                                                 std::shared_ptr<BodyPipe> upload) {
   const auto& headers = request.headers;
   const std::string path = request.target.substr(1, request.target.find_first_of("/?", 1) - 1);
   const auto class_id = classes_.known(path);
@@ -332,7 +335,8 @@
   }
   operation->arrived_at = now();
   operation->client_timeout = wait;
-  operation->deadline = operation->arrived_at + wait + (upload ? Duration(kUploadGuess) : Duration{0});
+  operation->deadline =
+      operation->arrived_at + wait + (upload ? Duration(kUploadGuess) : Duration{0});
   operation->deadline = std::min(operation->deadline, course_.response_deadline());
   if (!ids_.take(*trace, operation->arrived_at, operation->deadline + kIdKept)) {
     return {409, nullptr};
@@ -408,7 +412,8 @@
     co_return;  // its descriptor is needed now
   }
   // Guards against a reset that destroys an answer still on its way.
-  const TimePoint until = to_point(std::min(now() + kLingerLimit, door_.course_.response_deadline()));
+  const TimePoint until =
+      to_point(std::min(now() + kLingerLimit, door_.course_.response_deadline()));
   if (spoilt_) {
     co_await stream_.linger(until, wake_);
   } else {
@@ -538,7 +543,8 @@
   std::string bytes;
   RequestOutcome how = RequestOutcome::kFailed;
   if (const auto* served = std::get_if<BackendResponse>(&*operation->response)) {
-    const std::string type = served->content_type.empty() ? "" : "Content-Type: " + served->content_type + "\r\n";
+    const std::string type =
+        served->content_type.empty() ? "" : "Content-Type: " + served->content_type + "\r\n";
     if (served->remaining_body) {
       const bool whole = co_await pass_on(*served, type, close, chunks);
       if (reason_ != EndReason::kWriteFailed) {
@@ -566,8 +572,8 @@
 
 // A large answer, at the pace of its backend and its client. False: its end did not come, or the
 // client left; the connection is then closed without it, so that the client can tell.
-Task<bool> ClientConnection::pass_on(const BackendResponse& reply, const std::string& extra, bool close,
-                                     bool chunks) {
+Task<bool> ClientConnection::pass_on(const BackendResponse& reply, const std::string& extra,
+                                     bool close, bool chunks) {
   BodyPipe& rest = *reply.remaining_body;
   struct Leaver {
     BodyPipe& pipe;
@@ -623,7 +629,8 @@
     return false;
   }
   operation.arrived_at = now();
-  operation.deadline = std::min(operation.arrived_at + operation.client_timeout, door_.course_.response_deadline());
+  operation.deadline =
+      std::min(operation.arrived_at + operation.client_timeout, door_.course_.response_deadline());
   upload.finish();
   return true;
 }
@@ -672,7 +679,8 @@
     if (upload) {
       upload->abort();
     }
-    for (DecisionMessage left(RequestAbandoned{operation}); !door_.decisions_.post(std::move(left));) {
+    for (DecisionMessage left(RequestAbandoned{operation});
+         !door_.decisions_.post(std::move(left));) {
       runtime::Wait wait(
           door_.scheduler_);  // guards against a request that is held and sent on for nobody
       wait.until(Clock::now() + 1ms);
--- a/src/proxy/client_connection.h
+++ b/src/proxy/client_connection.h
@@ -11,10 +11,10 @@
 #include "config/interner.h"
 #include "http/message.h"
 #include "net/socket.h"
-#include "proxy/door_course.h"
-#include "proxy/fd_budget.h"
-#include "proxy/log.h"
-#include "proxy/operation.h"
+#include "proxy/connection_log.h"
+#include "proxy/descriptor_budget.h"
+#include "proxy/listener_lifecycle.h"
+#include "proxy/messages.h"
 #include "proxy/telemetry.h"
 
 namespace beechhill::proxy {
@@ -35,14 +35,15 @@
 
 class ClientListener {
  public:
-  ClientListener(runtime::Scheduler& scheduler, DecisionMailbox& decisions, const config::Config& config,
-            Telemetry& telemetry, BodyBudget& bodies, std::size_t descriptors,
-            std::function<bool()> has_list, bool drained = false);
+  ClientListener(runtime::Scheduler& scheduler, DecisionMailbox& decisions,
+                 const config::Config& config, Telemetry& telemetry, BodyBudget& bodies,
+                 std::size_t descriptors, std::function<bool()> has_list, bool drained = false);
 
   sockaddr_in address() const { return listener_->address(); }
   ListenerMailbox& inbox() { return inbox_; }
-  runtime::Task<> run_accept_loop();   // accepts for as long as the door's course says
-  runtime::Task<> run_lifecycle();  // follows orders; returns when nothing is left after a planned end
+  runtime::Task<> run_accept_loop();  // accepts for as long as the door's course says
+  runtime::Task<>
+  run_lifecycle();  // follows orders; returns when nothing is left after a planned end
   // Whether this process takes clients: drained or not, until its planned end.
   bool is_serving() const { return accepting_ && has_list_() && !course_.is_shutting_down(); }
   bool is_shutting_down() const { return course_.is_shutting_down(); }
--- a/src/proxy/log.cpp
+++ b/src/proxy/connection_log.cpp
@@ -1,4 +1,4 @@
-#include "proxy/log.h"
+#include "proxy/connection_log.h"
 
 #include "log/log.h"
 
@@ -62,12 +62,4 @@
                     {"operations", operations}});
 }
 
-void log_fault(const char* name, const std::exception& error) {
-  log::warning(name, {{"fault", std::string_view(error.what())}});
-}
-
-void log_dropped_message(const char* what) {
-  log::warning("mailbox_full", {{"lost", std::string_view(what)}});
-}
-
 }  // namespace beechhill::proxy
--- a/src/proxy/log.h
+++ b/src/proxy/connection_log.h
@@ -36,9 +36,5 @@
 // side: front (a client), peer (a backend) or discovery.
 void log_end(const char* side, const std::string& remote, EndReason reason,
              std::uint64_t operations);
-// What went wrong without ending the program, as a warning of that name.
-void log_fault(const char* name, const std::exception& error);
-// A bounded mailbox was full, and this is what it did not take.
-void log_dropped_message(const char* what);
 
 }  // namespace beechhill::proxy
--- a/src/proxy/decision_actor.cpp
+++ b/src/proxy/decision_actor.cpp
@@ -4,8 +4,8 @@
 #include <cmath>
 
 #include "log/log.h"
-#include "proxy/log.h"
-#include "proxy/server_list_actor.h"
+#include "proxy/connection_log.h"
+#include "proxy/endpoint_watch_actor.h"
 
 namespace beechhill::proxy {
 namespace {
@@ -19,7 +19,8 @@
 // What is heeded on the way back; all else waits for it.
 bool is_news(const DecisionMessage& message) {
   return std::holds_alternative<config::EndpointList>(message) ||
-         std::holds_alternative<ResyncComplete>(message) || std::holds_alternative<ExcludeBackend>(message) ||
+         std::holds_alternative<ResyncComplete>(message) ||
+         std::holds_alternative<ExcludeBackend>(message) ||
          std::holds_alternative<DispatchPermissions>(message);
 }
 
@@ -41,18 +42,20 @@
       unix_offset_(
           std::chrono::duration_cast<Time>(std::chrono::system_clock::now().time_since_epoch()) -
           now()),
-      course_(now(), config.named_settings.settings.drain_grace, EndpointWatchActor::kWatchSilenceTimeout,
-              !config.cached_endpoints.entries.empty()),
+      course_(now(), config.named_settings.settings.drain_grace,
+              EndpointWatchActor::kWatchSilenceTimeout, !config.cached_endpoints.entries.empty()),
       balancer_(now(), config.named_settings.settings, actions_) {
   if (subset.min_endpoints > 0) {
-    subset_.emplace(subset, routing::subset_unit_for(config.named_settings.settings.classes), config.name);
+    subset_.emplace(subset, routing::subset_unit_for(config.named_settings.settings.classes),
+                    config.name);
   }
   for (snapshot::EndpointRecord& row : learned) {
     claims_.try_emplace(row.host, row);
   }
   for (const ClassSettings& c : config.named_settings.settings.classes) {
-    memory_spans_.push_back(c.idempotency == Idempotency::kIdempotencyKey ? std::optional(c.deduplication_window)
-                                                       : std::nullopt);
+    memory_spans_.push_back(c.idempotency == Idempotency::kIdempotencyKey
+                                ? std::optional(c.deduplication_window)
+                                : std::nullopt);
   }
   zones_.id(config.named_settings.zone);  // the settings' own zone is number 0
   perform();
@@ -66,7 +69,7 @@
   if (course_.observe_clock(at)) {
     log::info("away", {{"ms", static_cast<std::uint64_t>(course_.gap().count() / 1000)}});
     if (!watch_.post(Resync{course_.needs_snapshot()})) {
-      log_dropped_message("catch_up");
+      log::dropped_message("catch_up");
     }
   }
   const bool returning = course_.is_resyncing(at);
@@ -212,7 +215,8 @@
   if (done.attempt_number < entry.sent.size()) {
     note_use(entry.sent[done.attempt_number].server, done.load_report);
   }
-  const Outcome outcome{done.request_id, done.attempt_number, done.result, entry.over, done.load_report, spent};
+  const Outcome outcome{done.request_id, done.attempt_number, done.result,
+                        entry.over,      done.load_report,    spent};
   drive(outcome);
   tidy(done.request_id);
 }
@@ -246,10 +250,13 @@
   }
   Entry& entry = it->second;
   const ClientRequest& op = *entry.operation;
-  AttemptRequest attempt{a.id,           static_cast<std::uint32_t>(entry.sent.size()),
-                  op.deadline,    op.deadline,
-                  op.client_timeout,        op.payload,
-                  entry.operation};
+  AttemptRequest attempt{a.id,
+                         static_cast<std::uint32_t>(entry.sent.size()),
+                         op.deadline,
+                         op.deadline,
+                         op.client_timeout,
+                         op.payload,
+                         entry.operation};
   // Past half of its time a client is better told that nothing was sent than kept waiting for a
   // connection.
   if (!entry.written && entry.out == 0 && !op.streams_body()) {
@@ -282,7 +289,7 @@
     return;
   }
   if (!backends_[it->second.sent[a.attempt].server].peer->post(CancelAttempt{a.id, a.attempt})) {
-    log_dropped_message("cancel");
+    log::dropped_message("cancel");
   }
 }
 
@@ -382,7 +389,8 @@
 }
 
 // What the module is told of a list: all of it, or this proxy's part of the fleet.
-EndpointUpdate DecisionActor::part_of(EndpointUpdate list, const std::vector<std::uint64_t>& hashes) {
+EndpointUpdate DecisionActor::part_of(EndpointUpdate list,
+                                      const std::vector<std::uint64_t>& hashes) {
   if (!subset_) {
     return list;
   }
@@ -417,8 +425,8 @@
   const bool known =
       !order.reply || ever_listed(order.backend_id);  // another process of this proxy knew it
   if (known) {
-    const bool changed =
-        order.excluded ? barred_.insert(order.backend_id).second : barred_.erase(order.backend_id) > 0;
+    const bool changed = order.excluded ? barred_.insert(order.backend_id).second
+                                        : barred_.erase(order.backend_id) > 0;
     if (changed) {
       refresh(order.backend_id);
     }
@@ -431,7 +439,8 @@
 // Left out by hand, or out for work: either bars.
 bool DecisionActor::out(const std::string& host) const {
   const auto right = rights_.permitted_until.find(host);
-  return barred_.contains(host) || (right != rights_.permitted_until.end() && right->second <= now());
+  return barred_.contains(host) ||
+         (right != rights_.permitted_until.end() && right->second <= now());
 }
 
 void DecisionActor::refresh(const std::string& host) {
@@ -485,7 +494,9 @@
     const std::string& host = servers_.name(id);
     const EndpointStats e = balancer_.endpoint_stats(id);
     // To the nearest half power of two: what is settled must not move with every report.
-    const double weight = e.weighted_utilizations > 1 && rates > 0 ? e.weighted_rates / e.weighted_utilizations / (rates / utils) : 1;
+    const double weight = e.weighted_utilizations > 1 && rates > 0
+                              ? e.weighted_rates / e.weighted_utilizations / (rates / utils)
+                              : 1;
     const double width = std::exp2(std::round(2 * std::log2(std::clamp(weight, 0.1, 10.0))) / 2);
     const bool warm = b.born.count() == 0 ||
                       now() >= std::chrono::duration_cast<Time>(b.born) - unix_offset_ + cold_span_;
@@ -543,7 +554,7 @@
     status.status = EndpointStatus::kDraining;
   }
   if (!backends_[server].peer->post(status)) {
-    log_dropped_message("peer_status");
+    log::dropped_message("peer_status");
   }
 }
 
@@ -556,7 +567,8 @@
   const snapshot::EndpointRecord row = it->second;
   claims_.erase(it);
   const Duration age = now() + unix_offset_ - std::chrono::duration_cast<Time>(row.recorded_at);
-  const auto evidence = snapshot::discounted(row.stats, age, row.started_at != backends_[server].born);
+  const auto evidence =
+      snapshot::discounted(row.stats, age, row.started_at != backends_[server].born);
   evidence ? ++recalled_ : ++void_;
   if (evidence) {
     drive(RestoredStats{server, *evidence});
--- a/src/proxy/decision_actor.h
+++ b/src/proxy/decision_actor.h
@@ -13,10 +13,10 @@
 #include <vector>
 
 #include "config/interner.h"
-#include "proxy/operation.h"
-#include "recovery/course.h"
+#include "proxy/messages.h"
+#include "recovery/recovery_tracker.h"
 #include "routing/subset.h"
-#include "snapshot/state.h"
+#include "snapshot/snapshot.h"
 
 namespace beechhill::proxy {
 
@@ -29,16 +29,19 @@
   // hears of every node. `barred`: ids that operators had left out when this process started.
   // `learned`: what an earlier process of this name had learned, believed only of backends that a
   // list names, in the same start.
-  DecisionActor(runtime::Scheduler& scheduler, const config::Config& config, BackendFactory make_peer,
-                EndpointWatchMailbox& watch, const routing::SubsetSettings& subset = {},
-                std::set<std::string> barred = {}, std::vector<snapshot::EndpointRecord> learned = {});
+  DecisionActor(runtime::Scheduler& scheduler, const config::Config& config,
+                BackendFactory make_peer, EndpointWatchMailbox& watch,
+                const routing::SubsetSettings& subset = {}, std::set<std::string> barred = {},
+                std::vector<snapshot::EndpointRecord> learned = {});
 
   DecisionMailbox& inbox() { return inbox_; }
   bool ready() const { return course_.ready(); }
   bool has_discovery_update() const { return heard_; }  // from discovery, since the start
   // Whether what is held may decide where something new goes: not within a gap, nor until discovery
   // was heard after it.
-  bool endpoints_are_current() const { return course_.endpoints_are_current(now()) && serving_permitted(); }
+  bool endpoints_are_current() const {
+    return course_.endpoints_are_current(now()) && serving_permitted();
+  }
   bool serving_permitted() const { return now() < serve_until_; }
   recovery::Stage stage() const { return course_.stage(); }
   // Nothing is sent until WorkRights say so.
@@ -75,9 +78,9 @@
   };
 
   struct BackendEntry {
-    std::unique_ptr<Backend> peer;                 // none: that number is free
+    std::unique_ptr<Backend> peer;                    // none: that number is free
     EndpointStatus state = EndpointStatus::kRemoved;  // as last told
-    bool barred = false;                        // left out by hand, or taken out for work
+    bool barred = false;                              // left out by hand, or taken out for work
     Time barred_at{0};
     Time until = Time::max();  // of the right to use it
     std::uint32_t zone = 0, kind = 0, cell = 0;
--- a/src/proxy/server_list_actor.cpp
+++ b/src/proxy/endpoint_watch_actor.cpp
@@ -1,9 +1,10 @@
-#include "proxy/server_list_actor.h"
+#include "proxy/endpoint_watch_actor.h"
 
 #include <algorithm>
 #include <optional>
 
 #include "http/message.h"
+#include "log/log.h"
 #include "net/socket.h"
 
 namespace beechhill::proxy {
@@ -52,7 +53,7 @@
       co_await watch(decisions, end);
     } catch (const std::exception& error) {
       end.reason = EndReason::kDiscoveryBad;  // guards against dying of what discovery sends
-      log_fault("discovery_fault", error);
+      log::fault("discovery_fault", error);
     }
     log_end("discovery", net::to_string(end.address), end.reason, end.lists);
     if (end.reason == EndReason::kDiscoveryMoved || end.reason == EndReason::kDiscoveryAnew) {
@@ -97,7 +98,7 @@
   }
   DecisionMessage word(std::in_place_type<ResyncComplete>);
   if (!decisions.post(std::move(word))) {
-    log_dropped_message("caught_up");  // its wait ends by itself
+    log::dropped_message("caught_up");  // its wait ends by itself
   }
 }
 
@@ -108,7 +109,8 @@
     end.reason = EndReason::kConnectFailed;
     co_return;
   }
-  const auto first_word = std::min<Clock::duration>(kFirstWord * (1 + mute_ / kPatience), kWatchSilenceTimeout);
+  const auto first_word =
+      std::min<Clock::duration>(kFirstWord * (1 + mute_ / kPatience), kWatchSilenceTimeout);
   ++mute_;
   // What changed since version 0 is the whole list, and comes at once: where nothing has changed
   // nothing would.
@@ -186,8 +188,9 @@
 }
 
 // Whether the watch gave a sign of life; nothing where it can't be read on.
-std::optional<bool> EndpointWatchActor::take_lists(WatchStreamDecoder& reader, DecisionMailbox& decisions,
-                                                std::uint64_t& lists) {
+std::optional<bool> EndpointWatchActor::take_lists(WatchStreamDecoder& reader,
+                                                   DecisionMailbox& decisions,
+                                                   std::uint64_t& lists) {
   std::string_view object;
   for (bool said = false;; said = true) {
     const WatchStreamDecoder::Got got = reader.next(object);
--- a/src/proxy/server_list_actor.h
+++ b/src/proxy/endpoint_watch_actor.h
@@ -5,9 +5,9 @@
 #include <random>
 #include <string>
 
-#include "proxy/list_reader.h"
-#include "proxy/log.h"
-#include "proxy/operation.h"
+#include "proxy/connection_log.h"
+#include "proxy/messages.h"
+#include "proxy/watch_stream_decoder.h"
 
 namespace beechhill::proxy {
 
@@ -29,7 +29,8 @@
   runtime::Task<> watch(DecisionMailbox& decisions, End& end);
   bool moved();  // takes what is in the mailbox: whether discovery is elsewhere now
   void caught_up(DecisionMailbox& decisions);
-  std::optional<bool> take_lists(WatchStreamDecoder& reader, DecisionMailbox& decisions, std::uint64_t& lists);
+  std::optional<bool> take_lists(WatchStreamDecoder& reader, DecisionMailbox& decisions,
+                                 std::uint64_t& lists);
 
   runtime::Scheduler& scheduler_;
   EndpointWatchMailbox inbox_;
--- a/src/proxy/door_course.h
+++ b/src/proxy/listener_lifecycle.h
@@ -32,8 +32,8 @@
   // Callers hear of a planned end only some time after it began; with a successor none waits for
   // this process.
   bool accepts_connections(Time now) const {
-    return !ending_ ||
-           (!succeeded_ && now < std::min(*ending_ + kAcceptAfterEnd, response_deadline() - kLeastForOne));
+    return !ending_ || (!succeeded_ && now < std::min(*ending_ + kAcceptAfterEnd,
+                                                      response_deadline() - kLeastForOne));
   }
   // Whether the answer given now is the last on a connection that came at `came`. Alone in its end
   // the process serves kept connections on, as there may be no other for them; those that came
--- a/src/proxy/operation.h
+++ b/src/proxy/messages.h
@@ -14,19 +14,16 @@
 #include "config/config.h"
 #include "proxy/body_pipe.h"
 #include "runtime/mailbox.h"
+#include "runtime/pending_reply.h"
+#include "runtime/time.h"
 
 namespace beechhill::proxy {
 
-// The module's clock is the steady clock in microseconds.
-inline Time to_time(runtime::TimePoint at) {
-  return std::chrono::duration_cast<Time>(at.time_since_epoch());
-}
-inline runtime::TimePoint to_point(Time at) {
-  return runtime::TimePoint(at);
-}
-inline Time now() {
-  return to_time(runtime::Clock::now());
-}
+using runtime::now;
+using runtime::PendingReply;
+using runtime::PendingTextReply;
+using runtime::to_point;
+using runtime::to_time;
 
 // The request as a backend is to get it.
 class Payload {
@@ -48,8 +45,9 @@
 
 struct BackendResponse {  // a backend's answer to pass on
   std::string body, content_type;
-  std::shared_ptr<BodyPipe> remaining_body;       // what of the body follows; null where that is all
-  std::optional<std::uint64_t> content_length;  // of all of it, with `rest` and where the backend told
+  std::shared_ptr<BodyPipe> remaining_body;  // what of the body follows; null where that is all
+  std::optional<std::uint64_t>
+      content_length;  // of all of it, with `rest` and where the backend told
 };
 
 struct Rejection {  // refused: trying again is harmless
@@ -64,8 +62,9 @@
   RequestId id = 0;  // given by the decision actor
   ClassId class_id = 0;
   TenantId tenant = kNoTenant;
-  Time arrived_at{0}, deadline{0};  // of a large one's last byte, once that has come: guessed before
-  Duration client_timeout{0};              // that the client will, from its last byte
+  Time arrived_at{0},
+      deadline{0};             // of a large one's last byte, once that has come: guessed before
+  Duration client_timeout{0};  // that the client will, from its last byte
   std::shared_ptr<const Payload> payload;
   bool streams_body() const {
     return payload->remaining_body() != nullptr;
@@ -81,12 +80,12 @@
 struct AttemptRequest {  // to be carried out
   RequestId request_id = 0;
   std::uint32_t attempt_number = 0;  // of the request's, from 0
-  Time connect_deadline{0};        // a connection not up by then has failed
-  Time deadline{0};          // when the proxy stops waiting
-  Duration response_timeout{0};          // of a large request: from when its last byte is written
+  Time connect_deadline{0};          // a connection not up by then has failed
+  Time deadline{0};                  // when the proxy stops waiting
+  Duration response_timeout{0};      // of a large request: from when its last byte is written
   std::shared_ptr<const Payload> payload;
   std::shared_ptr<const ClientRequest> request;  // null: nobody who could leave waits for it
-  Time write_deadline = Time::max();                   // its last byte has left by then, or never does
+  Time write_deadline = Time::max();             // its last byte has left by then, or never does
 };
 struct CancelAttempt {
   RequestId request_id = 0;
@@ -97,7 +96,7 @@
   EndpointStatus status = EndpointStatus::kUp;
   sockaddr_in address{};
   std::chrono::milliseconds started_at{0};  // its last start as the list has it
-  Time permitted_until = Time::max();           // when the right to send new work there ends
+  Time permitted_until = Time::max();       // when the right to send new work there ends
 };
 using BackendMessage = std::variant<AttemptRequest, CancelAttempt, CheckHealth, BackendStatus>;
 
@@ -123,34 +122,6 @@
   LoadReport load_report;
 };
 
-// An operator's question or order. The actor that owns the matter answers by setting `status`, once
-// it is done, and notifying; whoever asked may have gone by then.
-struct PendingReply {
-  int status = 0;                            // as in HTTP; 0: not done yet
-  std::size_t endpoint_count = 0, avoided_endpoint_count = 0;  // of a Census
-  const char* recovery_stage = "";  // of a Census: where the process stands on its way to full service
-  runtime::Notifier completed;
-  void complete(int with) {
-    status = with;
-    completed.notify();
-  }
-};
-struct PendingTextReply : PendingReply {  // with a body
-  std::string text;
-};
-// Its status, or 503 where none came within `at_most`.
-inline runtime::Task<int> await_reply(runtime::Scheduler& scheduler, std::shared_ptr<PendingReply> asked,
-                                  std::chrono::milliseconds at_most) {
-  const auto until = runtime::Clock::now() + at_most;
-  while (asked->status == 0) {
-    runtime::Wait wait(scheduler);
-    wait.notified(asked->completed).until(until);
-    if (co_await wait == runtime::Wake::kTime) {
-      co_return 503;
-    }
-  }
-  co_return asked->status;
-}
 struct ExcludeBackend {  // leave a backend out, or let it serve again, whatever the list says
   std::string backend_id;
   bool excluded = true;
@@ -167,17 +138,20 @@
   Time serving_permitted_until = Time::max();  // nothing at all beyond
 };
 
-struct ResyncComplete {};  // all that discovery had written when a CatchUp was taken has been posted
+struct ResyncComplete {
+};  // all that discovery had written when a CatchUp was taken has been posted
 
-using DecisionMessage = std::variant<RequestReceived, RequestAbandoned, AttemptCompleted, ResponseStreamEnded, HealthCheckCompleted,
-                                     config::EndpointList, ResyncComplete, ExcludeBackend, GetEndpointCounts, DispatchPermissions>;
+using DecisionMessage =
+    std::variant<RequestReceived, RequestAbandoned, AttemptCompleted, ResponseStreamEnded,
+                 HealthCheckCompleted, config::EndpointList, ResyncComplete, ExcludeBackend,
+                 GetEndpointCounts, DispatchPermissions>;
 using DecisionMailbox = runtime::Mailbox<DecisionMessage>;
 
-struct StartWatch {};  // the module wants the list watched: no more pausing
-struct RedirectWatch {   // discovery is elsewhere from now on
+struct StartWatch {};   // the module wants the list watched: no more pausing
+struct RedirectWatch {  // discovery is elsewhere from now on
   sockaddr_in address{};
 };
-struct Resync {      // read all that was written, then say CaughtUp
+struct Resync {                // read all that was written, then say CaughtUp
   bool from_snapshot = false;  // the whole list is asked for: what was written may not be all
 };
 using EndpointWatchMessage = std::variant<StartWatch, RedirectWatch, Resync>;
@@ -186,7 +160,7 @@
 enum class ListenerCommandType { kDrain, kResume, kShutdown };
 struct ListenerCommand {
   ListenerCommandType type = ListenerCommandType::kShutdown;
-  bool has_successor = false;        // with kEnd: another process takes the clients
+  bool has_successor = false;           // with kEnd: another process takes the clients
   std::shared_ptr<PendingReply> reply;  // null: nobody waits
 };
 using ListenerMailbox = runtime::Mailbox<ListenerCommand>;
--- a/src/proxy/telemetry.h
+++ b/src/proxy/telemetry.h
@@ -32,7 +32,8 @@
   // said.
   class RequestScope {
    public:
-    RequestScope(Telemetry& telemetry, ClassId class_id) : telemetry_(&telemetry), class_id_(class_id) {
+    RequestScope(Telemetry& telemetry, ClassId class_id)
+        : telemetry_(&telemetry), class_id_(class_id) {
       ++telemetry.taken_;
     }
     RequestScope(RequestScope&& other) noexcept
@@ -64,7 +65,7 @@
     ++(how == RequestOutcome::kCompleted  ? c.completed
        : how == RequestOutcome::kRejected ? c.rejected
        : how == RequestOutcome::kFailed   ? c.failed
-                                 : c.abandoned);
+                                          : c.abandoned);
   }
 
   std::vector<Counts> by_class_;
--- a/src/proxy/list_reader.cpp
+++ b/src/proxy/watch_stream_decoder.cpp
@@ -1,4 +1,4 @@
-#include "proxy/list_reader.h"
+#include "proxy/watch_stream_decoder.h"
 
 namespace beechhill::proxy {
 
--- a/src/recovery/course.cpp
+++ b/src/recovery/recovery_tracker.cpp
@@ -1,4 +1,4 @@
-#include "recovery/course.h"
+#include "recovery/recovery_tracker.h"
 
 #include <algorithm>
 #include <utility>
@@ -29,7 +29,8 @@
   return "unknown";
 }
 
-RecoveryTracker::RecoveryTracker(Time now, Duration drain_grace, Duration watch_silence, bool has_list)
+RecoveryTracker::RecoveryTracker(Time now, Duration drain_grace, Duration watch_silence,
+                                 bool has_list)
     : away_after_((drain_grace > Duration{0} ? drain_grace : kNoGrace) / kGapShare),
       hear_within_(std::min(away_after_, kMostHearing)),
       watch_silence_(watch_silence),
--- a/src/recovery/course.h
+++ b/src/recovery/recovery_tracker.h
@@ -10,8 +10,8 @@
 namespace beechhill::recovery {
 
 enum class Stage {
-  kNoEndpoints,    // no list: nothing can be sent
-  kResyncing,  // a list is held, and discovery has not spoken since the start or the gap
+  kNoEndpoints,  // no list: nothing can be sent
+  kResyncing,    // a list is held, and discovery has not spoken since the start or the gap
   kReady,
 };
 const char* name(Stage stage);
@@ -32,11 +32,13 @@
   bool needs_snapshot() const { return gap_ >= watch_silence_; }
   Duration gap() const { return gap_; }  // the latest
 
-  void on_endpoint_update();     // discovery has spoken: a list, or changes of it
+  void on_endpoint_update();  // discovery has spoken: a list, or changes of it
   void on_resync_complete();  // all that it wrote up to now has been heard
   // Whether what is held may decide where something new goes. False within a gap that nobody has
   // looked at yet.
-  bool endpoints_are_current(Time now) const { return !returning_ && now - looked_at_ <= away_after_; }
+  bool endpoints_are_current(Time now) const {
+    return !returning_ && now - looked_at_ <= away_after_;
+  }
   // Whether the wait for discovery after a gap, or a start, goes on; it ends by itself at
   // hear_by().
   bool is_resyncing(Time now);
@@ -44,7 +46,9 @@
   bool ready() const { return has_list_ && !starting_; }
   Time resync_deadline() const { return hear_by_; }
   Stage stage() const {
-    return !has_list_ ? Stage::kNoEndpoints : heard_ && !returning_ ? Stage::kReady : Stage::kResyncing;
+    return !has_list_              ? Stage::kNoEndpoints
+           : heard_ && !returning_ ? Stage::kReady
+                                   : Stage::kResyncing;
   }
 
  private:
--- a/src/routing/subset.cpp
+++ b/src/routing/subset.cpp
@@ -36,10 +36,12 @@
 Unit subset_unit_for(const std::vector<ClassSettings>& classes) {
   Unit unit = Unit::kEndpoint;
   for (const ClassSettings& c : classes) {
-    if (c.idempotency != Idempotency::kIdempotencyKey || c.deduplication_scope == DeduplicationScope::kAll) {
+    if (c.idempotency != Idempotency::kIdempotencyKey ||
+        c.deduplication_scope == DeduplicationScope::kAll) {
       continue;
     }
-    unit = std::max(unit, c.deduplication_scope == DeduplicationScope::kZone ? Unit::kZone : Unit::kCell);
+    unit = std::max(unit,
+                    c.deduplication_scope == DeduplicationScope::kZone ? Unit::kZone : Unit::kCell);
   }
   return unit;
 }
@@ -75,9 +77,9 @@
 }
 
 double SubsetView::turned(const Node& n) const {
-  const std::uint64_t unit = unit_ == Unit::kEndpoint   ? n.hash
-                             : unit_ == Unit::kCell ? n.entry.cell
-                                                    : n.entry.zone;
+  const std::uint64_t unit = unit_ == Unit::kEndpoint ? n.hash
+                             : unit_ == Unit::kCell   ? n.entry.cell
+                                                      : n.entry.zone;
   const double at = fraction(hash_of(unit, 1)) - start_;
   return at - std::floor(at);
 }
@@ -96,7 +98,8 @@
   }
 }
 
-EndpointUpdate SubsetView::apply(const EndpointUpdate& told, const std::vector<std::uint64_t>& node_hashes) {
+EndpointUpdate SubsetView::apply(const EndpointUpdate& told,
+                                 const std::vector<std::uint64_t>& node_hashes) {
   if (told.kind == UpdateKind::kFailed) {
     return told;
   }
--- a/src/routing/subset.h
+++ b/src/routing/subset.h
@@ -19,11 +19,13 @@
 namespace beechhill::routing {
 
 struct SubsetSettings {
-  std::uint32_t min_endpoints = 0;  // wanted in a subset, at the least; 0: no subsets, all nodes are used
+  std::uint32_t min_endpoints =
+      0;  // wanted in a subset, at the least; 0: no subsets, all nodes are used
   std::uint32_t coverage =
       8;  // proxies that are to use each node, at the least, where `proxies` is told
   std::uint32_t proxies = 0;  // how many there are; 0: not told. Wrong by two, the arcs are, too
-  std::optional<std::uint32_t> proxy_index;  // among them, from 0; absent: the name's hash stands for it
+  std::optional<std::uint32_t>
+      proxy_index;  // among them, from 0; absent: the name's hash stands for it
 };
 
 // What must stay together: a keyed request may have to be sent again within the group of its first
--- a/src/snapshot/state.cpp
+++ b/src/snapshot/snapshot.cpp
@@ -1,9 +1,9 @@
-#include "snapshot/state.h"
+#include "snapshot/snapshot.h"
 
 #include <cmath>
 #include <utility>
 
-#include "config/sealed.h"
+#include "config/checksummed_json.h"
 
 namespace beechhill::snapshot {
 namespace {
@@ -40,7 +40,7 @@
   row.started_at = std::chrono::milliseconds(v["born"].asInt64());
   row.recorded_at = std::chrono::milliseconds(v["at"].asInt64());
   row.stats = {v["rate"].asDouble(), v["util"].asDouble(), v["paces"].asDouble(),
-                  v["answers"].asDouble()};
+               v["answers"].asDouble()};
   return !row.host.empty();
 }
 
@@ -112,7 +112,7 @@
 }
 
 const char* rejection_reason(const Snapshot& s, std::string_view name, std::string_view fleet,
-                    std::chrono::milliseconds now) {
+                             std::chrono::milliseconds now) {
   if (s.name != name) {
     return "another_process";
   }
@@ -129,17 +129,20 @@
 }
 
 std::optional<EndpointStats> discounted(const EndpointStats& e, Duration age, bool started) {
-  if (started || e.weighted_utilizations > kMostReports * kMostUtilisation || e.weighted_rates > kMostReports * kMostRate) {
+  if (started || e.weighted_utilizations > kMostReports * kMostUtilisation ||
+      e.weighted_rates > kMostReports * kMostRate) {
     return std::nullopt;
   }
-  if (e.response_weight > kMostAnswers || e.weighted_latency_ratios > kMostPace * e.response_weight) {
+  if (e.response_weight > kMostAnswers ||
+      e.weighted_latency_ratios > kMostPace * e.response_weight) {
     return std::nullopt;
   }
   const double kept = std::exp(-std::chrono::duration<double>(std::max(age, Duration{0})) / kFades);
   if (kept * (e.weighted_utilizations + e.response_weight) < kLeast) {
     return std::nullopt;
   }
-  return EndpointStats{kept * e.weighted_rates, kept * e.weighted_utilizations, kept * e.weighted_latency_ratios, kept * e.response_weight};
+  return EndpointStats{kept * e.weighted_rates, kept * e.weighted_utilizations,
+                       kept * e.weighted_latency_ratios, kept * e.response_weight};
 }
 
 }  // namespace beechhill::snapshot
--- a/src/snapshot/state.h
+++ b/src/snapshot/snapshot.h
@@ -17,19 +17,21 @@
 
 struct EndpointRecord {
   std::string host;
-  std::chrono::milliseconds started_at{0};  // Unix time of its start as the list told it; 0: not told
-  std::chrono::milliseconds recorded_at{0};    // Unix time
+  std::chrono::milliseconds started_at{
+      0};  // Unix time of its start as the list told it; 0: not told
+  std::chrono::milliseconds recorded_at{0};  // Unix time
   EndpointStats stats;
 };
 
 struct Snapshot {
-  std::string name;   // the process's
-  std::string settings_hash;  // the settings it ran under, by their hash: what was learned under others
-                      // says nothing
+  std::string name;           // the process's
+  std::string settings_hash;  // the settings it ran under, by their hash: what was learned under
+                              // others says nothing
   std::uint64_t incarnation = 0;
   std::chrono::milliseconds written_at{0};  // Unix time
   std::vector<EndpointRecord> records;
-  std::set<std::string> excluded_backends;  // ids that operators had left out: no age makes these void
+  std::set<std::string>
+      excluded_backends;  // ids that operators had left out: no age makes these void
 };
 
 inline constexpr std::size_t kMaxRecords = 10'000, kMaxSnapshotBytes = 4 * 1024 * 1024;
@@ -40,8 +42,8 @@
 std::optional<Snapshot> decode(std::string_view text);
 
 // Why its rows may not be used by that process now, as a reason code; null where they may.
-const char* rejection_reason(const Snapshot& snapshot, std::string_view name, std::string_view fleet,
-                    std::chrono::milliseconds now);
+const char* rejection_reason(const Snapshot& snapshot, std::string_view name,
+                             std::string_view fleet, std::chrono::milliseconds now);
 
 // What of it is still to be believed at that age; nothing where it says nothing any more, is
 // absurd, or stands for another start of the backend (`started`).
--- a/src/snapshot/keeper.cpp
+++ b/src/snapshot/snapshot_store.cpp
@@ -1,4 +1,4 @@
-#include "snapshot/keeper.h"
+#include "snapshot/snapshot_store.h"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -115,7 +115,8 @@
   }
 };
 
-SnapshotStore::SnapshotStore(const std::string& folder, std::string name, std::string fleet, DurableWrite store)
+SnapshotStore::SnapshotStore(const std::string& folder, std::string name, std::string fleet,
+                             DurableWrite store)
     : path_([&] {
         std::string file = name;
         std::replace(file.begin(), file.end(), '/', '_');
@@ -166,7 +167,7 @@
 }
 
 void SnapshotStore::save_async(std::vector<EndpointRecord> rows, std::set<std::string> barred,
-                  std::chrono::milliseconds now) {
+                               std::chrono::milliseconds now) {
   const std::lock_guard lock(writer_->mutex);
   writer_->waiting = Snapshot{name_, fleet_, life_, now, std::move(rows), std::move(barred)};
   writer_->changed.notify_all();
--- a/src/snapshot/keeper.h
+++ b/src/snapshot/snapshot_store.h
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "net/socket.h"
-#include "snapshot/state.h"
+#include "snapshot/snapshot.h"
 
 namespace beechhill::snapshot {
 
@@ -23,7 +23,7 @@
   // Throws std::runtime_error where the folder cannot be used, or another process keeps snapshots
   // there under that name.
   SnapshotStore(const std::string& folder, std::string name, std::string fleet,
-         DurableWrite store = write_durably);
+                DurableWrite store = write_durably);
   // Waits 300 ms at the most for what is being written; a disk that takes longer is left to itself.
   ~SnapshotStore();
   SnapshotStore(const SnapshotStore&) = delete;
@@ -33,7 +33,8 @@
   // the log; of one that is whole and of this name the bans are left even then.
   std::optional<Snapshot> load(std::chrono::milliseconds now);
   // Hands on to the thread. What still waits there is replaced.
-  void save_async(std::vector<EndpointRecord> rows, std::set<std::string> barred, std::chrono::milliseconds now);
+  void save_async(std::vector<EndpointRecord> rows, std::set<std::string> barred,
+                  std::chrono::milliseconds now);
 
  private:
   struct Writer;
--- a/src/lab/fleet/fleet.cpp
+++ b/src/testbed/cluster_test/cluster_test.cpp
@@ -1,4 +1,4 @@
-#include "lab/fleet/fleet.h"
+#include "testbed/cluster_test/cluster_test.h"
 
 #include <fmt/format.h>
 
@@ -10,10 +10,10 @@
 #include "emulator/world.h"
 #include "experiments/experiment.h"
 #include "experiments/plot.h"
-#include "lab/fleet/plan.h"
-#include "lab/sockets.h"
+#include "testbed/cluster_test/fault_plan.h"
+#include "testbed/load_test.h"
 
-namespace beechhill::lab {
+namespace beechhill::testbed {
 
 using emulator::Scenario;
 
@@ -231,7 +231,7 @@
   const auto o = std::make_shared<Options>();
   o->player.program = program_beside_us();
   CLI::App* c = app.add_subcommand(
-      "fleet",
+      "cluster-test",
       "Play many proxies under a fault plan, against a control without it, and judge by the books");
   c->add_option("scenario", o->file, "Scenario file of one tier, with its faults (TOML)")
       ->required();
@@ -257,4 +257,4 @@
   c->callback([o, &code] { code = fleet(*o); });
 }
 
-}  // namespace beechhill::lab
+}  // namespace beechhill::testbed
--- a/src/lab/fleet/fleet.h
+++ b/src/testbed/cluster_test/cluster_test.h
@@ -8,7 +8,7 @@
 
 #include "emulator/metrics.h"
 
-namespace beechhill::lab {
+namespace beechhill::testbed {
 
 struct Play {
   Json::Value result;     // in the emulator's form, with its series
@@ -34,4 +34,4 @@
 // `fleet`; `code` becomes the exit code.
 void add_fleet_command(CLI::App& app, int& code);
 
-}  // namespace beechhill::lab
+}  // namespace beechhill::testbed
--- a/src/lab/fleet/plan.cpp
+++ b/src/testbed/cluster_test/fault_plan.cpp
@@ -1,4 +1,4 @@
-#include "lab/fleet/plan.h"
+#include "testbed/cluster_test/fault_plan.h"
 
 #include <fmt/format.h>
 
@@ -6,7 +6,7 @@
 
 #include "emulator/random.h"
 
-namespace beechhill::lab {
+namespace beechhill::testbed {
 
 using emulator::FaultKind;
 using emulator::FaultSpec;
@@ -91,7 +91,8 @@
       text += fmt::format("first = {}\n", f.first);
     }
     if (f.way != emulator::Direction::kBoth) {
-      text += fmt::format("way = \"{}\"\n", f.way == emulator::Direction::kThere ? "there" : "back");
+      text +=
+          fmt::format("way = \"{}\"\n", f.way == emulator::Direction::kThere ? "there" : "back");
     }
     text += fmt::format("factor = {}\ndelay = {}\n", f.factor, span(f.delay));
     if (f.kind == FaultKind::kTenantBurst) {
@@ -138,4 +139,4 @@
   return span;
 }
 
-}  // namespace beechhill::lab
+}  // namespace beechhill::testbed
--- a/src/lab/fleet/plan.h
+++ b/src/testbed/cluster_test/fault_plan.h
@@ -8,7 +8,7 @@
 
 #include "emulator/scenario.h"
 
-namespace beechhill::lab {
+namespace beechhill::testbed {
 
 // Between two and six faults for the scenario in place of its own, all over by two thirds of it.
 // The same for the same scenario and seed. Only kinds that both the emulator and the rig play.
@@ -34,4 +34,4 @@
 };
 Span processes_struck(const emulator::Scenario& scenario);
 
-}  // namespace beechhill::lab
+}  // namespace beechhill::testbed
--- a/src/lab/switchboard.cpp
+++ b/src/testbed/datagram_fault_proxy.cpp
@@ -1,9 +1,9 @@
-#include "lab/switchboard.h"
+#include "testbed/datagram_fault_proxy.h"
 
 #include <fmt/format.h>
 #include <unistd.h>
 
-namespace beechhill::lab {
+namespace beechhill::testbed {
 namespace {
 
 constexpr std::uint64_t kBoardStream = 1ULL << 35;
@@ -11,7 +11,8 @@
 
 }  // namespace
 
-DatagramFaultProxy::DatagramFaultProxy(runtime::Scheduler& scheduler, std::size_t processes, std::uint64_t seed)
+DatagramFaultProxy::DatagramFaultProxy(runtime::Scheduler& scheduler, std::size_t processes,
+                                       std::uint64_t seed)
     : scheduler_(scheduler),
       count_(processes),
       random_(seed, emulator::Actor::kDiscovery, kBoardStream),
@@ -60,11 +61,11 @@
 }
 
 runtime::Task<> DatagramFaultProxy::later(std::size_t from, std::size_t to, std::string bytes,
-                                   runtime::Clock::duration after) {
+                                          runtime::Clock::duration after) {
   runtime::Wait wait(scheduler_);
   wait.until(runtime::Clock::now() + after);
   co_await wait;
   sockets_[from]->send(*net::parse_address(listens(to)), bytes);
 }
 
-}  // namespace beechhill::lab
+}  // namespace beechhill::testbed
--- a/src/lab/switchboard.h
+++ b/src/testbed/datagram_fault_proxy.h
@@ -10,7 +10,7 @@
 #include "emulator/random.h"
 #include "net/datagram.h"
 
-namespace beechhill::lab {
+namespace beechhill::testbed {
 
 class DatagramFaultProxy {
  public:
@@ -43,4 +43,4 @@
   std::uint64_t passed_ = 0;
 };
 
-}  // namespace beechhill::lab
+}  // namespace beechhill::testbed
--- a/src/lab/standin.cpp
+++ b/src/testbed/fake_services.cpp
@@ -1,4 +1,4 @@
-#include "lab/standin.h"
+#include "testbed/fake_services.h"
 
 #include <fmt/format.h>
 
@@ -8,7 +8,7 @@
 
 #include "http/message.h"
 
-namespace beechhill::lab {
+namespace beechhill::testbed {
 
 using namespace std::chrono_literals;
 using emulator::FaultKind;
@@ -58,7 +58,7 @@
 const char* word(EndpointStatus state) {
   return state == EndpointStatus::kUp         ? "in_service"
          : state == EndpointStatus::kDraining ? "terminating"
-                                           : "terminated";
+                                              : "terminated";
 }
 
 std::string compact(const Json::Value& value) {
@@ -277,7 +277,7 @@
 // ---- Discovery
 
 FakeDiscovery::FakeDiscovery(runtime::Scheduler& scheduler, const TestbedClock& clock,
-                                   std::size_t proxy, ObservationLog* books)
+                             std::size_t proxy, ObservationLog* books)
     : scheduler_(scheduler),
       clock_(clock),
       listener_(scheduler, any_port()),
@@ -517,7 +517,8 @@
   }
 }
 
-Json::Value Fleet::row(const FakeBackend& node, EndpointStatus state, const std::string& dial) const {
+Json::Value Fleet::row(const FakeBackend& node, EndpointStatus state,
+                       const std::string& dial) const {
   Json::Value r;
   r["host"] = fmt::format("node-{}", node.id());
   r["dial"] = dial;
@@ -626,7 +627,8 @@
   for (std::size_t i = 0; i < cut_off(); ++i) {
     TcpFaultProxy& relay = *relays_.at({i, node});
     if (f.kind == FaultKind::kPartition) {
-      relay.cut(on && f.way != emulator::Direction::kBack, on && f.way != emulator::Direction::kThere);
+      relay.cut(on && f.way != emulator::Direction::kBack,
+                on && f.way != emulator::Direction::kThere);
     }
     if (f.kind == FaultKind::kLinkDelay) {
       relay.delay(on ? f.delay : Duration{0});
@@ -735,4 +737,4 @@
   return c;
 }
 
-}  // namespace beechhill::lab
+}  // namespace beechhill::testbed
--- a/src/lab/standin.h
+++ b/src/testbed/fake_services.h
@@ -13,13 +13,13 @@
 #include <vector>
 
 #include "emulator/node.h"
-#include "lab/books.h"
-#include "lab/process.h"
-#include "lab/relay.h"
 #include "net/socket.h"
 #include "runtime/scheduler.h"
+#include "testbed/observation_log.h"
+#include "testbed/proxy_process.h"
+#include "testbed/tcp_fault_proxy.h"
 
-namespace beechhill::lab {
+namespace beechhill::testbed {
 
 // One clock for all of a run: the scenario's time 0 is when the load begins.
 struct TestbedClock {
@@ -96,7 +96,7 @@
  public:
   // `books`, if any, must outlive it; `proxy`: whose agent it is, in them.
   FakeDiscovery(runtime::Scheduler& scheduler, const TestbedClock& clock, std::size_t proxy = 0,
-                   ObservationLog* books = nullptr);
+                ObservationLog* books = nullptr);
   std::string address() const;
   // What is told from `at` on, in the order of the calls.
   void tell(Json::Value row, const Endpoint& entry, Time at);
@@ -142,8 +142,8 @@
   // Throws std::invalid_argument for a scenario that sockets can't play: more than one tier, or
   // faults of other kinds than silent, errors, slow, late_reports, stale_list, crash, drain, burst,
   // tenant_burst and those of links and proxies.
-  Fleet(runtime::Scheduler& scheduler, const TestbedClock& clock, const emulator::Scenario& scenario,
-        ObservationLog* books = nullptr);
+  Fleet(runtime::Scheduler& scheduler, const TestbedClock& clock,
+        const emulator::Scenario& scenario, ObservationLog* books = nullptr);
   // Plays the faults by the clock. `proxies` is told when a fault of the processes themselves
   // begins (true) and ends.
   using StrikeProxies = std::function<void(const emulator::FaultSpec& fault,
@@ -185,4 +185,4 @@
                          const std::string& listen, Fleet& fleet, std::uint64_t seed,
                          std::size_t proxy = 0);
 
-}  // namespace beechhill::lab
+}  // namespace beechhill::testbed
--- a/src/lab/load.cpp
+++ b/src/testbed/load_generator.cpp
@@ -1,4 +1,4 @@
-#include "lab/load.h"
+#include "testbed/load_generator.h"
 
 #include <fmt/format.h>
 
@@ -8,7 +8,7 @@
 
 #include "http/message.h"
 
-namespace beechhill::lab {
+namespace beechhill::testbed {
 
 using net::Io;
 using runtime::Task;
@@ -28,8 +28,9 @@
 
 }  // namespace
 
-Load::Load(runtime::Scheduler& scheduler, const TestbedClock& clock, const emulator::Scenario& scenario,
-           std::vector<sockaddr_in> proxies, ObservationLog& books)
+Load::Load(runtime::Scheduler& scheduler, const TestbedClock& clock,
+           const emulator::Scenario& scenario, std::vector<sockaddr_in> proxies,
+           ObservationLog& books)
     : scheduler_(scheduler),
       clock_(clock),
       s_(scenario),
@@ -311,4 +312,4 @@
   }
 }
 
-}  // namespace beechhill::lab
+}  // namespace beechhill::testbed
--- a/src/lab/load.h
+++ b/src/testbed/load_generator.h
@@ -8,9 +8,9 @@
 
 #include "emulator/clients.h"
 #include "emulator/metrics.h"
-#include "lab/standin.h"
+#include "testbed/fake_services.h"
 
-namespace beechhill::lab {
+namespace beechhill::testbed {
 
 class Load {
  public:
@@ -87,4 +87,4 @@
   runtime::Notifier ended_;
 };
 
-}  // namespace beechhill::lab
+}  // namespace beechhill::testbed
