--- a/src/lab/sockets.cpp
+++ b/src/testbed/load_test.cpp
@@ -1,4 +1,4 @@
-#include "lab/sockets.h"
+#include "testbed/load_test.h"
 
 #include <fmt/format.h>
 #include <signal.h>
@@ -12,16 +12,16 @@
 
 #include "experiments/experiment.h"
 #include "experiments/plot.h"
-#include "lab/load.h"
-#include "lab/process.h"
-#include "lab/state_folder.h"
-#ifdef BEECHHILL_TALK
-#include "lab/switchboard.h"
-#include "maintenance/agreement.h"
-#include "maintenance/disk_storage.h"
+#include "testbed/load_generator.h"
+#include "testbed/proxy_process.h"
+#include "testbed/state_directory_faults.h"
+#ifdef BEECHHILL_CLUSTER
+#include "cluster/disk_raft_storage.h"
+#include "maintenance/raft_node.h"
+#include "testbed/datagram_fault_proxy.h"
 #endif
 
-namespace beechhill::lab {
+namespace beechhill::testbed {
 
 using namespace std::chrono_literals;
 using runtime::Clock;
@@ -162,7 +162,7 @@
 
   static std::string proxy_name(std::uint32_t i) { return fmt::format("proxy-{}", i); }
 
-#ifdef BEECHHILL_TALK
+#ifdef BEECHHILL_CLUSTER
   std::string group_file(std::uint32_t i) const {
     if (s_.group.voters == 0) {
       return {};
@@ -202,7 +202,7 @@
           s_.seed + i));
       if (i < s_.group.voters) {
         maintenance::DiskRaftStorage::found(states_[i]->path(), {name, 1},
-                                        maintenance::initial_records(voters));
+                                            maintenance::initial_records(voters));
       }
     }
   }
@@ -222,7 +222,8 @@
         if (inside[a] == inside[b]) {
           continue;
         }
-        if (f.way == emulator::Direction::kBoth || inside[a] == (f.way == emulator::Direction::kThere)) {
+        if (f.way == emulator::Direction::kBoth ||
+            inside[a] == (f.way == emulator::Direction::kThere)) {
           board_->cut(a, b, begins);
         }
       }
@@ -315,7 +316,7 @@
   std::string group_file(std::uint32_t) const { return {}; }
   void found_group() {
     if (s_.group.voters > 0) {
-      throw std::invalid_argument("group: this build has no membership (BEECHHILL_TALK)");
+      throw std::invalid_argument("group: this build has no membership (BEECHHILL_CLUSTER)");
     }
   }
   void strike_talk(const emulator::FaultSpec&, const std::vector<std::uint32_t>&, bool) {}
@@ -484,7 +485,7 @@
   Fleet fleet_;
   std::vector<ReservedPort> ports_;  // of the proxies, also while they are away
   std::vector<ReservedPort> doors_;  // of operators
-#ifdef BEECHHILL_TALK
+#ifdef BEECHHILL_CLUSTER
   std::unique_ptr<DatagramFaultProxy> board_;
 #endif
   SocketRun out_;
@@ -731,7 +732,7 @@
   };
   const auto o = std::make_shared<Options>();
   CLI::App* c = app.add_subcommand(
-      "nodes", "Play stand-in nodes and their discovery on loopback until told to end");
+      "fake-backends", "Play fake backends and their discovery on loopback until told to end");
   c->add_option("scenario", o->file,
                 "Scenario file of one tier (TOML); a small day of its own if absent");
   c->add_option("--config", o->config,
@@ -740,7 +741,7 @@
   c->add_option("--for", o->seconds, "Seconds, at the most")->check(CLI::Range(0.1, 1e6));
   c->callback([o, &code] { code = nodes(o->file, o->config, o->listen, o->seconds); });
 
-  c = app.add_subcommand("sockets",
+  c = app.add_subcommand("load-test",
                          "Play a scenario of one tier with real proxies before stand-in nodes");
   c->add_option("scenario", o->file, "Scenario file (TOML)")->required();
   c->add_option("--proxy", o->program, "The proxy program")->capture_default_str();
@@ -772,4 +773,4 @@
       [o, &code] { code = sockets("", o->program, "", o->html.empty() ? "demo.html" : o->html); });
 }
 
-}  // namespace beechhill::lab
+}  // namespace beechhill::testbed
--- a/src/lab/sockets.h
+++ b/src/testbed/load_test.h
@@ -11,7 +11,7 @@
 
 #include "emulator/metrics.h"
 
-namespace beechhill::lab {
+namespace beechhill::testbed {
 
 // `nodes`, `sockets`, `cost` and `demo`; `code` becomes the exit code.
 void add_socket_commands(CLI::App& app, int& code);
@@ -49,4 +49,4 @@
 // The proxy program that was built with this one.
 std::string program_beside_us();
 
-}  // namespace beechhill::lab
+}  // namespace beechhill::testbed
--- a/src/lab/main.cpp
+++ b/src/testbed/main.cpp
@@ -1,5 +1,5 @@
-// beechhill-lab: the emulator, experiments and plots. Exit codes: 0 done, 1 a fault of the machine
-// or the files, 2 faulty arguments or input, 3 a rule was broken, 4 stopped before the end.
+// beechhill-testbed: the emulator, experiments and plots. Exit codes: 0 done, 1 a fault of the
+// machine or the files, 2 faulty arguments or input, 3 a rule was broken, 4 stopped before the end.
 #include <fmt/format.h>
 #include <sys/resource.h>
 #include <unistd.h>
@@ -14,10 +14,10 @@
 
 #include "experiments/experiment.h"
 #include "experiments/plot.h"
-#include "lab/fleet/fleet.h"
-#include "lab/sockets.h"
-#ifdef BEECHHILL_TALK
-#include "lab/talk.h"
+#include "testbed/cluster_test/cluster_test.h"
+#include "testbed/load_test.h"
+#ifdef BEECHHILL_CLUSTER
+#include "testbed/simulation_commands.h"
 #endif
 
 namespace {
@@ -208,7 +208,7 @@
 
 int main(int argc, char** argv) {
   CLI::App app{
-      "beechhill-lab: an emulator of what beechhill balances, experiments on it, and stand-in "
+      "beechhill-testbed: an emulator of what beechhill balances, experiments on it, and stand-in "
       "nodes"};
   app.require_subcommand(1);
   app.footer(
@@ -251,28 +251,28 @@
   c->add_option("--title", title, "Its heading");
   c->callback([&] { code = plot(file, out, title); });
 
-  lab::add_socket_commands(app, code);
-  lab::add_fleet_command(app, code);
-#ifdef BEECHHILL_TALK
-  lab::add_membership_command(app, code);
-  lab::add_works_command(app, code);
+  testbed::add_socket_commands(app, code);
+  testbed::add_fleet_command(app, code);
+#ifdef BEECHHILL_CLUSTER
+  testbed::add_membership_command(app, code);
+  testbed::add_works_command(app, code);
 #endif
 
   c = app.add_subcommand("version", "Print the version");
-  c->callback([] { fmt::print("beechhill-lab {}\n", BEECHHILL_VERSION); });
+  c->callback([] { fmt::print("beechhill-testbed {}\n", BEECHHILL_VERSION); });
 
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
     return app.exit(error) == 0 ? kDone : kBadInput;
   } catch (const config::TomlError& error) {
-    std::fprintf(stderr, "beechhill-lab: %s\n", error.what());
+    std::fprintf(stderr, "beechhill-testbed: %s\n", error.what());
     return kBadInput;
   } catch (const std::invalid_argument& error) {
-    std::fprintf(stderr, "beechhill-lab: %s\n", error.what());
+    std::fprintf(stderr, "beechhill-testbed: %s\n", error.what());
     return kBadInput;
   } catch (const std::exception& error) {
-    std::fprintf(stderr, "beechhill-lab: %s\n", error.what());
+    std::fprintf(stderr, "beechhill-testbed: %s\n", error.what());
     return kFault;
   }
   return code;
--- a/src/lab/books.cpp
+++ b/src/testbed/observation_log.cpp
@@ -1,9 +1,9 @@
-#include "lab/books.h"
+#include "testbed/observation_log.h"
 
 #include <algorithm>
 #include <charconv>
 
-namespace beechhill::lab {
+namespace beechhill::testbed {
 namespace {
 
 // Backends may still see a request's attempts for so long after its time: what the proxy wrote
@@ -20,7 +20,8 @@
 
 }  // namespace
 
-ObservationLog::ObservationLog(const emulator::Scenario& scenario, std::size_t proxies, std::function<Time()> now)
+ObservationLog::ObservationLog(const emulator::Scenario& scenario, std::size_t proxies,
+                               std::function<Time()> now)
     : s_(judged(scenario)),
       now_(std::move(now)),
       rules_(s_, kBookSlack),
@@ -117,7 +118,8 @@
   rules_.ended(now_(), call, attempt, result);
 }
 
-void ObservationLog::pressed(CallId call, EndpointId node, double work, double capacity, Time born) {
+void ObservationLog::pressed(CallId call, EndpointId node, double work, double capacity,
+                             Time born) {
   const auto it = open_.find(call);
   if (it == open_.end()) {
     return;
@@ -173,4 +175,4 @@
   }
 }
 
-}  // namespace beechhill::lab
+}  // namespace beechhill::testbed
--- a/src/lab/books.h
+++ b/src/testbed/observation_log.h
@@ -15,7 +15,7 @@
 
 #include "emulator/rules.h"
 
-namespace beechhill::lab {
+namespace beechhill::testbed {
 
 using CallId = std::uint64_t;  // a client's request and its try
 
@@ -26,7 +26,8 @@
 class ObservationLog {
  public:
   // Borrows the scenario. `now` is the run's clock.
-  ObservationLog(const emulator::Scenario& scenario, std::size_t proxies, std::function<Time()> now);
+  ObservationLog(const emulator::Scenario& scenario, std::size_t proxies,
+                 std::function<Time()> now);
   ObservationLog(const ObservationLog&) = delete;
   ObservationLog& operator=(const ObservationLog&) = delete;
 
@@ -115,4 +116,4 @@
   std::uint64_t sent_to_out_ = 0;
 };
 
-}  // namespace beechhill::lab
+}  // namespace beechhill::testbed
--- a/src/lab/process.cpp
+++ b/src/testbed/proxy_process.cpp
@@ -1,4 +1,4 @@
-#include "lab/process.h"
+#include "testbed/proxy_process.h"
 
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -14,7 +14,7 @@
 
 #include "http/message.h"
 
-namespace beechhill::lab {
+namespace beechhill::testbed {
 
 using namespace std::chrono_literals;
 using net::Io;
@@ -233,4 +233,4 @@
   scheduler.stop();
 }
 
-}  // namespace beechhill::lab
+}  // namespace beechhill::testbed
--- a/src/lab/process.h
+++ b/src/testbed/proxy_process.h
@@ -12,7 +12,7 @@
 #include "net/socket.h"
 #include "runtime/scheduler.h"
 
-namespace beechhill::lab {
+namespace beechhill::testbed {
 
 // A free port on loopback, kept so while this stands: whoever is told its number may listen on it,
 // also after it was away, and nobody is given it meanwhile. Throws std::runtime_error where there
@@ -83,4 +83,4 @@
 // Scheduler::run.
 runtime::Task<> then_stop(runtime::Scheduler& scheduler, runtime::Task<> task);
 
-}  // namespace beechhill::lab
+}  // namespace beechhill::testbed
--- a/src/lab/talk.cpp
+++ b/src/testbed/simulation_commands.cpp
@@ -1,18 +1,18 @@
-#include "lab/talk.h"
+#include "testbed/simulation_commands.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <memory>
 
-#include "emulator/talk.h"
+#include "emulator/gossip_simulation.h"
+#include "emulator/maintenance_simulation.h"
 #include "emulator/units.h"
-#include "emulator/works.h"
 
-namespace beechhill::lab {
+namespace beechhill::testbed {
 
-using emulator::TalkSpec;
-using emulator::TalkWorld;
+using emulator::GossipSimulation;
+using emulator::GossipSimulationSpec;
 using emulator::to_s;
 using namespace std::chrono_literals;
 
@@ -20,7 +20,7 @@
 
 // Until all that run know of each other and of nobody else; nothing where that lasts over ten
 // minutes.
-std::optional<Duration> until_agreed(TalkWorld& world) {
+std::optional<Duration> until_agreed(GossipSimulation& world) {
   const Time from = world.now();
   while (!world.agreed()) {
     if (world.now() - from > 600s) {
@@ -41,9 +41,9 @@
   double bytes = 0, false_deaths = 0;
 };
 
-Row play(const TalkSpec& spec) {
+Row play(const GossipSimulationSpec& spec) {
   Row row;
-  TalkWorld world(spec);
+  GossipSimulation world(spec);
   row.joined = until_agreed(world);
   const auto before = world.traffic();
   constexpr auto kCalm = 300s;
@@ -92,8 +92,9 @@
     std::uint64_t seed = 1;
   };
   const auto o = std::make_shared<Options>();
-  CLI::App* c = app.add_subcommand(
-      "membership", "Play members that join, are stopped, and are split, in simulated time");
+  CLI::App* c =
+      app.add_subcommand("simulate-membership",
+                         "Play members that join, are stopped, and are split, in simulated time");
   c->add_option("--members", o->members, "How many, one row each")
       ->check(CLI::Range(2u, 1'000u))
       ->capture_default_str();
@@ -110,7 +111,7 @@
                "healed s");
     for (const std::uint32_t n : o->members) {
       for (const double loss : o->loss) {
-        TalkSpec spec;
+        GossipSimulationSpec spec;
         spec.members = n;
         spec.loss = loss;
         spec.seed = o->seed;
@@ -194,7 +195,7 @@
     bool leader_dies = false;
   };
   const auto o = std::make_shared<Options>();
-  CLI::App* c = app.add_subcommand("works",
+  CLI::App* c = app.add_subcommand("simulate-maintenance",
                                    "Play rounds of work over all backends under plans of faults "
                                    "drawn from seeds, in simulated time");
   c->add_option("--seed", o->seed, "Of the first plan")->capture_default_str();
@@ -234,4 +235,4 @@
   });
 }
 
-}  // namespace beechhill::lab
+}  // namespace beechhill::testbed
--- a/src/lab/talk.h
+++ b/src/testbed/simulation_commands.h
@@ -4,9 +4,9 @@
 
 #include <CLI/CLI.hpp>
 
-namespace beechhill::lab {
+namespace beechhill::testbed {
 
 void add_membership_command(CLI::App& app, int& code);
 void add_works_command(CLI::App& app, int& code);
 
-}  // namespace beechhill::lab
+}  // namespace beechhill::testbed
--- a/src/lab/state_folder.cpp
+++ b/src/testbed/state_directory_faults.cpp
@@ -1,4 +1,4 @@
-#include "lab/state_folder.h"
+#include "testbed/state_directory_faults.h"
 
 #include <fcntl.h>
 #include <sys/stat.h>
@@ -7,9 +7,9 @@
 #include <fstream>
 #include <iterator>
 
-#include "snapshot/state.h"
+#include "snapshot/snapshot.h"
 
-namespace beechhill::lab {
+namespace beechhill::testbed {
 
 using emulator::FaultKind;
 namespace fs = std::filesystem;
@@ -152,4 +152,4 @@
   fs::remove_all(aside_, none);
 }
 
-}  // namespace beechhill::lab
+}  // namespace beechhill::testbed
--- a/src/lab/state_folder.h
+++ b/src/testbed/state_directory_faults.h
@@ -12,7 +12,7 @@
 #include "emulator/scenario.h"
 #include "net/socket.h"
 
-namespace beechhill::lab {
+namespace beechhill::testbed {
 
 class StateDirectoryFaults {
  public:
@@ -41,4 +41,4 @@
   net::Fd drain_;  // keeps a pipe's writer from being killed once it is let go
 };
 
-}  // namespace beechhill::lab
+}  // namespace beechhill::testbed
--- a/src/lab/relay.cpp
+++ b/src/testbed/tcp_fault_proxy.cpp
@@ -1,6 +1,6 @@
-#include "lab/relay.h"
+#include "testbed/tcp_fault_proxy.h"
 
-namespace beechhill::lab {
+namespace beechhill::testbed {
 
 using namespace std::chrono_literals;
 using net::Io;
@@ -107,4 +107,4 @@
   links_.erase(link);
 }
 
-}  // namespace beechhill::lab
+}  // namespace beechhill::testbed
--- a/src/lab/relay.h
+++ b/src/testbed/tcp_fault_proxy.h
@@ -9,7 +9,7 @@
 #include "net/socket.h"
 #include "runtime/scheduler.h"
 
-namespace beechhill::lab {
+namespace beechhill::testbed {
 
 class TcpFaultProxy {
  public:
@@ -35,4 +35,4 @@
   runtime::Clock::duration delay_{0};
 };
 
-}  // namespace beechhill::lab
+}  // namespace beechhill::testbed
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -1,6 +1,6 @@
 // What the mechanism decides: queueing, the limit C, dispatch, lagging and failing servers,
 // discovery.
-#include "driver.h"
+#include "support/balancer_driver.h"
 
 namespace beechhill::test {
 namespace {
@@ -66,8 +66,8 @@
   for (RequestId id = 0; id < 20; ++id) {
     d.request(id);
   }
-  EXPECT_NEAR(std::count_if(d.sends.begin(), d.sends.end(), [](auto& s) { return s.endpoint == 1; }),
-              7, 3);
+  EXPECT_NEAR(
+      std::count_if(d.sends.begin(), d.sends.end(), [](auto& s) { return s.endpoint == 1; }), 7, 3);
 }
 
 // Guards against minutes without weights where an instance can probe little: servers of a kind are
--- a/tests/bodies_test.cpp
+++ b/tests/bodies_test.cpp
@@ -2,7 +2,7 @@
 #include <cstring>
 #include <thread>
 
-#include "proxy_test.h"
+#include "support/proxy_fixture.h"
 
 using namespace beechhill;
 using namespace beechhill::test;
--- a/tests/command_test.cpp
+++ b/tests/command_test.cpp
@@ -5,7 +5,7 @@
 
 #include "config/operator_file.h"
 #include "log/log.h"
-#include "proxy_test.h"
+#include "support/proxy_fixture.h"
 
 using namespace beechhill;
 using namespace beechhill::test;
@@ -192,7 +192,7 @@
     std::string said;
   } cases[] = {
       {"version", 0, "beechhill "},
-      {"--help", 0, "beechhill-lab"},
+      {"--help", 0, "beechhill-testbed"},
       {"serve --help", 0, "--operator"},
       {"check --config " + good.path(), 0, "configuration: good"},
       {"check --config " + bad.path(), 2, bad.path() + ":3: limits.sockets: under 64"},
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -1,8 +1,8 @@
 // Two events that meet, forced by order: what docs/design/crossings.md says of each. Run with a
 // test's name.
+#include "proxy/backend_actor.h"
 #include "proxy/decision_actor.h"
-#include "proxy/peer_actor.h"
-#include "proxy_test.h"
+#include "support/proxy_fixture.h"
 
 using namespace beechhill;
 using namespace beechhill::test;
@@ -45,7 +45,7 @@
   proxy::BackendActor peer{scheduler, decisions, pool, settings, 0, address};
 
   proxy::AttemptRequest attempt(std::shared_ptr<const proxy::ClientRequest> request) const {
-    const Time now = proxy::now();
+    const Time now = runtime::now();
     return {1, 0, now + 3s, now + 3s, {}, std::make_shared<Words>(), std::move(request)};
   }
   // Runs until the attempt's outcome is told; `meanwhile`, if any, comes once it waits for its
@@ -121,7 +121,7 @@
 void sends_no_repeat_past_its_window() {
   OnePeer one;
   proxy::AttemptRequest late = one.attempt(nullptr);
-  late.write_deadline = proxy::now() + 20ms;
+  late.write_deadline = runtime::now() + 20ms;
   assert(one.peer.post(std::move(late)));
   assert(one.outcome([] { ::usleep(30'000); }) == Result::kConnectFailed);
   Wire server = one.backend.accept();
@@ -161,7 +161,7 @@
   static std::shared_ptr<proxy::ClientRequest> request(ClassId class_id, Duration time) {
     auto r = std::make_shared<proxy::ClientRequest>();
     r->class_id = class_id;
-    r->arrived_at = proxy::now();
+    r->arrived_at = runtime::now();
     r->client_timeout = time;
     r->deadline = r->arrived_at + time;
     r->payload = std::make_shared<Words>();
@@ -169,7 +169,8 @@
   }
   static config::EndpointList list(const std::string& hosts) {
     const std::string text = R"({"seq":2,"whole":true,"hosts":)" + hosts + "}";
-    return config::read_endpoint_list(config::parse(text.data(), text.data() + text.size(), "list"));
+    return config::read_endpoint_list(
+        config::parse(text.data(), text.data() + text.size(), "list"));
   }
   std::vector<proxy::AttemptRequest> attempts(EndpointId server) const {
     std::vector<proxy::AttemptRequest> all;
@@ -242,7 +243,7 @@
 void repeats_carry_their_window() {
   Decisions d("[]", 3);
   const auto request = Decisions::request(1, 2s);
-  const Time before = proxy::now();
+  const Time before = runtime::now();
   d.post(Decisions::list("[" + host_json("s-1", "127.0.0.1:9") + "]"));
   d.post(proxy::RequestReceived{request});
   d.run([&] {
@@ -251,7 +252,8 @@
   });
   const auto attempts = d.attempts(0);
   assert(attempts.size() == 2);
-  assert(attempts[1].write_deadline >= before + 3s && attempts[1].write_deadline <= proxy::now() + 3s);
+  assert(attempts[1].write_deadline >= before + 3s &&
+         attempts[1].write_deadline <= runtime::now() + 3s);
 }
 
 // ---- On sockets
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -205,7 +205,8 @@
                               }
                             }
                             for (Action& a : actions) {
-                              if (auto* send = std::get_if<StartAttempt>(&a); send && !draining.empty()) {
+                              if (auto* send = std::get_if<StartAttempt>(&a);
+                                  send && !draining.empty()) {
                                 send->endpoint = *draining.begin();
                               }
                             }
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -2,16 +2,15 @@
 // discovery's agents. Each case is a plan; the verdict is the rules, and that every request was
 // answered that no fault excuses.
 #undef NDEBUG
-#include "lab/fleet/fleet.h"
-
 #include <cassert>
 #include <cstdio>
 
-#include "lab/books.h"
-#include "lab/fleet/plan.h"
-#include "lab/sockets.h"
-#include "proxy_test.h"
-#include "rig_test.h"
+#include "support/fault_plan_text.h"
+#include "support/proxy_fixture.h"
+#include "testbed/cluster_test/cluster_test.h"
+#include "testbed/cluster_test/fault_plan.h"
+#include "testbed/load_test.h"
+#include "testbed/observation_log.h"
 
 namespace beechhill::test {
 namespace {
@@ -75,8 +74,8 @@
   return emulator::read_scenario(config::parse_toml(text, "day"), "day");
 }
 
-lab::SocketRun play(const Scenario& s) {
-  lab::SocketRun run = lab::play_on_sockets(s, PROXY_PROGRAM);
+testbed::SocketRun play(const Scenario& s) {
+  testbed::SocketRun run = testbed::play_on_sockets(s, PROXY_PROGRAM);
   std::fprintf(stderr, "asked %llu goodput %.3f excused %llu lists %u\n%s",
                static_cast<unsigned long long>(run.asked), run.result["goodput"].asDouble(),
                static_cast<unsigned long long>(run.excused), run.most_lists,
@@ -88,7 +87,7 @@
 
 // Of what was asked in whole seconds that no fault touches all but a few per cent is served: nobody
 // stays out.
-void expect_back(const lab::SocketRun& run, const Scenario& s, Duration from) {
+void expect_back(const testbed::SocketRun& run, const Scenario& s, Duration from) {
   assert(run.metrics->goodput_between(from, s.length) > 0.9);
 }
 
@@ -98,7 +97,7 @@
 void most_restart_beside_slow_backends() {
   const Scenario s = day(fault("proxy_crash", "2s", "800ms", "part = 0.7") +
                          fault("slow", "1s", "7s", "nodes = 1\nfactor = 3.0"));
-  const lab::SocketRun run = play(s);
+  const testbed::SocketRun run = play(s);
   expect_back(run, s, std::chrono::seconds(5));
   assert(run.most_lists == 2 && run.most_connections <= s.clients.connections);
 }
@@ -107,7 +106,7 @@
 void all_restart_twice() {
   const Scenario s =
       day(fault("proxy_crash", "2s", "600ms", "part = 1.0\ntimes = 2\nevery = \"1500ms\""));
-  const lab::SocketRun run = play(s);
+  const testbed::SocketRun run = play(s);
   assert(run.result["unreachable"].asUInt64() > 0);
   expect_back(run, s, std::chrono::seconds(6));
   assert(run.most_lists == 3);
@@ -117,7 +116,7 @@
 void one_crashes_in_a_loop() {
   const Scenario s =
       day(fault("proxy_crash", "1500ms", "300ms", "proxies = 1\ntimes = 5\nevery = \"1s\""));
-  const lab::SocketRun run = play(s);
+  const testbed::SocketRun run = play(s);
   assert(run.result["goodput"].asDouble() > 0.9);
 }
 
@@ -136,7 +135,7 @@
 void all_stop_and_go_on() {
   const Scenario s = day(fault("proxy_stop", "1500ms", "3500ms", "part = 1.0") +
                          fault("crash", "2s", "1500ms", "nodes = 1"));
-  const lab::SocketRun run = play(s);
+  const testbed::SocketRun run = play(s);
   assert(run.excused > 0);
   expect_back(run, s, std::chrono::seconds(6));
 }
@@ -165,7 +164,7 @@
                               state("state_flipped", 2) + state("state_aged", 3, "delay = \"1h\"") +
                               fault("disk_full", "1s", "4s", "proxies = 1\nfirst = 4") +
                               fault("disk_hangs", "1s", "4s", "proxies = 1\nfirst = 5"));
-  lab::SocketRun run = play(s);
+  testbed::SocketRun run = play(s);
   expect_back(run, s, std::chrono::seconds(6));
   assert(run.most_lists == 2);
   assert(run.said["snapshot_set_aside"] == 3);  // torn, turned over, an hour old
@@ -181,7 +180,7 @@
                               fault("drain", "1500ms", "500ms", "cell = 0") +
                               fault("drain", "2500ms", "500ms", "cell = 1") +
                               fault("proxy_crash", "4s", "500ms", "part = 1.0"));
-  lab::SocketRun run = play(s);
+  testbed::SocketRun run = play(s);
   expect_back(run, s, std::chrono::seconds(7));
   assert(run.said["snapshot_found"] == 6 && run.recalled == 0 && run.voided > 0);
 }
@@ -202,9 +201,9 @@
   for (std::uint64_t seed = first; seed < first + 3; ++seed) {
     Scenario s = kept_day("");
     s.seed = seed;
-    s.faults = lab::draw_faults(s, seed);
+    s.faults = testbed::draw_faults(s, seed);
     std::fprintf(stderr, "seed %llu\n%s", static_cast<unsigned long long>(seed),
-                 lab::to_toml(s, s.faults).c_str());
+                 testbed::to_toml(s, s.faults).c_str());
     play(s);
   }
 }
@@ -219,8 +218,8 @@
 void lost_state_is_a_first_start() {
   const std::string crash = fault("proxy_crash", "3s", "500ms", "part = 1.0");
   const auto result = [](const Scenario& s) {
-    lab::Play p =
-        lab::play_fleet(s, {.emulated = true, .policy = "module", .program = {}, .control = false});
+    testbed::Play p = testbed::play_fleet(
+        s, {.emulated = true, .policy = "module", .program = {}, .control = false});
     p.result.removeMember("events");  // the fault itself is two
     return p.result.toStyledString();
   };
@@ -234,7 +233,7 @@
   const Scenario s = day("");
   const auto broken = [&s](const auto& story, emulator::Rule rule) {
     Time now{0};
-    lab::ObservationLog books(s, 2, [&now] { return now; });
+    testbed::ObservationLog books(s, 2, [&now] { return now; });
     const auto at = [&now](int ms) { now = std::chrono::milliseconds(ms); };
     std::vector<Endpoint> list(2);
     list[1].id = 1;
@@ -242,7 +241,7 @@
     story(books, list, at);
     return books.rules().count(rule);
   };
-  const auto drain = [](lab::ObservationLog& books, std::vector<Endpoint> list, const auto& at,
+  const auto drain = [](testbed::ObservationLog& books, std::vector<Endpoint> list, const auto& at,
                         int sent) {
     list.pop_back();
     books.told(0, list, true);  // the second is gone
@@ -257,14 +256,14 @@
                 Rule::kDrains) == 1);
   assert(broken([&](auto& b, const auto& l, const auto& at) { drain(b, l, at, 2400); },
                 Rule::kDrains) == 0);  // the slack
-  const auto twice = [](lab::ObservationLog& books, const auto& list, ClassId c) {
+  const auto twice = [](testbed::ObservationLog& books, const auto& list, ClassId c) {
     books.asked(1, c, 0, std::chrono::milliseconds(1500));
     books.arrived(1, list[0]);
     books.arrived(1, list[1]);
   };
   assert(broken([&](auto& b, const auto& l, const auto&) { twice(b, l, 2); }, Rule::kEffects) == 1);
   assert(broken([&](auto& b, const auto& l, const auto&) { twice(b, l, 0); }, Rule::kEffects) == 0);
-  const auto silent = [](lab::ObservationLog& books, const auto& at, bool stopped) {
+  const auto silent = [](testbed::ObservationLog& books, const auto& at, bool stopped) {
     books.asked(1, 0, 0, std::chrono::milliseconds(1500));
     at(500);
     if (stopped) {
@@ -277,8 +276,8 @@
                 Rule::kOneAnswer) == 1);
   assert(broken([&](auto& b, const auto&, const auto& at) { silent(b, at, true); },
                 Rule::kOneAnswer) == 0);
-  assert(lab::ObservationLog::call_of("1-2f-3") == lab::ObservationLog::call_of(0x2f, 3) &&
-         !lab::ObservationLog::call_of("1-2f") && !lab::ObservationLog::call_of("1-x-3"));
+  assert(testbed::ObservationLog::call_of("1-2f-3") == testbed::ObservationLog::call_of(0x2f, 3) &&
+         !testbed::ObservationLog::call_of("1-2f") && !testbed::ObservationLog::call_of("1-x-3"));
 }
 
 // Two hundred plans drawn from seeds, in the emulator, and that a plan is what its text reads back
@@ -287,15 +286,15 @@
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     Scenario s = day("");
     s.seed = seed;
-    s.faults = lab::draw_faults(s, seed);
-    const lab::Play p =
-        lab::play_fleet(s, {.emulated = true, .policy = "module", .program = {}, .control = false});
+    s.faults = testbed::draw_faults(s, seed);
+    const testbed::Play p = testbed::play_fleet(
+        s, {.emulated = true, .policy = "module", .program = {}, .control = false});
     if (p.broken > 0) {
-      std::fprintf(stderr, "%s%s", p.broken_text.c_str(), lab::to_toml(s, s.faults).c_str());
+      std::fprintf(stderr, "%s%s", p.broken_text.c_str(), testbed::to_toml(s, s.faults).c_str());
     }
     assert(p.broken == 0);
-    const std::string text = lab::to_toml(s, s.faults);
-    assert(lab::to_toml(s, day(text).faults) == text);
+    const std::string text = testbed::to_toml(s, s.faults);
+    assert(testbed::to_toml(s, day(text).faults) == text);
   }
 }
 
@@ -311,7 +310,7 @@
     };
     return has(1) && has(4);
   };
-  const auto left = lab::shrink(s.faults, 40, both);
+  const auto left = testbed::shrink(s.faults, 40, both);
   assert(left.size() == 2 && both(left));
 }
 
--- a/tests/fuzz_snapshot.cpp
+++ b/tests/fuzz_snapshot.cpp
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <cstdlib>
 
-#include "snapshot/state.h"
+#include "snapshot/snapshot.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace beechhill::snapshot;
--- a/tests/group_test.cpp
+++ b/tests/group_test.cpp
@@ -5,11 +5,11 @@
 #include <cassert>
 #include <cstdio>
 
-#include "lab/sockets.h"
-#include "maintenance/disk_storage.h"
-#include "maintenance/staff.h"
-#include "proxy_test.h"
-#include "rig_test.h"
+#include "cluster/disk_raft_storage.h"
+#include "maintenance/operator_commands.h"
+#include "support/fault_plan_text.h"
+#include "support/proxy_fixture.h"
+#include "testbed/load_test.h"
 
 namespace beechhill::test {
 namespace {
@@ -65,8 +65,8 @@
 }
 
 // `all`: every request of staff has ended. Else each that is open says why.
-lab::SocketRun play(const emulator::Scenario& s, bool all = true) {
-  lab::SocketRun run = lab::play_on_sockets(s, PROXY_PROGRAM);
+testbed::SocketRun play(const emulator::Scenario& s, bool all = true) {
+  testbed::SocketRun run = testbed::play_on_sockets(s, PROXY_PROGRAM);
   std::fprintf(stderr,
                "asked %llu goodput %.3f excused %llu out %u at once %u open %u sent to out %llu "
                "ended %.1f s\n%s%s\n",
@@ -152,18 +152,18 @@
 
 const std::string kFile = "beechhill-v.agreement";
 
-using maintenance::DiskStorage;
-using maintenance::Record;
+using maintenance::DiskRaftStorage;
+using maintenance::LogRecord;
 
-void wait_durable(DiskStorage& s) {
+void wait_durable(DiskRaftStorage& s) {
   const auto end = Clock::now() + kPatience;
   while (s.durable_records() < s.appended_records()) {
     assert(Clock::now() < end && !s.failed()), ::usleep(1000);
   }
 }
 
-Record entries(std::uint64_t first, int count) {
-  Record r{RecordType::kAppend, first, {}, {}};
+LogRecord entries(std::uint64_t first, int count) {
+  LogRecord r{LogRecord::RecordType::kAppend, first, {}, {}};
   for (int i = 0; i < count; ++i) {
     r.entries.push_back({1, 1, "entry " + std::to_string(i)});
   }
@@ -172,35 +172,36 @@
 
 void storage_outlasts_its_process() {
   const Folder folder;
-  assert(!DiskStorage::open(folder.path, "v"));
+  assert(!DiskRaftStorage::open(folder.path, "v"));
   {
-    const auto s = DiskStorage::found(folder.path, {"v", 3}, {entries(1, 2)});
+    const auto s = DiskRaftStorage::found(folder.path, {"v", 3}, {entries(1, 2)});
     bool refused = false;
     try {
-      DiskStorage::open(folder.path, "v");
+      DiskRaftStorage::open(folder.path, "v");
     } catch (const std::runtime_error&) {
       refused = true;
     }
     assert(refused);  // one process at a time
-    s->append({RecordType::kTerm, 7, {}, {}});
-    s->append({RecordType::kVote, 42, {}, {}});
+    s->append({LogRecord::RecordType::kTerm, 7, {}, {}});
+    s->append({LogRecord::RecordType::kVote, 42, {}, {}});
     s->append(entries(0, 3));
-    s->append({RecordType::kTruncate, 5, {}, {}});
+    s->append({LogRecord::RecordType::kTruncate, 5, {}, {}});
     wait_durable(*s);
   }
   std::uint64_t written = 0;
   {
-    const auto s = DiskStorage::open(folder.path, "v");
+    const auto s = DiskRaftStorage::open(folder.path, "v");
     assert(s && s->voter().generation == 3 && s->state().term == 7 && s->state().vote == 42 &&
            s->state().entries.size() == 4);
     written = s->appended_records();
     assert(written == 6);  // its term among them
     maintenance::RaftSnapshot kept{4, 1, 1, {{"v#3", 1}}, "content"};
-    s->append({RecordType::kSnapshot, 1, {}, kept});  // the file is made anew, and counts on
+    s->append(
+        {LogRecord::RecordType::kSnapshot, 1, {}, kept});  // the file is made anew, and counts on
     s->append(entries(0, 1));
     wait_durable(*s);
   }
-  const auto s = DiskStorage::open(folder.path, "v");
+  const auto s = DiskRaftStorage::open(folder.path, "v");
   assert(s && s->appended_records() == written + 2 && s->state().snapshot &&
          s->state().snapshot->data == "content" && s->state().first_index == 4 &&
          s->state().entries.size() == 2);
@@ -210,7 +211,7 @@
 void damage_is_told_from_a_torn_end() {
   const Folder folder;
   {
-    const auto s = DiskStorage::found(folder.path, {"v", 1}, {entries(1, 1)});
+    const auto s = DiskRaftStorage::found(folder.path, {"v", 1}, {entries(1, 1)});
     s->append(entries(0, 1)), s->append(entries(0, 1));
     wait_durable(*s);
   }
@@ -218,7 +219,7 @@
   const auto with = [&](const std::string& text) {
     std::filesystem::remove(folder.file(kFile) + ".aside");
     std::ofstream(folder.file(kFile), std::ios::binary | std::ios::trunc) << text;
-    const auto s = DiskStorage::open(folder.path, "v");
+    const auto s = DiskRaftStorage::open(folder.path, "v");
     return s ? static_cast<int>(s->state().entries.size()) : -1;
   };
   assert(with(good) == 3);
@@ -236,7 +237,7 @@
 
 void a_disk_that_fails_is_given_up() {
   const Folder folder;
-  const auto s = DiskStorage::found(folder.path, {"v", 1}, {entries(1, 1)});
+  const auto s = DiskRaftStorage::found(folder.path, {"v", 1}, {entries(1, 1)});
   std::filesystem::remove(folder.file(kFile));
   std::filesystem::create_directory(folder.file(kFile));  // cannot be opened to write
   s->append(entries(0, 1));
@@ -248,9 +249,9 @@
 }
 
 void reads_staffs_words() {
-  using maintenance::command_from;
+  using maintenance::parse_operator_command;
   std::string fault;
-  const auto c = command_from(
+  const auto c = parse_operator_command(
       "request",
       {{"id", "r"}, {"machines", "a,b"}, {"at_once", "2"}, {"priority", "-3"}, {"by", "ana"}},
       fault);
@@ -259,7 +260,7 @@
   const auto refused = [](const std::string& verb,
                           const std::map<std::string, std::string>& query) {
     std::string why;
-    assert(!command_from(verb, query, why) && !why.empty());
+    assert(!parse_operator_command(verb, query, why) && !why.empty());
     return why;
   };
   assert(refused("request", {{"id", "r"}}) ==
@@ -269,7 +270,7 @@
   assert(refused("request", {{"id", "r"}, {"machines", "a,,b"}}).starts_with("machines"));
   assert(refused("done", {{"id", "r"}}) == "machine: missing");
   assert(refused("dance", {}) == "unknown call");
-  assert(command_from("forget", {{"proxy", "p"}}, fault)->proxy == "p");
+  assert(parse_operator_command("forget", {{"proxy", "p"}}, fault)->proxy == "p");
 }
 
 }  // namespace
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 
 #include "experiments/experiment.h"
-#include "lab/sockets.h"
+#include "testbed/load_test.h"
 
 using namespace beechhill;
 
@@ -48,9 +48,9 @@
   return emulator::read_scenario(config::parse_toml(kDay + faults, "day"), "day");
 }
 
-lab::SocketRun agree(const emulator::Scenario& s) {
+testbed::SocketRun agree(const emulator::Scenario& s) {
   const Json::Value model = experiments::run_scenario(s, "module", false).result;
-  const lab::SocketRun run = lab::play_on_sockets(s, PROXY_PROGRAM);
+  const testbed::SocketRun run = testbed::play_on_sockets(s, PROXY_PROGRAM);
   const Json::Value& real = run.result;
   std::fprintf(stderr, "goodput %.4f on sockets, %.4f in the model\n", real["goodput"].asDouble(),
                model["goodput"].asDouble());
@@ -64,20 +64,20 @@
 }  // namespace
 
 int main() {
-  const lab::SocketRun calm = agree(day(""));
+  const testbed::SocketRun calm = agree(day(""));
   assert(calm.result["attempts"].asUInt64() == calm.asked);  // nothing was sent twice
   // A crashed node, a silent one and one that drains; then the proxy itself, for a second.
   agree(
       day("[[fault]]\nkind = \"crash\"\nat = \"1500ms\"\nfor = \"1500ms\"\nnodes = 1\n"
           "[[fault]]\nkind = \"drain\"\nat = \"1s\"\nfor = \"3s\"\nnodes = 1\n"
           "[[fault]]\nkind = \"errors\"\nat = \"3s\"\nfor = \"1s\"\nnodes = 1\nfactor = 0.5\n"));
-  const lab::SocketRun restart =
+  const testbed::SocketRun restart =
       agree(day("[[fault]]\nkind = \"proxy_crash\"\nat = \"3s\"\nfor = \"800ms\"\npart = 1.0\n"));
   assert(restart.result["unreachable"].asUInt64() > 0);
   // What sockets cannot play is said, not left out.
   bool refused = false;
   try {
-    lab::play_on_sockets(day("[[fault]]\nkind = \"replace\"\nat = \"1s\"\n"), PROXY_PROGRAM);
+    testbed::play_on_sockets(day("[[fault]]\nkind = \"replace\"\nat = \"1s\"\n"), PROXY_PROGRAM);
   } catch (const std::invalid_argument&) {
     refused = true;
   }
--- a/tests/maintenance_test.cpp
+++ b/tests/maintenance_test.cpp
@@ -4,24 +4,24 @@
 
 #include <random>
 
-#include "emulator/works.h"
-#include "maintenance/describe.h"
+#include "emulator/maintenance_simulation.h"
+#include "maintenance/status_json.h"
 
 namespace beechhill::test {
 namespace {
 
 using namespace std::chrono_literals;
 using namespace maintenance;
-using emulator::SeededBug;
-using emulator::MaintenanceSimulationSpec;
 using emulator::MaintenanceSimulation;
+using emulator::MaintenanceSimulationSpec;
+using emulator::SeededBug;
 
-Command ask_for(const std::string& id, std::set<std::string> machines, std::uint32_t max_concurrent = 1,
-                std::int32_t priority = 0) {
+Command ask_for(const std::string& id, std::set<std::string> machines,
+                std::uint32_t max_concurrent = 1, std::int32_t priority = 0) {
   Command c;
-  c.what = CommandType::kSubmitRequest;
+  c.type = CommandType::kSubmitRequest;
   c.request.emplace();
-  c.request->id = id, c.request->by = "ana", c.request->why = "kernel",
+  c.request->id = id, c.request->requested_by = "ana", c.request->reason = "kernel",
   c.request->select.ids = std::move(machines);
   c.request->max_concurrent = max_concurrent, c.request->priority = priority;
   return c;
@@ -30,7 +30,7 @@
 Command word(CommandType what, const std::string& id, const std::string& machine = {},
              const std::string& proxy = {}, FencingToken fence = 0) {
   Command c;
-  c.what = what, c.id = id, c.machine = machine, c.proxy = proxy, c.fence = fence;
+  c.type = what, c.id = id, c.machine = machine, c.proxy = proxy, c.fencing_token = fence;
   return c;
 }
 
@@ -38,7 +38,7 @@
 struct Settled {
   explicit Settled(const DisruptionBudget& bounds = {}) {
     Command c;
-    c.what = CommandType::kSetDisruptionBudget, c.bounds = bounds;
+    c.type = CommandType::kSetDisruptionBudget, c.disruption_budget = bounds;
     give(c);
     for (const char* p : {"p-1", "p-2"}) {
       give(word(CommandType::kAddProxy, {}, {}, p));
@@ -47,7 +47,8 @@
   }
   void facts(double use = 0.4, const std::string& trouble = {}) {
     Command c;
-    c.what = CommandType::kUpdateObservations, c.use = {{"a", use}, {"b", use}}, c.trouble = trouble;
+    c.type = CommandType::kUpdateObservations, c.zone_utilization = {{"a", use}, {"b", use}},
+    c.incident = trouble;
     for (int i = 0; i < 8; ++i) {
       Machine m;
       m.id = "m-" + std::to_string(i), m.zone = i < 4 ? "a" : "b",
@@ -60,13 +61,13 @@
     give(c);
   }
   const char* give(Command c) {
-    c.at = time;
+    c.issued_at = time;
     const auto read = decode(encode(c));  // as from the log
     return ledger.apply(++index, read.value());
   }
   // The next step of the order is settled; what it was.
   std::optional<Command> go() {
-    const auto next = ledger.next(shown);
+    const auto next = ledger.next_commands(shown);
     if (next.empty()) {
       return std::nullopt;
     }
@@ -86,14 +87,14 @@
     const auto announced = go();
     both_show();
     go();
-    const FencingToken fence = ledger.courses().at(announced->machine).fence;
+    const FencingToken fence = ledger.workflows().at(announced->machine).fencing_token;
     for (const char* p : {"p-1", "p-2"}) {
       give(word(CommandType::kConfirmDrained, {}, announced->machine, p, fence));
     }
     go();
     return announced->machine;
   }
-  WorkflowState step(const std::string& m) { return ledger.courses().at(m).step; }
+  WorkflowState step(const std::string& m) { return ledger.workflows().at(m).state; }
 
   MaintenanceStateMachine ledger;
   LogIndex index = 0;
@@ -114,26 +115,27 @@
   EXPECT_FALSE(s.go());
   EXPECT_EQ(s.why("r"), "not approved\n");
   EXPECT_EQ(s.give(word(CommandType::kApproveRequest, "r")), nullptr);
-  EXPECT_EQ(s.go()->what, CommandType::kAnnounceDrain);
-  EXPECT_TRUE(s.ledger.rights(Role::kBackend).at("m-1").announced);
+  EXPECT_EQ(s.go()->type, CommandType::kAnnounceDrain);
+  EXPECT_TRUE(s.ledger.dispatch_permissions(Role::kBackend).at("m-1").lease_required);
   EXPECT_FALSE(s.go());  // not before all proxies have shown that they know
   s.shown = {{"p-1", s.index}};
   EXPECT_EQ(s.why("r"), "m-1 is announced, waiting for p-2\n");
   s.both_show();
-  EXPECT_EQ(s.go()->what, CommandType::kStartDrain);
-  EXPECT_TRUE(s.ledger.rights(Role::kBackend).at("m-1").barred);
-  const FencingToken fence = s.ledger.courses().at("m-1").fence;
-  EXPECT_STREQ(s.give(word(CommandType::kConfirmDrained, {}, "m-1", "p-1", fence + 1)), "other_course");
+  EXPECT_EQ(s.go()->type, CommandType::kStartDrain);
+  EXPECT_TRUE(s.ledger.dispatch_permissions(Role::kBackend).at("m-1").dispatch_forbidden);
+  const FencingToken fence = s.ledger.workflows().at("m-1").fencing_token;
+  EXPECT_STREQ(s.give(word(CommandType::kConfirmDrained, {}, "m-1", "p-1", fence + 1)),
+               "other_course");
   EXPECT_EQ(s.give(word(CommandType::kConfirmDrained, {}, "m-1", "p-1", fence)), nullptr);
   EXPECT_EQ(s.why("r"), "m-1 is evacuating, waiting for p-2\n");
   EXPECT_EQ(s.give(word(CommandType::kConfirmDrained, {}, "m-1", "p-2", fence)), nullptr);
   EXPECT_EQ(s.step("m-1"), WorkflowState::kDrained);
-  EXPECT_EQ(s.go()->what, CommandType::kMarkOut);
+  EXPECT_EQ(s.go()->type, CommandType::kMarkOut);
   EXPECT_EQ(s.give(word(CommandType::kCompleteWork, "r", "m-1")), nullptr);
   EXPECT_EQ(s.step("m-1"), WorkflowState::kWarming);
-  EXPECT_TRUE(s.ledger.rights(Role::kBackend)
+  EXPECT_TRUE(s.ledger.dispatch_permissions(Role::kBackend)
                   .empty());  // it serves again, and counts as out until it is warm
-  EXPECT_EQ(s.go()->what, CommandType::kMarkWarming);
+  EXPECT_EQ(s.go()->type, CommandType::kMarkWarming);
   EXPECT_TRUE(s.ledger.requests().at("r").ended);
 }
 
@@ -146,7 +148,8 @@
 }
 
 TEST(MaintenanceStateMachine, EachBoundStandsInTheWayAndIsNamed) {
-  const auto reason = [](DisruptionBudget b, double use, const std::function<void(Settled&)>& before = {}) {
+  const auto reason = [](DisruptionBudget b, double use,
+                         const std::function<void(Settled&)>& before = {}) {
     b.needs_approval = false;
     Settled s(b);
     s.facts(use);
@@ -205,15 +208,15 @@
   const std::string out = s.take_one();
   const std::string next = s.go()->machine;  // announced
   s.facts(0.4, "zone_lost: b");
-  EXPECT_EQ(s.go()->what, CommandType::kCallBack);
-  EXPECT_FALSE(s.ledger.courses().contains(next));
-  EXPECT_EQ(s.step(out), WorkflowState::kMarkOut);  // staff may have it open
+  EXPECT_EQ(s.go()->type, CommandType::kCallBack);
+  EXPECT_FALSE(s.ledger.workflows().contains(next));
+  EXPECT_EQ(s.step(out), WorkflowState::kOut);  // staff may have it open
   EXPECT_FALSE(s.go());
   s.facts(0.4);
   EXPECT_FALSE(s.go());  // the calm after it
-  s.time += b.calm + b.put_off + 1;
+  s.time += b.quiet_period + b.deferral + 1;
   s.facts(0.4);
-  EXPECT_EQ(s.go()->what, CommandType::kAnnounceDrain);
+  EXPECT_EQ(s.go()->type, CommandType::kAnnounceDrain);
 }
 
 TEST(MaintenanceStateMachine, StaffHoldCancelAndResume) {
@@ -221,13 +224,14 @@
   s.give(ask_for("r", {"m-0", "m-1"}));
   const std::string first = s.go()->machine;
   EXPECT_EQ(s.give(word(CommandType::kHoldRequest, "r")), nullptr);
-  EXPECT_TRUE(s.ledger.courses().empty());
+  EXPECT_TRUE(s.ledger.workflows().empty());
   EXPECT_FALSE(s.go());
   EXPECT_EQ(s.give(word(CommandType::kResumeRequest, "r")), nullptr);
   s.time += 61, s.facts();
   EXPECT_EQ(s.go()->machine, first);
   EXPECT_EQ(s.give(word(CommandType::kCancelRequest, "r")), nullptr);
-  EXPECT_TRUE(s.ledger.courses().empty() && s.ledger.rights(Role::kBackend).empty());
+  EXPECT_TRUE(s.ledger.workflows().empty() &&
+              s.ledger.dispatch_permissions(Role::kBackend).empty());
   EXPECT_STREQ(s.give(word(CommandType::kApproveRequest, "r")), "ended");
 }
 
@@ -235,20 +239,22 @@
   Settled s(free_bounds());
   s.give(ask_for("r", {"m-0"}));
   s.go(), s.both_show(), s.go();
-  s.time += s.ledger.bounds().drain_timeout + 1, s.facts();
-  EXPECT_EQ(s.go()->what, CommandType::kCallBack);
+  s.time += s.ledger.disruption_budget().drain_timeout + 1, s.facts();
+  EXPECT_EQ(s.go()->type, CommandType::kCallBack);
   EXPECT_EQ(s.why("r"), "m-0 was called back and is put off\n");
-  s.time += s.ledger.bounds().put_off + 1, s.facts();
+  s.time += s.ledger.disruption_budget().deferral + 1, s.facts();
   const auto again = s.go();
-  EXPECT_EQ(again->what, CommandType::kAnnounceDrain);
-  EXPECT_GT(s.ledger.courses().at("m-0").fence, 1u);  // an old confirmation says nothing of it
+  EXPECT_EQ(again->type, CommandType::kAnnounceDrain);
+  EXPECT_GT(s.ledger.workflows().at("m-0").fencing_token,
+            1u);  // an old confirmation says nothing of it
 }
 
 TEST(MaintenanceStateMachine, AProxyThatLeavesOrIsForgottenIsNotWaitedFor) {
   Settled s(free_bounds());
   s.give(ask_for("r", {"m-0"}));
   s.go(), s.both_show(), s.go();
-  s.give(word(CommandType::kConfirmDrained, {}, "m-0", "p-1", s.ledger.courses().at("m-0").fence));
+  s.give(word(CommandType::kConfirmDrained, {}, "m-0", "p-1",
+              s.ledger.workflows().at("m-0").fencing_token));
   EXPECT_EQ(s.give(word(CommandType::kForgetProxy, {}, {}, "p-2")), nullptr);
   s.go();
   EXPECT_EQ(s.step("m-0"), WorkflowState::kDrained);
@@ -260,12 +266,12 @@
   s.give(ask_for("urgent", {"m-0", "m-1", "m-2", "m-3"}, 1, 3));
   s.give(ask_for("patient", {"m-4"}));
   EXPECT_EQ(s.take_one(), "m-0");
-  s.time += 4 * b.priority_aging_interval;  // both age alike, so the patient one stays behind: what makes it go is
-                             // what is over
+  s.time += 4 * b.priority_aging_interval;  // both age alike, so the patient one stays behind: what
+                                            // makes it go is what is over
   s.give(ask_for("late", {"m-5"}, 1, 3));
   s.give(word(CommandType::kCompleteWork, "urgent", "m-0"));
   s.facts();
-  EXPECT_EQ(s.go()->what, CommandType::kMarkWarming);
+  EXPECT_EQ(s.go()->type, CommandType::kMarkWarming);
   EXPECT_EQ(s.go()->machine, "m-1");  // the urgent one's, before the late one of the same priority
   s.give(word(CommandType::kCancelRequest, "urgent"));
   EXPECT_EQ(s.go()->machine, "m-4");  // aged past the late one
@@ -276,7 +282,7 @@
   b.min_proxies_per_zone = 1;
   Settled s(b);
   Command c;
-  c.what = CommandType::kUpdateObservations;
+  c.type = CommandType::kUpdateObservations;
   for (const char* id : {"p-1", "p-2"}) {
     Machine m;
     m.id = id, m.zone = "a", m.role = Role::kProxy;
@@ -288,9 +294,9 @@
   s.give(ask);
   EXPECT_EQ(s.go()->machine, "p-1");
   s.shown = {{"p-1", s.index}};  // its own course waits for itself alone
-  EXPECT_EQ(s.go()->what, CommandType::kStartDrain);
+  EXPECT_EQ(s.go()->type, CommandType::kStartDrain);
   EXPECT_FALSE(s.go());
-  EXPECT_EQ(s.ledger.rights(Role::kProxy).size(), 1u);
+  EXPECT_EQ(s.ledger.dispatch_permissions(Role::kProxy).size(), 1u);
 }
 
 TEST(MaintenanceStateMachine, SnapshotsAreWholeOrNothing) {
@@ -324,7 +330,7 @@
   s.seed = seed;
   s.bounds.needs_approval = false;
   s.bounds.max_out = s.bounds.max_out_per_zone = s.bounds.max_out_per_cell = 2;
-  s.bounds.drain_timeout = 30, s.bounds.put_off = 3, s.bounds.calm = 3;
+  s.bounds.drain_timeout = 30, s.bounds.deferral = 3, s.bounds.quiet_period = 3;
   return s;
 }
 
@@ -406,13 +412,13 @@
   }
   w.kill(5), w.start(5);
   w.run(5s);
-  EXPECT_FALSE(w.works(5).has_held_lease());
-  EXPECT_EQ(w.works(5).dispatch_permitted_until("backend-00001"), Time::min());
+  EXPECT_FALSE(w.coordinator(5).has_held_lease());
+  EXPECT_EQ(w.coordinator(5).dispatch_permitted_until("backend-00001"), Time::min());
   for (std::size_t i = 0; i < 3; ++i) {
     w.start(i);
   }
   w.run(10s);
-  EXPECT_TRUE(w.works(5).has_held_lease());
+  EXPECT_TRUE(w.coordinator(5).has_held_lease());
 }
 
 // Stopped for 30 s in the middle: it wakes believing in what it held, and does not act on it.
@@ -435,7 +441,7 @@
   for (const bool ends : {false, true}) {
     MaintenanceSimulationSpec s = spec();
     if (ends) {
-      s.isolation_timeout = 4s;
+      s.isolated_after = 4s;
     }
     MaintenanceSimulation w(s);
     w.run(3s);
@@ -445,7 +451,7 @@
     w.run(30s);
     EXPECT_EQ(w.taken_out() > 0, ends);
     if (!ends) {
-      const auto why = w.works(w.leader().value()).ledger().explain("all", {});
+      const auto why = w.coordinator(w.leader().value()).state_machine().explain("all", {});
       EXPECT_NE(why.front().find("proxy-5"), std::string::npos) << why.front();
     }
     w.cut({});
@@ -465,19 +471,19 @@
     wiped ? w.wipe(1) : w.put_back(1);
     w.start(1);
     w.run(15s);
-    EXPECT_TRUE(w.works(1).votes());
+    EXPECT_TRUE(w.coordinator(1).is_voter());
     const auto lead = w.leader();
     ASSERT_TRUE(lead);
-    EXPECT_GT(w.works(1).ledger().index(), 5u);
+    EXPECT_GT(w.coordinator(1).state_machine().applied_index(), 5u);
     // With the new generation alone beside one other there is a majority again.
     const std::size_t other = *lead == 2 ? 0 : 2;
     w.kill(other);
     w.run(10s);
     ASSERT_TRUE(w.leader());
-    const LogIndex index = w.works(*w.leader()).ledger().index();
+    const LogIndex index = w.coordinator(*w.leader()).state_machine().applied_index();
     w.run(10s);
     ASSERT_TRUE(w.leader());
-    EXPECT_GT(w.works(*w.leader()).ledger().index(), index);
+    EXPECT_GT(w.coordinator(*w.leader()).state_machine().applied_index(), index);
     w.start(other);
     EXPECT_TRUE(done_within(w, 240s));
     expect_kept(w);
@@ -498,14 +504,14 @@
   s.bounds.max_out = 1;
   MaintenanceSimulation w(s);
   w.run(3s);
-  w.strike();
+  w.pause_operators();
   ask_all(w, 3);
   w.run(60s);
-  const auto& ledger = w.works(w.leader().value()).ledger();
-  ASSERT_EQ(ledger.courses().size(), 1u);
-  EXPECT_EQ(ledger.courses().begin()->second.step, WorkflowState::kMarkOut);
+  const auto& ledger = w.coordinator(w.leader().value()).state_machine();
+  ASSERT_EQ(ledger.workflows().size(), 1u);
+  EXPECT_EQ(ledger.workflows().begin()->second.state, WorkflowState::kOut);
   EXPECT_NE(ledger.explain("all", {}).back().find("most_out"), std::string::npos);
-  w.work_again();
+  w.resume_operators();
   EXPECT_TRUE(done_within(w, 240s));
   expect_kept(w);
 }
@@ -539,7 +545,7 @@
     for (int fault = 0; fault < 4; ++fault) {
       for (std::size_t who = 0; who < 3; ++who) {
         MaintenanceSimulationSpec s = spec();
-        s.followers = 0, s.backends = 2, s.zones = 1, s.use = 0.1, s.isolation_timeout = 3s,
+        s.followers = 0, s.backends = 2, s.zones = 1, s.use = 0.1, s.isolated_after = 3s,
         s.bug = bug;
         s.call = 1s, s.work = 2s;
         s.voters = 3;
@@ -571,7 +577,8 @@
         w.cut({});
         if (bug == SeededBug::kNone && !done_within(w, 120s)) {
           ADD_FAILURE() << "stuck: fault " << fault << " of " << who << " at " << at.count()
-                        << (w.leader() ? status_json(w.works(*w.leader()).ledger(), {}, "both", "")
+                        << (w.leader() ? status_json(w.coordinator(*w.leader()).state_machine(), {},
+                                                     "both", "")
                                        : " nobody leads");
         }
         if (bug != SeededBug::kNone) {
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -5,32 +5,32 @@
 #include <algorithm>
 #include <random>
 
-#include "emulator/talk.h"
-#include "membership/gate.h"
-#include "membership/wire.h"
+#include "emulator/gossip_simulation.h"
+#include "membership/datagram_authenticator.h"
+#include "membership/message_codec.h"
 
 namespace beechhill::test {
 namespace {
 
 using namespace std::chrono_literals;
-using emulator::TalkSpec;
-using emulator::TalkWorld;
+using emulator::GossipSimulation;
+using emulator::GossipSimulationSpec;
 using membership::Channel;
-using membership::Gate;
+using membership::DatagramAuthenticator;
 using membership::MemberState;
 
-TalkSpec spec(std::uint32_t members, std::uint64_t seed = 1) {
-  TalkSpec s;
+GossipSimulationSpec spec(std::uint32_t members, std::uint64_t seed = 1) {
+  GossipSimulationSpec s;
   s.members = members;
   s.seed = seed;
   return s;
 }
 
-State held(const TalkWorld& w, std::size_t by, std::size_t other) {
-  return w.swim(by).members().at(TalkWorld::name_of(other)).update.state;
+MemberState held(const GossipSimulation& w, std::size_t by, std::size_t other) {
+  return w.swim(by).members().at(GossipSimulation::name_of(other)).update.state;
 }
 
-bool agree_within(TalkWorld& w, Duration most) {
+bool agree_within(GossipSimulation& w, Duration most) {
   for (const Time end = w.now() + most; w.now() < end && !w.agreed();) {
     w.run(100ms);
   }
@@ -39,37 +39,37 @@
 
 TEST(Membership, AllFindEachOtherFromTwoSeeds) {
   for (const std::uint32_t n : {2u, 3u, 40u}) {
-    TalkWorld w(spec(n));
+    GossipSimulation w(spec(n));
     EXPECT_TRUE(agree_within(w, n > 3 ? 40s : 10s)) << n;
   }
 }
 
 TEST(Membership, DeadLeftAndRestartedAreDifferentThings) {
-  TalkWorld w(spec(8));
+  GossipSimulation w(spec(8));
   ASSERT_TRUE(agree_within(w, 10s));
   w.kill(5);
   w.leave(6);
   ASSERT_TRUE(agree_within(w, 40s));
   for (std::size_t i = 0; i < 5; ++i) {
-    EXPECT_EQ(held(w, i, 5), State::kDead);
-    EXPECT_EQ(held(w, i, 6), State::kLeft);
+    EXPECT_EQ(held(w, i, 5), MemberState::kDead);
+    EXPECT_EQ(held(w, i, 6), MemberState::kLeft);
   }
   EXPECT_EQ(w.traffic().false_deaths, 0u);
   w.kill(7);
   w.start(7);  // before anybody noticed
   w.start(5);
   w.run(20s);
-  EXPECT_TRUE(w.agreed() && held(w, 0, 7) == State::kAlive);
+  EXPECT_TRUE(w.agreed() && held(w, 0, 7) == MemberState::kAlive);
   EXPECT_GE(w.traffic().restarts_seen,
             10u);  // the others, but for whoever heard of it from the newcomer itself as new
 }
 
 TEST(Membership, OneThatWakesLearnsThatItWasDeclaredDeadBeforeItIsSure) {
-  TalkWorld w(spec(6));
+  GossipSimulation w(spec(6));
   ASSERT_TRUE(agree_within(w, 10s));
   w.stop(3);
   ASSERT_TRUE(agree_within(w, 60s));
-  EXPECT_EQ(held(w, 0, 3), State::kDead);
+  EXPECT_EQ(held(w, 0, 3), MemberState::kDead);
   const std::uint64_t deaths = w.swim(3).times_declared_dead();
   w.go_on(3);
   EXPECT_FALSE(w.swim(3).has_contact());
@@ -82,7 +82,7 @@
 }
 
 TEST(Membership, OneThatWakesCutOffIsNotSure) {
-  TalkWorld w(spec(6));
+  GossipSimulation w(spec(6));
   ASSERT_TRUE(agree_within(w, 10s));
   w.stop(3);
   w.run(30s);
@@ -93,9 +93,9 @@
 }
 
 TEST(Membership, LossAloneKillsNobody) {
-  TalkSpec s = spec(30);
+  GossipSimulationSpec s = spec(30);
   s.loss = 0.15, s.doubled = 0.1, s.drift = 0.01;
-  TalkWorld w(s);
+  GossipSimulation w(s);
   ASSERT_TRUE(agree_within(w, 60s));
   w.run(600s);
   EXPECT_EQ(w.traffic().false_deaths, 0u);
@@ -104,7 +104,7 @@
 // One on a bad line blames itself: it probes more slowly, and none of the others is held for dead
 // on its word.
 TEST(Membership, OneOnABadLineBlamesItself) {
-  TalkWorld w(spec(12));
+  GossipSimulation w(spec(12));
   ASSERT_TRUE(agree_within(w, 10s));
   std::mt19937 dice(7);
   w.cut([&dice](std::size_t a, std::size_t b) { return (a != 11 && b != 11) || dice() % 10 >= 6; });
@@ -120,18 +120,18 @@
 }
 
 TEST(Membership, AHealedSplitIsFound) {
-  TalkWorld w(spec(20));
+  GossipSimulation w(spec(20));
   ASSERT_TRUE(agree_within(w, 10s));
   w.cut([](std::size_t a, std::size_t b) { return (a < 7) == (b < 7); });
   w.run(60s);
-  EXPECT_EQ(held(w, 0, 19), State::kDead);
-  EXPECT_EQ(held(w, 19, 0), State::kDead);
+  EXPECT_EQ(held(w, 0, 19), MemberState::kDead);
+  EXPECT_EQ(held(w, 19, 0), MemberState::kDead);
   w.cut({});
   EXPECT_TRUE(agree_within(w, 60s));
 }
 
 TEST(Membership, OnePathThatIsCutIsGoneRound) {
-  TalkWorld w(spec(6));
+  GossipSimulation w(spec(6));
   ASSERT_TRUE(agree_within(w, 10s));
   w.cut([](std::size_t a, std::size_t b) { return a + b != 1; });  // the first two, both ways
   w.run(300s);
@@ -142,9 +142,9 @@
 TEST(Membership, DrawnFaultsLeaveNobodyBehind) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     std::mt19937_64 dice(seed);
-    TalkSpec s = spec(3 + static_cast<std::uint32_t>(dice() % 25), seed);
+    GossipSimulationSpec s = spec(3 + static_cast<std::uint32_t>(dice() % 25), seed);
     s.loss = 0.01 * static_cast<double>(dice() % 20), s.doubled = 0.05, s.drift = 0.01;
-    TalkWorld w(s);
+    GossipSimulation w(s);
     w.run(10s);
     for (int turn = 0; turn < 6; ++turn) {
       const std::size_t i = dice() % s.members;
@@ -181,16 +181,16 @@
 }
 
 TEST(MembershipWire, ReadsWhatItWroteAndNothingElse) {
-  membership::Message m{
-      membership::MessageType::kPingRequest,
-      77,
-      "member-9",
-      123,
-      {{"a", "127.0.0.1:1", State::kSuspect, 4, 9, "b"}, {"c", "", State::kLeft, 0, 0, ""}}};
+  membership::Message m{membership::MessageType::kPingRequest,
+                        77,
+                        "member-9",
+                        123,
+                        {{"a", "127.0.0.1:1", MemberState::kSuspect, 4, 9, "b"},
+                         {"c", "", MemberState::kLeft, 0, 0, ""}}};
   const std::string good = membership::encode(m);
   const auto read = membership::decode(good);
-  ASSERT_TRUE(read && read->type == m.type && read->sequence_number == 77 && read->subject == m.subject &&
-              read->updates == m.updates);
+  ASSERT_TRUE(read && read->type == m.type && read->sequence_number == 77 &&
+              read->subject == m.subject && read->updates == m.updates);
   for (std::size_t i = 0; i < good.size(); ++i) {
     EXPECT_FALSE(membership::decode(good.substr(0, i)));
   }
@@ -214,25 +214,26 @@
   Two(membership::MacKeys a, membership::MacKeys b)
       : one(std::move(a), "one", 11, 1), two(std::move(b), "two", 22, 2) {}
   // The payloads that arrive at `to`, with hellos carried both ways.
-  std::vector<std::string> pass(Gate& from, Gate& to, std::string datagram) {
+  std::vector<std::string> pass(DatagramAuthenticator& from, DatagramAuthenticator& to,
+                                std::string datagram) {
     std::vector<std::string> arrived;
     std::vector<std::string> going{std::move(datagram)}, coming;
     for (int i = 0; i < 4; ++i) {
       for (const std::string& d : std::exchange(going, {})) {
-        const Gate::VerifyResult r = to.verify("from", d);
+        const DatagramAuthenticator::VerifyResult r = to.verify("from", d);
         if (r.verified) {
           arrived.push_back(r.verified->payload);
         }
         coming.insert(coming.end(), r.replies.begin(), r.replies.end());
       }
       for (const std::string& d : std::exchange(coming, {})) {
-        const Gate::VerifyResult r = from.verify("to", d);
+        const DatagramAuthenticator::VerifyResult r = from.verify("to", d);
         going.insert(going.end(), r.replies.begin(), r.replies.end());
       }
     }
     return arrived;
   }
-  Gate one, two;
+  DatagramAuthenticator one, two;
 };
 
 using Texts = std::vector<std::string>;
@@ -268,14 +269,15 @@
   EXPECT_STREQ(t.two.verify("from", caught).rejection_reason, "again");
   EXPECT_STREQ(t.two.verify("from", later).rejection_reason, "again");
   // A receiver that starts anew knows no numbers, but drew no such ticket.
-  Gate reborn(keys('a'), "two", 23, 3);
+  DatagramAuthenticator reborn(keys('a'), "two", 23, 3);
   EXPECT_STREQ(reborn.verify("from", caught).rejection_reason, "ticket");
   // A sender's earlier life is over once the next has shown its ticket.
-  Gate next(keys('a'), "one", 12, 4);
+  DatagramAuthenticator next(keys('a'), "one", 12, 4);
   EXPECT_EQ(t.pass(next, t.two, next.sign("to", Channel::kSwim, "new")), Texts{"new"});
-  EXPECT_STREQ(t.two.verify("from", t.one.sign("to", Channel::kSwim, "old")).rejection_reason, "ticket");
+  EXPECT_STREQ(t.two.verify("from", t.one.sign("to", Channel::kSwim, "old")).rejection_reason,
+               "ticket");
   // And to another receiver it says nothing.
-  Gate third(keys('a'), "three", 33, 5);
+  DatagramAuthenticator third(keys('a'), "three", 33, 5);
   EXPECT_STREQ(third.verify("from", later).rejection_reason, "ticket");
 }
 
@@ -300,7 +302,7 @@
   EXPECT_THROW(membership::parse_keys("12"), std::invalid_argument);
   EXPECT_THROW(membership::parse_keys(""), std::invalid_argument);
   EXPECT_THROW(membership::parse_keys(std::string(64, 'a') + "\n" + std::string(64, 'b') + "\n" +
-                                     std::string(64, 'c')),
+                                      std::string(64, 'c')),
                std::invalid_argument);
 }
 
--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -3,9 +3,9 @@
 
 #include <cstring>
 
-#include "admin/call.h"
-#include "proxy/door_course.h"
-#include "proxy_test.h"
+#include "admin/command.h"
+#include "proxy/listener_lifecycle.h"
+#include "support/proxy_fixture.h"
 
 using namespace beechhill;
 using namespace beechhill::test;
@@ -32,58 +32,63 @@
   const struct {
     const char *method, *target;
     int error;
-    What what;
+    CommandType type;
     const char* id;
   } cases[] = {
-      {"GET", "/api/ready", 0, What::kReady, ""},
-      {"GET", "/api/ready?x=1", 0, What::kReady, ""},
-      {"PUT", "/api/ready", 405, What::kReady, ""},
-      {"GET", "/api", 404, What::kReady, ""},
-      {"GET", "/api/ready/", 404, What::kReady, ""},
-      {"PUT", "/api/exclude?target=s-1", 0, What::kExclude, "s-1"},
-      {"PUT", "/api/include?a=b&target=a%2Fb%25", 0, What::kInclude, "a/b%"},
-      {"GET", "/api/exclude?target=s-1", 405, What::kExclude, ""},
-      {"PUT", "/api/exclude", 400, What::kExclude, ""},
-      {"PUT", "/api/exclude?", 400, What::kExclude, ""},
-      {"PUT", "/api/exclude?target", 400, What::kExclude, ""},
-      {"PUT", "/api/exclude?target=", 400, What::kExclude, ""},
-      {"PUT", "/api/exclude?target=a&target=a", 400, What::kExclude, ""},
-      {"PUT", "/api/exclude?target=%4", 400, What::kExclude, ""},
-      {"PUT", "/api/exclude?target=%zz", 400, What::kExclude, ""},
-      {"PUT", "/api/exclude?target=%+1", 400, What::kExclude, ""},
-      {"PUT", "/api/evacuate", 0, What::kDrain, ""},
-      {"PUT", "/api/rejoin", 0, What::kResume, ""},
+      {"GET", "/api/ready", 0, CommandType::kReady, ""},
+      {"GET", "/api/ready?x=1", 0, CommandType::kReady, ""},
+      {"PUT", "/api/ready", 405, CommandType::kReady, ""},
+      {"GET", "/api", 404, CommandType::kReady, ""},
+      {"GET", "/api/ready/", 404, CommandType::kReady, ""},
+      {"PUT", "/api/exclude?target=s-1", 0, CommandType::kExclude, "s-1"},
+      {"PUT", "/api/include?a=b&target=a%2Fb%25", 0, CommandType::kInclude, "a/b%"},
+      {"GET", "/api/exclude?target=s-1", 405, CommandType::kExclude, ""},
+      {"PUT", "/api/exclude", 400, CommandType::kExclude, ""},
+      {"PUT", "/api/exclude?", 400, CommandType::kExclude, ""},
+      {"PUT", "/api/exclude?target", 400, CommandType::kExclude, ""},
+      {"PUT", "/api/exclude?target=", 400, CommandType::kExclude, ""},
+      {"PUT", "/api/exclude?target=a&target=a", 400, CommandType::kExclude, ""},
+      {"PUT", "/api/exclude?target=%4", 400, CommandType::kExclude, ""},
+      {"PUT", "/api/exclude?target=%zz", 400, CommandType::kExclude, ""},
+      {"PUT", "/api/exclude?target=%+1", 400, CommandType::kExclude, ""},
+      {"PUT", "/api/evacuate", 0, CommandType::kDrain, ""},
+      {"PUT", "/api/rejoin", 0, CommandType::kResume, ""},
   };
   for (const auto& c : cases) {
     const admin::Command call = admin::parse_command(c.method, c.target);
     assert(call.error_status == c.error);
     if (call.error_status == 0) {
-      assert(call.type == c.what && call.target == c.id);
+      assert(call.type == c.type && call.target == c.id);
     }
   }
 }
 
 // The stages of a drain, of its end and of a planned end, by themselves and one amid the other.
 void follows_its_course() {
-  using proxy::DoorCourse;
+  using proxy::ListenerLifecycle;
   const Time t0 = 100s;
-  DoorCourse c{Duration(3s)};
-  assert(c.is_ready() && c.accepts_connections(t0) && !c.closes_after_response(t0, t0 + 1h) && !c.closes_idle_connections(t0 + 1h));
+  ListenerLifecycle c{Duration(3s)};
+  assert(c.is_ready() && c.accepts_connections(t0) && !c.closes_after_response(t0, t0 + 1h) &&
+         !c.closes_idle_connections(t0 + 1h));
   c.drain(t0);
   c.drain(t0 + 5s);  // once more changes nothing
-  assert(!c.is_ready() && c.accepts_connections(t0 + 1h) && !c.closes_after_response(t0, t0) && c.closes_after_response(t0, t0 + 400ms));
-  assert(!c.closes_idle_connections(t0 + 1s) && c.closes_idle_connections(t0 + 2s) && c.response_deadline() == Time::max());
+  assert(!c.is_ready() && c.accepts_connections(t0 + 1h) && !c.closes_after_response(t0, t0) &&
+         c.closes_after_response(t0, t0 + 400ms));
+  assert(!c.closes_idle_connections(t0 + 1s) && c.closes_idle_connections(t0 + 2s) &&
+         c.response_deadline() == Time::max());
   c.resume();
-  assert(c.is_ready() && !c.closes_after_response(t0, t0 + 4s) && !c.closes_idle_connections(t0 + 4s));
-  DoorCourse alone{Duration(3s)}, succeeded{Duration(3s)};
+  assert(c.is_ready() && !c.closes_after_response(t0, t0 + 4s) &&
+         !c.closes_idle_connections(t0 + 4s));
+  ListenerLifecycle alone{Duration(3s)}, with_successor{Duration(3s)};
   alone.begin_shutdown(t0, false);
   alone.drain(t0 + 100ms);
-  assert(!alone.is_ready() && alone.accepts_connections(t0 + 500ms) && !alone.accepts_connections(t0 + 1100ms) &&
-         alone.closes_idle_connections(t0 + 2s));
+  assert(!alone.is_ready() && alone.accepts_connections(t0 + 500ms) &&
+         !alone.accepts_connections(t0 + 1100ms) && alone.closes_idle_connections(t0 + 2s));
   assert(alone.response_deadline() > t0 + 3s && alone.response_deadline() < t0 + 3700ms);
-  succeeded.begin_shutdown(t0, true);
-  assert(succeeded.is_ready() && !succeeded.accepts_connections(t0) && succeeded.closes_after_response(t0 - 1s, t0) &&
-         !succeeded.closes_idle_connections(t0 + 1s));
+  with_successor.begin_shutdown(t0, true);
+  assert(with_successor.is_ready() && !with_successor.accepts_connections(t0) &&
+         with_successor.closes_after_response(t0 - 1s, t0) &&
+         !with_successor.closes_idle_connections(t0 + 1s));
 }
 
 // Callers that say nothing, or half of it, fill the door; a real call is answered meanwhile, also
--- a/tests/parser_tables.cpp
+++ b/tests/parser_tables.cpp
@@ -2,7 +2,7 @@
 #include "config/config.h"
 #include "http/message.h"
 #include "net/socket.h"
-#include "proxy_test.h"
+#include "support/proxy_fixture.h"
 
 using namespace beechhill;
 using http::Parser;
@@ -256,7 +256,8 @@
     return config::read_config(config::parse(text.data(), text.data() + text.size(), "config"));
   };
   const config::Config c = read(good);
-  assert(c.max_descriptors == 256 && c.named_settings.settings.seed == 5 && c.named_settings.classes.size() == 2);
+  assert(c.max_descriptors == 256 && c.named_settings.settings.seed == 5 &&
+         c.named_settings.classes.size() == 2);
   assert(c.named_settings.settings.connect_timeout == Duration(100'000));
   for (const auto& bad : cases) {
     std::string text = good, what;
--- a/tests/properties_test.cpp
+++ b/tests/properties_test.cpp
@@ -8,10 +8,10 @@
 #include <limits>
 #include <sstream>
 
-#include "driver.h"
 #include "emulator/random.h"
 #include "emulator/rules.h"
 #include "emulator/world.h"
+#include "support/balancer_driver.h"
 
 namespace beechhill::test {
 namespace {
@@ -23,7 +23,7 @@
 using emulator::to_span;
 
 constexpr std::size_t kScript = 24;  // events that a failing run prints
-constexpr EndpointId kFew = 5;         // servers that are left when all is over
+constexpr EndpointId kFew = 5;       // servers that are left when all is over
 
 double log_uniform(Stream& dice, double from, double to) {
   return from * std::pow(to / from, dice.uniform());
@@ -269,8 +269,8 @@
       return;
     }
     a.open = false;
-    a.maybe =
-        result != Result::kOverloaded && result != Result::kConnectFailed && result != Result::kSkipped;
+    a.maybe = result != Result::kOverloaded && result != Result::kConnectFailed &&
+              result != Result::kSkipped;
     --made.out;
     rules_.ended(driver_.now, id, attempt, result);
     if (result == Result::kOk && !made.over) {
@@ -407,8 +407,8 @@
     for (Server& s : servers_) {
       s.entry.status = EndpointStatus::kRemoved;
       if (dice_.uniform() < part) {
-        s.entry.status = one_of(
-            dice_, {EndpointStatus::kUp, EndpointStatus::kUp, EndpointStatus::kUp, EndpointStatus::kDraining});
+        s.entry.status = one_of(dice_, {EndpointStatus::kUp, EndpointStatus::kUp,
+                                        EndpointStatus::kUp, EndpointStatus::kDraining});
         d.endpoints.push_back(s.entry);
       }
     }
--- a/tests/proxy_rules.cpp
+++ b/tests/proxy_rules.cpp
@@ -3,7 +3,7 @@
 #include <cstring>
 
 #include "proxy/decision_actor.h"
-#include "proxy_test.h"
+#include "support/proxy_fixture.h"
 
 using namespace beechhill;
 using namespace beechhill::test;
--- a/tests/ramp_test.cpp
+++ b/tests/ramp_test.cpp
@@ -26,7 +26,7 @@
   double rate = 15;             // that a server can do, a second
   double multiple = 3;          // of it, at which a cold one falls
   double window = 3;            // seconds
-  EndpointId cold = 1;            // of the servers
+  EndpointId cold = 1;          // of the servers
   double most = 1;              // times what another instance sees, the first does
   double restarted = 0;         // of the instances, the moment the servers are
   double burst = 1;             // for 3 s, two after it
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -1,7 +1,7 @@
 // The way back after a start and after a gap, as a state machine.
 #include <gtest/gtest.h>
 
-#include "recovery/course.h"
+#include "recovery/recovery_tracker.h"
 
 namespace beechhill::recovery {
 namespace {
@@ -59,7 +59,8 @@
 // half of it.
 TEST(RecoveryTracker, AGapOfHalfTheGraceEndsWhatIsHeld) {
   RecoveryTracker c = full();
-  EXPECT_FALSE(c.endpoints_are_current(kStart + milliseconds(151)));  // also where nobody has looked yet
+  EXPECT_FALSE(
+      c.endpoints_are_current(kStart + milliseconds(151)));  // also where nobody has looked yet
   EXPECT_FALSE(c.observe_clock(kStart + milliseconds(149)));
   const Time back = kStart + milliseconds(149 + 151);
   EXPECT_TRUE(c.observe_clock(back));
--- a/tests/return_test.cpp
+++ b/tests/return_test.cpp
@@ -2,7 +2,7 @@
 // way back, by the books of the backends and of discovery.
 #include <memory>
 
-#include "proxy_test.h"
+#include "support/proxy_fixture.h"
 
 namespace beechhill::test {
 namespace {
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -5,7 +5,7 @@
 #include <random>
 #include <set>
 
-#include "../src/ranked_set.h"
+#include "balancer/ranked_set.h"
 #include "routing/subset.h"
 
 namespace beechhill::routing {
@@ -206,7 +206,7 @@
   take(view.apply(fleet.list, fleet.hashes(fleet.list)));
   for (EndpointId i = 0; i < 400; ++i) {
     EndpointUpdate change{UpdateKind::kDelta,
-                     {entry(800 + i), entry(static_cast<EndpointId>(random() % 800))}};
+                          {entry(800 + i), entry(static_cast<EndpointId>(random() % 800))}};
     change.endpoints[1].status = EndpointStatus::kRemoved;
     take(view.apply(change, fleet.hashes(change)));
     for (EndpointId id = 0; i % 40 == 0 && id < 1200; ++id) {
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,5 +1,5 @@
 // The four rules: no request lost, no effect twice, drains kept, no cold server pushed over.
-#include "driver.h"
+#include "support/balancer_driver.h"
 
 namespace beechhill::test {
 namespace {
@@ -69,15 +69,17 @@
   d.servers(6);  // cells of two
   d.request(1, kKeyed);
   const EndpointId first = d.sends[0].endpoint, other = (first + 2) % 6;
-  d.give(EndpointUpdate{UpdateKind::kDelta,
-                   {{first, EndpointStatus::kUp, 0, 77, {}}, {other, EndpointStatus::kUp, 0, 77, {}}}});
+  d.give(EndpointUpdate{
+      UpdateKind::kDelta,
+      {{first, EndpointStatus::kUp, 0, 77, {}}, {other, EndpointStatus::kUp, 0, 77, {}}}});
   d.outcome(1, 0, Result::kError);
   ASSERT_EQ(d.sends.size(), 2u);
   EXPECT_EQ(d.sends[1].endpoint, first ^ 1);
 }
 
 TEST(Effects, KeyedIsRefusedOnlyWhereAllServersDropRepeats) {
-  for (const DeduplicationScope scope : {DeduplicationScope::kAll, DeduplicationScope::kZone, DeduplicationScope::kCell}) {
+  for (const DeduplicationScope scope :
+       {DeduplicationScope::kAll, DeduplicationScope::kZone, DeduplicationScope::kCell}) {
     Settings s = basic_settings();
     s.max_attempts = 1;
     s.classes[kKeyed].deduplication_scope = scope;
--- a/tests/snapshot_test.cpp
+++ b/tests/snapshot_test.cpp
@@ -6,17 +6,17 @@
 #include <random>
 #include <semaphore>
 
-#include "proxy_test.h"
-#include "snapshot/keeper.h"
+#include "snapshot/snapshot_store.h"
+#include "support/proxy_fixture.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size);
 
 namespace beechhill::test {
 namespace {
 
-using snapshot::Keeper;
-using snapshot::Row;
+using snapshot::EndpointRecord;
 using snapshot::Snapshot;
+using snapshot::SnapshotStore;
 
 const std::string kFile = "beechhill-t.snapshot";
 
@@ -32,8 +32,8 @@
 void is_believed_only_where_it_may() {
   const Snapshot s = sample();
   const auto read = snapshot::decode(snapshot::encode(s));
-  assert(read && read->name == s.name && read->settings_hash == s.settings_hash && read->incarnation == 7 &&
-         read->written_at == s.written_at);
+  assert(read && read->name == s.name && read->settings_hash == s.settings_hash &&
+         read->incarnation == 7 && read->written_at == s.written_at);
   assert(read->records.size() == 2 && read->records[0].stats.weighted_rates == 12.25 &&
          read->records[0].stats.weighted_latency_ratios == 3 && read->records[1].host == "s \"2\"");
   const auto why = [&s](const char* name, const char* fleet, std::chrono::milliseconds now) {
@@ -90,22 +90,23 @@
 void keeps_one_process_apart() {
   const Folder folder;
   {
-    Keeper keeper(folder.path, "t", "f");
+    SnapshotStore keeper(folder.path, "t", "f");
     assert(!keeper.load(1000ms));
     bool refused = false;
     try {
-      const Keeper second(folder.path, "t", "f");
+      const SnapshotStore second(folder.path, "t", "f");
     } catch (const std::runtime_error&) {
       refused = true;
     }
     assert(refused);
     keeper.save_async({{"s-1", 0ms, 900ms, {10, 0.5, 0, 0}}}, {"s-7"}, 1000ms);
   }  // its end writes what waits
-  Keeper keeper(folder.path, "t", "f");
+  SnapshotStore keeper(folder.path, "t", "f");
   const auto found = keeper.load(2000ms);
   assert(found && found->incarnation == 1 && found->records.size() == 1);
   const auto old = keeper.load(10h);
-  assert(old && old->records.empty() && old->excluded_backends.contains("s-7"));  // a ban does not age
+  assert(old && old->records.empty() &&
+         old->excluded_backends.contains("s-7"));  // a ban does not age
   assert(!std::filesystem::exists(folder.file(kFile)) &&
          std::filesystem::exists(folder.file(kFile) + ".aside"));
 }
@@ -117,12 +118,13 @@
   const auto held = std::make_shared<std::counting_semaphore<8>>(0);
   const auto calls = std::make_shared<std::atomic<int>>(0);
   {
-    Keeper keeper(folder.path, "t", "f", [held, calls](const std::string&, const std::string&) {
-      ++*calls;
-      held->acquire();
-      errno = ENOSPC;
-      return false;
-    });
+    SnapshotStore keeper(folder.path, "t", "f",
+                         [held, calls](const std::string&, const std::string&) {
+                           ++*calls;
+                           held->acquire();
+                           errno = ENOSPC;
+                           return false;
+                         });
     keeper.save_async({}, {}, 1ms);
     const auto end = Clock::now() + kPatience;
     while (*calls == 0) {
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -7,8 +7,8 @@
 #include <list>
 #include <thread>
 
-#include "handover/state.h"
-#include "proxy_test.h"
+#include "hot_restart/shared_state.h"
+#include "support/proxy_fixture.h"
 
 using namespace beechhill;
 using namespace beechhill::test;
@@ -92,7 +92,7 @@
 }
 
 void reads_its_state_or_nothing() {
-  using namespace handover;
+  using namespace hot_restart;
   SharedState s;
   s.generation = 7;
   apply(s, StateChange::kExclude, "s-1");
