--- a/src/bootstrap/no_cluster.cpp
+++ b/src/bootstrap/no_cluster.cpp
@@ -2,7 +2,7 @@
 
 namespace beechhill::bootstrap {
 
-std::unique_ptr<Group> join_group(const GroupParts&) {
+std::unique_ptr<Cluster> join_cluster(const ClusterDependencies&) {
   return nullptr;
 }  // the operator file's reader has refused anything else
 
