--- /dev/null
+++ b/tests/support/deployment_json.h
@@ -0,0 +1,28 @@
+// Configurations and endpoint lists of the deployment that tests with real processes use.
+#pragma once
+
+#include <string>
+
+namespace beechhill::test {
+
+// One try for each request: a second would be the network side's own.
+inline std::string config_json(const std::string& listen, const std::string& discovery,
+                               const std::string& hosts) {
+  return R"({"name":"t","listen":")" + listen + R"(","discovery":")" + discovery +
+         R"(","seed":"5","limits":{"sockets":256},"known":{"seq":1,"whole":true,"hosts":)" + hosts +
+         R"(},"settings":{"zone":"z","tier":0,"tiers":["one"],"discovery":"push",)"
+         R"("guarantees":{"cold-from":0.15,"cold":23000000,"drain-grace":2000000,"fall-multiple":3.0,"tip-after":3000000},)"
+         R"("limits":{"connect-timeout":100000,"idle-close":30000000,"may-cancel":true,"most-tries":1,)"
+         R"("retry-after":true,"max-retry-after":1500000},"tenants":[{"name":"telnorte","share":0.5}],)"
+         R"("profiles":[{"name":"ver","repeat":"repeatable","aim":1200000,"deadline":3000000},)"
+         R"({"name":"ajuste","repeat":"by_key","group":"cell","memory-span":3000000,"aim":750000,"deadline":2000000}]}})";
+}
+
+inline std::string host_json(const std::string& host, const std::string& dial,
+                             const char* health = "in_service", long long born_ms = 0) {
+  return R"({"host":")" + host + R"(","dial":")" + dial +
+         R"(","site":"z","class":"k","block":1,"health":")" + health +
+         R"(","share":1.0,"born_ms":)" + std::to_string(born_ms) + "}";
+}
+
+}  // namespace beechhill::test
--- a/tests/support/proxy_fixture.h
+++ b/tests/support/proxy_fixture.h
@@ -1,10 +1,8 @@
-// The one helper of the proxy's tests: a proxy started as a program, its discovery and backends
-// played here over loopback on ports that the system picks. Every wait is bounded; asserts hold in
-// Release too.
+// The proxy started as a program, with its discovery played by the test, over loopback on ports
+// that the system picks. Every wait is bounded.
 #pragma once
 
 #undef NDEBUG
-#include <poll.h>
 #include <signal.h>
 #include <sys/prctl.h>
 #include <sys/socket.h>
@@ -15,90 +13,30 @@
 #include <chrono>
 #include <cstdio>
 #include <cstdlib>
-#include <filesystem>
 #include <fstream>
-#include <iterator>
 #include <string>
 #include <vector>
 
-#include "http/message.h"
-#include "net/socket.h"
+#include "support/deployment_json.h"
+#include "support/fake_listener.h"
+#include "support/require.h"
+#include "support/temporary_directory.h"
+#include "support/test_connection.h"
 
 namespace beechhill::test {
 
-using namespace std::chrono_literals;
-using Clock = std::chrono::steady_clock;
-inline constexpr std::chrono::milliseconds kPatience = 20s;  // far beyond what anything here takes
-
-// One try for each request: a second would be the network side's own.
-inline std::string config_json(const std::string& listen, const std::string& discovery,
-                               const std::string& hosts) {
-  return R"({"name":"t","listen":")" + listen + R"(","discovery":")" + discovery +
-         R"(","seed":"5","limits":{"sockets":256},"known":{"seq":1,"whole":true,"hosts":)" + hosts +
-         R"(},"settings":{"zone":"z","tier":0,"tiers":["one"],"discovery":"push",)"
-         R"("guarantees":{"cold-from":0.15,"cold":23000000,"drain-grace":2000000,"fall-multiple":3.0,"tip-after":3000000},)"
-         R"("limits":{"connect-timeout":100000,"idle-close":30000000,"may-cancel":true,"most-tries":1,)"
-         R"("retry-after":true,"max-retry-after":1500000},"tenants":[{"name":"telnorte","share":0.5}],)"
-         R"("profiles":[{"name":"ver","repeat":"repeatable","aim":1200000,"deadline":3000000},)"
-         R"({"name":"ajuste","repeat":"by_key","group":"cell","memory-span":3000000,"aim":750000,"deadline":2000000}]}})";
+// Former names, until all tests use those above.
+using Door = FakeListener;
+using Wire = TestConnection;
+using Folder = TemporaryDirectory;
+inline constexpr auto kPatience = kTestTimeout;
+inline std::string contents(const std::string& file) {
+  return read_file(file);
 }
-
-inline std::string host_json(const std::string& host, const std::string& dial,
-                             const char* health = "in_service", long long born_ms = 0) {
-  return R"({"host":")" + host + R"(","dial":")" + dial +
-         R"(","site":"z","class":"k","block":1,"health":")" + health +
-         R"(","share":1.0,"born_ms":)" + std::to_string(born_ms) + "}";
+inline std::string one_host(const FakeListener& backend) {
+  return single_backend_list(backend);
 }
 
-// A connected socket with blocking, bounded reads.
-class Wire {
- public:
-  explicit Wire(net::Fd fd) : fd_(std::move(fd)) {}
-  static Wire to(const sockaddr_in& address) {
-    net::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC,
-                        0));  // a program started later must not hold it too
-    assert(::connect(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0);
-    return Wire(std::move(fd));
-  }
-  void send(const std::string& bytes) const {
-    assert(::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL) ==
-           static_cast<ssize_t>(bytes.size()));
-  }
-  bool readable(std::chrono::milliseconds within) const {
-    pollfd p{fd_.get(), POLLIN, 0};
-    return ::poll(&p, 1, static_cast<int>(within.count())) > 0;
-  }
-  // False when the other side has ended.
-  bool fill() {
-    assert(readable(kPatience));
-    char chunk[4096];
-    const ssize_t n = ::recv(fd_.get(), chunk, sizeof chunk, 0);
-    if (n > 0) {
-      buffer.append(chunk, static_cast<std::size_t>(n));
-    }
-    return n > 0;
-  }
-  http::Message message(http::Parser::Kind kind) {
-    http::Parser parser(kind);
-    http::Progress progress = parser.feed(buffer);
-    while (progress == http::Progress::kMore) {
-      progress = fill() ? parser.feed(buffer) : parser.end();
-    }
-    assert(progress == http::Progress::kDone);
-    return parser.message();
-  }
-  http::Message request() { return message(http::Parser::Kind::kRequest); }
-  http::Message answer() { return message(http::Parser::Kind::kResponse); }
-  void reply(int status, const std::string& extra, const std::string& body) const {
-    send(http::write_response(status, extra, body, false));
-  }
-  int fd() const { return fd_.get(); }
-  std::string buffer;
-
- private:
-  net::Fd fd_;
-};
-
 // Runs the test that the one argument names.
 inline int run_named(int argc, char** argv,
                      std::initializer_list<std::pair<std::string_view, void (*)()>> tests) {
@@ -110,71 +48,18 @@
   return 2;
 }
 
-inline void expect_status(Wire& client, int status) {
-  assert(client.answer().status == status);
-}
-
-class Door {  // where a backend or discovery listens
- public:
-  Door() : fd_(::socket(AF_INET, SOCK_STREAM, 0)) {
-    sockaddr_in any = *net::parse_address("127.0.0.1:0");
-    assert(::bind(fd_.get(), reinterpret_cast<const sockaddr*>(&any), sizeof any) == 0);
-    assert(::listen(fd_.get(), 64) == 0);
-  }
-  std::string address() const {
-    sockaddr_in at{};
-    socklen_t size = sizeof at;
-    ::getsockname(fd_.get(), reinterpret_cast<sockaddr*>(&at), &size);
-    return net::to_string(at);
-  }
-  bool pending(std::chrono::milliseconds within) const {
-    pollfd p{fd_.get(), POLLIN, 0};
-    return ::poll(&p, 1, static_cast<int>(within.count())) > 0;
-  }
-  int fd() const { return fd_.get(); }
-  Wire accept() const {
-    assert(pending(kPatience));
-    return Wire(net::Fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC)));
-  }
-
- private:
-  net::Fd fd_;
-};
-
-inline std::string one_host(const Door& backend) {
-  return "[" + host_json("s-1", backend.address()) + "]";
-}
-
-struct Folder {  // of the test's own, gone with it
-  Folder() {
-    char name[] = "/tmp/proxy_folder_XXXXXX";
-    assert(::mkdtemp(name));
-    path = name;
-  }
-  ~Folder() { std::filesystem::remove_all(path); }
-  Folder(const Folder&) = delete;
-  Folder& operator=(const Folder&) = delete;
-  std::string file(const std::string& name) const { return path + "/" + name; }
-  std::string path;
-};
-
-inline std::string contents(const std::string& file) {
-  std::ifstream in(file, std::ios::binary);
-  return {std::istreambuf_iterator<char>(in), {}};
-}
-
 // What the processes of one proxy share over an upgrade, held by the platform: here, the test.
-struct Shared {
-  Door socket;
-  const Folder kept;
+struct SharedListener {
+  FakeListener socket;
+  const TemporaryDirectory kept;
   const std::string folder = kept.path;
 };
 
 // The program under test, with a discovery that has taken its watch.
-class Proxy {
+class ProxyUnderTest {
  public:
-  explicit Proxy(const std::string& hosts, const std::string& known = "[]",
-                 const Shared* shared = nullptr)
+  explicit ProxyUnderTest(const std::string& hosts, const std::string& known = "[]",
+                          const SharedListener* shared = nullptr)
       : shared_(shared), watch_((start(known), discovery_.accept())) {
     first_call_ = watch_.request().target;
     watch_.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -184,7 +69,7 @@
     list(hosts);
     wait_ready();
   }
-  ~Proxy() {
+  ~ProxyUnderTest() {
     if (pid_ > 0) {
       ::kill(pid_, SIGKILL), ::waitpid(pid_, nullptr, 0);
     }
@@ -206,7 +91,7 @@
   bool calls() const { return discovery_.pending(0ms); }         // discovery anew
   std::string watch_again() { return watch_again(discovery_); }
   // The proxy has come back to discovery, there; returns what it asks for.
-  std::string watch_again(const Door& discovery) {
+  std::string watch_again(const FakeListener& discovery) {
     watch_ = discovery.accept();
     const std::string target = watch_.request().target;
     watch_.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -216,10 +101,10 @@
     std::ofstream(path_) << config_json("127.0.0.1:0", discovery, "[]");
     signal(SIGHUP);
   }
-  Wire client() const { return Wire::to(address_); }
-  Wire caller() const { return Wire::to(admin_); }
+  TestConnection client() const { return TestConnection::to(address_); }
+  TestConnection caller() const { return TestConnection::to(admin_); }
   http::Message call(const std::string& method, const std::string& target) const {  // an operator's
-    Wire wire = caller();
+    TestConnection wire = caller();
     wire.send(method + " " + target + " HTTP/1.1\r\nHost: op\r\n\r\n");
     return wire.answer();
   }
@@ -234,7 +119,7 @@
            "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   }
   int ready() const {
-    Wire wire = client();
+    TestConnection wire = client();
     wire.send("GET /health/ready HTTP/1.1\r\nConnection: close\r\n\r\n");
     return wire.answer().status;
   }
@@ -242,9 +127,9 @@
   void signal(int number) const { ::kill(pid_, number); }
   int exit_status() {
     int status = 0;
-    const auto end = Clock::now() + kPatience;
+    const auto end = Clock::now() + kTestTimeout;
     while (::waitpid(pid_, &status, WNOHANG) == 0) {
-      assert(Clock::now() < end), ::usleep(5000);
+      require(Clock::now() < end), ::usleep(5000);
     }
     pid_ = 0;
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
@@ -257,7 +142,7 @@
     path_ = path;
     std::ofstream(path_) << config_json("127.0.0.1:0", discovery_.address(), known);
     int out[2];
-    assert(::pipe(out) == 0);
+    require(::pipe(out) == 0);
     pid_ = ::fork();
     if (pid_ == 0) {
       ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // a failed test must not leave it running
@@ -282,7 +167,7 @@
     while (!line.starts_with("serving ")) {
       line.clear();
       for (char c = 0; c != '\n'; line += c) {
-        assert(::read(out[0], &c, 1) == 1);
+        require(::read(out[0], &c, 1) == 1);
       }
     }
     const auto address = [&line](const std::string& field) {
@@ -293,22 +178,25 @@
     admin_ = address("admin=");
   }
   void wait_ready() const {
-    const auto end = Clock::now() + kPatience;
+    const auto end = Clock::now() + kTestTimeout;
     while ((shared_ ? call("GET", "/api/ready").status : ready()) != 200) {
-      assert(Clock::now() < end), ::usleep(5000);
+      require(Clock::now() < end), ::usleep(5000);
     }
   }
 
-  const Shared* shared_;
-  Door discovery_;
+  const SharedListener* shared_;
+  FakeListener discovery_;
   net::Fd log_;
   std::string path_;
   pid_t pid_ = 0;
   sockaddr_in address_{}, admin_{};
-  Wire watch_;
-  std::vector<Wire> mute_;
+  TestConnection watch_;
+  std::vector<TestConnection> mute_;
   std::string first_call_;
   int version_ = 1;
 };
 
+using Shared = SharedListener;
+using Proxy = ProxyUnderTest;
+
 }  // namespace beechhill::test
