--- /dev/null
+++ b/src/balancer/policy/retry_policy.cpp
@@ -0,0 +1,77 @@
+#include "balancer/policy/retry_policy.h"
+
+#include <algorithm>
+
+namespace beechhill {
+namespace {
+
+// Retries that may follow a possible effect, for each attempt.
+constexpr double kRetriesPerAttempt = 0.1;
+// Retries that may be saved up.
+constexpr double kMaxBudget = 10;
+// About this part of the longest wait that clients honour is advised.
+constexpr int kRetryAfterDivisor = 5;
+
+}  // namespace
+
+bool RetryPolicy::never_ran(Result result) {
+  return result == Result::kOverloaded || result == Result::kConnectFailed ||
+         result == Result::kSkipped;
+}
+
+RetryDecision RetryPolicy::decide(const RequestState& state, const Outcome& outcome,
+                                  Time now) const {
+  const Duration expected = from_seconds(latencies_.average_s(state.request.class_id));
+  const bool useful = !outcome.body_consumed && state.attempts.size() < settings_.max_attempts &&
+                      now + expected < state.request.deadline;
+  if (useful && !state.maybe_ran_at && never_ran(outcome.result) && now < state.queue_deadline) {
+    return RetryDecision::kRequeue;
+  }
+  const bool affordable = useful && state.maybe_ran_at && budget_ >= 1;
+  return affordable ? RetryDecision::kRetryNow : RetryDecision::kGiveUp;
+}
+
+bool RetryPolicy::safe_anywhere(const RequestState& state) const {
+  return !state.maybe_ran_at || class_of(state).idempotency == Idempotency::kIdempotent;
+}
+
+bool RetryPolicy::safe_on(const RequestState& state, const EndpointRecord& record, Time now) const {
+  if (safe_anywhere(state)) {
+    return true;
+  }
+  const ClassSettings& settings = class_of(state);
+  const Attempt& first = state.attempts[*state.maybe_ran_at];
+  // What starts now may leave only once a connection stands: the first must be remembered by then.
+  if (settings.idempotency == Idempotency::kNonIdempotent ||
+      now + settings_.connect_timeout >= first.started_at + settings.deduplication_window) {
+    return false;
+  }
+  if (settings.deduplication_scope == DeduplicationScope::kAll) {
+    return true;
+  }
+  return first.zone == record.entry.zone &&
+         (settings.deduplication_scope == DeduplicationScope::kZone ||
+          first.cell == record.entry.cell);
+}
+
+Action RetryPolicy::final_answer(const RequestState& state) {
+  const ClassSettings& settings = class_of(state);
+  const bool deduplicated = settings.idempotency == Idempotency::kIdempotencyKey &&
+                            settings.deduplication_scope == DeduplicationScope::kAll;
+  const double spread = 0.5 + random_.uniform();
+  const double wait_s = seconds(settings_.max_retry_after) / kRetryAfterDivisor * spread;
+  if (safe_anywhere(state) || deduplicated) {
+    return Reject{state.request.id, from_seconds(wait_s)};
+  }
+  return Fail{state.request.id};
+}
+
+void RetryPolicy::add_budget() {
+  budget_ = std::min(kMaxBudget, budget_ + kRetriesPerAttempt);
+}
+
+void RetryPolicy::take_budget() {
+  budget_ -= 1;
+}
+
+}  // namespace beechhill
--- /dev/null
+++ b/src/balancer/policy/slow_start.cpp
@@ -0,0 +1,40 @@
+#include "balancer/policy/slow_start.h"
+
+namespace beechhill {
+namespace {
+
+// Attempts a second, over all replicas, that an endpoint may get however little is sent: a share of
+// no traffic would be none.
+constexpr double kMinAttemptsPerS = 1;
+
+}  // namespace
+
+bool SlowStart::warming_up(const EndpointRecord& record, Time now) const {
+  const std::optional<Time> since = record.serving_since();
+  return since && now < *since + settings_.slow_start_window;
+}
+
+double SlowStart::capacity_share(const EndpointRecord& record, Time now) const {
+  if (!warming_up(record, now)) {
+    return 1;
+  }
+  const double age_s = std::max(0.0, seconds(now - *record.serving_since()));
+  const double initial = settings_.slow_start_initial_weight;
+  return initial + (1 - initial) * age_s / seconds(settings_.slow_start_window);
+}
+
+// Guards against pushing an endpoint into collapse: each replica sends it at most its share of what
+// a warm peer gets from here, so all together stay under what such a peer takes. Few warm ones may
+// be sent more than they can do: at most two thirds of the collapse ratio of an even part.
+bool SlowStart::has_budget(EndpointRecord& record, const Traffic& traffic, Time now) const {
+  if (!warming_up(record, now)) {
+    return true;
+  }
+  const double peers = traffic.up_count * 1.5 / std::max(1.5, settings_.overload_collapse_ratio);
+  const double share = capacity_share(record, now) * traffic.attempts_per_s /
+                       std::max<double>(traffic.warm_count, peers);
+  record.slow_start_budget.fill(now, std::max(share, kMinAttemptsPerS / settings_.replicas), 1);
+  return record.slow_start_budget.tokens >= 1;
+}
+
+}  // namespace beechhill
--- /dev/null
+++ b/src/balancer/state/endpoint_table.cpp
@@ -0,0 +1,104 @@
+#include "balancer/state/endpoint_table.h"
+
+#include <utility>
+
+namespace beechhill {
+
+void EndpointTable::apply(const EndpointUpdate& update, Time now) {
+  ++update_number_;
+  const bool complete = update.kind != UpdateKind::kDelta;
+  for (const Endpoint& entry : update.endpoints) {
+    update_record(entry, now);
+    if (!complete) {
+      update_rank(records_[entry.id]);
+    }
+  }
+  if (complete) {
+    rank_listed();
+  }
+}
+
+void EndpointTable::update_record(const Endpoint& entry, Time now) {
+  EndpointRecord& record = find_or_add(entry.id, now);
+  const bool restarted = entry.started_at && (!record.entry.started_at ||
+                                              *entry.started_at != *record.entry.started_at);
+  // Ids are assigned again: what comes back after it was removed may be another machine.
+  if (restarted || !record.listed) {
+    restart(record, now);
+  }
+  record.entry = entry;
+  record.last_update = update_number_;
+  if (entry.started_at >= record.excluded_at) {
+    record.readmitted_at.reset();  // the start after the exclusion is known now
+  }
+  record.listed = entry.status != EndpointStatus::kRemoved;
+}
+
+// What a complete list does not name is no longer listed.
+void EndpointTable::rank_listed() {
+  std::vector<std::pair<double, EndpointId>> ranks;
+  for (EndpointId id = 0; id < records_.size(); ++id) {
+    EndpointRecord& record = records_[id];
+    record.listed = record.listed && record.last_update == update_number_;
+    if (record.up()) {
+      ranks.emplace_back(record.rank, id);
+    }
+  }
+  ranked_.assign(std::move(ranks));
+}
+
+void EndpointTable::apply(const EndpointExclusion& exclusion, Time now) {
+  EndpointRecord& record = find_or_add(exclusion.endpoint, now);
+  if (record.excluded && !exclusion.excluded) {
+    // It may have been restarted while it was out of use, so that what was known is void.
+    restart(record, now);
+    if (record.entry.started_at < record.excluded_at) {
+      record.readmitted_at = now;
+    }
+  }
+  if (exclusion.excluded && !record.excluded) {
+    record.excluded_at = now;
+  }
+  record.excluded = exclusion.excluded;
+  update_rank(record);
+}
+
+void EndpointTable::restore(const RestoredStats& restored, Time now) {
+  find_or_add(restored.endpoint, now).stats += restored.stats;
+}
+
+bool EndpointTable::all_excluded() const {
+  const auto excluded = [](const EndpointRecord& record) { return record.excluded; };
+  return ranked_.size() == 0 && std::any_of(records_.begin(), records_.end(), excluded);
+}
+
+EndpointRecord& EndpointTable::find_or_add(EndpointId id, Time now) {
+  while (records_.size() <= id) {
+    EndpointRecord& record = records_.emplace_back();
+    restart(record, now);
+    record.rank = random_.uniform();
+    record.entry.id = static_cast<EndpointId>(records_.size() - 1);
+  }
+  return records_[id];
+}
+
+// The draws keep balancers from all starting with the same endpoint, and from spending the first
+// tokens of its slow start together.
+void EndpointTable::restart(EndpointRecord& record, Time now) {
+  static_cast<EndpointState&>(record) = EndpointState{};
+  ++record.incarnation;
+  record.outcomes.resize(class_count_);
+  record.tie_breaker = random_.uniform();
+  record.waiting_since = now;
+  record.slow_start_budget = {random_.uniform(), now};
+}
+
+void EndpointTable::update_rank(const EndpointRecord& record) {
+  if (record.up()) {
+    ranked_.insert(record.rank, record.entry.id);
+  } else {
+    ranked_.erase(record.rank, record.entry.id);
+  }
+}
+
+}  // namespace beechhill
--- /dev/null
+++ b/src/balancer/state/random_source.h
@@ -0,0 +1,22 @@
+// The seeded random numbers of one balancer.
+#pragma once
+
+#include <cstdint>
+#include <random>
+
+namespace beechhill {
+
+/// One stream for all decisions: the order of the draws is part of the module's behaviour. The
+/// standard distributions differ between libraries, so the conversion is spelled out.
+class RandomSource {
+ public:
+  explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
+
+  /// Evenly distributed over [0, 1).
+  double uniform() { return static_cast<double>(engine_() >> 11) * 0x1.0p-53; }
+
+ private:
+  std::mt19937_64 engine_;
+};
+
+}  // namespace beechhill
--- a/src/balancer/ranked_set.h
+++ b/src/balancer/state/ranked_set.h
@@ -1,5 +1,5 @@
-// Ids in the order of a rank that each keeps for life: the first k of them are the same k while
-// others come and go.
+// Endpoint ids in the order of a rank that each keeps as long as it is known: the first k of them
+// are the same k while others come and go.
 #pragma once
 
 #include <algorithm>
@@ -10,10 +10,11 @@
 
 namespace beechhill {
 
+/// Owns its entries. An id is given with the same rank each time.
 class RankedSet {
  public:
-  // O(log n) to find the place, and a move of what stands behind it: 16 bytes each, 10 us at
-  // 10,000.
+  /// O(log n) to find the place, and a move of what stands behind it: 16 bytes each, 10 us at
+  /// 10,000. Does nothing where the id is contained.
   void insert(double rank, EndpointId id) {
     const Entry entry{rank, id};
     const auto at = std::lower_bound(entries_.begin(), entries_.end(), entry);
@@ -21,6 +22,8 @@
       entries_.insert(at, entry);
     }
   }
+
+  /// As costly as insert(). Does nothing where the id is not contained.
   void erase(double rank, EndpointId id) {
     const Entry entry{rank, id};
     const auto at = std::lower_bound(entries_.begin(), entries_.end(), entry);
@@ -28,13 +31,17 @@
       entries_.erase(at);
     }
   }
-  // All at once, in any order, each id once: O(n log n).
+
+  /// Replaces all entries; they may come in any order, each id once. O(n log n).
   void assign(std::vector<std::pair<double, EndpointId>> entries) {
     entries_ = std::move(entries);
     std::sort(entries_.begin(), entries_.end());
   }
+
   std::size_t size() const { return entries_.size(); }
-  EndpointId operator[](std::size_t i) const { return entries_[i].second; }
+
+  /// The id with the `index`-th lowest rank, from 0.
+  EndpointId operator[](std::size_t index) const { return entries_[index].second; }
 
  private:
   using Entry = std::pair<double, EndpointId>;
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -5,7 +5,7 @@
 #include <random>
 #include <set>
 
-#include "balancer/ranked_set.h"
+#include "balancer/state/ranked_set.h"
 #include "routing/subset.h"
 
 namespace beechhill::routing {
