--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -140,8 +140,7 @@
     health_checker_.add_budget();
     queues_.start_attempt(state, latencies_.shortest_objective_s());
     in_flight_.running += state.width;
-    state.attempts.push_back(
-        {id, record.incarnation, record.entry.zone, record.entry.cell, now_});
+    state.attempts.push_back({id, record.incarnation, record.entry.zone, record.entry.cell, now_});
     state.in_flight = true;
     silence_checks_.add(limit_.silent_at(state), state.request.id);
     actions_->push_back(StartAttempt{state.request.id, id});
@@ -344,7 +343,8 @@
 };
 
 Balancer::Balancer(Time now, Settings settings, std::vector<Action>& actions)
-    : impl_(std::make_unique<Impl>(now, std::move(settings), actions)) {}
+    : impl_(std::make_unique<Impl>(now, std::move(settings), actions)) {
+}
 Balancer::~Balancer() = default;
 
 void Balancer::handle(Time now, const Event& event, std::vector<Action>& actions) {
@@ -355,6 +355,8 @@
   return impl_->endpoint_counts(now);
 }
 
-EndpointStats Balancer::endpoint_stats(EndpointId id) const { return impl_->endpoint_stats(id); }
+EndpointStats Balancer::endpoint_stats(EndpointId id) const {
+  return impl_->endpoint_stats(id);
+}
 
 }  // namespace beechhill
--- a/src/balancer/discovery_polling.h
+++ b/src/balancer/discovery_polling.h
@@ -4,6 +4,7 @@
 #include <algorithm>
 
 #include "balancer/state/units.h"
+#include "beechhill/settings.h"
 
 namespace beechhill {
 
--- a/src/balancer/policy/retry_policy.h
+++ b/src/balancer/policy/retry_policy.h
@@ -5,6 +5,7 @@
 #include "balancer/state/latency_tracker.h"
 #include "balancer/state/random_source.h"
 #include "balancer/state/request_state.h"
+#include "beechhill/actions.h"
 
 namespace beechhill {
 
--- a/src/balancer/policy/slow_start.h
+++ b/src/balancer/policy/slow_start.h
@@ -2,6 +2,7 @@
 #pragma once
 
 #include "balancer/state/endpoint_state.h"
+#include "beechhill/settings.h"
 
 namespace beechhill {
 
--- a/src/balancer/settings.cpp
+++ b/src/balancer/settings.cpp
@@ -1,7 +1,7 @@
 // Refuses settings that make no sense, naming the setting.
-#include <stdexcept>
+#include "beechhill/settings.h"
 
-#include "beechhill/balancer.h"
+#include <stdexcept>
 
 namespace beechhill {
 namespace {
--- a/src/balancer/state/endpoint_state.h
+++ b/src/balancer/state/endpoint_state.h
@@ -10,6 +10,7 @@
 #include "balancer/state/outcome_counts.h"
 #include "balancer/state/token_bucket.h"
 #include "balancer/state/units.h"
+#include "beechhill/events.h"
 
 namespace beechhill {
 
--- a/src/balancer/state/endpoint_table.h
+++ b/src/balancer/state/endpoint_table.h
@@ -8,6 +8,7 @@
 #include "balancer/state/endpoint_state.h"
 #include "balancer/state/random_source.h"
 #include "balancer/state/ranked_set.h"
+#include "beechhill/events.h"
 
 namespace beechhill {
 
--- a/src/balancer/state/fleet_statistics.h
+++ b/src/balancer/state/fleet_statistics.h
@@ -7,6 +7,7 @@
 #include "balancer/state/decaying_average.h"
 #include "balancer/state/endpoint_table.h"
 #include "balancer/state/latency_tracker.h"
+#include "beechhill/settings.h"
 
 namespace beechhill {
 
--- a/src/balancer/state/latency_tracker.h
+++ b/src/balancer/state/latency_tracker.h
@@ -4,6 +4,7 @@
 #include <vector>
 
 #include "balancer/state/units.h"
+#include "beechhill/settings.h"
 
 namespace beechhill {
 
--- a/src/balancer/state/ranked_set.h
+++ b/src/balancer/state/ranked_set.h
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "beechhill/balancer.h"
+#include "beechhill/types.h"
 
 namespace beechhill {
 
--- a/src/balancer/state/request_state.h
+++ b/src/balancer/state/request_state.h
@@ -8,6 +8,8 @@
 #include <vector>
 
 #include "balancer/state/units.h"
+#include "beechhill/events.h"
+#include "beechhill/settings.h"
 
 namespace beechhill {
 
--- a/src/balancer/state/units.h
+++ b/src/balancer/state/units.h
@@ -3,7 +3,7 @@
 
 #include <cstdint>
 
-#include "beechhill/balancer.h"
+#include "beechhill/types.h"
 
 namespace beechhill {
 
