--- a/src/config/checksummed_json.cpp
+++ b/src/config/checksummed_json.cpp
@@ -7,29 +7,34 @@
 namespace beechhill::config {
 namespace {
 
+constexpr const char* kMagicKey = "is";
+constexpr const char* kFormatKey = "format";
+
 std::string checksum(std::string_view line) {
   return std::to_string(XXH64(line.data(), line.size(), 0));
 }
 
 }  // namespace
 
-std::string encode_checksummed(Json::Value root, const char* is, int format, int precision) {
-  root["is"] = is;
-  root["format"] = format;
+std::string encode_checksummed(Json::Value root, const char* magic, int format,
+                               int significant_digits) {
+  root[kMagicKey] = magic;
+  root[kFormatKey] = format;
   Json::StreamWriterBuilder writer;
   writer["indentation"] = "";
-  writer["precision"] = precision;
+  writer["precision"] = significant_digits;
   const std::string line = Json::writeString(writer, root);
   return line + "\n" + checksum(line) + "\n";
 }
 
-std::optional<Json::Value> decode_checksummed(std::string_view text, const char* is, int format) {
-  const auto end = text.find('\n');
-  if (end == std::string_view::npos) {
+std::optional<Json::Value> decode_checksummed(std::string_view text, const char* magic,
+                                              int format) {
+  const auto line_end = text.find('\n');
+  if (line_end == std::string_view::npos) {
     return std::nullopt;
   }
-  const std::string_view line = text.substr(0, end);
-  if (text.substr(end + 1) != checksum(line) + "\n") {
+  const std::string_view line = text.substr(0, line_end);
+  if (text.substr(line_end + 1) != checksum(line) + "\n") {
     return std::nullopt;
   }
   Json::Value root;
@@ -37,7 +42,7 @@
   if (!reader->parse(line.data(), line.data() + line.size(), &root, nullptr) || !root.isObject()) {
     return std::nullopt;
   }
-  if (root["is"] != is || root["format"] != format) {
+  if (root[kMagicKey] != magic || root[kFormatKey] != format) {
     return std::nullopt;
   }
   return root;
--- a/src/config/checksummed_json.h
+++ b/src/config/checksummed_json.h
@@ -1,5 +1,6 @@
-// State that is kept in a file: one line of JSON and one with its checksum (xxHash64). It is read
-// back whole or not at all.
+// State that is kept in a file, as two lines: one JSON object, and the decimal xxHash64 of that
+// line. A file that is torn or damaged fails the checksum, so it is read back completely or not at
+// all.
 #pragma once
 
 #include <json/json.h>
@@ -10,9 +11,16 @@
 
 namespace beechhill::config {
 
-// `is` and `format` say what it is, and in which version; `precision`: digits of its numbers.
-std::string encode_checksummed(Json::Value root, const char* is, int format, int precision = 17);
-// Nothing where it is torn, or not of that kind and version.
-std::optional<Json::Value> decode_checksummed(std::string_view text, const char* is, int format);
+/// Significant decimal digits that give every double back exactly.
+inline constexpr int kExactDigits = 17;
+
+/// Returns `root` as text. `magic` names the kind of state and `format` its version; both are
+/// stored in the object. Numbers keep `significant_digits`.
+std::string encode_checksummed(Json::Value root, const char* magic, int format,
+                               int significant_digits = kExactDigits);
+
+/// Returns the object, or nothing where `text` fails its checksum, is no JSON object, or is not of
+/// the kind `magic` and the version `format`.
+std::optional<Json::Value> decode_checksummed(std::string_view text, const char* magic, int format);
 
 }  // namespace beechhill::config
--- a/src/hot_restart/hot_restart_actor.cpp
+++ b/src/hot_restart/hot_restart_actor.cpp
@@ -1,5 +1,8 @@
 #include "hot_restart/hot_restart_actor.h"
 
+#include <exception>
+#include <utility>
+
 #include "log/log.h"
 #include "proxy/connection_log.h"
 
@@ -9,132 +12,174 @@
 using runtime::Clock;
 using runtime::PendingReply;
 using runtime::Task;
+using runtime::TimePoint;
 
 namespace {
 
-constexpr auto kLook = 50ms;  // a call at one process binds the other within 1 s
-constexpr auto kLookWhenNew = 5ms;
-constexpr auto kOwnerLimit =
-    600ms;  // for the owner to carry an order out; the operator hears within 1 s
-constexpr auto kLockLimit = 150ms, kLockPause = 5ms;
+// A command at one process must take effect in the others within 1 s.
+constexpr std::chrono::milliseconds kSyncInterval = 50ms;
+// Until readiness is published, which the predecessor and the platform wait for.
+constexpr std::chrono::milliseconds kStartupSyncInterval = 5ms;
+// For the owner to execute a command. Operators get their answer within 1 s, the time to store
+// the command included.
+constexpr std::chrono::milliseconds kOwnerTimeout = 600ms;
+// For another process to release the directory's lock.
+constexpr std::chrono::milliseconds kLockTimeout = 150ms;
+constexpr std::chrono::milliseconds kLockRetryInterval = 5ms;
 constexpr std::size_t kInboxCapacity = 64;
 
+constexpr int kOk = 200;
+constexpr int kServiceUnavailable = 503;
+
+proxy::ListenerCommand listener_command(bool drain, std::shared_ptr<PendingReply> reply) {
+  const auto type =
+      drain ? proxy::ListenerCommandType::kDrain : proxy::ListenerCommandType::kResume;
+  return {type, false, std::move(reply)};
+}
+
 }  // namespace
 
 HotRestartActor::HotRestartActor(runtime::Scheduler& scheduler,
-                                 std::unique_ptr<SharedStateDirectory> folder,
-                                 proxy::DecisionMailbox& decisions, proxy::ListenerMailbox& door,
-                                 StatusExchange look)
+                                 std::unique_ptr<SharedStateDirectory> directory,
+                                 proxy::DecisionMailbox& decisions,
+                                 proxy::ListenerMailbox& listener, StatusExchange exchange_status)
     : scheduler_(scheduler),
-      folder_(std::move(folder)),
+      directory_(std::move(directory)),
       decisions_(decisions),
-      door_(door),
-      look_(std::move(look)),
+      listener_(listener),
+      exchange_status_(std::move(exchange_status)),
       inbox_(kInboxCapacity) {
-  if (folder_) {
-    followed_ = folder_->state();
+  if (directory_) {
+    forwarded_state_ = directory_->state();
   }
 }
 
 Task<> HotRestartActor::run() {
-  auto next = Clock::now();
+  TimePoint next_sync = Clock::now();
   for (;;) {
     while (!inbox_.empty()) {
-      OperatorCommand order = inbox_.take();
-      co_await carry_out(std::move(order));
+      OperatorCommand command = inbox_.take();
+      co_await execute(std::move(command));
     }
-    if (folder_ && Clock::now() >= next) {
-      next = Clock::now() + kLook;
-      if (folder_->refresh()) {
-        follow();
-      }
-      const ProcessStatus own = look_(folder_->process_group_status());
-      folder_->publish(own.ready, own.descriptors);
-      told_ready_ = own.ready;
-      if (!told_ready_) {
-        next = Clock::now() + kLookWhenNew;
-      }
+    if (directory_ && Clock::now() >= next_sync) {
+      const TimePoint started_at = Clock::now();
+      synchronize();
+      next_sync =
+          readiness_published_ ? started_at + kSyncInterval : Clock::now() + kStartupSyncInterval;
     }
     runtime::Wait wait(scheduler_);
     wait.notified(inbox_.arrived());
-    if (folder_) {
-      wait.until(next);
+    if (directory_) {
+      wait.until(next_sync);
     }
     co_await wait;
   }
 }
 
-Task<> HotRestartActor::carry_out(OperatorCommand order) {
-  const auto owner = std::make_shared<PendingReply>();
-  const bool of_backend =
-      order.change == StateChange::kExclude || order.change == StateChange::kInclude;
-  const bool posted =
-      of_backend
-          ? decisions_.post(proxy::ExcludeBackend{order.backend_id,
-                                                  order.change == StateChange::kExclude, owner})
-          : door_.post({order.change == StateChange::kDrain ? proxy::ListenerCommandType::kDrain
-                                                            : proxy::ListenerCommandType::kResume,
-                        false, owner});
-  int status = 503;
-  if (posted) {
-    status = co_await runtime::await_reply(scheduler_, owner, kOwnerLimit);
+void HotRestartActor::synchronize() {
+  if (directory_->refresh()) {
+    forward_state_changes();
   }
-  if (folder_ && status == 200) {
-    // Done here; a yes binds the other process too.
-    const auto written_by = Clock::now() + kLockLimit;
-    bool written = false;
-    try {
-      while (!(written = folder_->change(order.change, order.backend_id)) &&
-             Clock::now() < written_by) {
-        runtime::Wait wait(scheduler_);
-        wait.until(Clock::now() + kLockPause);
-        co_await wait;
-      }
-    } catch (const std::exception& error) {
-      log::fault("handover_fault", error);
-    }
-    if (written) {
-      follow();
+  const ProcessStatus status = exchange_status_(directory_->process_group_status());
+  directory_->publish(status.ready, status.descriptors);
+  readiness_published_ = status.ready;
+}
+
+Task<> HotRestartActor::execute(OperatorCommand command) {
+  const auto owner_reply = std::make_shared<PendingReply>();
+  int status = kServiceUnavailable;
+  if (post_to_owner(command, owner_reply)) {
+    status = co_await runtime::await_reply(scheduler_, owner_reply, kOwnerTimeout);
+  }
+  // Executed here; an answer of 200 means that the other processes will follow.
+  if (directory_ && status == kOk) {
+    const bool stored = co_await store(command);
+    if (!stored) {
+      status = kServiceUnavailable;
     }
-    if (!written) {
-      status = 503;
+  }
+  command.reply->complete(status);
+}
+
+bool HotRestartActor::post_to_owner(const OperatorCommand& command,
+                                    const std::shared_ptr<PendingReply>& reply) {
+  switch (command.change) {
+    case StateChange::kExclude:
+    case StateChange::kInclude: {
+      const bool excluded = command.change == StateChange::kExclude;
+      return decisions_.post(proxy::ExcludeBackend{command.backend_id, excluded, reply});
     }
+    case StateChange::kDrain:
+    case StateChange::kResume:
+      return listener_.post(listener_command(command.change == StateChange::kDrain, reply));
   }
-  order.reply->complete(status);
+  return false;
 }
 
-// What has changed since goes to its owners; what they were told already changes nothing there.
-void HotRestartActor::follow() {
-  const SharedState& now = folder_->state();
-  bool told = true;
-  for (const std::string& host : now.excluded_backends) {
-    if (!followed_.excluded_backends.contains(host)) {
-      told = decisions_.post(proxy::ExcludeBackend{host, true, nullptr}) && told;
+// Returns false where the lock was not free in time, or the disk failed. `command` must outlive the
+// task.
+Task<bool> HotRestartActor::store(const OperatorCommand& command) {
+  const TimePoint deadline = Clock::now() + kLockTimeout;
+  try {
+    while (!directory_->try_apply(command.change, command.backend_id)) {
+      if (Clock::now() >= deadline) {
+        co_return false;
+      }
+      runtime::Wait wait(scheduler_);
+      wait.until(Clock::now() + kLockRetryInterval);
+      co_await wait;
     }
+  } catch (const std::exception& error) {
+    log::fault("handover_fault", error);
+    co_return false;
+  }
+  forward_state_changes();
+  co_return true;
+}
+
+// What this process's actors have already executed changes nothing there.
+void HotRestartActor::forward_state_changes() {
+  const SharedState& current = directory_->state();
+  const bool exclusions_posted = post_exclusion_changes(current);
+  const bool drain_posted = post_drain_change(current);
+  if (!exclusions_posted || !drain_posted) {
+    // Every change since `forwarded_state_` is posted again after the next one.
+    log::dropped_message("handover");
+    return;
   }
-  for (const std::string& host : followed_.excluded_backends) {
-    if (!now.excluded_backends.contains(host)) {
-      told = decisions_.post(proxy::ExcludeBackend{host, false, nullptr}) && told;
+  forwarded_state_ = current;
+}
+
+bool HotRestartActor::post_exclusion_changes(const SharedState& current) {
+  const auto& before = forwarded_state_.excluded_backends;
+  const auto& now = current.excluded_backends;
+  bool all_posted = true;
+  for (const std::string& backend_id : now) {
+    if (!before.contains(backend_id)) {
+      all_posted &= decisions_.post(proxy::ExcludeBackend{backend_id, true, nullptr});
     }
   }
-  if (now.drained != followed_.drained) {
-    told = door_.post({now.drained ? proxy::ListenerCommandType::kDrain
-                                   : proxy::ListenerCommandType::kResume,
-                       false, nullptr}) &&
-           told;
+  for (const std::string& backend_id : before) {
+    if (!now.contains(backend_id)) {
+      all_posted &= decisions_.post(proxy::ExcludeBackend{backend_id, false, nullptr});
+    }
   }
-  if (!told) {
-    return log::dropped_message("handover");  // all of it is told again after the next change
+  return all_posted;
+}
+
+bool HotRestartActor::post_drain_change(const SharedState& current) {
+  if (current.drained == forwarded_state_.drained) {
+    return true;
   }
-  followed_ = now;
+  return listener_.post(listener_command(current.drained, nullptr));
 }
 
 bool HotRestartActor::has_successor() {
-  if (!folder_) {
+  if (!directory_) {
     return false;
   }
-  folder_->refresh();
-  return folder_->process_group_status().successor;
+  directory_->refresh();
+  return directory_->process_group_status().successor;
 }
 
 }  // namespace beechhill::hot_restart
--- a/src/hot_restart/shared_state.h
+++ b/src/hot_restart/shared_state.h
@@ -1,5 +1,5 @@
-// What the processes of one proxy share over an upgrade: its format and how changes go into it. No
-// I/O.
+// What the processes of one proxy share over a hot restart: the stored format, and how changes are
+// applied. Free of I/O.
 #pragma once
 
 #include <cstdint>
@@ -11,22 +11,29 @@
 namespace beechhill::hot_restart {
 
 struct SharedState {
-  std::uint64_t generation = 0;  // of the process that started last; the first is 1
+  /// Of the process that started last; the first is 1.
+  std::uint64_t generation = 0;
+  /// Clients are sent away.
   bool drained = false;
-  std::set<std::string> excluded_backends;  // ids of backends left out by hand
+  /// Ids of the backends that operators have excluded.
+  std::set<std::string> excluded_backends;
 
   bool operator==(const SharedState&) const = default;
 };
 
-// What an operator ordered. It is applied to the state as it stands, never to a copy that a process
-// remembers: so two processes' orders cannot undo each other.
+/// An operator's change. It is applied to the state as it is stored, never to a copy that a process
+/// holds: so changes at two processes cannot undo each other.
 enum class StateChange { kExclude, kInclude, kDrain, kResume };
-void apply(SharedState& state, StateChange change, const std::string& host);
 
-// One line of JSON and one with its checksum (xxHash64). A host may hold any bytes that JSON text
-// can.
+/// Applies `change`. `backend_id` matters to kExclude and kInclude only. Idempotent.
+void apply(SharedState& state, StateChange change, const std::string& backend_id);
+
+/// Returns the state as checksummed JSON (config/checksummed_json.h). An id may hold any bytes that
+/// a JSON text can.
 std::string encode(const SharedState& state);
-// Nothing where it is torn, foreign or another version's.
+
+/// Returns the complete state, or nothing where `text` is torn, damaged or of another kind or
+/// version.
 std::optional<SharedState> decode(std::string_view text);
 
 }  // namespace beechhill::hot_restart
--- a/src/hot_restart/shared_state_directory.cpp
+++ b/src/hot_restart/shared_state_directory.cpp
@@ -1,161 +1,167 @@
 #include "hot_restart/shared_state_directory.h"
 
 #include <fcntl.h>
-#include <sys/file.h>
 #include <sys/stat.h>
 #include <unistd.h>
 
 #include <algorithm>
-#include <cerrno>
+#include <chrono>
 #include <cstdio>
 #include <system_error>
+#include <thread>
+#include <utility>
 
 #include "log/log.h"
+#include "storage/file.h"
 
 namespace beechhill::hot_restart {
 namespace {
 
-constexpr std::uint64_t kLookBack = 8;  // generations that may still be ending
-constexpr std::size_t kMostBytes = 4 * 1024 * 1024;
-constexpr int kLockTries = 200;  // of 5 ms, while starting
-
-[[noreturn]] void fail(const std::string& what) {
-  throw std::system_error(errno, std::generic_category(), what);
-}
-
-net::Fd opened(const std::string& path, int flags) {
-  return net::Fd(::open(path.c_str(), flags | O_CLOEXEC, 0600));
+// Generations that may still be alive: older processes have long ended.
+constexpr std::uint64_t kMaxLiveGenerations = 8;
+constexpr std::size_t kMaxStateBytes = std::size_t{4} * 1024 * 1024;
+// While starting; a holder keeps the lock for one read and one write.
+constexpr int kMaxLockAttempts = 200;
+constexpr std::chrono::milliseconds kLockRetryInterval{5};
+
+// A process's name may contain '/', a file's may not.
+std::string make_path_prefix(const std::string& path, std::string process_name) {
+  std::replace(process_name.begin(), process_name.end(), '/', '_');
+  return path + "/beechhill-" + process_name;
 }
 
 }  // namespace
 
-SharedStateDirectory::SharedStateDirectory(std::string path, std::string name) {
-  std::replace(name.begin(), name.end(), '/', '_');
-  base_ = std::move(path) + "/beechhill-" + name;
-  std::optional<net::Fd> held;
-  for (int n = 0; !(held = lock()); ++n) {
-    if (n >= kLockTries) {
-      fail("lock in " + base_);
-    }
-    ::usleep(5000);  // before anything is served
-  }
-  read();
-  generation_ = ++state_.generation;
-  own_ = opened(of(generation_), O_RDWR | O_CREAT | O_TRUNC);
-  if (!own_ || ::flock(own_.get(), LOCK_EX | LOCK_NB) < 0) {
-    fail("presence in " + base_);
-  }
-  if (generation_ > kLookBack) {
-    ::unlink(of(generation_ - kLookBack).c_str());
+SharedStateDirectory::SharedStateDirectory(const std::string& path, const std::string& process_name)
+    : path_prefix_(make_path_prefix(path, process_name)) {
+  const net::Fd lock = wait_for_lock();
+  join();
+}
+
+void SharedStateDirectory::join() {
+  read_state();
+  ++state_.generation;
+  generation_ = state_.generation;
+  liveness_lock_ = ProcessLivenessLock(liveness_path(generation_));
+  if (generation_ > kMaxLiveGenerations) {
+    ::unlink(liveness_path(generation_ - kMaxLiveGenerations).c_str());
   }
   publish(false, 0);
-  write();
+  write_state();
 }
 
-std::string SharedStateDirectory::of(std::uint64_t generation) const {
-  return base_ + ".process-" + std::to_string(generation);
+std::string SharedStateDirectory::state_path() const {
+  return path_prefix_ + ".state";
 }
 
-std::optional<net::Fd> SharedStateDirectory::lock() const {
-  net::Fd fd = opened(base_ + ".lock", O_RDWR | O_CREAT);
-  if (!fd) {
-    fail("open " + base_ + ".lock");
+std::string SharedStateDirectory::liveness_path(std::uint64_t generation) const {
+  return path_prefix_ + ".process-" + std::to_string(generation);
+}
+
+net::Fd SharedStateDirectory::wait_for_lock() const {
+  for (int attempt = 0; attempt < kMaxLockAttempts; ++attempt) {
+    if (std::optional<net::Fd> lock = try_lock()) {
+      return std::move(*lock);
+    }
+    std::this_thread::sleep_for(kLockRetryInterval);
+  }
+  throw std::system_error(std::make_error_code(std::errc::resource_unavailable_try_again),
+                          "lock " + path_prefix_ + ".lock");
+}
+
+std::optional<net::Fd> SharedStateDirectory::try_lock() const {
+  const std::string path = path_prefix_ + ".lock";
+  net::Fd file = storage::open_file(path, O_RDWR | O_CREAT);
+  if (!file) {
+    throw std::system_error(storage::last_error(), "open " + path);
   }
-  if (::flock(fd.get(), LOCK_EX | LOCK_NB) < 0) {
+  if (!storage::try_lock(file)) {
     return std::nullopt;
   }
-  return fd;
+  return file;
 }
 
-std::optional<SharedStateDirectory::Version> SharedStateDirectory::version_now() const {
-  struct stat about{};
-  if (::stat((base_ + ".state").c_str(), &about) < 0) {
+std::optional<SharedStateDirectory::FileVersion> SharedStateDirectory::stored_version() const {
+  struct stat status{};
+  if (::stat(state_path().c_str(), &status) < 0) {
     return std::nullopt;
   }
-  return Version{about.st_ino, about.st_mtim.tv_sec, about.st_mtim.tv_nsec};
+  return FileVersion{status.st_ino, status.st_mtim.tv_sec, status.st_mtim.tv_nsec};
 }
 
-void SharedStateDirectory::read() {
-  const std::string path = base_ + ".state";
-  seen_ = version_now();  // first: what is replaced meanwhile is read again
-  const net::Fd fd = opened(path, O_RDONLY);
-  struct stat about{};
-  if (!fd || ::fstat(fd.get(), &about) < 0) {
-    return;  // the first process: there is none
+void SharedStateDirectory::read_state() {
+  const std::string path = state_path();
+  // Taken before the text: a state that is replaced in between is read again at the next refresh.
+  version_ = stored_version();
+  const std::optional<std::string> text = storage::read_file(path, kMaxStateBytes);
+  if (!text) {
+    return;  // this is the first process
   }
-  std::string text(std::min<std::size_t>(static_cast<std::size_t>(about.st_size), kMostBytes),
-                   '\0');
-  const ssize_t n = ::read(fd.get(), text.data(), text.size());
-  text.resize(n > 0 ? static_cast<std::size_t>(n) : 0);
-  if (auto state = decode(text)) {
-    state->generation = std::max(state->generation, state_.generation);
-    state_ = std::move(*state);
+  std::optional<SharedState> stored = decode(*text);
+  if (!stored) {
+    // This process's state stays valid; no other process is to read the damaged one again.
+    (void)std::rename(path.c_str(), (path + ".faulty").c_str());
+    log::warning("handover_set_aside", {{"file", std::string_view(path)}});
     return;
   }
-  // What this process holds goes on to count; nobody reads the faulty one again.
-  std::rename(path.c_str(), (path + ".faulty").c_str());
-  log::warning("handover_set_aside", {{"file", std::string_view(path)}});
+  stored->generation = std::max(stored->generation, state_.generation);
+  state_ = std::move(*stored);
 }
 
-void SharedStateDirectory::write() {
-  const std::string path = base_ + ".state", fresh = path + ".new", text = encode(state_);
-  const net::Fd fd = opened(fresh, O_WRONLY | O_CREAT | O_TRUNC);
-  if (!fd || ::write(fd.get(), text.data(), text.size()) != static_cast<ssize_t>(text.size())) {
-    fail("write " + fresh);
-  }
-  if (std::rename(fresh.c_str(), path.c_str()) < 0) {
-    fail("replace " + path);
+void SharedStateDirectory::write_state() {
+  const std::string path = state_path();
+  // Shared by running processes only, so nothing has to survive a crash of the machine.
+  const std::error_code error =
+      storage::replace_file(path, encode(state_), storage::Durability::kProcessCrash);
+  if (error) {
+    throw std::system_error(error, "replace " + path);
   }
-  seen_ = version_now();
+  version_ = stored_version();
 }
 
 bool SharedStateDirectory::refresh() {
-  if (version_now() == seen_) {
+  if (stored_version() == version_) {
     return false;
   }
-  read();
+  read_state();
   return true;
 }
 
-bool SharedStateDirectory::change(StateChange change, const std::string& host) {
-  const auto held = lock();
-  if (!held) {
+bool SharedStateDirectory::try_apply(StateChange change, const std::string& backend_id) {
+  const std::optional<net::Fd> lock = try_lock();
+  if (!lock) {
     return false;
   }
   refresh();
-  apply(state_, change, host);
-  write();
+  apply(state_, change, backend_id);
+  write_state();
   return true;
 }
 
 void SharedStateDirectory::publish(bool ready, std::uint32_t descriptors) {
-  const Presence now{ready ? 1U : 0U, descriptors};
-  if (::pwrite(own_.get(), &now, sizeof now, 0) != sizeof now) {
+  if (!liveness_lock_.publish({ready ? 1U : 0U, descriptors})) {
     log::warning("handover_unpublished", {});
   }
 }
 
 SharedStateDirectory::ProcessGroupStatus SharedStateDirectory::process_group_status() const {
-  ProcessGroupStatus others;
+  ProcessGroupStatus group;
   const std::uint64_t last = state_.generation;
-  for (std::uint64_t g = last > kLookBack ? last - kLookBack + 1 : 1; g <= last; ++g) {
-    if (g == generation_) {
+  const std::uint64_t first = last > kMaxLiveGenerations ? last - kMaxLiveGenerations + 1 : 1;
+  for (std::uint64_t generation = first; generation <= last; ++generation) {
+    if (generation == generation_) {
       continue;
     }
-    const net::Fd fd = opened(of(g), O_RDWR);
-    if (!fd || ::flock(fd.get(), LOCK_EX | LOCK_NB) == 0) {
-      continue;  // it never was, or is gone
-    }
-    Presence it;
-    if (::pread(fd.get(), &it, sizeof it, 0) != sizeof it) {
-      it = {};
+    const auto status = ProcessLivenessLock::read_if_alive(liveness_path(generation));
+    if (!status) {
+      continue;
     }
-    ++others.alive;
-    others.descriptors += it.descriptors;
-    others.successor = others.successor || (g > generation_ && it.ready != 0);
-    others.predecessor = others.predecessor || g < generation_;
+    ++group.alive;
+    group.descriptors += status->descriptors;
+    group.successor = group.successor || (generation > generation_ && status->ready != 0);
+    group.predecessor = group.predecessor || generation < generation_;
   }
-  return others;
+  return group;
 }
 
 }  // namespace beechhill::hot_restart
--- a/src/recovery/recovery_tracker.cpp
+++ b/src/recovery/recovery_tracker.cpp
@@ -6,14 +6,14 @@
 namespace beechhill::recovery {
 namespace {
 
-// Of the grace, a gap takes one part before it counts: what came at its beginning is then still
-// acted on in time. Where no grace is stated none binds, and a second serves to notice that the
-// process was away.
-constexpr int kGapShare = 2;
-constexpr Duration kNoGrace{2'000'000};
-// Discovery is an agent on this machine, or near: it answers in milliseconds or not soon. Waiting
-// longer would keep clients from their answer for a list that does not come.
-constexpr Duration kMostHearing{250'000};
+// A pause counts from this part of the drain grace on: an update that was written as the pause
+// began is then still acted on within the grace.
+constexpr int kDrainGraceDivisor = 2;
+// In place of the drain grace where the settings give none.
+constexpr Duration kDefaultDrainGrace{2'000'000};
+// Discovery is an agent on this machine, or near: it answers within milliseconds or not soon. A
+// longer wait would delay clients for a list that does not come.
+constexpr Duration kMaxResyncTimeout{250'000};
 
 }  // namespace
 
@@ -31,44 +31,59 @@
 
 RecoveryTracker::RecoveryTracker(Time now, Duration drain_grace, Duration watch_silence,
                                  bool has_list)
-    : away_after_((drain_grace > Duration{0} ? drain_grace : kNoGrace) / kGapShare),
-      hear_within_(std::min(away_after_, kMostHearing)),
+    : pause_threshold_((drain_grace > Duration{0} ? drain_grace : kDefaultDrainGrace) /
+                       kDrainGraceDivisor),
+      resync_timeout_(std::min(pause_threshold_, kMaxResyncTimeout)),
       watch_silence_(watch_silence),
-      looked_at_(now),
-      hear_by_(now + kMostHearing),
-      has_list_(has_list),
-      returning_(has_list),
+      last_observation_(now),
+      resync_deadline_(now + kMaxResyncTimeout),
+      has_endpoints_(has_list),
+      resyncing_(has_list),
       starting_(has_list) {
 }
 
 bool RecoveryTracker::observe_clock(Time now) {
-  const Duration since = now - std::exchange(looked_at_, std::max(now, looked_at_));
-  if (since <= away_after_) {
+  const Time previous = std::exchange(last_observation_, std::max(now, last_observation_));
+  const Duration elapsed = now - previous;
+  if (elapsed <= pause_threshold_) {
     return false;
   }
-  gap_ = since;
-  returning_ = has_list_;  // without a list there is nothing to send to, nor to doubt
-  hear_by_ = now + hear_within_;
-  return returning_;
+  last_pause_ = elapsed;
+  // Without a list there is nothing that could be out of date.
+  resyncing_ = has_endpoints_;
+  resync_deadline_ = now + resync_timeout_;
+  return resyncing_;
 }
 
 void RecoveryTracker::on_endpoint_update() {
-  has_list_ = true;
-  if (!returning_) {
-    heard_ = true;  // after a gap one line of several is not all
+  has_endpoints_ = true;
+  // During a resync this may be the first of several updates.
+  if (!resyncing_) {
+    updated_ = true;
   }
 }
 
 void RecoveryTracker::on_resync_complete() {
-  heard_ = heard_ || returning_;
-  returning_ = starting_ = false;
+  updated_ = updated_ || resyncing_;
+  resyncing_ = false;
+  starting_ = false;
 }
 
 bool RecoveryTracker::is_resyncing(Time now) {
-  if (returning_ && now >= hear_by_) {
-    returning_ = starting_ = heard_ = false;  // on with what is held: still hearing
+  // The process goes on with the list that it holds; the stage stays kResyncing.
+  if (resyncing_ && now >= resync_deadline_) {
+    resyncing_ = false;
+    starting_ = false;
+    updated_ = false;
   }
-  return returning_;
+  return resyncing_;
+}
+
+Stage RecoveryTracker::stage() const {
+  if (!has_endpoints_) {
+    return Stage::kNoEndpoints;
+  }
+  return updated_ && !resyncing_ ? Stage::kReady : Stage::kResyncing;
 }
 
 }  // namespace beechhill::recovery
--- a/src/recovery/recovery_tracker.h
+++ b/src/recovery/recovery_tracker.h
@@ -1,8 +1,8 @@
-// Where a process stands on its way to full service: after its start, and after a gap in which it
-// did not run (it was stopped, or starved of its core). After a gap nothing that it holds is news
-// any more: it sends nothing until it knows what discovery wrote meanwhile, or until it has waited
-// for that long enough. Free of I/O and clocks: the host tells it the time. docs/design/recovery.md
-// weighs the ways.
+// How far a process has come towards full service: after its start, and after a pause in which it
+// did not run (it was stopped, or starved of its core). After a pause nothing that it holds counts
+// as current: nothing is sent until the process knows what discovery wrote meanwhile, or until the
+// resync deadline has passed. Free of I/O and clocks: the caller passes the time.
+// docs/design/recovery.md compares the alternatives.
 #pragma once
 
 #include "beechhill/balancer.h"
@@ -10,52 +10,70 @@
 namespace beechhill::recovery {
 
 enum class Stage {
-  kNoEndpoints,  // no list: nothing can be sent
-  kResyncing,    // a list is held, and discovery has not spoken since the start or the gap
+  /// There is no endpoint list: nothing can be sent.
+  kNoEndpoints,
+  /// A list is held, and discovery has sent nothing since the start or the last pause.
+  kResyncing,
   kReady,
 };
+
+/// Returns the stage as it stands in the log and on /api/telemetry: "empty", "hearing" or "full".
 const char* name(Stage stage);
 
+/// Used by one thread. Times come from one clock that may stand still or go back, which counts as
+/// no time.
 class RecoveryTracker {
  public:
-  // `drain_grace`: how long after discovery's word work may still go to a backend that drains; zero
-  // where none is stated. `watch_silence`: how long a live watch may say nothing. `has_list`: one
-  // is held at the start. It may be old, and what discovery's agent holds by then counts as told: a
-  // start with a list is a return like one after a gap.
+  /// `drain_grace`: how long after an update that drains a backend requests may still go there;
+  /// zero where the settings give none. `watch_silence`: how long a live watch may send nothing.
+  /// `has_list`: an endpoint list is held at the start. It may be old, so such a start is treated
+  /// as the end of a pause.
   RecoveryTracker(Time now, Duration drain_grace, Duration watch_silence, bool has_list);
 
-  // The host looks at its clock: before anything else that it does, and every beat() at the least.
-  // True: a gap has ended just now, and discovery is to be heard, anew where asks_again() says so.
+  /// To be called before anything else is done, and every observation_interval() at least. Returns
+  /// true when a pause has ended just now: then discovery's connection must be read to its end, or
+  /// a complete list be asked for where needs_snapshot() says so.
   bool observe_clock(Time now);
-  Duration observation_interval() const { return away_after_ / 2; }
-  // The gap outlasted the watch's own signs of life: what stands in the socket may not be all.
-  bool needs_snapshot() const { return gap_ >= watch_silence_; }
-  Duration gap() const { return gap_; }  // the latest
-
-  void on_endpoint_update();  // discovery has spoken: a list, or changes of it
-  void on_resync_complete();  // all that it wrote up to now has been heard
-  // Whether what is held may decide where something new goes. False within a gap that nobody has
-  // looked at yet.
+  /// The longest time between two calls of observe_clock() while the process runs.
+  Duration observation_interval() const { return pause_threshold_ / 2; }
+  /// Whether the last pause was as long as a watch may be silent: its connection may be dead, and
+  /// only a complete list tells what has changed.
+  bool needs_snapshot() const { return last_pause_ >= watch_silence_; }
+  /// The length of the last pause; zero before the first.
+  Duration gap() const { return last_pause_; }
+
+  /// Discovery has sent a list, or changes of it.
+  void on_endpoint_update();
+  /// Everything that discovery had written when the resync began has been read.
+  void on_resync_complete();
+  /// Whether the endpoint list may decide where something new goes. False also during a pause that
+  /// observe_clock() has not seen yet.
   bool endpoints_are_current(Time now) const {
-    return !returning_ && now - looked_at_ <= away_after_;
+    return !resyncing_ && now - last_observation_ <= pause_threshold_;
   }
-  // Whether the wait for discovery after a gap, or a start, goes on; it ends by itself at
-  // hear_by().
+  /// Whether the process still waits for discovery after a start or a pause. Ends the wait once
+  /// resync_deadline() is reached.
   bool is_resyncing(Time now);
-  // Whether the process may be put to use: it has a list, and its start is over.
-  bool ready() const { return has_list_ && !starting_; }
-  Time resync_deadline() const { return hear_by_; }
-  Stage stage() const {
-    return !has_list_              ? Stage::kNoEndpoints
-           : heard_ && !returning_ ? Stage::kReady
-                                   : Stage::kResyncing;
-  }
+  /// Whether the process may be put to use: it has a list, and the wait after its start is over. A
+  /// later pause does not change that.
+  bool ready() const { return has_endpoints_ && !starting_; }
+  Time resync_deadline() const { return resync_deadline_; }
+  Stage stage() const;
 
  private:
-  Duration away_after_, hear_within_, watch_silence_;
-  Time looked_at_, hear_by_{0};
-  Duration gap_{0};
-  bool has_list_, heard_ = false, returning_, starting_;
+  Duration pause_threshold_;
+  Duration resync_timeout_;
+  Duration watch_silence_;
+  Time last_observation_;
+  Time resync_deadline_;
+  Duration last_pause_{0};
+  bool has_endpoints_;
+  /// Discovery has sent something since the start, or since the last wait that ran out.
+  bool updated_ = false;
+  /// Waiting for discovery, after the start or a pause.
+  bool resyncing_;
+  /// The wait after the start is not over.
+  bool starting_;
 };
 
 }  // namespace beechhill::recovery
--- a/src/snapshot/snapshot.cpp
+++ b/src/snapshot/snapshot.cpp
@@ -1,5 +1,6 @@
 #include "snapshot/snapshot.h"
 
+#include <algorithm>
 #include <cmath>
 #include <utility>
 
@@ -10,139 +11,203 @@
 
 constexpr int kFormat = 2;
 constexpr const char* kMagic = "beechhill-snapshot";
-constexpr int kDigits = 6;  // reports are no truer than that
-// A snapshot fades by e in a minute: load and neighbours change over minutes, machines over days.
-// Nothing under a hundredth of a report or an answer is worth telling.
-constexpr Duration kFades{60'000'000};
-constexpr double kLeast = 0.01;
-// More than the module's own memory of either ever holds, five reports and seven answers at its
-// smoothings, is no snapshot of it; nor is a pace beyond the most that it counts.
-constexpr double kMostReports = 10, kMostAnswers = 10, kMostPace = 10;
-constexpr double kMostUtilisation = 8, kMostRate = 1e5;  // as the module takes them from a report
-constexpr std::chrono::milliseconds kOldest{300'000};    // five times that: nothing is left
-constexpr std::chrono::milliseconds kClockStep{
-    2'000};  // clocks are set: so much in the future is now
-
-bool sound(double value) {
-  return std::isfinite(value) && value >= 0;
+// Load reports are no more precise than this.
+constexpr int kSignificantDigits = 6;
+
+// Load and neighbours of a backend change over minutes, its hardware over days.
+constexpr Duration kDecayTime{60'000'000};
+// A hundredth of a report or response; what is below has no influence on a decision.
+constexpr double kMinWeight = 0.01;
+
+// The balancer's own smoothing never holds more than five reports and seven responses, and counts
+// no latency ratio beyond kMaxLatencyRatio. Larger values are damage.
+constexpr double kMaxReportWeight = 10;
+constexpr double kMaxResponseWeight = 10;
+constexpr double kMaxLatencyRatio = 10;
+// The most that the balancer takes from a load report: a share of the processor, and requests a
+// second.
+constexpr double kMaxUtilization = 8;
+constexpr double kMaxRate = 1e5;
+
+// Five times kDecayTime: less than a hundredth of the records is left.
+constexpr std::chrono::milliseconds kMaxAge{300'000};
+// Clocks are corrected in small steps: a snapshot from so little in the future counts as new.
+constexpr std::chrono::milliseconds kClockTolerance{2'000};
+
+// Keys of the stored format.
+constexpr const char* kNameKey = "name";
+constexpr const char* kSettingsKey = "fleet";
+constexpr const char* kIncarnationKey = "life";
+constexpr const char* kWrittenAtKey = "written";
+constexpr const char* kRecordsKey = "rows";
+constexpr const char* kExcludedBackendsKey = "barred";
+constexpr const char* kHostKey = "host";
+constexpr const char* kStartedAtKey = "born";
+constexpr const char* kRecordedAtKey = "at";
+constexpr const char* kRatesKey = "rate";
+constexpr const char* kUtilizationsKey = "util";
+constexpr const char* kLatencyRatiosKey = "paces";
+constexpr const char* kResponseWeightKey = "answers";
+
+Json::Value encode_record(const EndpointRecord& record) {
+  Json::Value value;
+  value[kHostKey] = record.host;
+  value[kStartedAtKey] = Json::Int64(record.started_at.count());
+  value[kRecordedAtKey] = Json::Int64(record.recorded_at.count());
+  value[kRatesKey] = record.stats.weighted_rates;
+  value[kUtilizationsKey] = record.stats.weighted_utilizations;
+  value[kLatencyRatiosKey] = record.stats.weighted_latency_ratios;
+  value[kResponseWeightKey] = record.stats.response_weight;
+  return value;
+}
+
+bool is_non_negative_number(const Json::Value& value) {
+  return value.isNumeric() && std::isfinite(value.asDouble()) && value.asDouble() >= 0;
 }
 
-bool read_row(const Json::Value& v, EndpointRecord& row) {
-  if (!v.isObject() || !v["host"].isString() || !v["born"].isInt64() || !v["at"].isInt64()) {
-    return false;
+std::optional<EndpointRecord> decode_record(const Json::Value& value) {
+  if (!value.isObject() || !value[kHostKey].isString() || !value[kStartedAtKey].isInt64() ||
+      !value[kRecordedAtKey].isInt64()) {
+    return std::nullopt;
   }
-  for (const char* key : {"util", "rate", "paces", "answers"}) {
-    if (!v[key].isNumeric() || !sound(v[key].asDouble())) {
-      return false;
+  for (const char* key : {kUtilizationsKey, kRatesKey, kLatencyRatiosKey, kResponseWeightKey}) {
+    if (!is_non_negative_number(value[key])) {
+      return std::nullopt;
     }
   }
-  row.host = v["host"].asString();
-  row.started_at = std::chrono::milliseconds(v["born"].asInt64());
-  row.recorded_at = std::chrono::milliseconds(v["at"].asInt64());
-  row.stats = {v["rate"].asDouble(), v["util"].asDouble(), v["paces"].asDouble(),
-               v["answers"].asDouble()};
-  return !row.host.empty();
+  EndpointRecord record;
+  record.host = value[kHostKey].asString();
+  if (record.host.empty()) {
+    return std::nullopt;
+  }
+  record.started_at = std::chrono::milliseconds(value[kStartedAtKey].asInt64());
+  record.recorded_at = std::chrono::milliseconds(value[kRecordedAtKey].asInt64());
+  record.stats.weighted_rates = value[kRatesKey].asDouble();
+  record.stats.weighted_utilizations = value[kUtilizationsKey].asDouble();
+  record.stats.weighted_latency_ratios = value[kLatencyRatiosKey].asDouble();
+  record.stats.response_weight = value[kResponseWeightKey].asDouble();
+  return record;
+}
+
+bool is_bounded_array(const Json::Value& value) {
+  return value.isArray() && value.size() <= kMaxRecords;
+}
+
+bool has_all_fields(const Json::Value& root) {
+  return root[kNameKey].isString() && root[kSettingsKey].isString() &&
+         root[kIncarnationKey].isUInt64() && root[kWrittenAtKey].isInt64() &&
+         is_bounded_array(root[kRecordsKey]) && is_bounded_array(root[kExcludedBackendsKey]);
+}
+
+bool exceeds_balancer_limits(const EndpointStats& stats) {
+  return stats.weighted_utilizations > kMaxReportWeight * kMaxUtilization ||
+         stats.weighted_rates > kMaxReportWeight * kMaxRate ||
+         stats.response_weight > kMaxResponseWeight ||
+         stats.weighted_latency_ratios > kMaxLatencyRatio * stats.response_weight;
 }
 
 }  // namespace
 
-std::string encode(const Snapshot& s) {
+std::string encode(const Snapshot& snapshot) {
   Json::Value root;
-  root["name"] = s.name;
-  root["fleet"] = s.settings_hash;
-  root["life"] = Json::UInt64(s.incarnation);
-  root["written"] = Json::Int64(s.written_at.count());
-  root["rows"] = Json::Value(Json::arrayValue);
-  for (const EndpointRecord& r : s.records) {
-    if (root["rows"].size() >= kMaxRecords) {
+  root[kNameKey] = snapshot.name;
+  root[kSettingsKey] = snapshot.settings_hash;
+  root[kIncarnationKey] = Json::UInt64(snapshot.incarnation);
+  root[kWrittenAtKey] = Json::Int64(snapshot.written_at.count());
+  Json::Value& records = root[kRecordsKey] = Json::Value(Json::arrayValue);
+  for (const EndpointRecord& record : snapshot.records) {
+    if (records.size() >= kMaxRecords) {
       break;
     }
-    Json::Value row;
-    row["host"] = r.host;
-    row["born"] = Json::Int64(r.started_at.count());
-    row["at"] = Json::Int64(r.recorded_at.count());
-    row["rate"] = r.stats.weighted_rates;
-    row["util"] = r.stats.weighted_utilizations;
-    row["paces"] = r.stats.weighted_latency_ratios;
-    row["answers"] = r.stats.response_weight;
-    root["rows"].append(std::move(row));
-  }
-  root["barred"] = Json::Value(Json::arrayValue);
-  for (const std::string& host : s.excluded_backends) {
-    root["barred"].append(host);
-  }
-  return config::encode_checksummed(std::move(root), kMagic, kFormat, kDigits);
+    records.append(encode_record(record));
+  }
+  Json::Value& excluded_backends = root[kExcludedBackendsKey] = Json::Value(Json::arrayValue);
+  for (const std::string& host : snapshot.excluded_backends) {
+    excluded_backends.append(host);
+  }
+  return config::encode_checksummed(std::move(root), kMagic, kFormat, kSignificantDigits);
 }
 
 std::optional<Snapshot> decode(std::string_view text) {
   if (text.size() > kMaxSnapshotBytes) {
     return std::nullopt;
   }
-  const auto sealed = config::decode_checksummed(text, kMagic, kFormat);
-  if (!sealed) {
-    return std::nullopt;
-  }
-  const Json::Value& root = *sealed;
-  if (!root["name"].isString() || !root["fleet"].isString() || !root["life"].isUInt64()) {
-    return std::nullopt;
-  }
-  if (!root["written"].isInt64() || !root["rows"].isArray() || root["rows"].size() > kMaxRecords) {
-    return std::nullopt;
-  }
-  Snapshot s;
-  s.name = root["name"].asString();
-  s.settings_hash = root["fleet"].asString();
-  s.incarnation = root["life"].asUInt64();
-  s.written_at = std::chrono::milliseconds(root["written"].asInt64());
-  if (!root["barred"].isArray() || root["barred"].size() > kMaxRecords) {
+  const std::optional<Json::Value> decoded = config::decode_checksummed(text, kMagic, kFormat);
+  if (!decoded || !has_all_fields(*decoded)) {
     return std::nullopt;
   }
-  for (const Json::Value& host : root["barred"]) {
+  const Json::Value& root = *decoded;
+  Snapshot snapshot;
+  snapshot.name = root[kNameKey].asString();
+  snapshot.settings_hash = root[kSettingsKey].asString();
+  snapshot.incarnation = root[kIncarnationKey].asUInt64();
+  snapshot.written_at = std::chrono::milliseconds(root[kWrittenAtKey].asInt64());
+  for (const Json::Value& host : root[kExcludedBackendsKey]) {
     if (!host.isString()) {
       return std::nullopt;
     }
-    s.excluded_backends.insert(host.asString());
+    snapshot.excluded_backends.insert(host.asString());
   }
-  for (const Json::Value& row : root["rows"]) {
-    if (!read_row(row, s.records.emplace_back())) {
+  for (const Json::Value& value : root[kRecordsKey]) {
+    std::optional<EndpointRecord> record = decode_record(value);
+    if (!record) {
       return std::nullopt;
     }
+    snapshot.records.push_back(std::move(*record));
   }
-  return s;
+  return snapshot;
 }
 
-const char* rejection_reason(const Snapshot& s, std::string_view name, std::string_view fleet,
-                             std::chrono::milliseconds now) {
-  if (s.name != name) {
-    return "another_process";
+const char* name(RejectionReason reason) {
+  switch (reason) {
+    case RejectionReason::kDamaged:
+      return "not_whole";
+    case RejectionReason::kOtherProcess:
+      return "another_process";
+    case RejectionReason::kOtherSettings:
+      return "other_settings";
+    case RejectionReason::kFromTheFuture:
+      return "from_the_future";
+    case RejectionReason::kTooOld:
+      return "too_old";
+  }
+  return "unknown";
+}
+
+std::optional<RejectionReason> rejection_reason(const Snapshot& snapshot,
+                                                std::string_view process_name,
+                                                std::string_view settings_hash,
+                                                std::chrono::milliseconds now) {
+  if (snapshot.name != process_name) {
+    return RejectionReason::kOtherProcess;
   }
-  if (s.settings_hash != fleet) {
-    return "other_settings";
+  if (snapshot.settings_hash != settings_hash) {
+    return RejectionReason::kOtherSettings;
   }
-  if (s.written_at > now + kClockStep) {
-    return "from_the_future";
+  if (snapshot.written_at > now + kClockTolerance) {
+    return RejectionReason::kFromTheFuture;
   }
-  if (s.written_at + kOldest < now) {
-    return "too_old";
+  if (snapshot.written_at + kMaxAge < now) {
+    return RejectionReason::kTooOld;
   }
-  return nullptr;
+  return std::nullopt;
 }
 
-std::optional<EndpointStats> discounted(const EndpointStats& e, Duration age, bool started) {
-  if (started || e.weighted_utilizations > kMostReports * kMostUtilisation ||
-      e.weighted_rates > kMostReports * kMostRate) {
-    return std::nullopt;
-  }
-  if (e.response_weight > kMostAnswers ||
-      e.weighted_latency_ratios > kMostPace * e.response_weight) {
+std::optional<EndpointStats> discounted(const EndpointStats& stats, Duration age, bool restarted) {
+  if (restarted || exceeds_balancer_limits(stats)) {
     return std::nullopt;
   }
-  const double kept = std::exp(-std::chrono::duration<double>(std::max(age, Duration{0})) / kFades);
-  if (kept * (e.weighted_utilizations + e.response_weight) < kLeast) {
+  const std::chrono::duration<double> elapsed = std::max(age, Duration{0});
+  const double decay = std::exp(-elapsed / kDecayTime);
+  if (decay * (stats.weighted_utilizations + stats.response_weight) < kMinWeight) {
     return std::nullopt;
   }
-  return EndpointStats{kept * e.weighted_rates, kept * e.weighted_utilizations,
-                       kept * e.weighted_latency_ratios, kept * e.response_weight};
+  EndpointStats result;
+  result.weighted_rates = decay * stats.weighted_rates;
+  result.weighted_utilizations = decay * stats.weighted_utilizations;
+  result.weighted_latency_ratios = decay * stats.weighted_latency_ratios;
+  result.response_weight = decay * stats.response_weight;
+  return result;
 }
 
 }  // namespace beechhill::snapshot
--- a/src/snapshot/snapshot_store.h
+++ b/src/snapshot/snapshot_store.h
@@ -1,48 +1,48 @@
-// Keeps snapshots in a folder of a lasting disk: read once at the start, written by a thread of its
-// own, so that a disk that is slow or full costs snapshots and never a request.
+// The snapshots of one process name, in a directory on a disk that outlasts the process: one file,
+// read once at the start and rewritten by a thread of its own.
+//
+// Errors: the constructor throws std::runtime_error; damaged or unusable data is no error but set
+// aside, with its RejectionReason in the log.
 #pragma once
 
-#include <functional>
-#include <memory>
+#include <chrono>
+#include <cstdint>
 #include <optional>
+#include <set>
 #include <string>
+#include <vector>
 
 #include "net/socket.h"
+#include "snapshot/async_snapshot_writer.h"
 #include "snapshot/snapshot.h"
 
 namespace beechhill::snapshot {
 
-// Puts `text` at `path`, so that after a crash either the old or the new is there, whole. False,
-// and errno, where it could not.
-using DurableWrite = std::function<bool(const std::string& path, const std::string& text)>;
-bool write_durably(const std::string& path,
-                   const std::string& text);  // written aside, fsynced, renamed
-
+/// Holds a lock on its name in the directory for as long as it exists. Used by one thread.
 class SnapshotStore {
  public:
-  // Throws std::runtime_error where the folder cannot be used, or another process keeps snapshots
-  // there under that name.
-  SnapshotStore(const std::string& folder, std::string name, std::string fleet,
-                DurableWrite store = write_durably);
-  // Waits 300 ms at the most for what is being written; a disk that takes longer is left to itself.
-  ~SnapshotStore();
-  SnapshotStore(const SnapshotStore&) = delete;
-  SnapshotStore& operator=(const SnapshotStore&) = delete;
-
-  // What the last process left. What may not be used now (Unix time) is set aside, with a line in
-  // the log; of one that is whole and of this name the bans are left even then.
+  /// Throws std::runtime_error where the directory cannot be used, or another process keeps
+  /// snapshots there under `process_name`. `settings_hash`: see Snapshot.
+  SnapshotStore(const std::string& directory, std::string process_name, std::string settings_hash,
+                DurableWrite write = write_durably);
+
+  /// Returns what the last process left; blocks on the disk. Where the records may not be used at
+  /// the Unix time `now`, the file is renamed to "*.aside" and the reason logged; then only the
+  /// excluded backends of a complete snapshot of this name are returned.
   std::optional<Snapshot> load(std::chrono::milliseconds now);
-  // Hands on to the thread. What still waits there is replaced.
-  void save_async(std::vector<EndpointRecord> rows, std::set<std::string> barred,
+
+  /// Writes a snapshot that was taken at the Unix time `now`. Returns at once; replaces one that is
+  /// not being written yet.
+  void save_async(std::vector<EndpointRecord> records, std::set<std::string> excluded_backends,
                   std::chrono::milliseconds now);
 
  private:
-  struct Writer;
-
-  const std::string path_, name_, fleet_;
-  std::uint64_t life_ = 1;
+  const std::string path_;
+  const std::string process_name_;
+  const std::string settings_hash_;
+  std::uint64_t incarnation_ = 1;
   net::Fd lock_;
-  std::shared_ptr<Writer> writer_;
+  AsyncSnapshotWriter writer_;
 };
 
 }  // namespace beechhill::snapshot
--- a/tests/fuzz_snapshot.cpp
+++ b/tests/fuzz_snapshot.cpp
@@ -1,5 +1,5 @@
-// A target for libFuzzer (clang++ -fsanitize=fuzzer): whatever stands in a snapshot's file is read
-// whole or not at all. snapshot_test drives it with mutations of a good one.
+// A target for libFuzzer (clang++ -fsanitize=fuzzer): any bytes in a snapshot's file are read
+// completely or not at all. snapshot_test runs it with mutations of a good one.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -7,10 +7,11 @@
 #include "snapshot/snapshot.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  using namespace beechhill::snapshot;
-  const auto read = decode({reinterpret_cast<const char*>(data), size});
-  if (read && decode(encode(*read))->records.size() != read->records.size()) {
-    std::abort();  // what is read can be kept again
+  using beechhill::snapshot::decode;
+  using beechhill::snapshot::encode;
+  const auto snapshot = decode({reinterpret_cast<const char*>(data), size});
+  if (snapshot && decode(encode(*snapshot))->records.size() != snapshot->records.size()) {
+    std::abort();  // what was read must be readable once it is written again
   }
-  return read ? 1 : 0;
+  return 0;
 }
--- /dev/null
+++ b/tests/hot_restart_test.cpp
@@ -0,0 +1,304 @@
+// Hot restarts of real processes: two at a time, on one inherited socket and with a directory that
+// they share.
+#include <gtest/gtest.h>
+#include <sys/stat.h>
+
+#include <atomic>
+#include <cstring>
+#include <fstream>
+#include <list>
+#include <memory>
+#include <optional>
+#include <thread>
+
+#include "support/proxy_fixture.h"
+
+namespace beechhill::test {
+namespace {
+
+// Answers every request with its own id and the backend's name, after `delay`.
+class EchoBackend {
+ public:
+  explicit EchoBackend(std::string name, std::chrono::milliseconds delay = 0ms)
+      : name_(std::move(name)), delay_(delay), thread_([this] { run(); }) {}
+  ~EchoBackend() {
+    stopping_ = true;
+    thread_.join();
+  }
+  std::string host() const { return host_json(name_, listener_.address()); }
+
+ private:
+  void run() {
+    std::list<Wire> connections;
+    while (!stopping_) {
+      std::vector<pollfd> polled{{listener_.fd(), POLLIN, 0}};
+      for (const Wire& connection : connections) {
+        polled.push_back({connection.fd(), POLLIN, 0});
+      }
+      if (::poll(polled.data(), polled.size(), kPollMs) <= 0) {
+        continue;
+      }
+      std::size_t index = 1;
+      for (auto it = connections.begin(); it != connections.end(); ++index) {
+        const bool open = polled[index].revents == 0 || serve(*it);
+        it = open ? std::next(it) : connections.erase(it);
+      }
+      if (polled[0].revents != 0) {
+        connections.push_back(listener_.accept());
+      }
+    }
+  }
+
+  // Reads what has arrived and answers once the request is complete. Returns false at the
+  // connection's end.
+  bool serve(Wire& connection) const {
+    if (!connection.fill()) {
+      return false;
+    }
+    http::Parser parser(http::Parser::Kind::kRequest);
+    std::string bytes = connection.buffer;
+    if (parser.feed(bytes) == http::Progress::kDone) {
+      connection.buffer.clear();
+      std::this_thread::sleep_for(delay_);
+      connection.reply(200, "", *parser.message().headers.find("X-Trace-Id") + " " + name_);
+    }
+    return true;
+  }
+
+  static constexpr int kPollMs = 20;
+
+  Door listener_;
+  std::string name_;
+  std::chrono::milliseconds delay_;
+  std::atomic<bool> stopping_ = false;
+  std::thread thread_;
+};
+
+std::string hosts(const EchoBackend& only) {
+  return "[" + only.host() + "]";
+}
+
+std::string hosts(const EchoBackend& first, const EchoBackend& second) {
+  return "[" + first.host() + "," + second.host() + "]";
+}
+
+// Sends one request on a new connection. Returns the name of the backend that served it, or
+// nothing where the answer was not the request's own.
+std::optional<std::string> serving_backend(const Proxy& proxy, const std::string& id) {
+  Wire client = proxy.client();
+  client.send(Proxy::get(id));
+  const http::Message answer = client.answer();
+  if (answer.status != 200 || !answer.body.starts_with(id + " ")) {
+    return std::nullopt;
+  }
+  return answer.body.substr(id.size() + 1);
+}
+
+template <typename Condition>
+bool eventually(const Condition& holds) {
+  const auto deadline = Clock::now() + kPatience;
+  while (!holds()) {
+    if (Clock::now() >= deadline) {
+      return false;
+    }
+    ::usleep(10'000);
+  }
+  return true;
+}
+
+bool has_unavailable_backends(const Proxy& proxy, int count) {
+  const std::string field = "\"members_unavailable\":" + std::to_string(count);
+  return proxy.call("GET", "/api/telemetry").body.find(field) != std::string::npos;
+}
+
+// Clients that send one request after another: half of them on a new connection each time, half on
+// one that they keep. Stopped and joined by the destructor.
+class SteadyLoad {
+ public:
+  explicit SteadyLoad(const Proxy& proxy) {
+    for (int i = 0; i < kClients; ++i) {
+      const bool keep_connection = i % 2 != 0;
+      threads_.emplace_back([this, i, keep_connection, &proxy] { run(proxy, i, keep_connection); });
+    }
+  }
+  ~SteadyLoad() {
+    stopping_ = true;
+    for (std::thread& thread : threads_) {
+      thread.join();
+    }
+  }
+
+  // False where no more than 50 requests are served within kPatience.
+  bool makes_progress() const {
+    const int before = served_;
+    return eventually([&] { return served_ > before + 50; });
+  }
+
+ private:
+  static constexpr int kClients = 4;
+
+  void run(const Proxy& proxy, int client, bool keep_connection) {
+    std::optional<Wire> connection;
+    for (int n = 0; !stopping_; ++n) {
+      const std::string id = "l" + std::to_string(client) + "-" + std::to_string(n);
+      if (!connection || !keep_connection) {
+        connection = proxy.client();
+      }
+      if (connection->readable(0ms)) {
+        connection = proxy.client();  // the proxy has closed it between requests
+      }
+      connection->send(Proxy::get(id));
+      const http::Message answer = connection->answer();
+      if (answer.status != 200 || !answer.body.starts_with(id)) {
+        ADD_FAILURE() << id << ": status " << answer.status << ", body " << answer.body;
+        return;
+      }
+      if (!answer.keep_alive()) {
+        connection.reset();
+      }
+      ++served_;
+      ::usleep(2000);
+    }
+  }
+
+  std::atomic<bool> stopping_ = false;
+  std::atomic<int> served_ = 0;
+  std::vector<std::thread> threads_;
+};
+
+class HotRestart : public testing::Test {
+ protected:
+  const Shared shared_;
+};
+
+// Two restarts in a row.
+TEST_F(HotRestart, LosesNoRequest) {
+  constexpr int kRestarts = 2;
+  const EchoBackend backend("s-1", 2ms);
+  std::list<Proxy> processes;
+  processes.emplace_back(hosts(backend), "[]", &shared_);
+  const SteadyLoad load(processes.front());
+  for (int n = 0; n < kRestarts; ++n) {
+    ASSERT_TRUE(load.makes_progress());
+    Proxy& predecessor = processes.back();
+    Proxy& successor = processes.emplace_back(hosts(backend), "[]", &shared_);
+    ASSERT_EQ(successor.call("GET", "/api/ready").status, 200);
+    predecessor.signal(SIGTERM);
+    const auto signalled_at = Clock::now();
+    ASSERT_EQ(predecessor.exit_status(), 0);
+    EXPECT_LT(Clock::now() - signalled_at, 3700ms);
+    EXPECT_EQ(serving_backend(successor, "mine" + std::to_string(n)), "s-1");
+  }
+  EXPECT_TRUE(load.makes_progress());
+}
+
+// An operator's command at either process takes effect in both, and in the one that comes after.
+TEST_F(HotRestart, SharesOperatorCommandsBetweenProcesses) {
+  const EchoBackend first("s-1");
+  const EchoBackend second("s-2");
+  Proxy old(hosts(first, second), "[]", &shared_);
+  ASSERT_EQ(old.call("PUT", "/api/exclude?target=s-1").status, 200);
+  ASSERT_EQ(old.call("PUT", "/api/evacuate").status, 200);
+  Proxy fresh(hosts(first, second), "[]", &shared_);  // ready, though drained
+  for (int n = 0; n < 6; ++n) {
+    EXPECT_EQ(serving_backend(fresh, "a" + std::to_string(n)), "s-2");
+    EXPECT_EQ(fresh.ready(), 503);
+  }
+  EXPECT_EQ(fresh.call("PUT", "/api/rejoin").status, 200);
+  EXPECT_EQ(fresh.call("PUT", "/api/exclude?target=s-2").status, 200);
+  EXPECT_TRUE(eventually([&] { return has_unavailable_backends(old, 2); }));
+  EXPECT_EQ(fresh.call("PUT", "/api/include?target=s-1").status, 200);
+  EXPECT_TRUE(eventually([&] { return has_unavailable_backends(old, 1); }));
+  old.signal(SIGTERM);
+  EXPECT_EQ(fresh.ready(), 200);
+  EXPECT_EQ(old.exit_status(), 0);
+  const Proxy last(hosts(first, second), "[]", &shared_);
+  fresh.signal(SIGTERM);
+  EXPECT_EQ(fresh.exit_status(), 0);
+  EXPECT_TRUE(has_unavailable_backends(last, 1));
+  EXPECT_EQ(last.ready(), 200);
+}
+
+// The old process serves on, and shuts down as one without a successor.
+TEST_F(HotRestart, SurvivesASuccessorThatIsKilledBeforeItIsReady) {
+  const EchoBackend backend("s-1");
+  Proxy old(hosts(backend), "[]", &shared_);
+  {
+    const Proxy never_ready("", "[]", &shared_);
+    EXPECT_EQ(never_ready.call("GET", "/api/ready").status, 503);
+    for (int n = 0; n < 4; ++n) {
+      EXPECT_EQ(serving_backend(old, "a" + std::to_string(n)), "s-1");
+    }
+  }  // killed
+  old.signal(SIGTERM);
+  ::usleep(200'000);
+  EXPECT_EQ(serving_backend(old, "late"), "s-1");  // it accepts for a while: nobody else does
+  EXPECT_EQ(old.exit_status(), 0);
+}
+
+TEST_F(HotRestart, SurvivesAPredecessorThatIsKilled) {
+  const EchoBackend backend("s-1");
+  auto old = std::make_unique<Proxy>(hosts(backend), "[]", &shared_);
+  ASSERT_EQ(old->call("PUT", "/api/evacuate").status, 200);
+  const Proxy fresh(hosts(backend), "[]", &shared_);
+  old.reset();  // killed
+  EXPECT_EQ(fresh.call("GET", "/api/ready").status, 200);
+  EXPECT_EQ(fresh.ready(), 503);
+  EXPECT_EQ(fresh.call("PUT", "/api/rejoin").status, 200);
+  for (int n = 0; n < 4; ++n) {
+    EXPECT_EQ(serving_backend(fresh, "a" + std::to_string(n)), "s-1");
+  }
+}
+
+// Service goes on meanwhile, and so does sharing.
+TEST_F(HotRestart, SetsADamagedStateAside) {
+  const EchoBackend backend("s-1");
+  const std::string state = shared_.folder + "/beechhill-t.state";
+  std::ofstream(state) << "{\"is\":\"beechhill-hand";
+  const Proxy proxy(hosts(backend), "[]", &shared_);
+  EXPECT_EQ(serving_backend(proxy, "a"), "s-1");
+  EXPECT_TRUE(std::filesystem::exists(state + ".faulty"));
+  std::ofstream(state) << "other bytes";
+  EXPECT_TRUE(eventually([&] { return !std::filesystem::exists(state); }));
+  EXPECT_EQ(proxy.call("PUT", "/api/evacuate").status, 200);
+  EXPECT_TRUE(std::filesystem::exists(state));
+}
+
+// Runs the program with GW_FD=`descriptor` and, where `as_3` is not negative, that as descriptor 3.
+// Returns its exit status, or -1 where a signal ended it.
+int exit_status_with(const char* descriptor, int as_3) {
+  const pid_t pid = ::fork();
+  if (pid == 0) {
+    const std::string path = "/tmp/proxy_fd_" + std::to_string(::getpid());
+    std::ofstream(path) << config_json("127.0.0.1:0", "127.0.0.1:1", "[]");
+    if (as_3 >= 0) {
+      ::dup2(as_3, 3);
+    }
+    ::close(2);
+    ::setenv("GW_CONFIG", path.c_str(), 1);
+    ::setenv("GW_FD", descriptor, 1);
+    ::alarm(10);
+    ::execl(PROXY_PROGRAM, PROXY_PROGRAM, nullptr);
+    ::_exit(127);
+  }
+  int status = 0;
+  ::waitpid(pid, &status, 0);
+  std::remove(("/tmp/proxy_fd_" + std::to_string(pid)).c_str());
+  return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
+}
+
+TEST(InheritedDescriptor, IsRefusedWhereItIsNoListeningSocket) {
+  const net::Fd not_listening(::socket(AF_INET, SOCK_STREAM, 0));
+  const net::Fd datagrams(::socket(AF_INET, SOCK_DGRAM, 0));
+  EXPECT_EQ(exit_status_with("3", not_listening.get()), 1);
+  EXPECT_EQ(exit_status_with("3", datagrams.get()), 1);
+}
+
+TEST(InheritedDescriptor, IsRefusedWhereItIsNoOpenDescriptor) {
+  EXPECT_EQ(exit_status_with("300", -1), 1);
+  EXPECT_EQ(exit_status_with("three", -1), 1);
+  EXPECT_EQ(exit_status_with("-1", -1), 1);
+}
+
+}  // namespace
+}  // namespace beechhill::test
--- a/tests/return_test.cpp
+++ b/tests/return_test.cpp
@@ -1,138 +1,139 @@
-// Several processes of the program that are stopped together and continued: what each does on its
-// way back, by the books of the backends and of discovery.
+// Several processes that are stopped together and continued: what each of them sends before and
+// after it has resynchronized with discovery, as the backends and discovery see it.
+#include <gtest/gtest.h>
+
 #include <memory>
+#include <string>
+#include <vector>
 
 #include "support/proxy_fixture.h"
 
 namespace beechhill::test {
 namespace {
 
-constexpr std::size_t kProxies = 3, kClients = 4;
+constexpr std::size_t kProcesses = 3;
+constexpr std::size_t kClientsPerProcess = 4;
+// Beyond the drain grace of 2 s, and less than a watch may be silent for (2.5 s).
+constexpr std::chrono::microseconds kPauseBeyondTheDrainGrace = 2'200ms;
+constexpr std::chrono::microseconds kPauseBeyondTheWatchSilence = 3'200ms;
 
-// Processes before the same two backends, each with a discovery of its own and clients that keep
-// their connections.
-struct Group {
-  Group() {
+// Processes in front of the same two backends, each with a discovery of its own and with clients
+// that keep their connections.
+class PausedProcesses : public testing::Test {
+ protected:
+  PausedProcesses() {
     const std::string hosts =
-        "[" + host_json("s-1", first.address()) + "," + host_json("s-2", second.address()) + "]";
-    for (std::size_t i = 0; i < kProxies; ++i) {
-      proxies.push_back(std::make_unique<Proxy>(hosts));
-      for (std::size_t c = 0; c < kClients; ++c) {
-        clients.push_back(proxies.back()->client());
+        "[" + host_json("s-1", first_.address()) + "," + host_json("s-2", second_.address()) + "]";
+    for (std::size_t i = 0; i < kProcesses; ++i) {
+      proxies_.push_back(std::make_unique<Proxy>(hosts));
+      for (std::size_t c = 0; c < kClientsPerProcess; ++c) {
+        clients_.push_back(proxies_.back()->client());
       }
     }
-    for (Wire& client : clients) {  // each is known as one that speaks
+    // A client that has sent a request counts as active.
+    for (Wire& client : clients_) {
       client.send("GET /health/ready HTTP/1.1\r\nHost: t\r\n\r\n");
       expect_status(client, 200);
     }
   }
-  void signal(int number) const {
-    for (const auto& p : proxies) {
-      p->signal(number);
+
+  void signal_all(int number) const {
+    for (const auto& proxy : proxies_) {
+      proxy->signal(number);
     }
   }
-  void ask(const std::string& round) {
-    for (std::size_t i = 0; i < clients.size(); ++i) {
-      clients[i].send(Proxy::get(round + std::to_string(i)));
+
+  void send_requests(const std::string& id_prefix) {
+    for (std::size_t i = 0; i < clients_.size(); ++i) {
+      clients_[i].send(Proxy::get(id_prefix + std::to_string(i)));
     }
   }
-  // Answers so many requests on new connections there.
+
+  // Answers that many requests, each on a new connection.
   static void serve(const Door& backend, std::size_t requests) {
     for (std::size_t i = 0; i < requests; ++i) {
-      Wire wire = backend.accept();
-      wire.request();
-      wire.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+      Wire connection = backend.accept();
+      connection.request();
+      connection.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
     }
   }
-  void expect_all(int status) {
-    for (Wire& client : clients) {
-      expect_status(client, status);
+
+  void expect_all_answered() {
+    for (std::size_t i = 0; i < clients_.size(); ++i) {
+      EXPECT_EQ(clients_[i].answer().status, 200) << "client " << i;
     }
   }
-  std::string drained() const {
-    return "[" + host_json("s-1", first.address(), "terminating") + "]";
+
+  static bool telemetry_has(const Proxy& proxy, const std::string& field) {
+    return proxy.call("GET", "/api/telemetry").body.find(field) != std::string::npos;
   }
 
-  Door first, second;
-  std::vector<std::unique_ptr<Proxy>> proxies;
-  std::vector<Wire> clients;
+  Door first_;
+  Door second_;
+  std::vector<std::unique_ptr<Proxy>> proxies_;
+  std::vector<Wire> clients_;
 };
 
-// Requests and the word of a drain both wait when the processes wake, the requests in front. None
-// may go where the drain is: it was told more than its grace ago.
-void hears_before_it_sends() {
-  Group group;
-  group.signal(SIGSTOP);
-  group.ask("a");
-  for (const auto& p : group.proxies) {
-    p->list(group.drained(), false);
+// Requests and the update that drains a backend both wait when the processes continue, the requests
+// first. None may go to the draining backend: the update was sent more than its grace ago.
+TEST_F(PausedProcesses, ReadUpdatesBeforeTheySendRequests) {
+  signal_all(SIGSTOP);
+  send_requests("a");
+  const std::string draining = host_json("s-1", first_.address(), "terminating");
+  for (const auto& proxy : proxies_) {
+    proxy->list("[" + draining + "]", false);
   }
-  ::usleep(2'200'000);  // beyond the grace of 2 s, and short of what a watch may be silent for
-  group.signal(SIGCONT);
-  Group::serve(group.second, group.clients.size());
-  group.expect_all(200);
-  assert(!group.first.pending(0ms));
+  ::usleep(kPauseBeyondTheDrainGrace.count());
+  signal_all(SIGCONT);
+  serve(second_, clients_.size());
+  expect_all_answered();
+  EXPECT_FALSE(first_.pending(0ms));
 }
 
-// After a gap that no watch outlasts the whole list is asked for, once by each process.
-void asks_anew_after_a_long_gap() {
-  Group group;
-  group.signal(SIGSTOP);
-  ::usleep(3'200'000);
-  group.signal(SIGCONT);
-  for (const auto& p : group.proxies) {
-    assert(p->watch_again().ends_with("from=0"));
-    p->list("[" + host_json("s-1", group.first.address(), "terminating") + "," +
-            host_json("s-2", group.second.address()) + "," +
-            host_json("s-3", group.second.address()) + "]");
-    const auto end = Clock::now() + kPatience;
-    const auto told = [&p](const char* what) {
-      return p->call("GET", "/api/telemetry").body.find(what) != std::string::npos;
-    };
-    while (!told("\"members\":3")) {
-      assert(Clock::now() < end);
+// Each process asks for the complete list once.
+TEST_F(PausedProcesses, AskForTheCompleteListAfterALongPause) {
+  signal_all(SIGSTOP);
+  ::usleep(kPauseBeyondTheWatchSilence.count());
+  signal_all(SIGCONT);
+  for (const auto& proxy : proxies_) {
+    EXPECT_TRUE(proxy->watch_again().ends_with("from=0"));
+    proxy->list("[" + host_json("s-1", first_.address(), "terminating") + "," +
+                host_json("s-2", second_.address()) + "," + host_json("s-3", second_.address()) +
+                "]");
+    const auto deadline = Clock::now() + kPatience;
+    while (!telemetry_has(*proxy, "\"members\":3")) {
+      ASSERT_LT(Clock::now(), deadline);
     }
-    assert(told("\"stage\":\"full\""));
+    EXPECT_TRUE(telemetry_has(*proxy, "\"stage\":\"full\""));
   }
-  group.ask("b");
-  Group::serve(group.second, group.clients.size());
-  group.expect_all(200);
-  assert(!group.first.pending(0ms));
+  send_requests("b");
+  serve(second_, clients_.size());
+  expect_all_answered();
+  EXPECT_FALSE(first_.pending(0ms));
 }
 
-// Discovery does not come back: what is held serves on, after a bounded wait.
-void goes_on_without_discovery() {
-  Group group;
-  group.signal(SIGSTOP);
-  group.ask("a");
-  ::usleep(3'200'000);
-  group.signal(SIGCONT);
+// They use the list that they hold once the resync deadline has passed.
+TEST_F(PausedProcesses, GoOnWithoutDiscovery) {
+  signal_all(SIGSTOP);
+  send_requests("a");
+  ::usleep(kPauseBeyondTheWatchSilence.count());
+  signal_all(SIGCONT);
   std::size_t served = 0;
-  const auto end = Clock::now() + kPatience;
-  while (served < group.clients.size()) {
-    assert(Clock::now() < end);
-    for (const Door* door : {&group.first, &group.second}) {
-      if (door->pending(5ms)) {
-        Group::serve(*door, 1), ++served;
+  const auto deadline = Clock::now() + kPatience;
+  while (served < clients_.size()) {
+    ASSERT_LT(Clock::now(), deadline);
+    for (const Door* backend : {&first_, &second_}) {
+      if (backend->pending(5ms)) {
+        serve(*backend, 1);
+        ++served;
       }
     }
   }
-  for (const auto& p : group.proxies) {
-    assert(p->call("GET", "/api/telemetry").body.find("\"stage\":\"hearing\"") !=
-           std::string::npos);
+  for (const auto& proxy : proxies_) {
+    EXPECT_TRUE(telemetry_has(*proxy, "\"stage\":\"hearing\""));
   }
-  group.expect_all(200);
+  expect_all_answered();
 }
 
 }  // namespace
 }  // namespace beechhill::test
-
-int main(int argc, char** argv) {
-  using namespace beechhill::test;
-  return run_named(argc, argv,
-                   {
-                       {"hears_before_it_sends", hears_before_it_sends},
-                       {"asks_anew_after_a_long_gap", asks_anew_after_a_long_gap},
-                       {"goes_on_without_discovery", goes_on_without_discovery},
-                   });
-}
--- /dev/null
+++ b/tests/snapshot_process_test.cpp
@@ -0,0 +1,156 @@
+// Snapshots of real processes that are killed: what the next process of the same name does with
+// them.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <cstdio>
+#include <fstream>
+
+#include "snapshot/snapshot.h"
+#include "support/proxy_fixture.h"
+
+namespace beechhill::test {
+namespace {
+
+using snapshot::Snapshot;
+
+template <typename Condition>
+bool eventually(const Condition& holds) {
+  const auto deadline = Clock::now() + kPatience;
+  while (!holds()) {
+    if (Clock::now() >= deadline) {
+      return false;
+    }
+    ::usleep(5000);
+  }
+  return true;
+}
+
+// Processes of one name, one after another, in front of a slow and a fast backend.
+class SnapshotProcessTest : public testing::Test {
+ protected:
+  ~SnapshotProcessTest() override { ::unsetenv("BEECHHILL_OPERATOR"); }
+
+  void configure_snapshots(const std::string& directory) const {
+    const std::string path = folder_.path + "/op.toml";
+    std::ofstream(path) << "[snapshot]\nfolder = \"" << directory << "\"\nevery = \"100ms\"\n";
+    ::setenv("BEECHHILL_OPERATOR", path.c_str(), 1);
+  }
+
+  // Runs a process for 16 requests, one after another, and kills it. With `load_reports` the
+  // backends report their load, and the process ends once a snapshot of both is written; without,
+  // it knows only what it started with. Returns the number of requests to the slow backend.
+  int requests_to_slow_backend(bool load_reports) {
+    constexpr int kRequests = 16;
+    const Proxy proxy(hosts());
+    Wire client = proxy.client();
+    int to_slow = 0;
+    for (int i = 0; i < kRequests; ++i) {
+      client.send(Proxy::get("a" + std::to_string(i)));
+      const Door& backend = next_backend();
+      to_slow += &backend == &slow_ ? 1 : 0;
+      serve(backend, load_reports ? load_report(backend) : "");
+      expect_status(client, 200);
+    }
+    if (load_reports) {
+      EXPECT_TRUE(eventually([this] { return stored().records.size() == 2; }));
+    }
+    return to_slow;
+  }
+
+  const Door& next_backend() const {
+    const auto deadline = Clock::now() + kPatience;
+    for (;;) {
+      if (slow_.pending(1ms)) {
+        return slow_;
+      }
+      if (fast_.pending(1ms)) {
+        return fast_;
+      }
+      assert(Clock::now() < deadline);
+    }
+  }
+
+  std::string load_report(const Door& backend) const {
+    const std::string load = &backend == &slow_ ? "0.95, served_ps=2" : "0.50, served_ps=20";
+    return "Endpoint-Load-Metrics: TEXT cpu_share=" + load + ", pending=0\r\n";
+  }
+
+  static void serve(const Door& backend, const std::string& headers) {
+    Wire wire = backend.accept();
+    wire.request();
+    wire.reply(200, "Connection: close\r\n" + headers, "");
+  }
+
+  std::string hosts() const {
+    return "[" + host_json("s-1", slow_.address()) + "," + host_json("s-2", fast_.address()) + "]";
+  }
+
+  std::string file() const { return folder_.file("beechhill-t.snapshot"); }
+
+  // The snapshot on disk; an empty one where there is none.
+  Snapshot stored() const { return snapshot::decode(contents(file())).value_or(Snapshot{}); }
+
+  const Folder folder_;
+  Door slow_;
+  Door fast_;
+};
+
+// A snapshot spares the slow backend from the first request on, several times in a row. A torn one
+// is set aside, and has no more effect than a lost one.
+TEST_F(SnapshotProcessTest, AKilledProcessLeavesItsStatisticsToTheNext) {
+  constexpr int kRounds = 3;
+  configure_snapshots(folder_.path);
+  int lost = 0;
+  int torn = 0;
+  int restored = 0;
+  for (int i = 0; i < kRounds; ++i) {
+    std::filesystem::remove(file());
+    lost += requests_to_slow_backend(false);
+    requests_to_slow_backend(true);
+    restored += requests_to_slow_backend(false);
+    std::filesystem::resize_file(file(), 40);
+    torn += requests_to_slow_backend(false);
+    EXPECT_TRUE(std::filesystem::exists(file() + ".aside"));
+  }
+  std::fprintf(stderr,
+               "to the slow backend: %d without a snapshot, %d with a torn one, %d restored\n",
+               lost, torn, restored);
+  EXPECT_LT(3 * restored, 2 * lost);
+  EXPECT_LT(3 * restored, 2 * torn);
+}
+
+// Even where everything else in the snapshot is too old; one call includes the backend again.
+TEST_F(SnapshotProcessTest, AnExclusionOutlastsAKill) {
+  configure_snapshots(folder_.path);
+  {
+    const Proxy proxy(hosts());
+    ASSERT_EQ(proxy.call("PUT", "/api/exclude?target=s-1").status, 200);
+    ASSERT_TRUE(eventually([this] { return stored().excluded_backends.contains("s-1"); }));
+  }
+  Snapshot old = stored();
+  old.written_at -= 1h;
+  std::ofstream(file()) << snapshot::encode(old);
+  const Proxy proxy(hosts());
+  Wire client = proxy.client();
+  for (int i = 0; i < 8; ++i) {
+    client.send(Proxy::get("b" + std::to_string(i)));
+    serve(fast_, "");
+    expect_status(client, 200);
+  }
+  EXPECT_FALSE(slow_.pending(0ms));
+  EXPECT_EQ(proxy.call("PUT", "/api/include?target=s-1").status, 200);
+  EXPECT_EQ(proxy.call("PUT", "/api/exclude?target=s-2").status, 200);
+  client.send(Proxy::get("c"));
+  serve(slow_, "");
+  expect_status(client, 200);
+}
+
+TEST_F(SnapshotProcessTest, WritesNothingWithoutADirectory) {
+  configure_snapshots("");
+  requests_to_slow_backend(false);
+  EXPECT_FALSE(std::filesystem::exists(file()));
+}
+
+}  // namespace
+}  // namespace beechhill::test
--- a/tests/stored_format_test.cpp
+++ b/tests/stored_format_test.cpp
@@ -145,8 +145,8 @@
 TEST(StoredHotRestartState, DirectoryWritesTheSameFilesForTheSameContent) {
   const Folder folder;
   SharedStateDirectory directory(folder.path, "site/t");
-  ASSERT_TRUE(directory.change(StateChange::kExclude, "s-7"));
-  ASSERT_TRUE(directory.change(StateChange::kDrain, ""));
+  ASSERT_TRUE(directory.try_apply(StateChange::kExclude, "s-7"));
+  ASSERT_TRUE(directory.try_apply(StateChange::kDrain, ""));
   directory.publish(true, 41);
   for (const char* file : {"beechhill-site_t.state", "beechhill-site_t.process-1"}) {
     EXPECT_EQ(contents(folder.file(file)), contents(kHotRestartData + file)) << file;
