--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -1,17 +1,17 @@
 #include "admin/admin_server.h"
 
-#include <json/json.h>
-
-#include <algorithm>
+#include <chrono>
 #include <system_error>
+#include <utility>
 
+#include "admin/telemetry_json.h"
 #include "http/message.h"
 #include "log/log.h"
-#include "proxy/connection_log.h"
 
 namespace beechhill::admin {
 
 using namespace std::chrono_literals;
+using hot_restart::StateChange;
 using net::Io;
 using runtime::Clock;
 using runtime::PendingReply;
@@ -19,92 +19,127 @@
 
 namespace {
 
-constexpr auto kReadLimit = 1500ms;  // for a whole call
-constexpr auto kSilentAge =
-    20ms;  // when the door is full: a caller that means it has spoken by then
-constexpr auto kAnswerLimit =
-    800ms;  // for the actor that owns the matter; an answer is due within 1 s
-constexpr auto kGroupLimit = 3000ms;  // what the proxies have to settle first
-constexpr auto kWriteLimit = 2000ms, kLingerLimit = 500ms;
-constexpr auto kAcceptPause = 10ms;
+// From the accept to the call's last byte.
+constexpr auto kReadTimeout = 1500ms;
+// While all connections are in use, one that has sent no whole call by this age may be evicted: a
+// caller that is not idle has sent it by then.
+constexpr auto kEvictionAge = 20ms;
+// For the actor that owns the state. Operators are owed an answer within 1 s.
+constexpr auto kReplyTimeout = 800ms;
+// For what the proxies have to agree on first.
+constexpr auto kClusterReplyTimeout = 3000ms;
+constexpr auto kWriteTimeout = 2000ms;
+constexpr auto kLingerTimeout = 500ms;
+// Before the next attempt to accept, after one that failed or found no free connection.
+constexpr auto kAcceptBackoff = 10ms;
+
+constexpr std::string_view kJsonHeader = "Content-Type: application/json\r\n";
+
+// Each connection carries one call.
+std::string write_last_response(int status, std::string_view headers = "",
+                                std::string_view body = "") {
+  return http::write_response(status, headers, body, true);
+}
+
+StateChange state_change(CommandType type) {
+  switch (type) {
+    case CommandType::kExclude:
+      return StateChange::kExclude;
+    case CommandType::kInclude:
+      return StateChange::kInclude;
+    case CommandType::kDrain:
+      return StateChange::kDrain;
+    default:
+      return StateChange::kResume;
+  }
+}
 
 }  // namespace
 
 AdminServer::AdminServer(runtime::Scheduler& scheduler, const sockaddr_in& address,
                          proxy::DecisionMailbox& decisions,
-                         hot_restart::OperatorCommandMailbox& orders,
-                         const proxy::Telemetry& telemetry, const std::vector<std::string>& classes,
-                         std::function<bool()> serving, ClusterHandler group)
+                         hot_restart::OperatorCommandMailbox& operator_commands,
+                         const proxy::Telemetry& telemetry,
+                         const std::vector<std::string>& class_names,
+                         std::function<bool()> is_ready, ClusterHandler cluster_handler)
     : scheduler_(scheduler),
       decisions_(decisions),
-      orders_(orders),
+      operator_commands_(operator_commands),
       telemetry_(telemetry),
-      classes_(classes),
-      serving_(std::move(serving)),
-      group_(std::move(group)),
+      class_names_(class_names),
+      is_ready_(std::move(is_ready)),
+      cluster_handler_(std::move(cluster_handler)),
       listener_(scheduler, address) {
 }
 
 Task<> AdminServer::run() {
   for (;;) {
-    const bool full = callers_.size() >= kMaxConnections && !let_one_go();
-    Io io = Io::kError;
+    const bool full = connections_.size() >= kMaxConnections && !evict_connection();
+    Io accepted = Io::kError;
     if (!full) {
-      sockaddr_in from{};
-      net::Fd fd;
-      io = co_await listener_.accept(runtime::TimePoint::max(), fd, from);
-      if (io == Io::kOk) {
-        try {
-          callers_.push_back(std::make_shared<Caller>(scheduler_, std::move(fd)));
-          scheduler_.spawn(serve(callers_.back()));
-        } catch (const std::system_error& error) {  // epoll takes no more
-          log::fault("operator_let_go", error);
-        }
-      }
+      accepted = co_await accept_connection();
     }
-    // After each caller the others have a turn: it has spoken, if it means to, by the next look.
+    // After each accept the other connections get a turn: what they have sent is read before the
+    // next eviction.
     runtime::Wait wait(scheduler_);
     if (full) {
-      wait.notified(left_);
+      wait.notified(connection_ended_);
     }
-    wait.until(Clock::now() + (io == Io::kOk ? 0ms : kAcceptPause));
+    wait.until(Clock::now() + (accepted == Io::kOk ? 0ms : kAcceptBackoff));
     co_await wait;
   }
 }
 
-// True where there is a place now: callers that say nothing must not keep out one that does.
-bool AdminServer::let_one_go() {
+Task<Io> AdminServer::accept_connection() {
+  sockaddr_in remote{};
+  net::Fd fd;
+  const Io accepted = co_await listener_.accept(runtime::TimePoint::max(), fd, remote);
+  if (accepted == Io::kOk) {
+    try {
+      connections_.push_back(std::make_shared<Connection>(scheduler_, std::move(fd)));
+      scheduler_.spawn(run_connection(connections_.back()));
+    } catch (const std::system_error& error) {  // epoll takes no more descriptors
+      log::fault("operator_let_go", error);
+    }
+  }
+  co_return accepted;
+}
+
+// Closes the oldest connection that has had time for its call and has not sent it. False where
+// there is none.
+bool AdminServer::evict_connection() {
   const auto now = Clock::now();
-  for (const auto& caller : callers_) {
-    if (!caller->asking || now - caller->came < kSilentAge) {
+  for (const auto& connection : connections_) {
+    if (!connection->awaits_request || now - connection->accepted_at < kEvictionAge) {
       continue;
     }
-    caller->let_go.notify();
-    callers_.remove(caller);
+    connection->eviction.notify();
+    connections_.remove(connection);
     return true;
   }
   return false;
 }
 
-Task<> AdminServer::serve(std::shared_ptr<Caller> caller) {
+Task<> AdminServer::run_connection(std::shared_ptr<Connection> connection) {
   try {
-    co_await converse(*caller);
+    co_await serve(*connection);
   } catch (const std::exception& error) {
     log::fault("operator_fault", error);
   }
-  callers_.remove(caller);
-  left_.notify();
+  connections_.remove(connection);
+  connection_ended_.notify();
 }
 
-Task<> AdminServer::converse(Caller& caller) {
+Task<> AdminServer::serve(Connection& connection) {
   http::Parser parser(http::Parser::Kind::kRequest);
   http::Progress progress = http::Progress::kMore;
-  std::string buffer, answer;
-  const auto until = caller.came + kReadLimit;
+  std::string buffer;
+  std::string response;
+  const auto deadline = connection.accepted_at + kReadTimeout;
   while (progress == http::Progress::kMore) {
-    const Io io = co_await caller.stream.read(buffer, until, &caller.let_go);
+    const Io io = co_await connection.stream.read(buffer, deadline, &connection.eviction);
     if (io == Io::kTimeout && (parser.head_done() || !buffer.empty())) {
-      answer = http::write_response(408, "", "", true);
+      response = write_last_response(408);
       break;
     }
     if (io != Io::kOk) {
@@ -112,94 +147,88 @@
     }
     progress = parser.feed(buffer);
   }
-  caller.asking = false;
+  connection.awaits_request = false;
   if (progress == http::Progress::kBad) {
-    answer = http::write_response(parser.error_status(), "", "", true);
+    response = write_last_response(parser.error_status());
   }
   if (progress == http::Progress::kDone) {
-    const std::string method = parser.message().method, target = parser.message().target;
-    answer = co_await answer_to(method, target);
+    const std::string method = parser.message().method;
+    const std::string target = parser.message().target;
+    response = co_await respond(method, target);
   }
-  const Io written = co_await caller.stream.write(answer, Clock::now() + kWriteLimit);
+  const Io written = co_await connection.stream.write(response, Clock::now() + kWriteTimeout);
   if (written == Io::kOk) {
-    co_await caller.stream.linger(Clock::now() + kLingerLimit, caller.let_go);
+    co_await connection.stream.linger(Clock::now() + kLingerTimeout, connection.eviction);
   }
 }
 
-Task<std::string> AdminServer::answer_to(const std::string& method, const std::string& target) {
-  using hot_restart::StateChange;
-  const Command call = parse_command(method, target);
-  int status = call.error_status;
-  if (status == 0 && call.type == CommandType::kTelemetry) {
-    std::string answer = co_await figures();
-    co_return answer;
+Task<std::string> AdminServer::respond(const std::string& method, const std::string& target) {
+  const ParsedCommand parsed = parse_command(method, target);
+  if (const auto* error = std::get_if<CommandError>(&parsed)) {
+    co_return write_last_response(status_code(*error));
   }
-  if (status == 0 && call.type >= CommandType::kMembers) {
-    std::string answer = co_await of_group(call);
-    co_return answer;
+  const Command& command = std::get<Command>(parsed);
+  // Each awaited response has a name: GCC 12 destroys temporaries of co_await expressions wrongly.
+  std::string response;
+  switch (command.type) {
+    case CommandType::kReady:
+      response = write_last_response(is_ready_() ? 200 : 503);
+      break;
+    case CommandType::kTelemetry:
+      response = co_await report_telemetry();
+      break;
+    case CommandType::kExclude:
+    case CommandType::kInclude:
+    case CommandType::kDrain:
+    case CommandType::kResume:
+      response = co_await change_state(command, target);
+      break;
+    case CommandType::kMembers:
+    case CommandType::kMaintenanceStatus:
+    case CommandType::kMaintenanceCommand:
+      response = co_await ask_cluster(command);
+      break;
   }
-  if (status == 0 && call.type == CommandType::kReady) {
-    status = serving_() ? 200 : 503;
-  } else if (status == 0) {
-    const auto asked = std::make_shared<PendingReply>();
-    hot_restart::OperatorCommand order{call.type == CommandType::kExclude   ? StateChange::kExclude
-                                       : call.type == CommandType::kInclude ? StateChange::kInclude
-                                       : call.type == CommandType::kDrain   ? StateChange::kDrain
-                                                                            : StateChange::kResume,
-                                       call.target, asked};
-    status = 503;
-    if (orders_.post(std::move(order))) {
-      status = co_await runtime::await_reply(scheduler_, asked, kAnswerLimit);
-    }
-    log::info("operator",
-              {{"call", std::string_view(target)}, {"status", static_cast<std::int64_t>(status)}});
+  co_return response;
+}
+
+Task<std::string> AdminServer::change_state(const Command& command, const std::string& target) {
+  const auto reply = std::make_shared<PendingReply>();
+  hot_restart::OperatorCommand message{state_change(command.type), command.backend_id, reply};
+  int status = 503;
+  if (operator_commands_.post(std::move(message))) {
+    status = co_await runtime::await_reply(scheduler_, reply, kReplyTimeout);
   }
-  std::string answer = http::write_response(status, "", "", true);
-  co_return answer;
+  log::info("operator",
+            {{"call", std::string_view(target)}, {"status", static_cast<std::int64_t>(status)}});
+  std::string response = write_last_response(status);
+  co_return response;
 }
 
-Task<std::string> AdminServer::of_group(const Command& call) {
+Task<std::string> AdminServer::ask_cluster(const Command& command) {
   int status = 404;
-  const auto asked = std::make_shared<runtime::PendingTextReply>();
-  if (group_) {
-    group_(call, asked);
-    const std::shared_ptr<PendingReply> base = asked;
-    status = co_await runtime::await_reply(scheduler_, base, kGroupLimit);
+  const auto reply = std::make_shared<runtime::PendingTextReply>();
+  if (cluster_handler_) {
+    cluster_handler_(command, reply);
+    const std::shared_ptr<PendingReply> base = reply;
+    status = co_await runtime::await_reply(scheduler_, base, kClusterReplyTimeout);
   }
-  const bool json = status == 200 && call.type != CommandType::kMaintenanceCommand;
-  std::string answer = http::write_response(
-      status, json ? "Content-Type: application/json\r\n" : "", asked->text, true);
-  co_return answer;
+  const bool is_json = status == 200 && command.type != CommandType::kMaintenanceCommand;
+  std::string response = write_last_response(status, is_json ? kJsonHeader : "", reply->text);
+  co_return response;
 }
 
-Task<std::string> AdminServer::figures() {
-  const auto asked = std::make_shared<PendingReply>();
+Task<std::string> AdminServer::report_telemetry() {
+  const auto reply = std::make_shared<PendingReply>();
+  proxy::DecisionMessage question(std::in_place_type<proxy::GetEndpointCounts>, reply);
   int status = 503;
-  proxy::DecisionMessage question(std::in_place_type<proxy::GetEndpointCounts>, asked);
   if (decisions_.post(std::move(question))) {
-    status = co_await runtime::await_reply(scheduler_, asked, kAnswerLimit);
-  }
-  Json::Value root(Json::objectValue);
-  for (const char* name : {"completed", "rejected", "failed"}) {
-    root[name] = Json::Value(Json::objectValue);
-  }
-  for (ClassId id = 0; id < classes_.size(); ++id) {
-    const proxy::Telemetry::Counts& c = telemetry_.of(id);
-    root["completed"][classes_[id]] = Json::UInt64(c.completed);
-    root["rejected"][classes_[id]] = Json::UInt64(c.rejected);
-    root["failed"][classes_[id]] = Json::UInt64(c.failed);
+    status = co_await runtime::await_reply(scheduler_, reply, kReplyTimeout);
   }
-  root["upstream_requests"] = Json::UInt64(telemetry_.upstream_requests());
-  root["pending"] = Json::UInt64(telemetry_.pending_requests());
-  root["members"] = Json::UInt64(asked->endpoint_count);
-  root["members_unavailable"] = Json::UInt64(asked->avoided_endpoint_count);
-  root["stage"] = asked->recovery_stage;
-  Json::StreamWriterBuilder writer;
-  writer["indentation"] = "";
-  std::string body = Json::writeString(writer, root) + "\n";
-  std::string answer = http::write_response(status, "Content-Type: application/json\r\n",
-                                            status == 200 ? body : "", true);
-  co_return answer;
+  const std::string body =
+      status == 200 ? telemetry_json(telemetry_, class_names_, *reply) : std::string{};
+  std::string response = write_last_response(status, kJsonHeader, body);
+  co_return response;
 }
 
 }  // namespace beechhill::admin
--- a/src/admin/command.cpp
+++ b/src/admin/command.cpp
@@ -1,129 +1,101 @@
 #include "admin/command.h"
 
-#include <charconv>
+#include <optional>
+#include <utility>
 
 namespace beechhill::admin {
 namespace {
 
-struct Row {
-  std::string_view method, path;
-  CommandType what;
-  bool takes_target;
+constexpr std::string_view kMaintenanceCommandPrefix = "/api/maintenance/";
+
+enum class Arguments { kNone, kBackendId, kParameters };
+
+struct Route {
+  std::string_view method;
+  std::string_view path;
+  CommandType type;
+  Arguments arguments;
 };
-constexpr Row kCalls[] = {
-    {"GET", "/api/ready", CommandType::kReady, false},
-    {"GET", "/api/telemetry", CommandType::kTelemetry, false},
-    {"PUT", "/api/exclude", CommandType::kExclude, true},
-    {"PUT", "/api/include", CommandType::kInclude, true},
-    {"PUT", "/api/evacuate", CommandType::kDrain, false},
-    {"PUT", "/api/rejoin", CommandType::kResume, false},
-    {"GET", "/api/members", CommandType::kMembers, false},
+
+constexpr Route kRoutes[] = {
+    {"GET", "/api/ready", CommandType::kReady, Arguments::kNone},
+    {"GET", "/api/telemetry", CommandType::kTelemetry, Arguments::kNone},
+    {"PUT", "/api/exclude", CommandType::kExclude, Arguments::kBackendId},
+    {"PUT", "/api/include", CommandType::kInclude, Arguments::kBackendId},
+    {"PUT", "/api/evacuate", CommandType::kDrain, Arguments::kNone},
+    {"PUT", "/api/rejoin", CommandType::kResume, Arguments::kNone},
+    {"GET", "/api/members", CommandType::kMembers, Arguments::kNone},
+    {"GET", "/api/maintenance", CommandType::kMaintenanceStatus, Arguments::kParameters},
 };
 
-// Nothing where a part has no name, comes twice or is wrongly encoded.
-std::optional<std::map<std::string, std::string>> parts_of(std::string_view query) {
-  std::map<std::string, std::string> all;
-  while (!query.empty()) {
-    const std::string_view part = query.substr(0, query.find('&'));
-    query.remove_prefix(std::min(query.size(), part.size() + 1));
-    const auto equals = part.find('=');
-    if (equals == std::string_view::npos || equals == 0) {
-      return std::nullopt;
-    }
-    auto value = percent_decode(part.substr(equals + 1));
-    if (!value || !all.emplace(std::string(part.substr(0, equals)), std::move(*value)).second) {
-      return std::nullopt;
+// Its path goes on with the action.
+constexpr Route kMaintenanceCommandRoute = {
+    "PUT", kMaintenanceCommandPrefix, CommandType::kMaintenanceCommand, Arguments::kParameters};
+
+const Route* find_route(std::string_view path) {
+  for (const Route& route : kRoutes) {
+    if (path == route.path) {
+      return &route;
     }
   }
-  return all;
+  return path.starts_with(kMaintenanceCommandPrefix) ? &kMaintenanceCommandRoute : nullptr;
 }
 
-// The one `target` of a query. Nothing where it is missing, empty, repeated or wrongly encoded.
-std::optional<std::string> target_in(std::string_view query) {
-  std::optional<std::string> found;
-  while (!query.empty()) {
-    const std::string_view part = query.substr(0, query.find('&'));
-    query.remove_prefix(std::min(query.size(), part.size() + 1));
-    const auto equals = part.find('=');
-    if (part.substr(0, equals) != "target") {
-      continue;
-    }
-    if (found || equals == std::string_view::npos) {
-      return std::nullopt;
+// False where `query` does not hold what the command needs.
+bool read_arguments(Arguments arguments, std::string_view query, Command& command) {
+  switch (arguments) {
+    case Arguments::kNone:
+      return true;
+    case Arguments::kBackendId: {
+      std::optional<std::string> id = find_single_parameter(query, "target");
+      command.backend_id = std::move(id).value_or("");
+      return id.has_value();
     }
-    found = percent_decode(part.substr(equals + 1));
-    if (!found || found->empty()) {
-      return std::nullopt;
+    case Arguments::kParameters: {
+      std::optional<QueryParameters> parameters = parse_query(query);
+      command.parameters = std::move(parameters).value_or(QueryParameters{});
+      return parameters.has_value();
     }
   }
-  return found;
+  return false;
 }
 
 }  // namespace
 
-std::optional<std::string> percent_decode(std::string_view text) {
-  std::string out;
-  for (std::size_t i = 0; i < text.size(); ++i) {
-    if (text[i] != '%') {
-      out += text[i];
-      continue;
-    }
-    unsigned char byte = 0;
-    if (text.size() - i < 3) {
-      return std::nullopt;
-    }
-    const char* const digits = text.data() + i + 1;
-    const auto [stop, error] = std::from_chars(digits, digits + 2, byte, 16);
-    if (error != std::errc{} || stop != digits + 2) {
-      return std::nullopt;
-    }
-    out += static_cast<char>(byte);
-    i += 2;
+int status_code(CommandError error) {
+  switch (error) {
+    case CommandError::kMalformed:
+      return 400;
+    case CommandError::kUnknown:
+      return 404;
+    case CommandError::kWrongMethod:
+      return 405;
   }
-  return out;
+  return 400;
 }
 
-Command parse_command(std::string_view method, std::string_view target) {
-  const auto question = target.find('?');
-  const std::string_view path = target.substr(0, question);
-  Command call;
-  call.error_status = 404;
-  constexpr std::string_view kWorks = "/api/maintenance";
-  if (path.starts_with(kWorks) && (path.size() == kWorks.size() || path[kWorks.size()] == '/')) {
-    call.type = path.size() == kWorks.size() ? CommandType::kMaintenanceStatus
-                                             : CommandType::kMaintenanceCommand;
-    call.action = call.type == CommandType::kMaintenanceStatus
-                      ? ""
-                      : std::string(path.substr(kWorks.size() + 1));
-    auto query = parts_of(question == std::string_view::npos ? std::string_view{}
-                                                             : target.substr(question + 1));
-    call.error_status = method != (call.type == CommandType::kMaintenanceStatus ? "GET" : "PUT")
-                            ? 405
-                        : query ? 0
-                                : 400;
-    if (query) {
-      call.query = std::move(*query);
-    }
-    return call;
+ParsedCommand parse_command(std::string_view method, std::string_view target) {
+  const auto question_mark = target.find('?');
+  const std::string_view path = target.substr(0, question_mark);
+  const std::string_view query = question_mark == std::string_view::npos
+                                     ? std::string_view{}
+                                     : target.substr(question_mark + 1);
+  const Route* const route = find_route(path);
+  if (route == nullptr) {
+    return CommandError::kUnknown;
   }
-  for (const Row& row : kCalls) {
-    if (path != row.path) {
-      continue;
-    }
-    call.error_status = method == row.method ? 0 : 405;
-    call.type = row.what;
-    if (call.error_status != 0 || !row.takes_target) {
-      return call;
-    }
-    auto id = target_in(question == std::string_view::npos ? std::string_view{}
-                                                           : target.substr(question + 1));
-    call.error_status = id ? 0 : 400;
-    if (id) {
-      call.target = std::move(*id);
-    }
-    return call;
+  if (method != route->method) {
+    return CommandError::kWrongMethod;
+  }
+  Command command;
+  command.type = route->type;
+  if (command.type == CommandType::kMaintenanceCommand) {
+    command.action = path.substr(kMaintenanceCommandPrefix.size());
+  }
+  if (!read_arguments(route->arguments, query, command)) {
+    return CommandError::kMalformed;
   }
-  return call;
+  return command;
 }
 
 }  // namespace beechhill::admin
--- a/src/admin/command.h
+++ b/src/admin/command.h
@@ -1,11 +1,11 @@
-// What operators may call: method and path to a call, or the status that says what is wrong. No
-// I/O.
+// The calls that operators may make: which method and path stand for which command. No I/O.
 #pragma once
 
-#include <map>
-#include <optional>
 #include <string>
 #include <string_view>
+#include <variant>
+
+#include "admin/query_string.h"
 
 namespace beechhill::admin {
 
@@ -22,17 +22,23 @@
 };
 
 struct Command {
-  int error_status = 0;  // 0: it can be carried out; else 400, 404 or 405
   CommandType type = CommandType::kReady;
-  std::string target;                        // a backend's id, for kExclude and kInclude
-  std::string action;                        // of kWorksOrder: the last part of its path
-  std::map<std::string, std::string> query;  // of kWorks and kWorksOrder
+  /// Of kExclude and kInclude.
+  std::string backend_id;
+  /// Of kMaintenanceCommand: what follows "/api/maintenance/" in the path.
+  std::string action;
+  /// Of kMaintenanceStatus and kMaintenanceCommand.
+  QueryParameters parameters;
 };
 
-// `target` in origin form: path and query.
-Command parse_command(std::string_view method, std::string_view target);
+enum class CommandError { kMalformed, kUnknown, kWrongMethod };
+
+/// The HTTP status code that answers a call with this error.
+int status_code(CommandError error);
+
+using ParsedCommand = std::variant<Command, CommandError>;
 
-// RFC 3986, section 2.1. Nothing where an escape is cut short or holds no hexadecimal digits.
-std::optional<std::string> percent_decode(std::string_view text);
+/// `target` is in origin form (RFC 9112, section 3.2.1): path and query.
+ParsedCommand parse_command(std::string_view method, std::string_view target);
 
 }  // namespace beechhill::admin
--- /dev/null
+++ b/src/admin/telemetry_json.cpp
@@ -0,0 +1,33 @@
+#include "admin/telemetry_json.h"
+
+#include <json/json.h>
+
+namespace beechhill::admin {
+
+std::string telemetry_json(const proxy::Telemetry& telemetry,
+                           const std::vector<std::string>& class_names,
+                           const runtime::PendingReply& endpoints) {
+  Json::Value completed(Json::objectValue);
+  Json::Value rejected(Json::objectValue);
+  Json::Value failed(Json::objectValue);
+  for (ClassId id = 0; id < class_names.size(); ++id) {
+    const proxy::Telemetry::Counts& counts = telemetry.of(id);
+    completed[class_names[id]] = Json::UInt64(counts.completed);
+    rejected[class_names[id]] = Json::UInt64(counts.rejected);
+    failed[class_names[id]] = Json::UInt64(counts.failed);
+  }
+  Json::Value root(Json::objectValue);
+  root["completed"] = completed;
+  root["rejected"] = rejected;
+  root["failed"] = failed;
+  root["upstream_requests"] = Json::UInt64(telemetry.upstream_requests());
+  root["pending"] = Json::UInt64(telemetry.pending_requests());
+  root["members"] = Json::UInt64(endpoints.endpoint_count);
+  root["members_unavailable"] = Json::UInt64(endpoints.avoided_endpoint_count);
+  root["stage"] = endpoints.recovery_stage;
+  Json::StreamWriterBuilder writer;
+  writer["indentation"] = "";
+  return Json::writeString(writer, root) + "\n";
+}
+
+}  // namespace beechhill::admin
--- /dev/null
+++ b/src/bootstrap/restored_state.cpp
@@ -0,0 +1,88 @@
+#include "bootstrap/restored_state.h"
+
+#include <cstdint>
+#include <optional>
+#include <stdexcept>
+#include <utility>
+
+#include "log/log.h"
+
+namespace beechhill::bootstrap {
+namespace {
+
+std::unique_ptr<hot_restart::SharedStateDirectory> open_shared_directory(
+    const config::Config& config) {
+  if (!config.inherited_listener_fd) {
+    return nullptr;
+  }
+  try {
+    if (config.shared_state_directory.empty()) {
+      throw std::runtime_error("TMPDIR: not set");
+    }
+    return std::make_unique<hot_restart::SharedStateDirectory>(config.shared_state_directory,
+                                                               config.name);
+  } catch (const std::exception& error) {
+    log::fault("handover_off", error);
+    return nullptr;
+  }
+}
+
+// What was learned depends on these: under another zone, tier or other classes it means nothing.
+std::string snapshot_scope(const config::Config& config) {
+  std::string scope =
+      config.named_settings.zone + "/" + std::to_string(config.named_settings.settings.tier);
+  for (const std::string& name : config.named_settings.classes) {
+    scope += "/" + name;
+  }
+  return scope;
+}
+
+std::unique_ptr<snapshot::SnapshotStore> open_snapshot_store(
+    const config::Config& config, const config::SnapshotSettings& settings) {
+  if (settings.directory.empty()) {
+    return nullptr;
+  }
+  try {
+    return std::make_unique<snapshot::SnapshotStore>(settings.directory, config.name,
+                                                     snapshot_scope(config));
+  } catch (const std::exception& error) {
+    log::fault("snapshot_off", error);
+    return nullptr;
+  }
+}
+
+}  // namespace
+
+RestoredState restore_state(const config::Config& config,
+                            const config::OperatorSettings& settings) {
+  RestoredState state;
+  state.shared_directory = open_shared_directory(config);
+  if (state.shared_directory) {
+    state.drained = state.shared_directory->state().drained;
+    state.excluded_backends = state.shared_directory->state().excluded_backends;
+  }
+  state.snapshot_store = open_snapshot_store(config, settings.snapshot);
+  std::optional<snapshot::Snapshot> found;
+  if (state.snapshot_store) {
+    found = state.snapshot_store->load(unix_time());
+  }
+  if (!found) {
+    return state;
+  }
+  log::info("snapshot_found",
+            {{"rows", static_cast<std::uint64_t>(found->records.size())},
+             {"barred", static_cast<std::uint64_t>(found->excluded_backends.size())}});
+  // The shared directory's exclusions are newer than a snapshot's.
+  if (!state.shared_directory) {
+    state.excluded_backends = std::move(found->excluded_backends);
+  }
+  state.endpoint_records = std::move(found->records);
+  return state;
+}
+
+std::chrono::milliseconds unix_time() {
+  return std::chrono::duration_cast<std::chrono::milliseconds>(
+      std::chrono::system_clock::now().time_since_epoch());
+}
+
+}  // namespace beechhill::bootstrap
--- /dev/null
+++ b/src/bootstrap/run.cpp
@@ -0,0 +1,23 @@
+#include "bootstrap/run.h"
+
+#include <utility>
+
+#include "bootstrap/server.h"
+#include "bootstrap/signals.h"
+#include "config/config.h"
+#include "config/operator_file.h"
+#include "log/log.h"
+
+namespace beechhill::bootstrap {
+
+void run(const std::string& operator_file) {
+  // First, so that a signal that comes during the start is handled after it.
+  net::Fd signals = block_signals();
+  const config::Config config = config::load_config();
+  const config::OperatorSettings settings = config::load_operator(operator_file);
+  log::start(settings.log);
+  Server server(config, settings, operator_file, std::move(signals));
+  server.run();
+}
+
+}  // namespace beechhill::bootstrap
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -9,7 +9,7 @@
 #include <cstdlib>
 #include <filesystem>
 
-#include "bootstrap/serve.h"
+#include "bootstrap/run.h"
 #include "config/config.h"
 #include "config/operator_file.h"
 #include "log/log.h"
