--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -5,7 +5,8 @@
 #include <utility>
 
 #include "admin/telemetry_json.h"
-#include "http/message.h"
+#include "http/parser.h"
+#include "http/writer.h"
 #include "log/log.h"
 
 namespace beechhill::admin {
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -11,7 +11,6 @@
 
 #include "admin/command.h"
 #include "hot_restart/hot_restart_actor.h"
-#include "http/message.h"
 #include "net/socket.h"
 #include "proxy/messages.h"
 #include "proxy/telemetry.h"
--- a/src/cluster/maintenance_cli.cpp
+++ b/src/cluster/maintenance_cli.cpp
@@ -5,7 +5,8 @@
 
 #include "cluster/disk_raft_storage.h"
 #include "config/operator_file.h"
-#include "http/message.h"
+#include "http/parser.h"
+#include "http/writer.h"
 #include "log/log.h"
 #include "net/socket.h"
 
--- /dev/null
+++ b/src/http/chunked_decoder.cpp
@@ -0,0 +1,92 @@
+#include "http/chunked_decoder.h"
+
+#include <algorithm>
+#include <charconv>
+#include <cstdint>
+
+#include "http/message.h"
+#include "http/syntax.h"
+
+namespace beechhill::http {
+namespace {
+
+constexpr std::size_t kMaxLine = 4096;  // bytes of a chunk's size with its extensions
+constexpr int kHexadecimal = 16;
+
+}  // namespace
+
+Progress ChunkedDecoder::feed(std::string& buffer, std::string& body) {
+  std::size_t used = 0;
+  const Progress progress = decode(buffer, used, body);
+  // Once for all chunks: an erase for each tiny one would be quadratic.
+  buffer.erase(0, used);
+  return progress;
+}
+
+Progress ChunkedDecoder::decode(std::string_view buffer, std::size_t& used, std::string& body) {
+  for (;;) {
+    if (state_ == State::kData) {
+      decode_data(buffer, used, body);
+      if (state_ == State::kData) {
+        return Progress::kMore;
+      }
+    }
+    const auto end = buffer.find(kLineEnd, used);
+    if (end == std::string_view::npos) {
+      return buffer.size() - used > kMaxLine ? Progress::kBad : Progress::kMore;
+    }
+    const std::string_view line = buffer.substr(used, end - used);
+    used = end + kLineEnd.size();
+    const Progress progress = decode_line(line);
+    if (progress != Progress::kMore) {
+      return progress;
+    }
+  }
+}
+
+void ChunkedDecoder::decode_data(std::string_view buffer, std::size_t& used, std::string& body) {
+  const std::size_t available = std::min(chunk_bytes_left_, buffer.size() - used);
+  body.append(buffer.substr(used, available));
+  used += available;
+  chunk_bytes_left_ -= available;
+  if (chunk_bytes_left_ == 0) {
+    state_ = State::kDataEnd;
+  }
+}
+
+// kMore where the body goes on after `line`.
+Progress ChunkedDecoder::decode_line(std::string_view line) {
+  if (line.size() > kMaxLine) {
+    return Progress::kBad;
+  }
+  switch (state_) {
+    case State::kDataEnd:
+      state_ = State::kSize;
+      return line.empty() ? Progress::kMore : Progress::kBad;
+    case State::kTrailer:
+      trailer_bytes_ += line.size();
+      if (line.empty()) {
+        return Progress::kDone;
+      }
+      return trailer_bytes_ > kMaxHead ? Progress::kBad : Progress::kMore;
+    case State::kSize:
+    case State::kData:
+      break;
+  }
+  return decode_size(line);
+}
+
+Progress ChunkedDecoder::decode_size(std::string_view line) {
+  const std::string_view digits = trim(line.substr(0, line.find(';')));
+  const char* const end = digits.data() + digits.size();
+  std::uint32_t size = 0;
+  const auto [stop, error] = std::from_chars(digits.data(), end, size, kHexadecimal);
+  if (digits.empty() || error != std::errc{} || stop != end) {
+    return Progress::kBad;
+  }
+  chunk_bytes_left_ = size;
+  state_ = size > 0 ? State::kData : State::kTrailer;
+  return Progress::kMore;
+}
+
+}  // namespace beechhill::http
--- a/src/proxy/backend_actor.cpp
+++ b/src/proxy/backend_actor.cpp
@@ -3,7 +3,10 @@
 #include <algorithm>
 #include <iterator>
 
+#include "http/field_values.h"
 #include "http/message.h"
+#include "http/parser.h"
+#include "http/writer.h"
 #include "log/log.h"
 
 namespace beechhill::proxy {
--- a/src/proxy/backend_actor.h
+++ b/src/proxy/backend_actor.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "http/message.h"
+#include "http/parser.h"
 #include "net/socket.h"
 #include "proxy/connection_log.h"
 #include "proxy/descriptor_budget.h"
--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -5,6 +5,8 @@
 #include <system_error>
 #include <utility>
 
+#include "http/field_values.h"
+#include "http/writer.h"
 #include "log/log.h"
 
 namespace beechhill::proxy {
--- a/src/proxy/client_connection.h
+++ b/src/proxy/client_connection.h
@@ -10,6 +10,7 @@
 
 #include "config/interner.h"
 #include "http/message.h"
+#include "http/parser.h"
 #include "net/socket.h"
 #include "proxy/connection_log.h"
 #include "proxy/descriptor_budget.h"
--- a/src/proxy/endpoint_watch_actor.cpp
+++ b/src/proxy/endpoint_watch_actor.cpp
@@ -3,7 +3,9 @@
 #include <algorithm>
 #include <optional>
 
-#include "http/message.h"
+#include "http/chunked_decoder.h"
+#include "http/parser.h"
+#include "http/writer.h"
 #include "log/log.h"
 #include "net/socket.h"
 
--- a/src/testbed/fake_services.cpp
+++ b/src/testbed/fake_services.cpp
@@ -6,7 +6,10 @@
 #include <cmath>
 #include <stdexcept>
 
+#include "http/field_values.h"
 #include "http/message.h"
+#include "http/parser.h"
+#include "http/writer.h"
 
 namespace beechhill::testbed {
 
--- a/src/testbed/load_generator.cpp
+++ b/src/testbed/load_generator.cpp
@@ -7,6 +7,8 @@
 #include <cstdlib>
 
 #include "http/message.h"
+#include "http/parser.h"
+#include "http/writer.h"
 
 namespace beechhill::testbed {
 
--- a/src/testbed/proxy_process.cpp
+++ b/src/testbed/proxy_process.cpp
@@ -12,7 +12,8 @@
 #include <sstream>
 #include <thread>
 
-#include "http/message.h"
+#include "http/parser.h"
+#include "http/writer.h"
 
 namespace beechhill::testbed {
 
--- /dev/null
+++ b/tests/config_test.cpp
@@ -0,0 +1,82 @@
+// The configuration's reader: values, and errors that name their key. No file, no environment.
+#include "config/config.h"
+
+#include <gtest/gtest.h>
+
+#include "net/socket.h"
+#include "support/proxy_fixture.h"
+
+namespace beechhill::config {
+namespace {
+
+Config read(const std::string& text) {
+  return read_config(parse(text.data(), text.data() + text.size(), "config"));
+}
+
+// The text of the error that `text` causes; empty where it causes none.
+std::string error_of(const std::string& text) {
+  try {
+    read(text);
+  } catch (const std::exception& error) {
+    return error.what();
+  }
+  return "";
+}
+
+TEST(Config, ReadsLimitsSeedAndSettings) {
+  const Config config = read(test::config_json("127.0.0.1:1", "127.0.0.1:2", "[]"));
+  EXPECT_EQ(config.max_descriptors, 256U);
+  EXPECT_EQ(config.named_settings.settings.seed, 5U);
+  EXPECT_EQ(config.named_settings.classes.size(), 2U);
+  EXPECT_EQ(config.named_settings.settings.connect_timeout, Duration(100'000));
+}
+
+TEST(Config, NamesTheKeyThatIsWrong) {
+  const std::string good = test::config_json("127.0.0.1:1", "127.0.0.1:2", "[]");
+  const struct {
+    const char* from;
+    const char* to;
+    const char* key;
+  } cases[] = {
+      {"\"listen\":\"127.0.0.1:1\"", "\"listen\":\"here\"", "listen"},
+      {"\"discovery\":\"127.0.0.1:2\",", "", "discovery"},
+      {"\"seed\":\"5\"", "\"seed\":\"xyz\"", "seed"},
+      {"\"sockets\":256", "\"sockets\":3", "limits.sockets"},
+      {"\"connect-timeout\":100000", "\"connect-timeout\":0", "connect-timeout"},
+      {"\"aim\":1200000", "\"aim\":\"soon\"", "aim"},
+      {"\"aim\":1200000", "\"aim\":-1", "classes.aim"},
+      {"\"repeat\":\"by_key\"", "\"repeat\":\"maybe\"", "repeat"},
+      {"\"hosts\":[]", "\"hosts\":[7]", "hosts"},
+      {"\"hosts\":[]", R"("hosts":[{"host":"s","dial":"x","health":"in_service"}])", "dial"},
+      {"\"hosts\":[]", R"("hosts":[{"host":"s","dial":"127.0.0.1:3","health":"fine"}])", "health"},
+      {"\"hosts\":[]",
+       R"("hosts":[{"host":"s","dial":"127.0.0.1:3","health":"in_service","born_ms":-5}])",
+       "born_ms"},
+      {"{\"name\"", "[{\"name\"", "config"},
+  };
+  for (const auto& c : cases) {
+    std::string text = good;
+    const auto at = text.find(c.from);
+    ASSERT_NE(at, std::string::npos) << c.from;
+    text.replace(at, std::string(c.from).size(), c.to);
+    const std::string error = error_of(text);
+    EXPECT_TRUE(error.starts_with(c.key)) << c.key << ": " << error;
+  }
+}
+
+TEST(SocketAddress, IsAnIpv4AddressAndAPort) {
+  const struct {
+    const char* text;
+    bool good;
+  } cases[] = {{"127.0.0.1:80", true},
+               {"127.0.0.1", false},
+               {"host:80", false},
+               {"127.0.0.1:", false},
+               {"127.0.0.1:70000", false}};
+  for (const auto& c : cases) {
+    EXPECT_EQ(net::parse_address(c.text).has_value(), c.good) << c.text;
+  }
+}
+
+}  // namespace
+}  // namespace beechhill::config
--- /dev/null
+++ b/tests/http_parser_test.cpp
@@ -0,0 +1,193 @@
+// The HTTP parser over tables of messages: no socket, no clock.
+#include <gtest/gtest.h>
+
+#include "http/parser.h"
+
+namespace beechhill::http {
+namespace {
+
+struct MessageCase {
+  const char* name;
+  Parser::Kind kind;
+  std::string bytes;
+  Progress progress;
+  int error_status = 0;   // of a malformed request
+  std::string body = {};  // of a complete message
+  std::string rest = {};  // what follows the message
+};
+
+const auto kRequest = Parser::Kind::kRequest;
+const auto kResponse = Parser::Kind::kResponse;
+
+std::string repeat(int count, const std::string& text) {
+  std::string all;
+  for (int i = 0; i < count; ++i) {
+    all += text;
+  }
+  return all;
+}
+std::string interim_responses(int count) {
+  return repeat(count, "HTTP/1.1 102 Processing\r\n\r\n");
+}
+std::string empty_lines(int count) {
+  return repeat(count, "\r\n");
+}
+std::string chunks(int count) {
+  return repeat(count, "1\r\nx\r\n");
+}
+
+const MessageCase kMessages[] = {
+    {"no body", kRequest, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n", Progress::kDone},
+    {"length", kRequest, "POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc", Progress::kDone, 0,
+     "abc"},
+    {"pipelined", kRequest, "POST /a HTTP/1.1\r\nContent-Length: 1\r\n\r\naGET /b", Progress::kDone,
+     0, "a", "GET /b"},
+    {"chunked", kRequest,
+     "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2;x=1\r\nab\r\n1\r\nc\r\n0\r\nT: "
+     "v\r\n\r\n",
+     Progress::kDone, 0, "abc"},
+    {"blank lines first", kRequest, "\r\n\r\nGET /a HTTP/1.1\r\n\r\n", Progress::kDone},
+    {"unfinished head", kRequest, "GET /a HTTP/1.1\r\nHost", Progress::kMore},
+    {"unfinished body", kRequest, "POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nab",
+     Progress::kMore},
+    {"both framings", kRequest,
+     "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n", Progress::kBad,
+     400},
+    {"other encoding", kRequest, "POST /a HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n",
+     Progress::kBad, 400},
+    {"endless blank lines", kRequest, empty_lines(33), Progress::kBad, 400},
+    {"same length twice", kRequest,
+     "POST /a HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\n", Progress::kBad, 400},
+    {"target not ASCII", kRequest, "GET /\xe9 HTTP/1.1\r\n\r\n", Progress::kBad, 400},
+    {"tiny chunks", kRequest,
+     "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks(20000) + "0\r\n\r\n",
+     Progress::kDone, 0, std::string(20000, 'x')},
+    {"two lengths", kRequest, "POST /a HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
+     Progress::kBad, 400},
+    {"signed length", kRequest, "POST /a HTTP/1.1\r\nContent-Length: +1\r\n\r\n", Progress::kBad,
+     400},
+    {"huge length", kRequest, "POST /a HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", Progress::kBad,
+     413},
+    {"length overflow", kRequest,
+     "POST /a HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n", Progress::kBad, 400},
+    {"huge chunk", kRequest,
+     "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" + std::string(65537, 'x'),
+     Progress::kBad, 413},
+    {"bad chunk", kRequest, "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+     Progress::kBad, 400},
+    {"chunk without end", kRequest,
+     "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", Progress::kBad, 400},
+    {"huge head", kRequest, "GET /a HTTP/1.1\r\nX: " + std::string(17000, 'x'), Progress::kBad,
+     431},
+    {"folded header", kRequest, "GET /a HTTP/1.1\r\nX: a\r\n b\r\n\r\n", Progress::kBad, 400},
+    {"blank before colon", kRequest, "GET /a HTTP/1.1\r\nX : a\r\n\r\n", Progress::kBad, 400},
+    {"control in value", kRequest, "GET /a HTTP/1.1\r\nX: a\nb\r\n\r\n", Progress::kBad, 400},
+    {"absolute form", kRequest, "GET http://h:80/a?b HTTP/1.1\r\n\r\n", Progress::kDone},
+    {"absolute form, no path", kRequest, "GET HTTP://h HTTP/1.1\r\n\r\n", Progress::kDone},
+    {"absolute form, no host", kRequest, "GET http:///a HTTP/1.1\r\n\r\n", Progress::kBad, 400},
+    {"other scheme", kRequest, "GET ftp://h/a HTTP/1.1\r\n\r\n", Progress::kBad, 400},
+    {"mixed case, optional blanks", kRequest,
+     "POST /a HTTP/1.1\r\ntRANSFER-eNCODING:\t Chunked \t\r\n\r\n3 ; a=\"b\"\r\nabc\r\n000\r\nX: "
+     "y\r\n\r\n",
+     Progress::kDone, 0, "abc"},
+    {"bare CR", kRequest, "GET /a HTTP/1.1\r\nX: a\rb\r\n\r\n", Progress::kBad, 400},
+    {"signed chunk", kRequest, "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n+1\r\na\r\n",
+     Progress::kBad, 400},
+    {"no target", kRequest, "GET HTTP/1.1\r\n\r\n", Progress::kBad, 400},
+    {"no slash", kRequest, "GET a HTTP/1.1\r\n\r\n", Progress::kBad, 400},
+    {"empty target", kRequest, "GET  HTTP/1.1\r\n\r\n", Progress::kBad, 400},
+    {"next version", kRequest, "GET /a HTTP/2.0\r\n\r\n", Progress::kBad, 505},
+    {"no version", kRequest, "GET /a FTP/1.1\r\n\r\n", Progress::kBad, 400},
+    {"answer", kResponse, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", Progress::kDone, 0,
+     "ok"},
+    {"no phrase", kResponse, "HTTP/1.1 503\r\nContent-Length: 0\r\n\r\n", Progress::kDone},
+    {"interim first", kResponse,
+     "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", Progress::kDone,
+     0, "x"},
+    {"no content", kResponse, "HTTP/1.1 204 No Content\r\n\r\n", Progress::kDone},
+    {"no stated end", kResponse, "HTTP/1.1 200 OK\r\n\r\nabc", Progress::kBad},
+    {"endless interim", kResponse,
+     interim_responses(9) + "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", Progress::kBad},
+    {"some interim", kResponse,
+     interim_responses(8) + "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", Progress::kDone},
+    {"unreadable report", kResponse, "HTTP/1.1 200 OK\r\nX: \x01\r\nContent-Length: 1\r\n\r\nx",
+     Progress::kDone, 0, "x"},
+    {"unreadable length", kResponse, "HTTP/1.1 200 OK\r\nContent-Length: \x01\r\n\r\nx",
+     Progress::kBad},
+    {"claimed 3 GB", kResponse, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx",
+     Progress::kBad},
+    {"no status", kResponse, "HTTP/1.1 OK\r\n\r\n", Progress::kBad, 400},
+    {"not HTTP", kResponse, "SSH-2.0-OpenSSH\r\n\r\n", Progress::kBad, 400},
+};
+
+// Feeds `step` bytes at a time until the parser needs no more.
+Progress feed_in_steps(Parser& parser, const std::string& bytes, std::size_t step,
+                       std::string& buffer) {
+  Progress progress = Progress::kMore;
+  for (std::size_t at = 0; at < bytes.size() && progress == Progress::kMore; at += step) {
+    buffer.append(bytes, at, step);
+    progress = parser.feed(buffer);
+  }
+  return progress;
+}
+
+TEST(HttpParser, ReadsEachMessageAtOnceAndByteByByte) {
+  for (const MessageCase& c : kMessages) {
+    for (const std::size_t step : {c.bytes.size(), std::size_t{1}}) {
+      SCOPED_TRACE(std::string(c.name) + ", step " + std::to_string(step));
+      Parser parser(c.kind);
+      std::string buffer;
+      const Progress progress = feed_in_steps(parser, c.bytes, step, buffer);
+      EXPECT_EQ(progress, c.progress);
+      if (progress == Progress::kBad && c.kind == kRequest) {
+        EXPECT_EQ(parser.error_status(), c.error_status);
+      }
+      if (progress != Progress::kDone) {
+        continue;
+      }
+      EXPECT_EQ(parser.message().body, c.body);
+      if (step > 1) {
+        EXPECT_EQ(buffer, c.rest);
+      }
+    }
+  }
+}
+
+TEST(HttpParser, RejectsABodyThatEndsBeforeItsLength) {
+  Parser parser(kResponse);
+  std::string bytes = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc";
+  EXPECT_EQ(parser.feed(bytes), Progress::kMore);
+  EXPECT_EQ(parser.end(), Progress::kBad);
+}
+
+TEST(HttpParser, TellsWhetherARequestMayBegin) {
+  const struct {
+    const char* bytes;
+    bool may_begin;
+  } cases[] = {{"", true},           {"G", true},      {"POST /a", true},
+               {"\r\nGET /", true},  {"\r", true},     {"xyz", false},
+               {"{\"a\":1}", false}, {"get /", false}, {"\nGET /", false}};
+  for (const auto& c : cases) {
+    EXPECT_EQ(may_begin_request(c.bytes), c.may_begin) << c.bytes;
+  }
+}
+
+TEST(HttpParser, TellsWhetherAConnectionIsKept) {
+  const struct {
+    const char* head;
+    bool keep_alive;
+  } cases[] = {{"HTTP/1.1 200 OK\r\n", true},
+               {"HTTP/1.0 200 OK\r\n", false},
+               {"HTTP/1.1 200 OK\r\nconnection: x, Close\r\n", false},
+               {"HTTP/1.0 200 OK\r\nConnection: keep-alive\r\n", true}};
+  for (const auto& c : cases) {
+    SCOPED_TRACE(c.head);
+    Parser parser(kResponse);
+    std::string bytes = std::string(c.head) + "Content-Length: 0\r\n\r\n";
+    EXPECT_EQ(parser.feed(bytes), Progress::kDone);
+    EXPECT_EQ(parser.message().keep_alive(), c.keep_alive);
+  }
+}
+
+}  // namespace
+}  // namespace beechhill::http
--- a/tests/proxy_rules.cpp
+++ b/tests/proxy_rules.cpp
@@ -2,6 +2,7 @@
 #include <algorithm>
 #include <cstring>
 
+#include "http/field_values.h"
 #include "proxy/decision_actor.h"
 #include "support/proxy_fixture.h"
 
--- a/tests/support/proxy_fixture.h
+++ b/tests/support/proxy_fixture.h
@@ -22,6 +22,8 @@
 #include <vector>
 
 #include "http/message.h"
+#include "http/parser.h"
+#include "http/writer.h"
 #include "net/socket.h"
 
 namespace beechhill::test {
