--- /dev/null
+++ b/src/config/endpoint_list.h
@@ -0,0 +1,38 @@
+// Discovery's list of endpoints, as it stands in the configuration and on the watch.
+#pragma once
+
+#include <netinet/in.h>
+
+#include <chrono>
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "beechhill/balancer.h"
+#include "config/json.h"
+
+namespace beechhill::config {
+
+struct EndpointListEntry {
+  std::string host;
+  std::string zone;
+  std::string instance_type;
+  /// Unset where the endpoint is removed.
+  sockaddr_in address{};
+  std::uint32_t cell = 0;
+  EndpointStatus status = EndpointStatus::kUp;
+  /// Unix time; 0: long ago.
+  std::chrono::milliseconds started_at{0};
+};
+
+struct EndpointList {
+  std::uint64_t version = 0;
+  /// Whether these are all endpoints, or only those that have changed.
+  bool complete = true;
+  std::vector<EndpointListEntry> entries;
+};
+
+/// Throws JsonError.
+EndpointList read_endpoint_list(const Json::Value& list);
+
+}  // namespace beechhill::config
--- a/src/config/interner.h
+++ b/src/config/interner.h
@@ -1,4 +1,4 @@
-// Names to dense integers, and back. A forgotten name's integer is given out again.
+// Maps names to dense integers and back.
 #pragma once
 
 #include <cstdint>
@@ -10,36 +10,42 @@
 
 namespace beechhill::config {
 
+/// Each operation takes amortised constant time, besides the hash of a name.
 class Interner {
  public:
+  /// The integer of `name`; a new name gets the lowest unused one, or one that was forgotten.
   std::uint32_t id(std::string_view name) {
-    const auto next = free_.empty() ? static_cast<std::uint32_t>(names_.size()) : free_.back();
-    const auto [it, fresh] = ids_.try_emplace(std::string(name), next);
-    if (!fresh) {
+    const auto next =
+        unused_ids_.empty() ? static_cast<std::uint32_t>(names_.size()) : unused_ids_.back();
+    const auto [it, is_new] = ids_.try_emplace(std::string(name), next);
+    if (!is_new) {
       return it->second;
     }
-    if (free_.empty()) {
+    if (unused_ids_.empty()) {
       names_.emplace_back(name);
     } else {
       names_[next] = name;
-      free_.pop_back();
+      unused_ids_.pop_back();
     }
     return next;
   }
+  /// Releases `id`, which must be in use, for another name.
   void forget(std::uint32_t id) {
     ids_.erase(names_[id]);
-    free_.push_back(id);
+    unused_ids_.push_back(id);
   }
+  /// The integer of `name`; nothing where it has none.
   std::optional<std::uint32_t> known(std::string_view name) const {
     const auto it = ids_.find(std::string(name));
     return it == ids_.end() ? std::nullopt : std::optional(it->second);
   }
+  /// The name of `id`, which must be in use. Valid until the next call of id().
   const std::string& name(std::uint32_t id) const { return names_[id]; }
 
  private:
   std::unordered_map<std::string, std::uint32_t> ids_;
   std::vector<std::string> names_;
-  std::vector<std::uint32_t> free_;
+  std::vector<std::uint32_t> unused_ids_;
 };
 
 }  // namespace beechhill::config
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -1,123 +1,171 @@
 #include "config/operator_file.h"
 
-#include <algorithm>
+#include <cstddef>
+#include <cstdint>
+#include <set>
+#include <string_view>
 
 #include "net/socket.h"
 
 namespace beechhill::config {
 namespace {
 
-constexpr std::size_t kLongestName = 48;  // of a member
+using namespace std::chrono_literals;
 
-void check_address(const TomlReader& r, std::string_view key, const std::string& text) {
+constexpr std::size_t kMaxNameBytes = 48;  // of a member, as its datagrams carry it
+constexpr std::size_t kMaxVoters = 7;
+constexpr std::int64_t kMaxCount = 100'000;  // of machines, proxies or endpoints
+constexpr std::int64_t kMaxCoverage = 10'000;
+constexpr double kMaxCapacityReserve = 10;
+constexpr std::int64_t kMinLogQueue = 16;
+constexpr std::int64_t kMaxLogQueue = 65'536;
+constexpr Duration kMinProbeInterval = 50ms;
+constexpr Duration kMinForgetAfter = 1min;
+constexpr Duration kMinSnapshotInterval = 100ms;
+constexpr Duration kMinLease = 1s;
+
+std::uint32_t read_count(TomlReader& table, std::string_view key, std::uint32_t fallback) {
+  return static_cast<std::uint32_t>(table.integer(key, fallback, 0, kMaxCount));
+}
+
+// A duration of at least a second, without its fraction of one.
+maintenance::Seconds read_seconds(TomlReader& table, std::string_view key,
+                                  maintenance::Seconds fallback) {
+  return table.span(key, std::chrono::seconds(fallback), 1s) / std::chrono::seconds(1);
+}
+
+void check_address(const TomlReader& table, std::string_view key, const std::string& text) {
   if (!text.empty() && !net::parse_address(text)) {
-    r.fault(key, "not an IPv4 address and a port: " + text);
+    table.fault(key, "not an IPv4 address and a port: " + text);
   }
 }
 
-MembershipSettings membership_from(TomlReader r) {
-  MembershipSettings m;
-  m.listen_address = r.text("listen", ""), m.advertised_address = r.text("advertise", "");
-  m.seed_addresses = r.texts("seeds");
-  m.key_file = r.text("key_file", "");
-  m.probe_interval = r.span("interval", m.probe_interval, std::chrono::milliseconds(50));
-  m.forget_after = r.span("forget_after", m.forget_after, std::chrono::minutes(1));
-  check_address(r, "listen", m.listen_address), check_address(r, "advertise", m.advertised_address);
-  for (const std::string& seed : m.seed_addresses) {
-    check_address(r, "seeds", seed);
+log::Settings read_log(TomlReader table) {
+  log::Settings settings;
+  settings.level =
+      static_cast<log::Level>(table.word("level", static_cast<std::size_t>(settings.level),
+                                         {"debug", "info", "warning", "error", "off"}));
+  settings.format = static_cast<log::Format>(
+      table.word("format", static_cast<std::size_t>(settings.format), {"logfmt", "json"}));
+  settings.time = table.flag("time", settings.time);
+  settings.queue = static_cast<std::size_t>(table.integer(
+      "queue", static_cast<std::int64_t>(settings.queue), kMinLogQueue, kMaxLogQueue));
+  table.finish();
+  return settings;
+}
+
+routing::SubsetSettings read_routing(TomlReader table) {
+  routing::SubsetSettings settings;
+  settings.min_endpoints = read_count(table, "subset_nodes", 0);
+  settings.coverage =
+      static_cast<std::uint32_t>(table.integer("coverage", settings.coverage, 1, kMaxCoverage));
+  settings.proxies = read_count(table, "proxies", 0);
+  if (table.has("place")) {
+    settings.proxy_index = read_count(table, "place", 0);
   }
-  if (!m.listen_address.empty() && m.key_file.empty()) {
-    r.fault("key_file", "missing");
+  if (settings.proxy_index && *settings.proxy_index >= settings.proxies) {
+    table.fault("place", "not under proxies");
+  }
+  table.finish();
+  return settings;
+}
+
+SnapshotSettings read_snapshot(TomlReader table) {
+  SnapshotSettings settings;
+  settings.directory = table.text("folder", "");
+  const Duration interval = table.span("every", settings.interval, kMinSnapshotInterval);
+  settings.interval = std::chrono::duration_cast<std::chrono::milliseconds>(interval);
+  table.finish();
+  return settings;
+}
+
+MembershipSettings read_membership(TomlReader table) {
+  MembershipSettings settings;
+  settings.listen_address = table.text("listen", "");
+  settings.advertised_address = table.text("advertise", "");
+  settings.seed_addresses = table.texts("seeds");
+  settings.key_file = table.text("key_file", "");
+  settings.probe_interval = table.span("interval", settings.probe_interval, kMinProbeInterval);
+  settings.forget_after = table.span("forget_after", settings.forget_after, kMinForgetAfter);
+  check_address(table, "listen", settings.listen_address);
+  check_address(table, "advertise", settings.advertised_address);
+  for (const std::string& seed : settings.seed_addresses) {
+    check_address(table, "seeds", seed);
+  }
+  if (!settings.listen_address.empty() && settings.key_file.empty()) {
+    table.fault("key_file", "missing");
   }
 #ifndef BEECHHILL_CLUSTER
-  if (!m.listen_address.empty()) {
-    r.fault("listen", "this build has no membership (BEECHHILL_CLUSTER)");
+  if (!settings.listen_address.empty()) {
+    table.fault("listen", "this build has no membership (BEECHHILL_CLUSTER)");
   }
 #endif
-  r.finish();
-  return m;
+  table.finish();
+  return settings;
 }
 
-MaintenanceSettings maintenance_from(TomlReader r, const MembershipSettings& membership) {
-  MaintenanceSettings m;
-  m.voters = r.texts("voters");
-  const std::set<std::string> names(m.voters.begin(), m.voters.end());
-  const std::size_t n = m.voters.size();
-  if (n != 0 && n != 1 && n != 3 && n != 5 && n != 7) {
-    r.fault("voters", "1, 3, 5 or 7 names");
+void check_voters(const TomlReader& table, const std::vector<std::string>& voters,
+                  const MembershipSettings& membership) {
+  const std::size_t count = voters.size();
+  if (count != 0 && (count % 2 == 0 || count > kMaxVoters)) {
+    table.fault("voters", "1, 3, 5 or 7 names");
   }
-  if (names.size() != n) {
-    r.fault("voters", "a name comes twice");
+  const std::set<std::string> names(voters.begin(), voters.end());
+  if (names.size() != count) {
+    table.fault("voters", "a name comes twice");
   }
   for (const std::string& name : names) {
-    if (name.empty() || name.size() > kLongestName || name.find('#') != std::string::npos) {
-      r.fault("voters", "no name of a proxy: " + name);
+    if (name.empty() || name.size() > kMaxNameBytes || name.find('#') != std::string::npos) {
+      table.fault("voters", "no name of a proxy: " + name);
     }
   }
-  if (n > 0 && membership.listen_address.empty()) {
-    r.fault("voters", "needs membership.listen");
+  if (count > 0 && membership.listen_address.empty()) {
+    table.fault("voters", "needs membership.listen");
   }
-  m.storage_directory = r.text("folder", "");
-  m.lease_duration = r.span("lease", m.lease_duration, std::chrono::seconds(1));
-  m.isolation_timeout = r.span("isolated_after", m.isolation_timeout);
-  m.initial_lease_timeout = r.span("hear_within", m.initial_lease_timeout);
-  m.serve_without_lease = r.flag("serve_unheard", m.serve_without_lease);
-  maintenance::DisruptionBudget& b = m.disruption_budget;
-  const auto count = [&r](const char* key, std::uint32_t otherwise) {
-    return static_cast<std::uint32_t>(r.integer(key, otherwise, 0, 100'000));
-  };
-  const auto whole = [&r](const char* key, maintenance::Seconds otherwise) {
-    return r.span(key, std::chrono::seconds(otherwise), std::chrono::seconds(1)) /
-           std::chrono::seconds(1);
-  };
-  b.capacity_reserve = r.number("reserve", b.capacity_reserve, 0, 10);
-  b.max_out = count("most_out", b.max_out),
-  b.max_out_per_zone = count("most_out_zone", b.max_out_per_zone);
-  b.max_out_per_cell = count("most_out_cell", b.max_out_per_cell),
-  b.min_proxies_per_zone = count("least_proxies", b.min_proxies_per_zone);
-  b.drain_timeout = whole("evacuate_within", b.drain_timeout),
-  b.deferral = whole("put_off", b.deferral);
-  b.priority_aging_interval = whole("age_step", b.priority_aging_interval),
-  b.quiet_period = whole("calm", b.quiet_period);
-  b.needs_approval = r.flag("approval", b.needs_approval);
-  r.finish();
-  return m;
+}
+
+maintenance::DisruptionBudget read_disruption_budget(TomlReader& table) {
+  maintenance::DisruptionBudget budget;
+  budget.capacity_reserve =
+      table.number("reserve", budget.capacity_reserve, 0, kMaxCapacityReserve);
+  budget.max_out = read_count(table, "most_out", budget.max_out);
+  budget.max_out_per_zone = read_count(table, "most_out_zone", budget.max_out_per_zone);
+  budget.max_out_per_cell = read_count(table, "most_out_cell", budget.max_out_per_cell);
+  budget.min_proxies_per_zone = read_count(table, "least_proxies", budget.min_proxies_per_zone);
+  budget.drain_timeout = read_seconds(table, "evacuate_within", budget.drain_timeout);
+  budget.deferral = read_seconds(table, "put_off", budget.deferral);
+  budget.priority_aging_interval = read_seconds(table, "age_step", budget.priority_aging_interval);
+  budget.quiet_period = read_seconds(table, "calm", budget.quiet_period);
+  budget.needs_approval = table.flag("approval", budget.needs_approval);
+  return budget;
+}
+
+MaintenanceSettings read_maintenance(TomlReader table, const MembershipSettings& membership) {
+  MaintenanceSettings settings;
+  settings.voters = table.texts("voters");
+  check_voters(table, settings.voters, membership);
+  settings.storage_directory = table.text("folder", "");
+  settings.lease_duration = table.span("lease", settings.lease_duration, kMinLease);
+  settings.isolation_timeout = table.span("isolated_after", settings.isolation_timeout);
+  settings.initial_lease_timeout = table.span("hear_within", settings.initial_lease_timeout);
+  settings.serve_without_lease = table.flag("serve_unheard", settings.serve_without_lease);
+  settings.disruption_budget = read_disruption_budget(table);
+  table.finish();
+  return settings;
 }
 
 }  // namespace
 
 OperatorSettings read_operator(const toml::table& root, const std::string& file) {
-  OperatorSettings o;
-  TomlReader r(root, file);
-  TomlReader l = r.table("log");
-  o.log.level = static_cast<log::Level>(l.word("level", static_cast<std::size_t>(o.log.level),
-                                               {"debug", "info", "warning", "error", "off"}));
-  o.log.format = static_cast<log::Format>(l.word("format", 0, {"logfmt", "json"}));
-  o.log.time = l.flag("time", false);
-  o.log.queue = static_cast<std::size_t>(
-      l.integer("queue", static_cast<std::int64_t>(o.log.queue), 16, 65'536));
-  l.finish();
-  TomlReader s = r.table("routing");
-  o.subset.min_endpoints = static_cast<std::uint32_t>(s.integer("subset_nodes", 0, 0, 100'000));
-  o.subset.coverage =
-      static_cast<std::uint32_t>(s.integer("coverage", o.subset.coverage, 1, 10'000));
-  o.subset.proxies = static_cast<std::uint32_t>(s.integer("proxies", 0, 0, 100'000));
-  if (s.has("place")) {
-    o.subset.proxy_index = static_cast<std::uint32_t>(s.integer("place", 0, 0, 100'000));
-  }
-  if (o.subset.proxy_index && *o.subset.proxy_index >= o.subset.proxies) {
-    s.fault("place", "not under proxies");
-  }
-  s.finish();
-  TomlReader n = r.table("snapshot");
-  o.snapshot.directory = n.text("folder", "");
-  const Duration every = n.span("every", o.snapshot.interval, std::chrono::milliseconds(100));
-  o.snapshot.interval = std::chrono::duration_cast<std::chrono::milliseconds>(every);
-  n.finish();
-  o.membership = membership_from(r.table("membership"));
-  o.maintenance = maintenance_from(r.table("maintenance"), o.membership);
-  r.finish();
-  return o;
+  OperatorSettings settings;
+  TomlReader reader(root, file);
+  settings.log = read_log(reader.table("log"));
+  settings.subset = read_routing(reader.table("routing"));
+  settings.snapshot = read_snapshot(reader.table("snapshot"));
+  settings.membership = read_membership(reader.table("membership"));
+  settings.maintenance = read_maintenance(reader.table("maintenance"), settings.membership);
+  reader.finish();
+  return settings;
 }
 
 OperatorSettings load_operator(const std::string& path) {
--- a/src/config/operator_file.h
+++ b/src/config/operator_file.h
@@ -1,6 +1,6 @@
-// The operator's own file (TOML): what the platform's configuration does not speak of. Read,
-// checked and given defaults here and nowhere else; every key is described in
-// docs/operators/configuration.md.
+// The operator file (TOML): what the operators decide, beside the platform's configuration. Read,
+// checked and given defaults here and nowhere else. docs/operators/configuration.md describes every
+// key.
 #pragma once
 
 #include <chrono>
@@ -15,25 +15,33 @@
 namespace beechhill::config {
 
 struct SnapshotSettings {
-  std::string directory;  // on a disk that lasts; empty: none are kept
+  /// On a disk that outlives the process; empty: no snapshots are kept.
+  std::string directory;
   std::chrono::milliseconds interval{2000};
 };
 
 struct MembershipSettings {
-  std::string
-      listen_address;  // UDP, an IPv4 address and a port; empty: the process talks with no other
-  std::string advertised_address;           // where the others reach it; empty: `listen`
-  std::vector<std::string> seed_addresses;  // addresses of some of the others
-  std::string key_file;  // a key a line, as 64 hexadecimal digits: the first signs, a second one is
-                         // believed too
+  /// UDP, an IPv4 address and a port; empty: the process is in no cluster.
+  std::string listen_address;
+  /// Where the other members reach it; empty: `listen_address`.
+  std::string advertised_address;
+  /// Of some of the other members.
+  std::vector<std::string> seed_addresses;
+  /// One key a line, as 64 hexadecimal digits. The first signs; a second one is accepted too.
+  std::string key_file;
   Duration probe_interval{1'000'000};
   Duration forget_after{3'600'000'000};
 };
 
 struct MaintenanceSettings {
-  std::vector<std::string> voters;  // names; none: machines are not taken out by agreement
-  std::string storage_directory;    // of a voter's storage, on a disk that lasts
-  Duration lease_duration{5'000'000}, isolation_timeout{0}, initial_lease_timeout{5'000'000};
+  /// Names of proxies; none: maintenance is not coordinated.
+  std::vector<std::string> voters;
+  /// Of a voter's log, on a disk that outlives the process.
+  std::string storage_directory;
+  Duration lease_duration{5'000'000};
+  /// 0: none.
+  Duration isolation_timeout{0};
+  Duration initial_lease_timeout{5'000'000};
   bool serve_without_lease = false;
   maintenance::DisruptionBudget disruption_budget;
 };
@@ -46,9 +54,9 @@
   routing::SubsetSettings subset;
 };
 
-// Throws TomlFault naming file, line and key; an unknown key is one.
+/// Throws TomlError naming `file`, the line and the key; an unknown key is an error.
 OperatorSettings read_operator(const toml::table& root, const std::string& file);
-// `path` empty: the defaults, under which the program does as it did before there was such a file.
+/// Reads the file at `path`; the defaults where `path` is empty. Throws TomlError.
 OperatorSettings load_operator(const std::string& path);
 
 }  // namespace beechhill::config
--- a/src/config/settings_reader.h
+++ b/src/config/settings_reader.h
@@ -1,6 +1,8 @@
-// The one reader of the module's settings from JSON, for the adapter and the proxy alike.
+// The one reader of the balancer's settings from JSON, for the simulator's host and the proxy
+// alike.
 #pragma once
 
+#include <cstdint>
 #include <string>
 #include <vector>
 
@@ -9,14 +11,19 @@
 
 namespace beechhill::config {
 
+/// The balancer's settings, and the names that stand for its numbers.
 struct NamedSettings {
-  Settings settings;                 // its zone is 0
-  std::string zone;                  // the name of that zone
-  std::vector<std::string> classes;  // names, by ClassId
-  std::vector<std::string> tenants;  // names, by TenantId
+  /// The zone in it is 0.
+  Settings settings;
+  std::string zone;
+  /// By ClassId.
+  std::vector<std::string> classes;
+  /// By TenantId.
+  std::vector<std::string> tenants;
 };
 
-// Unknown keys are skipped. Throws JsonFault naming the key.
+/// Reads `env` and takes over `seed`. Unknown keys are skipped; ranges are not checked, which
+/// validate() does. Throws JsonError.
 NamedSettings read_settings(const Json::Value& env, std::uint64_t seed);
 
 }  // namespace beechhill::config
--- a/src/config/toml_reader.cpp
+++ b/src/config/toml_reader.cpp
@@ -1,20 +1,36 @@
 #include "config/toml_reader.h"
 
+#include <algorithm>
 #include <charconv>
 #include <cmath>
 #include <fstream>
+#include <iterator>
 #include <sstream>
 
 namespace beechhill::config {
 namespace {
 
-constexpr std::streamsize kMostBytes = 1 << 20;
-const toml::table kEmpty;
+constexpr std::streamsize kMaxFileBytes = 1 << 20;
+constexpr double kMaxDurationMicroseconds = 366.0 * 86'400e6;
 
-std::string place(const std::string& file, const toml::source_region& at) {
-  const std::string& from =
-      at.path && !at.path->empty() ? *at.path : file;  // a table may be put together from files
-  return at.begin ? from + ":" + std::to_string(at.begin.line) : file;
+// What an absent table reads as.
+const toml::table kEmptyTable;
+
+struct DurationUnit {
+  std::string_view name;
+  double microseconds;
+};
+constexpr DurationUnit kDurationUnits[] = {
+    {"ns", 1e-3}, {"us", 1}, {"ms", 1e3}, {"s", 1e6}, {"m", 60e6}, {"h", 3600e6},
+};
+
+// "FILE:LINE". A table may be merged from several files: `source` names its own, where it has one.
+std::string location(const std::string& file, const toml::source_region& source) {
+  if (!source.begin) {
+    return file;
+  }
+  const std::string& path = source.path && !source.path->empty() ? *source.path : file;
+  return path + ":" + std::to_string(source.begin.line);
 }
 
 }  // namespace
@@ -23,7 +39,7 @@
   try {
     return toml::parse(text, file);
   } catch (const toml::parse_error& error) {
-    throw TomlError(place(file, error.source()) + ": " + std::string(error.description()));
+    throw TomlError(location(file, error.source()) + ": " + std::string(error.description()));
   }
 }
 
@@ -32,12 +48,12 @@
   if (!in) {
     throw TomlError(path + ": cannot be read");
   }
-  std::string text(static_cast<std::size_t>(kMostBytes) + 1, '\0');
+  std::string text(static_cast<std::size_t>(kMaxFileBytes) + 1, '\0');
   in.read(text.data(), static_cast<std::streamsize>(text.size()));
   if (in.bad()) {
     throw TomlError(path + ": cannot be read");
   }
-  if (in.gcount() > kMostBytes) {
+  if (in.gcount() > kMaxFileBytes) {
     throw TomlError(path + ": over 1 MiB");
   }
   text.resize(static_cast<std::size_t>(in.gcount()));
@@ -46,56 +62,43 @@
 
 std::optional<Duration> parse_span(std::string_view text) {
   double value = 0;
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+  const char* const text_end = text.data() + text.size();
+  const auto [number_end, error] = std::from_chars(text.data(), text_end, value);
   if (error != std::errc()) {
     return std::nullopt;
   }
-  const std::string_view unit(end, static_cast<std::size_t>(text.data() + text.size() - end));
-  double micros = 0;
-  if (unit == "ns") {
-    micros = 1e-3;
-  } else if (unit == "us") {
-    micros = 1;
-  } else if (unit == "ms") {
-    micros = 1e3;
-  } else if (unit == "s") {
-    micros = 1e6;
-  } else if (unit == "m") {
-    micros = 60e6;
-  } else if (unit == "h") {
-    micros = 3600e6;
-  } else {
+  const std::string_view name(number_end, static_cast<std::size_t>(text_end - number_end));
+  const auto* const unit =
+      std::find_if(std::begin(kDurationUnits), std::end(kDurationUnits),
+                   [name](const DurationUnit& candidate) { return candidate.name == name; });
+  if (unit == std::end(kDurationUnits)) {
     return std::nullopt;
   }
-  const double all = value * micros;
-  if (!(all >= 0 && all <= 366.0 * 86400e6)) {
-    return std::nullopt;
-  }
-  return Duration(std::llround(all));
+  const double microseconds = value * unit->microseconds;
+  // Written so that it is false for what is not a number.
+  const bool is_in_range = microseconds >= 0 && microseconds <= kMaxDurationMicroseconds;
+  return is_in_range ? std::optional(Duration(std::llround(microseconds))) : std::nullopt;
 }
 
 TomlReader::TomlReader(const toml::table& table, std::string file, std::string path)
     : table_(table), file_(std::move(file)), path_(std::move(path)) {
 }
 
-void TomlReader::fault(std::string_view key, const std::string& what) const {
+void TomlReader::fault(std::string_view key, const std::string& reason) const {
   const toml::node* node = table_.get(key);
-  const std::string at = place(file_, node ? node->source() : table_.source());
-  throw TomlError(at + ": " + path_ + std::string(key) + ": " + what);
+  const std::string at = location(file_, node != nullptr ? node->source() : table_.source());
+  throw TomlError(at + ": " + path_ + std::string(key) + ": " + reason);
 }
 
-const toml::node* TomlReader::find(std::string_view key) {
-  asked_.emplace(key);
-  return table_.get(key);
-}
 const toml::node* TomlReader::raw(std::string_view key) {
-  return find(key);
+  read_keys_.emplace(key);
+  return table_.get(key);
 }
 
-bool TomlReader::flag(std::string_view key, bool otherwise) {
-  const toml::node* node = find(key);
-  if (!node) {
-    return otherwise;
+bool TomlReader::flag(std::string_view key, bool fallback) {
+  const toml::node* node = raw(key);
+  if (node == nullptr) {
+    return fallback;
   }
   if (!node->is_boolean()) {
     fault(key, "not true or false");
@@ -103,43 +106,43 @@
   return *node->value<bool>();
 }
 
-double TomlReader::number(std::string_view key, double otherwise, double least, double most) {
-  const toml::node* node = find(key);
-  if (!node) {
-    return otherwise;
+double TomlReader::number(std::string_view key, double fallback, double min, double max) {
+  const toml::node* node = raw(key);
+  if (node == nullptr) {
+    return fallback;
   }
   if (!node->is_number()) {
     fault(key, "not a number");
   }
   const double value = *node->value<double>();
-  if (!(value >= least && value <= most)) {
-    std::ostringstream what;
-    what << "not from " << least << " to " << most;
-    fault(key, what.str());
+  if (!(value >= min && value <= max)) {
+    std::ostringstream reason;
+    reason << "not from " << min << " to " << max;
+    fault(key, reason.str());
   }
   return value;
 }
 
-std::int64_t TomlReader::integer(std::string_view key, std::int64_t otherwise, std::int64_t least,
-                                 std::int64_t most) {
-  const toml::node* node = find(key);
-  if (!node) {
-    return otherwise;
+std::int64_t TomlReader::integer(std::string_view key, std::int64_t fallback, std::int64_t min,
+                                 std::int64_t max) {
+  const toml::node* node = raw(key);
+  if (node == nullptr) {
+    return fallback;
   }
   if (!node->is_integer()) {
     fault(key, "not a whole number");
   }
   const std::int64_t value = *node->value<std::int64_t>();
-  if (value < least || value > most) {
-    fault(key, "not from " + std::to_string(least) + " to " + std::to_string(most));
+  if (value < min || value > max) {
+    fault(key, "not from " + std::to_string(min) + " to " + std::to_string(max));
   }
   return value;
 }
 
-std::string TomlReader::text(std::string_view key, std::string otherwise) {
-  const toml::node* node = find(key);
-  if (!node) {
-    return otherwise;
+std::string TomlReader::text(std::string_view key, std::string fallback) {
+  const toml::node* node = raw(key);
+  if (node == nullptr) {
+    return fallback;
   }
   if (!node->is_string()) {
     fault(key, "not a text");
@@ -147,68 +150,69 @@
   return *node->value<std::string>();
 }
 
-std::size_t TomlReader::word(std::string_view key, std::size_t otherwise,
-                             const std::vector<std::string>& words) {
-  const toml::node* node = find(key);
-  if (!node) {
-    return otherwise;
-  }
-  std::string all;
-  for (std::size_t i = 0; i < words.size(); ++i) {
-    if (node->value<std::string>() == words[i]) {
+std::size_t TomlReader::word(std::string_view key, std::size_t fallback,
+                             const std::vector<std::string>& choices) {
+  const toml::node* node = raw(key);
+  if (node == nullptr) {
+    return fallback;
+  }
+  std::string list;
+  for (std::size_t i = 0; i < choices.size(); ++i) {
+    if (node->value<std::string>() == choices[i]) {
       return i;
     }
-    all += (i ? ", " : "") + words[i];
+    list += (i > 0 ? ", " : "") + choices[i];
   }
-  fault(key, "not one of " + all);
+  fault(key, "not one of " + list);
 }
 
-Duration TomlReader::span(std::string_view key, Duration otherwise, Duration least) {
-  const toml::node* node = find(key);
-  if (!node) {
-    return otherwise;
+Duration TomlReader::span(std::string_view key, Duration fallback, Duration min) {
+  const toml::node* node = raw(key);
+  if (node == nullptr) {
+    return fallback;
   }
   const auto value =
       node->is_string() ? parse_span(*node->value<std::string_view>()) : std::nullopt;
   if (!value) {
     fault(key, "not a span of time such as \"250ms\", \"1.5s\" or \"2m\"");
   }
-  if (*value < least) {
-    fault(key, "under " + std::to_string(least.count()) + "us");
+  if (*value < min) {
+    fault(key, "under " + std::to_string(min.count()) + "us");
   }
   return *value;
 }
 
-Range TomlReader::range(std::string_view key, Range otherwise, double least, double most) {
-  const toml::node* node = find(key);
-  if (!node) {
-    return otherwise;
+Range TomlReader::range(std::string_view key, Range fallback, double min, double max) {
+  const toml::node* node = raw(key);
+  if (node == nullptr) {
+    return fallback;
   }
-  Range r;
+  Range range;
   if (const toml::array* pair = node->as_array();
       pair && pair->size() == 2 && pair->get(0)->is_number() && pair->get(1)->is_number()) {
-    r = {*pair->get(0)->value<double>(), *pair->get(1)->value<double>()};
+    range = {*pair->get(0)->value<double>(), *pair->get(1)->value<double>()};
   } else if (node->is_number()) {
-    r.from = r.to = *node->value<double>();
+    range.from = *node->value<double>();
+    range.to = range.from;
   } else {
     fault(key, "not a number or [least, most]");
   }
-  if (!(r.from >= least && r.to <= most && r.from <= r.to)) {
-    std::ostringstream what;
-    what << "not within " << least << " to " << most << ", the lesser first";
-    fault(key, what.str());
+  if (!(range.from >= min && range.to <= max && range.from <= range.to)) {
+    std::ostringstream reason;
+    reason << "not within " << min << " to " << max << ", the lesser first";
+    fault(key, reason.str());
   }
-  return r;
+  return range;
 }
 
 std::vector<std::string> TomlReader::texts(std::string_view key) {
   std::vector<std::string> all;
-  const toml::node* node = find(key);
-  if (!node) {
+  const toml::node* node = raw(key);
+  if (node == nullptr) {
     return all;
   }
   const toml::array* array = node->as_array();
-  if (!array) {
+  if (array == nullptr) {
     fault(key, "not an array of texts");
   }
   for (const toml::node& item : *array) {
@@ -221,21 +225,22 @@
 }
 
 TomlReader TomlReader::table(std::string_view key) {
-  const toml::node* node = find(key);
-  if (node && !node->is_table()) {
+  const toml::node* node = raw(key);
+  if (node != nullptr && !node->is_table()) {
     fault(key, "not a table");
   }
-  return TomlReader(node ? *node->as_table() : kEmpty, file_, path_ + std::string(key) + ".");
+  return TomlReader(node != nullptr ? *node->as_table() : kEmptyTable, file_,
+                    path_ + std::string(key) + ".");
 }
 
 std::vector<TomlReader> TomlReader::tables(std::string_view key) {
   std::vector<TomlReader> all;
-  const toml::node* node = find(key);
-  if (!node) {
+  const toml::node* node = raw(key);
+  if (node == nullptr) {
     return all;
   }
   const toml::array* array = node->as_array();
-  if (!array) {
+  if (array == nullptr) {
     fault(key, "not an array of tables");
   }
   for (const toml::node& item : *array) {
@@ -250,7 +255,7 @@
 
 void TomlReader::finish() const {
   for (const auto& [key, node] : table_) {
-    if (!asked_.contains(key.str())) {
+    if (!read_keys_.contains(key.str())) {
       fault(key.str(), "unknown key");
     }
   }
--- /dev/null
+++ b/tests/log_test.cpp
@@ -0,0 +1,132 @@
+// The structured log: the text of its lines, and that it never blocks its caller.
+#include "log/log.h"
+
+#include <gtest/gtest.h>
+
+#include "support/proxy_fixture.h"
+
+namespace beechhill::log {
+namespace {
+
+using namespace std::chrono_literals;
+
+// What a client or a backend sends cannot end a line or forge one.
+TEST(LogLine, EscapesItsValues) {
+  const struct {
+    Format format;
+    Level level;
+    std::vector<Field> fields;
+    std::string line;
+  } cases[] = {
+      {Format::kLogfmt,
+       Level::kInfo,
+       {{"side", std::string_view("front")}, {"operations", std::uint64_t{24}}},
+       "end side=front operations=24"},
+      {Format::kLogfmt,
+       Level::kWarning,
+       {{"fault", std::string_view("a \"b\"\nend side=front")}},
+       R"(end level=warning fault="a \"b\"\nend side=front")"},
+      {Format::kLogfmt,
+       Level::kInfo,
+       {{"empty", std::string_view("")}, {"sum", std::string_view("a=b")}},
+       R"(end empty="" sum="a=b")"},
+      {Format::kLogfmt,
+       Level::kInfo,
+       {{"nul", std::string_view("a\0b", 3)}},
+       R"(end nul="a\u0000b")"},
+      {Format::kJson,
+       Level::kInfo,
+       {{"ok", true},
+        {"n", std::int64_t{-3}},
+        {"x", 0.5},
+        {"bad", 1 / std::strtod("0", nullptr)},
+        {"t", std::string_view("a\"")}},
+       R"({"level":"info","event":"end","ok":true,"n":-3,"x":0.5,"bad":null,"t":"a\""})"},
+  };
+  for (const auto& c : cases) {
+    EXPECT_EQ(line_of(c.format, c.level, "end", c.fields.data(), c.fields.size(), nullptr), c.line);
+  }
+}
+
+TEST(LogLine, BeginsWithTheTimeInUtc) {
+  const std::chrono::system_clock::time_point at(std::chrono::milliseconds(1'700'000'000'123));
+  EXPECT_EQ(line_of(Format::kLogfmt, Level::kInfo, "x", nullptr, 0, &at),
+            "2023-11-14T22:13:20.123Z x");
+}
+
+// Logs more than the queue and a pipe hold while nobody reads; stops itself; once it is continued,
+// logs one more line and waits for all of them to be written. Its assertions end the process.
+[[noreturn]] void log_into_a_stalled_pipe(int out) {
+  ::prctl(PR_SET_PDEATHSIG, SIGKILL);
+  ::dup2(out, STDOUT_FILENO);
+  Settings settings;
+  settings.queue = 64;
+  start(settings);
+  const std::string padding(100, 'x');
+  for (int i = 0; i < 20'000; ++i) {
+    info("line", {{"number", std::int64_t{i}}, {"padding", std::string_view(padding)}});
+  }
+  assert(dropped() > 10'000);  // a pipe holds 64 KiB
+  finish(50ms);                // returns, though nobody has read yet
+  ::raise(SIGSTOP);
+  info("last");
+  finish(test::kPatience);
+  ::_exit(0);
+}
+
+std::string read_to_end(int fd) {
+  std::string text;
+  char chunk[4096];
+  for (ssize_t n = 0; (n = ::read(fd, chunk, sizeof chunk)) > 0;) {
+    text.append(chunk, static_cast<std::size_t>(n));
+  }
+  return text;
+}
+
+struct LineCounts {
+  long long written = 0;
+  long long dropped = 0;  // as the lines called log_dropped state
+};
+
+LineCounts count_lines(const std::string& text) {
+  LineCounts counts;
+  for (std::size_t from = 0; from < text.size();) {
+    const std::size_t to = text.find('\n', from);
+    const std::string line = text.substr(from, to - from);
+    from = to + 1;
+    if (line.starts_with("log_dropped level=warning lines=")) {
+      counts.dropped += std::atoll(line.c_str() + line.rfind('=') + 1);
+    } else {
+      ++counts.written;
+    }
+  }
+  return counts;
+}
+
+TEST(Log, NeverBlocksOnAStalledReaderAndCountsWhatItDropped) {
+  int out[2];
+  ASSERT_EQ(::pipe(out), 0);
+  const pid_t pid = ::fork();
+  if (pid == 0) {
+    log_into_a_stalled_pipe(out[1]);
+  }
+  ::close(out[1]);
+  int status = 0;
+  const auto deadline = test::Clock::now() + test::kPatience;
+  while (::waitpid(pid, &status, WUNTRACED | WNOHANG) == 0) {
+    ASSERT_LT(test::Clock::now(), deadline);
+    ::usleep(2000);
+  }
+  ASSERT_TRUE(WIFSTOPPED(status));
+  ::kill(pid, SIGCONT);
+  const std::string text = read_to_end(out[0]);
+  ::waitpid(pid, &status, 0);
+  EXPECT_TRUE(WIFEXITED(status));
+  EXPECT_EQ(WEXITSTATUS(status), 0);
+  EXPECT_TRUE(text.ends_with("last\n"));
+  const LineCounts counts = count_lines(text);
+  EXPECT_EQ(counts.written + counts.dropped, 20'001);
+}
+
+}  // namespace
+}  // namespace beechhill::log
--- /dev/null
+++ b/tests/operator_file_test.cpp
@@ -0,0 +1,43 @@
+// The operator file's reader: errors that name file, line and key, and the example's values.
+#include "config/operator_file.h"
+
+#include <gtest/gtest.h>
+
+namespace beechhill::config {
+namespace {
+
+TEST(OperatorFile, NamesTheFileTheLineAndTheKeyThatIsWrong) {
+  const struct {
+    const char* text;
+    const char* error;
+  } cases[] = {
+      {"[log]\nlevel = \"loud\"", "op:2: log.level: not one of debug, info, warning, error, off"},
+      {"[log]\nlevel = 3", "op:2: log.level: not one of"},
+      {"[log]\nqueue = 4", "op:2: log.queue: not from 16 to 65536"},
+      {"[log]\ntime = 1", "op:2: log.time: not true or false"},
+      {"\n[log]\nlevle = \"info\"", "op:3: log.levle: unknown key"},
+      {"[logs]", "op:1: logs: unknown key"},
+      {"log = 3", "op:1: log: not a table"},
+      {"[log", "op:1: "}};
+  for (const auto& c : cases) {
+    std::string error;
+    try {
+      read_operator(parse_toml(c.text, "op"), "op");
+    } catch (const TomlError& thrown) {
+      error = thrown.what();
+    }
+    EXPECT_TRUE(error.starts_with(c.error)) << c.text << ": " << error;
+  }
+}
+
+TEST(OperatorFile, ExampleHoldsTheDefaults) {
+  const OperatorSettings example = load_operator(OPERATOR_EXAMPLE);
+  const OperatorSettings defaults = load_operator("");
+  EXPECT_EQ(example.log.level, defaults.log.level);
+  EXPECT_EQ(example.log.format, defaults.log.format);
+  EXPECT_EQ(example.log.time, defaults.log.time);
+  EXPECT_EQ(example.log.queue, defaults.log.queue);
+}
+
+}  // namespace
+}  // namespace beechhill::config
