--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,13 +1,19 @@
 // The command line. Without arguments the program serves. Exit codes: 0 done, 1 a fault while
 // starting or serving, 2 faulty arguments or, with `check`, a faulty file; those of
-// beechhill-testbed for what it carries out.
+// beechhill-testbed for the commands that it carries out.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
+#include <algorithm>
+#include <chrono>
 #include <csignal>
 #include <cstdio>
 #include <cstdlib>
+#include <exception>
 #include <filesystem>
+#include <functional>
+#include <string>
+#include <system_error>
 
 #include "bootstrap/run.h"
 #include "config/config.h"
@@ -22,75 +28,121 @@
 using namespace beechhill;
 using namespace std::chrono_literals;
 
-constexpr int kFault = 1, kBadInput = 2;
-constexpr auto kLastLines = 250ms;  // that a stalled reader of the log may hold up the end
+constexpr int kSuccess = 0;
+constexpr int kFailure = 1;
+constexpr int kUsageError = 2;
 
-std::string operator_file_of_environment() {
+// How long a stalled reader of the log may delay the program's end.
+constexpr auto kLogFlushTimeout = 250ms;
+
+std::string operator_file_from_environment() {
   const char* path = std::getenv("BEECHHILL_OPERATOR");
-  return path ? path : "";
+  return path != nullptr ? path : "";
 }
 
 int serve(const std::string& operator_file) {
   std::signal(SIGPIPE, SIG_IGN);
-  int code = 0;
+  int exit_code = kSuccess;
   try {
     bootstrap::run(operator_file);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "beechhill: %s\n", error.what());
-    code = kFault;
+    exit_code = kFailure;
   }
-  log::finish(kLastLines);
-  return code;
+  log::finish(kLogFlushTimeout);
+  return exit_code;
 }
 
+int check_file(const char* kind, const std::string& path, const std::function<void()>& read) {
+  try {
+    read();
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "beechhill: %s: %s\n", kind, error.what());
+    return kUsageError;
+  }
+  std::printf("%s: good: %s\n", kind, path.c_str());
+  return kSuccess;
+}
+
+// Reads both files as serve() would. `config` takes precedence over GW_CONFIG.
 int check(const std::string& config, const std::string& operator_file) {
-  int code = 0;
-  const auto look = [&code](const char* what, const std::string& path, const auto& read) {
-    if (path.empty()) {
-      return;
-    }
-    try {
-      read();
-      std::printf("%s: good: %s\n", what, path.c_str());
-    } catch (const std::exception& error) {
-      std::fprintf(stderr, "beechhill: %s: %s\n", what, error.what());
-      code = kBadInput;
-    }
-  };
   if (!config.empty()) {
     ::setenv("GW_CONFIG", config.c_str(), 1);
   }
-  const char* named = std::getenv("GW_CONFIG");
-  if (!named && operator_file.empty()) {
+  const char* const config_path = std::getenv("GW_CONFIG");
+  if (config_path == nullptr && operator_file.empty()) {
     std::fprintf(stderr,
                  "beechhill: nothing to check: give --config or GW_CONFIG, --operator or "
                  "BEECHHILL_OPERATOR\n");
-    return kBadInput;
+    return kUsageError;
+  }
+  int exit_code = kSuccess;
+  if (config_path != nullptr && *config_path != '\0') {
+    exit_code = check_file("configuration", config_path, [] { config::load_config(); });
+  }
+  if (!operator_file.empty()) {
+    const int result =
+        check_file("operator file", operator_file, [&] { config::load_operator(operator_file); });
+    exit_code = std::max(exit_code, result);
   }
-  look("configuration", named ? named : "", [] { config::load_config(); });
-  look("operator file", operator_file, [&] { config::load_operator(operator_file); });
-  return code;
+  return exit_code;
 }
 
-// The emulator and its libraries stay out of the serving program: they are a program of their own
-// beside it.
-int hand_over(char** argv) {
+// Replaces this process by beechhill-testbed. It is a program of its own, so that the emulator and
+// its libraries are not part of the serving program. Returns only where it cannot be started.
+int execute_testbed(char** argv) {
   std::error_code error;
   const auto self = std::filesystem::read_symlink("/proc/self/exe", error);
   const std::string testbed = (self.parent_path() / "beechhill-testbed").string();
   ::execv(testbed.c_str(), argv);
   std::fprintf(stderr, "beechhill: %s is carried out by %s, which cannot be started\n", argv[1],
                testbed.c_str());
-  return kFault;
+  return kFailure;
 }
 
-}  // namespace
+void add_serve_command(CLI::App& app, std::string& operator_file, int& exit_code) {
+  CLI::App* command =
+      app.add_subcommand("serve", "Serve with the configuration that GW_CONFIG names");
+  command->add_option("--operator", operator_file,
+                      "Operator file (TOML), in place of BEECHHILL_OPERATOR's");
+  command->callback([&] { exit_code = serve(operator_file); });
+}
 
-int main(int argc, char** argv) {
-  if (argc == 1) {
-    return serve(operator_file_of_environment());
+void add_check_command(CLI::App& app, std::string& config, std::string& operator_file,
+                       int& exit_code) {
+  CLI::App* command = app.add_subcommand(
+      "check", "Say what is wrong with a configuration and an operator file, with key and line");
+  command->add_option("--config", config, "Configuration (JSON), in place of GW_CONFIG's");
+  command->add_option("--operator", operator_file,
+                      "Operator file (TOML), in place of BEECHHILL_OPERATOR's");
+  command->callback([&] { exit_code = check(config, operator_file); });
+}
+
+void add_testbed_commands(CLI::App& app, char** argv, int& exit_code) {
+  struct TestbedCommand {
+    const char* name;
+    const char* description;
+  };
+  constexpr TestbedCommand kCommands[] = {
+      {"emulate", "[testbed] Play a scenario in simulated time"},
+      {"experiment", "[testbed] Run a grid of scenarios, policies and seeds"},
+      {"plot", "[testbed] Draw results into one HTML page"},
+      {"fake-backends", "[testbed] Play fake backends and their discovery on loopback"},
+      {"cluster-test",
+       "[testbed] Many processes under a fault plan, checked against what clients and backends "
+       "observed"},
+      {"demo", "[testbed] Nodes, discovery, the real proxy and a load, all on this machine"},
+  };
+  for (const TestbedCommand& testbed_command : kCommands) {
+    CLI::App* command = app.add_subcommand(testbed_command.name, testbed_command.description);
+    // Its arguments are beechhill-testbed's to parse.
+    command->prefix_command();
+    command->set_help_flag();
+    command->callback([argv, &exit_code] { exit_code = execute_testbed(argv); });
   }
+}
 
+int run_command_line(int argc, char** argv) {
   CLI::App app{
       "beechhill: a load balancing proxy for services that stand in tiers. Without arguments it "
       "serves."};
@@ -101,47 +153,33 @@
       "marked [testbed] are carried out by beechhill-testbed, which stands beside this program; "
       "its own "
       "--help tells more.");
-  int code = 0;
-  std::string config, operator_file = operator_file_of_environment();
-
-  CLI::App* c = app.add_subcommand("serve", "Serve with the configuration that GW_CONFIG names");
-  c->add_option("--operator", operator_file,
-                "Operator file (TOML), in place of BEECHHILL_OPERATOR's");
-  c->callback([&] { code = serve(operator_file); });
-
-  c = app.add_subcommand(
-      "check", "Say what is wrong with a configuration and an operator file, with key and line");
-  c->add_option("--config", config, "Configuration (JSON), in place of GW_CONFIG's");
-  c->add_option("--operator", operator_file,
-                "Operator file (TOML), in place of BEECHHILL_OPERATOR's");
-  c->callback([&] { code = check(config, operator_file); });
-
+  int exit_code = kSuccess;
+  std::string config;
+  std::string operator_file = operator_file_from_environment();
+  add_serve_command(app, operator_file, exit_code);
+  add_check_command(app, config, operator_file, exit_code);
 #ifdef BEECHHILL_CLUSTER
-  maintenance::add_maintenance_command(app, code);
+  maintenance::add_maintenance_command(app, exit_code);
 #endif
-
-  for (const auto& [name, text] :
-       {std::pair{"emulate", "[testbed] Play a scenario in simulated time"},
-        {"experiment", "[testbed] Run a grid of scenarios, policies and seeds"},
-        {"plot", "[testbed] Draw results into one HTML page"},
-        {"fake-backends", "[testbed] Play fake backends and their discovery on loopback"},
-        {"cluster-test",
-         "[testbed] Many processes under a fault plan, checked against what clients and backends "
-         "observed"},
-        {"demo", "[testbed] Nodes, discovery, the real proxy and a load, all on this machine"}}) {
-    c = app.add_subcommand(name, text);
-    c->prefix_command();
-    c->set_help_flag();
-    c->callback([&] { code = hand_over(argv); });
+  add_testbed_commands(app, argv, exit_code);
+  app.add_subcommand("version", "Print the version")->callback([] {
+    std::printf("beechhill %s\n", BEECHHILL_VERSION);
+  });
+  try {
+    app.parse(argc, argv);
+  } catch (const CLI::ParseError& error) {
+    return app.exit(error) == kSuccess ? kSuccess : kUsageError;
   }
+  return exit_code;
+}
 
-  c = app.add_subcommand("version", "Print the version");
-  c->callback([] { std::printf("beechhill %s\n", BEECHHILL_VERSION); });
+}  // namespace
 
+int main(int argc, char** argv) {
   try {
-    app.parse(argc, argv);
-  } catch (const CLI::ParseError& error) {
-    return app.exit(error) == 0 ? 0 : kBadInput;
+    return argc == 1 ? serve(operator_file_from_environment()) : run_command_line(argc, argv);
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "beechhill: %s\n", error.what());
+    return kFailure;
   }
-  return code;
 }
