--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -60,7 +60,7 @@
   std::shared_ptr<spdlog::details::thread_pool> pool;
   std::shared_ptr<spdlog::async_logger> logger;
   std::atomic<Level> level{Level::kInfo};
-  std::uint64_t lines_posted = 0;
+  std::atomic<std::uint64_t> lines_posted{0};
 };
 Writer* writer = nullptr;
 
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -3,6 +3,8 @@
 
 #include <gtest/gtest.h>
 
+#include <thread>
+
 #include "support/proxy_fixture.h"
 
 namespace beechhill::log {
@@ -128,5 +130,45 @@
   EXPECT_EQ(counts.written + counts.dropped, 20'001);
 }
 
+// Logs from several threads at once and waits for all lines to be written.
+[[noreturn]] void log_from_threads(int out, int thread_count, int lines_per_thread) {
+  ::prctl(PR_SET_PDEATHSIG, SIGKILL);
+  ::dup2(out, STDOUT_FILENO);
+  Settings settings;
+  settings.queue = 65'536;
+  start(settings);
+  std::vector<std::thread> threads;
+  for (int t = 0; t < thread_count; ++t) {
+    threads.emplace_back([lines_per_thread] {
+      for (int i = 0; i < lines_per_thread; ++i) {
+        info("line", {{"number", std::int64_t{i}}});
+      }
+    });
+  }
+  for (std::thread& thread : threads) {
+    thread.join();
+  }
+  finish(test::kPatience);
+  ::_exit(0);
+}
+
+// The writers of snapshots and of the Raft log are threads that log, too.
+TEST(Log, FinishWaitsForTheLinesOfAllThreads) {
+  constexpr int kThreads = 4;
+  constexpr int kLinesPerThread = 10'000;
+  int out[2];
+  ASSERT_EQ(::pipe(out), 0);
+  const pid_t pid = ::fork();
+  if (pid == 0) {
+    log_from_threads(out[1], kThreads, kLinesPerThread);
+  }
+  ::close(out[1]);
+  const LineCounts counts = count_lines(read_to_end(out[0]));
+  int status = 0;
+  ::waitpid(pid, &status, 0);
+  EXPECT_TRUE(WIFEXITED(status));
+  EXPECT_EQ(counts.written + counts.dropped, kThreads * kLinesPerThread);
+}
+
 }  // namespace
 }  // namespace beechhill::log
