--- a/simhost/wire.h
+++ b/simhost/wire.h
@@ -1,4 +1,5 @@
-// The simulator's wire: turns its lines into module events and module actions into its lines.
+// The simulator's protocol: batches of events for balancers, one JSON object a line, and their
+// actions in reply.
 #pragma once
 
 #include <memory>
@@ -7,13 +8,12 @@
 
 namespace beechhill::wire {
 
-// What is wrong with a line, naming the batch, the field and the fault.
+/// What is wrong with a line. what() names the batch, the field and the fault.
 struct WireError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// Hosts the instances of one process. They share nothing but the discovery lists that the wire
-// numbers.
+/// The balancers of one process. They share nothing but the numbered lists of endpoints.
 class Host {
  public:
   Host();
@@ -21,7 +21,7 @@
   Host(const Host&) = delete;
   Host& operator=(const Host&) = delete;
 
-  // Takes one batch and returns the reply, both without the line end. Throws WireError.
+  /// Handles one batch and returns the reply, both without the line end. Throws WireError.
   std::string reply_to(const std::string& line);
 
  private:
