--- a/tests/support/test_connection.h
+++ b/tests/support/test_connection.h
@@ -7,6 +7,8 @@
 #include <string>
 
 #include "http/message.h"
+#include "http/parser.h"
+#include "http/writer.h"
 #include "net/socket.h"
 #include "support/require.h"
 
