--- a/src/emulator/event_queue.h
+++ b/src/emulator/event_queue.h
@@ -1,112 +1,136 @@
-// What is to happen, in order of time and, within one instant, of being asked for.
+/// The events of an emulated deployment, and the queue that orders them by time and, within one
+/// instant, by the order in which they were scheduled.
 #pragma once
 
 #include <cstdint>
+#include <functional>
+#include <optional>
 #include <queue>
+#include <variant>
 #include <vector>
 
 #include "beechhill/balancer.h"
+#include "emulator/node.h"
 
 namespace beechhill::emulator {
 
-enum class Kind : std::uint8_t {
-  kArrival,      // the next first try
-  kTry,          // a: operation; a client's retry
-  kSubCall,      // a: job; its next call to the tier below
-  kJobArrives,   // a: job; an attempt's last byte is at its node
-  kPhaseDone,    // a: job; its core is free again
-  kOutcome,      // a: job; what became of it is back at the proxy
-  kCancelled,    // a: call, b: attempt
-  kDeadline,     // a: call
-  kOverdue,      // a: call; the grace after its deadline is over too
-  kTimer,        // a: proxy, b: its life, c: token
-  kTold,         // a: proxy, b: its life, c: index of the message
-  kProbeDone,    // a: proxy, b: its life, c: server, d: whether it answered
-  kFaultBegins,  // a: fault
-  kFaultEnds,    // a: fault
-  kReplace,      // a: fault, b: how many nodes have been replaced
-  kNodeGone,     // a: tier, b: node; a drained node leaves
-  kSecond,       // a: number of the window that ends
-  kLeft,         // a: operation, b: its try; the client of a stopped proxy waits no longer
-  kWake,  // a: proxy, b: its life, c: whether discovery answers; a continued proxy has heard, or
-          // waited enough
+/// A client's operation: its request with all its attempts. An id of a Slab.
+using OperationId = std::uint64_t;
+
+/// One run of a proxy's process. An event for an earlier incarnation is void.
+struct ProxyIncarnation {
+  std::uint32_t proxy = 0;
+  std::uint64_t incarnation = 0;
+};
+
+/// The next operation arrives.
+struct ArrivalDue {};
+/// A client sends its operation again.
+struct ClientRetryDue {
+  OperationId operation = 0;
+};
+/// The client of a paused proxy waits no longer for this attempt.
+struct ClientTimeout {
+  OperationId operation = 0;
+  std::uint32_t attempt = 0;
+};
+/// A job makes its next call to the tier below.
+struct DownstreamCallDue {
+  JobId job = 0;
+};
+/// The last byte of an attempt is at its backend.
+struct JobArrived {
+  JobId job = 0;
+};
+/// A job's phase is over: its core is free again.
+struct JobPhaseDone {
+  JobId job = 0;
+};
+/// An attempt's result is back at the proxy.
+struct AttemptResponse {
+  JobId job = 0;
+};
+struct AttemptCancelled {
+  RequestId request = 0;
+  std::uint32_t attempt = 0;
+};
+struct RequestDeadline {
+  RequestId request = 0;
+};
+/// The grace after a request's deadline is over too.
+struct AnswerOverdue {
+  RequestId request = 0;
+};
+struct ProxyTimer {
+  ProxyIncarnation proxy;
+  TimerToken token = 0;
+};
+/// A message of discovery reaches a proxy: one update by its number, or the full endpoint list.
+struct EndpointUpdateDelivered {
+  ProxyIncarnation proxy;
+  std::optional<std::size_t> update;
+};
+struct HealthCheckDone {
+  ProxyIncarnation proxy;
+  EndpointId endpoint = 0;
+  bool succeeded = false;
+};
+/// A proxy that was paused has the endpoint list anew, or has waited long enough for it.
+struct ProxyResynced {
+  ProxyIncarnation proxy;
+  bool list_received = false;
 };
+struct FaultBegins {
+  std::size_t fault = 0;
+};
+struct FaultEnds {
+  std::size_t fault = 0;
+};
+/// A rolling replacement goes on with the next backend.
+struct ReplacementDue {
+  std::size_t fault = 0;
+  EndpointId endpoint = 0;
+};
+/// A backend that was drained for good stops.
+struct DrainedBackendStops {
+  std::uint32_t tier = 0;
+  EndpointId endpoint = 0;
+};
+/// A second of the time series ends.
+struct SecondEnds {
+  std::size_t second = 0;
+};
+
+using SimulationEvent =
+    std::variant<ArrivalDue, ClientRetryDue, ClientTimeout, DownstreamCallDue, JobArrived,
+                 JobPhaseDone, AttemptResponse, AttemptCancelled, RequestDeadline, AnswerOverdue,
+                 ProxyTimer, EndpointUpdateDelivered, HealthCheckDone, ProxyResynced, FaultBegins,
+                 FaultEnds, ReplacementDue, DrainedBackendStops, SecondEnds>;
 
 struct ScheduledEvent {
   Time at{0};
-  std::uint64_t order = 0;
-  Kind kind = Kind::kArrival;
-  std::uint64_t a = 0, b = 0, c = 0, d = 0;
+  std::uint64_t sequence = 0;
+  SimulationEvent event;
 
-  bool operator>(const ScheduledEvent& o) const { return at != o.at ? at > o.at : order > o.order; }
+  bool operator>(const ScheduledEvent& other) const {
+    return at != other.at ? at > other.at : sequence > other.sequence;
+  }
 };
 
+/// A binary heap: O(log n) to schedule and to pop.
 class EventQueue {
  public:
-  void add(Time at, Kind kind, std::uint64_t a = 0, std::uint64_t b = 0, std::uint64_t c = 0,
-           std::uint64_t d = 0) {
-    heap_.push(ScheduledEvent{at, next_++, kind, a, b, c, d});
+  void schedule(Time at, const SimulationEvent& event) {
+    heap_.push(ScheduledEvent{at, next_sequence_++, event});
   }
   bool empty() const { return heap_.empty(); }
+  /// The earliest event. The queue must not be empty.
   const ScheduledEvent& top() const { return heap_.top(); }
   void pop() { heap_.pop(); }
 
  private:
   std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> heap_;
-  std::uint64_t next_ = 0;
-};
-
-// Things with ids that are never mistaken for what stood at the same place before: place and
-// generation.
-template <typename T>
-class Slab {
- public:
-  std::uint64_t add(T thing) {
-    std::uint32_t place = 0;
-    if (free_.empty()) {
-      place = static_cast<std::uint32_t>(cells_.size());
-      cells_.emplace_back();
-    } else {
-      place = free_.back();
-      free_.pop_back();
-    }
-    Cell& cell = cells_[place];
-    cell.thing = std::move(thing);
-    cell.used = true;
-    ++live_;
-    return (static_cast<std::uint64_t>(cell.generation) << 32) | place;
-  }
-  // Null where it is no more. Good until the next add.
-  T* find(std::uint64_t id) {
-    const auto place = static_cast<std::uint32_t>(id);
-    if (place >= cells_.size()) {
-      return nullptr;
-    }
-    Cell& cell = cells_[place];
-    return cell.used && cell.generation == id >> 32 ? &cell.thing : nullptr;
-  }
-  void remove(std::uint64_t id) {
-    if (!find(id)) {
-      return;
-    }
-    Cell& cell = cells_[static_cast<std::uint32_t>(id)];
-    cell.thing = T{};
-    cell.used = false;
-    ++cell.generation;
-    --live_;
-    free_.push_back(static_cast<std::uint32_t>(id));
-  }
-  std::size_t live() const { return live_; }
-
- private:
-  struct Cell {
-    T thing{};
-    std::uint32_t generation = 1;  // so that no id is 0
-    bool used = false;
-  };
-  std::vector<Cell> cells_;
-  std::vector<std::uint32_t> free_;
-  std::size_t live_ = 0;
+  std::uint64_t next_sequence_ = 0;
 };
 
 }  // namespace beechhill::emulator
--- a/src/emulator/policy.h
+++ b/src/emulator/policy.h
@@ -2,6 +2,7 @@
 // against. All speak the module's own events and actions.
 #pragma once
 
+#include <functional>
 #include <memory>
 #include <string>
 #include <vector>
@@ -30,6 +31,10 @@
   virtual bool spares(Time now, std::uint32_t tier, EndpointId node) const = 0;
 };
 
+/// Makes the policy of one proxy, at its start and at each restart.
+using PolicyFactory = std::function<std::unique_ptr<Policy>(
+    Time now, const Settings& settings, const TrueState& truth, std::vector<Action>& actions)>;
+
 // Names: module, random, round_robin, two_choices, least_outstanding, weighted, oracle.
 const std::vector<std::string>& policy_names();
 // Null where the name is unknown. `truth` must outlive the policy.
--- a/src/experiments/experiment.cpp
+++ b/src/experiments/experiment.cpp
@@ -108,7 +108,7 @@
 }
 
 RunOutput run_scenario(const emulator::Scenario& scenario, const std::string& policy, bool series,
-                       const emulator::Progress& progress) {
+                       const emulator::ProgressCallback& progress) {
   const auto begun = std::chrono::steady_clock::now();
   const std::unique_ptr<emulator::World> played = world_of(scenario, policy);
   emulator::World& world = *played;
--- a/src/experiments/experiment.h
+++ b/src/experiments/experiment.h
@@ -23,7 +23,7 @@
   double wall_s = 0;           // not part of the result
 };
 RunOutput run_scenario(const emulator::Scenario& scenario, const std::string& policy, bool series,
-                       const emulator::Progress& progress = {});
+                       const emulator::ProgressCallback& progress = {});
 
 struct Axis {  // one parameter of the grid, "load.utilisation" or the like
   std::string path;
