--- a/src/emulator/backend_fleet.cpp
+++ b/src/emulator/backend_fleet.cpp
@@ -152,7 +152,7 @@
   }
   job->cancelled = true;
   std::vector<Start> starts;
-  if (job->at_backend && sim_.scenario.tiers[job->tier].cancel_stops &&
+  if (job->at_backend && sim_.scenario.tiers[job->tier].drops_cancelled_jobs &&
       backend_of(*job).model.withdraw(sim_.now, id, starts)) {
     detach_from_backend(id);
     jobs_.remove(id);
@@ -247,7 +247,7 @@
   if (!job) {
     return;
   }
-  const bool dropped = job->cancelled && sim_.scenario.tiers[job->tier].cancel_stops;
+  const bool dropped = job->cancelled && sim_.scenario.tiers[job->tier].drops_cancelled_jobs;
   if (sim_.now >= job->deadline || dropped) {
     return finish_job(id, Result::kError, false);
   }
--- a/src/emulator/client_population.cpp
+++ b/src/emulator/client_population.cpp
@@ -15,12 +15,12 @@
   std::vector<std::uint32_t> first_zone;
   std::vector<std::uint32_t> others;
   for (const std::uint32_t proxy : sim_.proxies.in_tier(0)) {
-    const bool in_first_zone = spec.first_zone > 0 && sim_.proxies[proxy].zone == 0;
+    const bool in_first_zone = spec.first_zone_share > 0 && sim_.proxies[proxy].zone == 0;
     (in_first_zone ? first_zone : others).push_back(proxy);
   }
   connections_.resize(spec.connections);
   const auto first_zone_connections =
-      static_cast<std::size_t>(spec.first_zone * static_cast<double>(connections_.size()));
+      static_cast<std::size_t>(spec.first_zone_share * static_cast<double>(connections_.size()));
   for (std::size_t i = 0; i < connections_.size(); ++i) {
     const std::vector<std::uint32_t>& candidates = i < first_zone_connections ? first_zone : others;
     connections_[i] = candidates[i % candidates.size()];
--- a/src/emulator/clients.cpp
+++ b/src/emulator/clients.cpp
@@ -4,134 +4,188 @@
 #include <cmath>
 
 namespace beechhill::emulator {
-Arrivals::Arrivals(const Scenario& scenario)
-    : s_(scenario), random_(scenario.seed, Actor::kArrivals, 0) {
-  mean_rate_ = rate_per_s(s_);
-  double most = 1;
-  if (s_.load.shape == Shape::kDiurnal) {
-    most = 1 + s_.load.swing;
-  }
-  if (s_.load.shape == Shape::kBursts) {
-    most = std::max(1.0, s_.load.burst_factor);
-  }
-  for (const FaultSpec& f : s_.faults) {
-    if (f.kind == FaultKind::kBurst || f.kind == FaultKind::kTenantBurst) {
-      most *= std::max(1.0, f.factor);
+namespace {
+
+// Clients that failed together spread out: a backoff is drawn from half to one and a half of its
+// nominal length, and what Retry-After says is exceeded by up to a fifth.
+constexpr double kMinBackoffJitter = 0.5;
+constexpr double kRetryAfterJitter = 0.2;
+
+bool is_active(const FaultSpec& fault, Time t) {
+  return t >= fault.at && t < fault.at + fault.length;
+}
+
+// The index of one of `count` things, each drawn in proportion to its weight.
+template <typename Weight>
+std::uint32_t draw_weighted(std::size_t count, Stream& random, const Weight& weight) {
+  double left = 0;
+  for (std::uint32_t i = 0; i < count; ++i) {
+    left += weight(i);
+  }
+  left *= random.uniform();
+  std::uint32_t chosen = 0;
+  while (chosen + 1 < count) {
+    left -= weight(chosen);
+    if (left < 0) {
+      break;
+    }
+    ++chosen;
+  }
+  return chosen;
+}
+
+double max_load_factor(const Scenario& scenario) {
+  const LoadSpec& load = scenario.load;
+  double factor = 1;
+  if (load.shape == LoadShape::kDiurnal) {
+    factor = 1 + load.swing;
+  }
+  if (load.shape == LoadShape::kBursts) {
+    factor = std::max(1.0, load.burst_factor);
+  }
+  for (const FaultSpec& fault : scenario.faults) {
+    if (fault.kind == FaultKind::kBurst || fault.kind == FaultKind::kTenantBurst) {
+      factor *= std::max(1.0, fault.factor);
     }
   }
-  most_rate_ = mean_rate_ * most;
-  for (const TenantSettings& t : settings_for(s_, 0, 0, 1, 0).tenants) {
-    allowances_.push_back(t.quota_per_s);
+  return factor;
+}
+
+bool may_be_repeated(const ClassSettings& settings, const FailedAttempt& failed) {
+  if (failed.rejected || failed.unreachable || settings.idempotency == Idempotency::kIdempotent) {
+    return true;
+  }
+  return settings.idempotency == Idempotency::kIdempotencyKey &&
+         settings.deduplication_scope == DeduplicationScope::kAll;
+}
+
+}  // namespace
+
+Arrivals::Arrivals(const Scenario& scenario)
+    : scenario_(scenario),
+      random_(scenario.seed, Actor::kArrivals, 0),
+      mean_rate_(rate_per_s(scenario)),
+      max_rate_(mean_rate_ * max_load_factor(scenario)) {
+  for (const TenantSettings& tenant : settings_for(scenario, 0, 0, 1, 0).tenants) {
+    quotas_.push_back({tenant.quota_per_s, tenant.quota_per_s, Time{0}});
   }
-  tokens_ = allowances_;
-  filled_.assign(allowances_.size(), Time{0});
 }
 
 double Arrivals::tenant_weight(std::size_t tenant, Time t) const {
-  double weight = s_.tenants[tenant].part;
-  for (const FaultSpec& f : s_.faults) {
-    if (f.kind == FaultKind::kTenantBurst && f.tenant == tenant && t >= f.at &&
-        t < f.at + f.length) {
-      weight *= f.factor;
+  double weight = scenario_.tenants[tenant].part;
+  for (const FaultSpec& fault : scenario_.faults) {
+    if (fault.kind == FaultKind::kTenantBurst && fault.tenant == tenant && is_active(fault, t)) {
+      weight *= fault.factor;
     }
   }
   return weight;
 }
 
-double Arrivals::rate_at(Time t) const {
-  double rate = mean_rate_;
-  const double turn = std::fmod(to_s(t), to_s(s_.load.period));
-  if (s_.load.shape == Shape::kDiurnal) {
-    rate *= 1 - s_.load.swing * std::cos(2 * M_PI * turn / to_s(s_.load.period));
+double Arrivals::load_factor_at(Time t) const {
+  const LoadSpec& load = scenario_.load;
+  const double period_s = to_s(load.period);
+  const double in_period_s = std::fmod(to_s(t), period_s);
+  if (load.shape == LoadShape::kDiurnal) {
+    return 1 - load.swing * std::cos(2 * M_PI * in_period_s / period_s);
   }
-  if (s_.load.shape == Shape::kBursts && turn < to_s(s_.load.burst_length)) {
-    rate *= s_.load.burst_factor;
+  if (load.shape == LoadShape::kBursts && in_period_s < to_s(load.burst_length)) {
+    return load.burst_factor;
   }
-  for (const FaultSpec& f : s_.faults) {
-    if (f.kind == FaultKind::kBurst && t >= f.at && t < f.at + f.length) {
-      rate *= f.factor;
+  return 1;
+}
+
+double Arrivals::rate_at(Time t) const {
+  double rate = mean_rate_ * load_factor_at(t);
+  for (const FaultSpec& fault : scenario_.faults) {
+    if (fault.kind == FaultKind::kBurst && is_active(fault, t)) {
+      rate *= fault.factor;
     }
   }
-  if (!s_.tenants.empty()) {
-    double usual = 0, present = 0;
-    for (std::size_t i = 0; i < s_.tenants.size(); ++i) {
-      usual += s_.tenants[i].part, present += tenant_weight(i, t);
+  if (!scenario_.tenants.empty()) {
+    double usual = 0;
+    double present = 0;
+    for (std::size_t i = 0; i < scenario_.tenants.size(); ++i) {
+      usual += scenario_.tenants[i].part;
+      present += tenant_weight(i, t);
     }
     rate *= present / usual;
   }
   return rate;
 }
 
-// The times of a rate that changes: drawn at the highest rate, kept in proportion.
+// Thinning (Lewis and Shedler, 1979): times drawn at the highest rate, kept in proportion to the
+// present one.
 std::optional<Arrival> Arrivals::next() {
   do {
-    now_ += std::max(Duration{1}, to_span(random_.exponential(1 / most_rate_)));
-    if (now_ >= s_.length) {
+    now_ += std::max(Duration{1}, to_span(random_.exponential(1 / max_rate_)));
+    if (now_ >= scenario_.length) {
       return std::nullopt;
     }
-  } while (random_.uniform() * most_rate_ >= rate_at(now_));
-  Arrival a;
-  a.at = now_;
-  double left = 0;
-  for (const ClassSpec& c : s_.classes) {
-    left += c.part;
-  }
-  left *= random_.uniform();
-  while (a.c + 1 < s_.classes.size() && (left -= s_.classes[a.c].part) >= 0) {
-    ++a.c;
-  }
-  const ClassSpec& c = s_.classes[a.c];
-  if (!s_.tenants.empty()) {
-    double all = 0;
-    for (std::size_t i = 0; i < s_.tenants.size(); ++i) {
-      all += tenant_weight(i, now_);
-    }
-    double at = all * random_.uniform();
-    a.tenant = 0;
-    while (a.tenant + 1 < s_.tenants.size() && (at -= tenant_weight(a.tenant, now_)) >= 0) {
-      ++a.tenant;
-    }
+  } while (random_.uniform() * max_rate_ >= rate_at(now_));
+  Arrival arrival;
+  arrival.at = now_;
+  arrival.c = draw_weighted(scenario_.classes.size(), random_,
+                            [this](std::size_t i) { return scenario_.classes[i].part; });
+  const ClassSpec& request_class = scenario_.classes[arrival.c];
+  arrival.tenant = draw_tenant();
+  arrival.work_s = draw_work(request_class);
+  arrival.connection = static_cast<std::uint32_t>(random_.below(scenario_.clients.connections));
+  arrival.worth = request_class.settings.priority_weight;
+  if (!within_quota(arrival.tenant)) {
+    arrival.worth *= scenario_.load.over_quota_factor;
+  }
+  return arrival;
+}
+
+TenantId Arrivals::draw_tenant() {
+  if (scenario_.tenants.empty()) {
+    return kNoTenant;
   }
-  if (c.spread == Spread::kExponential) {
-    a.work_s = random_.exponential(c.work_s);
-  } else if (c.spread == Spread::kLognormal && c.variation > 0) {
-    a.work_s = random_.lognormal(c.work_s, c.variation);
-  } else {
-    a.work_s = c.work_s;
-  }
-  a.connection = static_cast<std::uint32_t>(random_.below(s_.clients.connections));
-  a.worth = c.settings.priority_weight;
-  if (a.tenant < allowances_.size() && allowances_[a.tenant] > 0) {
-    double& tokens = tokens_[a.tenant];
-    const double rate = allowances_[a.tenant];
-    tokens = std::min(rate, tokens + rate * to_s(now_ - filled_[a.tenant]));
-    filled_[a.tenant] = now_;
-    if (tokens < 1) {
-      a.worth *= s_.load.over_share_worth;
-    } else {
-      tokens -= 1;
-    }
+  return draw_weighted(scenario_.tenants.size(), random_,
+                       [this](std::size_t i) { return tenant_weight(i, now_); });
+}
+
+double Arrivals::draw_work(const ClassSpec& request_class) {
+  if (request_class.distribution == WorkDistribution::kExponential) {
+    return random_.exponential(request_class.work_s);
+  }
+  if (request_class.distribution == WorkDistribution::kLognormal && request_class.variation > 0) {
+    return random_.lognormal(request_class.work_s, request_class.variation);
   }
-  return a;
+  return request_class.work_s;
+}
+
+bool Arrivals::within_quota(TenantId tenant) {
+  if (tenant >= quotas_.size() || quotas_[tenant].rate_per_s <= 0) {
+    return true;
+  }
+  QuotaBucket& quota = quotas_[tenant];
+  const double refill = quota.rate_per_s * to_s(now_ - quota.refilled_at);
+  quota.tokens = std::min(quota.rate_per_s, quota.tokens + refill);
+  quota.refilled_at = now_;
+  if (quota.tokens < 1) {
+    return false;
+  }
+  quota.tokens -= 1;
+  return true;
 }
 
-std::optional<Duration> wait_before_retry(const Scenario& s, const FailedTry& failed,
+std::optional<Duration> wait_before_retry(const Scenario& scenario, const FailedAttempt& failed,
                                           Stream& random) {
-  const ClassSettings& k = s.classes[failed.c].settings;
-  const bool harmless = failed.refused || failed.unreachable ||
-                        k.idempotency == Idempotency::kIdempotent ||
-                        (k.idempotency == Idempotency::kIdempotencyKey &&
-                         k.deduplication_scope == DeduplicationScope::kAll);
-  const ClientSpec& c = s.clients;
-  if (c.retry == Retry::kNever || !harmless || failed.tries > c.retries) {
+  const ClientSpec& clients = scenario.clients;
+  if (clients.retry == RetryPolicy::kNever || failed.attempts > clients.max_retries ||
+      !may_be_repeated(scenario.classes[failed.class_id].settings, failed)) {
     return std::nullopt;
   }
-  if (c.retry == Retry::kAfter || (c.retry == Retry::kAdvised && failed.advice == Duration{0})) {
-    const double grown = to_s(c.wait) * std::pow(c.growth, failed.tries - 1);
-    return to_span(grown * (0.5 + random.uniform()));  // clients that failed together spread out
+  const bool advised = clients.retry == RetryPolicy::kAdvised;
+  if (advised && failed.retry_after != Duration{0}) {
+    const Duration wait = std::min(failed.retry_after, clients.max_retry_after);
+    return to_span(to_s(wait) * (1 + kRetryAfterJitter * random.uniform()));
   }
-  if (c.retry == Retry::kAdvised) {
-    return to_span(to_s(std::min(failed.advice, c.longest_advice)) * (1 + 0.2 * random.uniform()));
+  if (advised || clients.retry == RetryPolicy::kAfter) {
+    const double backoff_s =
+        to_s(clients.initial_backoff) * std::pow(clients.backoff_factor, failed.attempts - 1);
+    return to_span(backoff_s * (kMinBackoffJitter + random.uniform()));
   }
   return Duration{0};
 }
@@ -145,9 +199,10 @@
   }
 }
 
-Duration patience_of(const Scenario& s, ClassId c, Stream& random) {
-  const double whole = to_s(s.classes[c].settings.deadline);
-  return std::max(Duration{1}, to_span(whole * random.uniform(s.clients.patience)));
+Duration patience_of(const Scenario& scenario, ClassId class_id, Stream& random) {
+  const double deadline_s = to_s(scenario.classes[class_id].settings.deadline);
+  const double share = random.uniform(scenario.clients.patience);
+  return std::max(Duration{1}, to_span(deadline_s * share));
 }
 
 }  // namespace beechhill::emulator
--- a/src/emulator/node.cpp
+++ b/src/emulator/node.cpp
@@ -16,7 +16,7 @@
     : spec_(&spec), random_(seed, Actor::kNode, index), born_(born), rolled_(now) {
   speed_ = random_.uniform(spec.speed);
   refreshed_ =
-      now - to_span(random_.uniform() * to_s(spec.report_every));  // not all at the same instant
+      now - to_span(random_.uniform() * to_s(spec.report_interval));  // not all at the same instant
 }
 
 double Node::warmth(Time now) const {
@@ -42,16 +42,16 @@
 // Brings the integrals up to now, and closes the report windows that have ended.
 void Node::roll(Time now) {
   while (rolled_ < now) {
-    const Time next = std::min(now, refreshed_ + spec_->report_every);
+    const Time next = std::min(now, refreshed_ + spec_->report_interval);
     const double dt = to_s(next - rolled_);
     busy_in_window_ += dt * static_cast<double>(busy_);
     busy_total_ += dt * static_cast<double>(busy_);
     present_ += dt * static_cast<double>(in_hand());
     rolled_ = next;
-    if (next < refreshed_ + spec_->report_every) {
+    if (next < refreshed_ + spec_->report_interval) {
       return;
     }
-    const double length = to_s(spec_->report_every);
+    const double length = to_s(spec_->report_interval);
     reports_.push_back({next, busy_in_window_ / length / spec_->cores, done_in_window_ / length});
     if (reports_.size() > kReportsKept) {
       reports_.pop_front();
@@ -60,9 +60,10 @@
     refreshed_ = next;
     // Guards against walking every window of a long idle time: what was said last would only
     // repeat.
-    const auto skip = (now - next) / spec_->report_every - static_cast<std::int64_t>(kReportsKept);
+    const auto skip =
+        (now - next) / spec_->report_interval - static_cast<std::int64_t>(kReportsKept);
     if (skip > 0 && busy_ == 0 && in_hand() == 0) {
-      refreshed_ += skip * spec_->report_every, rolled_ = refreshed_;
+      refreshed_ += skip * spec_->report_interval, rolled_ = refreshed_;
     }
   }
 }
@@ -74,7 +75,7 @@
   const bool crowded = static_cast<double>(waiting()) > spec_->choke_crowd * spec_->cores;
   const bool idle = waiting() == 0 && static_cast<double>(busy_) <= kMostlyIdle * spec_->cores;
   if (choked_ && ((idle_since_ && now - *idle_since_ >= spec_->choke_idle) ||
-                  now - choked_at_ >= spec_->choke_most)) {
+                  now - choked_at_ >= spec_->choke_max)) {
     choked_ = false;
     crowded_since_.reset();
   }
--- a/src/emulator/proxy_fleet.cpp
+++ b/src/emulator/proxy_fleet.cpp
@@ -59,7 +59,7 @@
   ++proxy.incarnation;
   if (scenario.subset.min_endpoints > 0 && proxy.tier == 0) {
     routing::SubsetSettings subset = scenario.subset;
-    if (scenario.subset_told) {
+    if (scenario.subset_count_known) {
       subset.proxies = scenario.proxies;
       subset.proxy_index = proxy.index;
     }
--- a/src/emulator/proxy_requests.cpp
+++ b/src/emulator/proxy_requests.cpp
@@ -128,7 +128,7 @@
 // False where there is none, so that a new one has to be opened.
 bool ProxyRequests::take_idle_connection(ProxyState& proxy, EndpointId endpoint) {
   PooledConnections& pool = proxy.connections[endpoint];
-  if (pool.last_used + sim_.scenario.tiers[proxy.tier].idle_close < sim_.now) {
+  if (pool.last_used + sim_.scenario.tiers[proxy.tier].connection_idle_timeout < sim_.now) {
     pool.idle = 0;
   }
   const bool first_use = pool.last_used == Time{0};
--- a/src/emulator/rules.cpp
+++ b/src/emulator/rules.cpp
@@ -180,14 +180,14 @@
                           double capacity, double usual_work, bool aware) {
   auto& window = pressure_[(static_cast<std::uint64_t>(tier) << 32) | node];
   window.push_back({now, work, aware});
-  while (window.front().at + s_.tip_after < now) {
+  while (window.front().at + s_.collapse_delay < now) {
     window.pop_front();
   }
   double sent = 0, known = 0;
   for (const Press& p : window) {
     sent += p.work, known += p.aware ? p.work : 0;
   }
-  const double most = s_.fall_multiple * capacity * to_s(s_.tip_after);
+  const double most = s_.collapse_ratio * capacity * to_s(s_.collapse_delay);
   const double chance =
       usual_work > 0 ? std::min(kChance, 2 * std::sqrt(most / usual_work) + 2) : 0;
   if (sent <= most + chance * usual_work) {
@@ -197,7 +197,7 @@
     broken(now, Rule::kCold, 0,
            fmt::format("cold node {} of tier {} was sent {:.3f} core-seconds in {:.1f} s and can "
                        "do {:.3f} a second",
-                       node, tier, sent, to_s(s_.tip_after), capacity),
+                       node, tier, sent, to_s(s_.collapse_delay), capacity),
            "");
   }
   return true;
--- a/src/emulator/units.h
+++ b/src/emulator/units.h
@@ -1,4 +1,4 @@
-// Spans and seconds, both ways.
+/// Conversions between durations and seconds.
 #pragma once
 
 #include <chrono>
@@ -8,12 +8,14 @@
 
 namespace beechhill::emulator {
 
-inline double to_s(Duration d) {
-  return std::chrono::duration<double>(d).count();
+inline double to_s(Duration duration) {
+  return std::chrono::duration<double>(duration).count();
 }
-// To the nearest microsecond, unlike the module's own, which cuts off.
-inline Duration to_span(double s) {
-  return Duration(std::llround(s * 1e6));
+
+/// Rounds to the nearest microsecond, where std::chrono::duration_cast truncates.
+inline Duration to_span(double seconds) {
+  constexpr double kMicrosecondsPerSecond = 1e6;
+  return Duration(std::llround(seconds * kMicrosecondsPerSecond));
 }
 
 }  // namespace beechhill::emulator
--- a/src/experiments/experiment.h
+++ b/src/experiments/experiment.h
@@ -10,6 +10,8 @@
 #include <string>
 #include <vector>
 
+#include "emulator/scenario_file.h"
+#include "emulator/scenario_reader.h"
 #include "emulator/world.h"
 
 namespace beechhill::experiments {
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -7,6 +7,9 @@
 #include <fstream>
 #include <random>
 
+#include "emulator/random.h"
+#include "emulator/scenario_file.h"
+#include "emulator/scenario_reader.h"
 #include "emulator/world.h"
 #include "experiments/experiment.h"
 
@@ -250,7 +253,7 @@
     s.seed = seed;
     s.length = std::chrono::seconds(15);
     s.load.utilisation = 0.3 + 0.9 * random.uniform();
-    s.clients.retry = static_cast<Retry>(random.below(4));
+    s.clients.retry = static_cast<RetryPolicy>(random.below(4));
     s.clients.patience = {0.3, 1};
     s.faults.clear();
     for (int i = 0; i < 5; ++i) {
