--- a/src/emulator/metrics.cpp
+++ b/src/emulator/metrics.cpp
@@ -8,24 +8,45 @@
 
 namespace bh = boost::histogram;
 constexpr unsigned kBins = 1600;
-constexpr std::chrono::milliseconds kTenth{100};
-constexpr std::size_t kWindow = 10,
-                      kHolds = 50;  // tenths: a second's goodput, and how long it has to hold
-constexpr double kNearFull = 0.98;
+constexpr double kMinLatencyS = 1e-5;
+constexpr double kMaxLatencyS = 1e3;
+constexpr std::chrono::milliseconds kBucketLength{100};
+constexpr std::size_t kBucketsPerSecond = 10;
+// Full service has to last for this many buckets.
+constexpr std::size_t kFullServiceBuckets = 50;
+// Of the control's goodput.
+constexpr double kFullServiceShare = 0.98;
 
 Json::Value number(std::uint64_t n) {
   return Json::Value(static_cast<Json::UInt64>(n));
 }
 
+double ratio(std::uint64_t part, std::uint64_t whole) {
+  return whole > 0 ? static_cast<double>(part) / static_cast<double>(whole) : 0;
+}
+
+void add_quantiles(Json::Value& json, const LatencyHistogram& latency) {
+  json["p50_s"] = latency.quantile(0.5);
+  json["p99_s"] = latency.quantile(0.99);
+  json["p999_s"] = latency.quantile(0.999);
+}
+
+std::size_t bucket_index(Time t) {
+  return static_cast<std::size_t>(std::max(Time{0}, t) / kBucketLength);
+}
+
 }  // namespace
 
 LatencyHistogram::LatencyHistogram()
-    : bins_(bh::make_histogram_with(std::vector<std::uint64_t>(), Axis(kBins, kLeast, kMost))) {
+    : bins_(bh::make_histogram_with(std::vector<std::uint64_t>(),
+                                    Axis(kBins, kMinLatencyS, kMaxLatencyS))) {
 }
 
-void LatencyHistogram::add(Duration span) {
+void LatencyHistogram::add(Duration latency) {
+  // Just inside the last bin: the axis excludes its upper end.
+  constexpr double kInsideLastBin = kMaxLatencyS * 0.999;
   ++count_;
-  bins_(std::clamp(to_s(span), kLeast, kMost * 0.999));
+  bins_(std::clamp(to_s(latency), kMinLatencyS, kInsideLastBin));
 }
 
 double LatencyHistogram::quantile(double q) const {
@@ -40,7 +61,7 @@
       return std::sqrt(bins_.axis().bin(i).lower() * bins_.axis().bin(i).upper());
     }
   }
-  return kMost;
+  return kMaxLatencyS;
 }
 
 Json::Value LatencyHistogram::cdf() const {
@@ -61,28 +82,28 @@
 }
 
 Json::Value Count::to_json() const {
-  Json::Value v;
-  v["asked"] = number(asked);
-  v["in_aim"] = number(in_aim);
-  v["late"] = number(late);
-  v["refused"] = number(refused);
-  v["failed"] = number(failed);
-  v["unanswered"] = number(unanswered);
-  v["goodput"] = worth_asked > 0 ? worth_served / worth_asked : 1;
-  v["worth"] = worth_asked;
-  return v;
+  Json::Value json;
+  json["asked"] = number(asked);
+  json["in_aim"] = number(in_aim);
+  json["late"] = number(late);
+  json["refused"] = number(refused);
+  json["failed"] = number(failed);
+  json["unanswered"] = number(unanswered);
+  json["goodput"] = worth_asked > 0 ? worth_served / worth_asked : 1;
+  json["worth"] = worth_asked;
+  return json;
 }
 
-Metrics::Metrics(const Scenario& s)
-    : by_class(s.classes.size()),
-      by_tenant(s.tenants.size()),
-      latency(s.classes.size()),
-      tenths(static_cast<std::size_t>(s.length / kTenth) + 1),
-      s_(&s) {
+Metrics::Metrics(const Scenario& scenario)
+    : by_class(scenario.classes.size()),
+      by_tenant(scenario.tenants.size()),
+      latency(scenario.classes.size()),
+      scenario_(&scenario),
+      buckets_(static_cast<std::size_t>(scenario.length / kBucketLength) + 1) {
 }
 
 bool Metrics::counted(Time first) const {
-  return first >= s_->warm_up && first < s_->length;
+  return first >= scenario_->warm_up && first < scenario_->length;
 }
 
 Second* Metrics::second_of(Time t) {
@@ -90,178 +111,196 @@
   return t >= Time{0} && i < seconds.size() ? &seconds[i] : nullptr;
 }
 
-template <typename Book>
-void Metrics::each(ClassId c, TenantId tenant, const Book& book) {
-  book(all);
-  book(by_class[c]);
+Metrics::Bucket* Metrics::bucket_of(Time t) {
+  const auto i = static_cast<std::size_t>(t / kBucketLength);
+  return t >= Time{0} && i < buckets_.size() ? &buckets_[i] : nullptr;
+}
+
+template <typename Update>
+void Metrics::update_counts(ClassId class_id, TenantId tenant, const Update& update) {
+  update(all);
+  update(by_class[class_id]);
   if (tenant < by_tenant.size()) {
-    book(by_tenant[tenant]);
+    update(by_tenant[tenant]);
   }
 }
 
-void Metrics::asked(Time first, ClassId c, TenantId tenant, double worth) {
-  if (Second* w = second_of(first)) {
-    w->asked += 1, w->worth_asked += worth;
+void Metrics::asked(Time first, ClassId class_id, TenantId tenant, double worth) {
+  if (Second* second = second_of(first)) {
+    second->asked += 1;
+    second->worth_asked += worth;
   }
-  if (Tenth* t = tenth_of(first)) {
-    t->worth_asked += worth;
+  if (Bucket* bucket = bucket_of(first)) {
+    bucket->worth_asked += worth;
   }
   if (counted(first)) {
-    each(c, tenant, [worth](Count& k) { k.asked += 1, k.worth_asked += worth; });
+    update_counts(class_id, tenant, [worth](Count& count) {
+      count.asked += 1;
+      count.worth_asked += worth;
+    });
   }
 }
 
-void Metrics::ended(Time first, Duration took, ClassId c, TenantId tenant, double worth,
+void Metrics::ended(Time first, Duration took, ClassId class_id, TenantId tenant, double worth,
                     bool served, bool refused) {
-  const ClassSettings& k = s_->classes[c].settings;
-  const bool in_aim = served && took <= k.latency_objective;
-  const double got = !served ? 0 : in_aim ? worth : worth * k.late_priority_factor;
-  if (Second* w = second_of(first)) {
-    w->worth_served += got, w->in_aim += in_aim;
+  const ClassSettings& settings = scenario_->classes[class_id].settings;
+  const bool in_time = served && took <= settings.latency_objective;
+  double worth_served = 0;
+  if (served) {
+    worth_served = in_time ? worth : worth * settings.late_priority_factor;
+  }
+  if (Second* second = second_of(first)) {
+    second->worth_served += worth_served;
+    second->in_aim += in_time;
   }
-  if (Tenth* t = tenth_of(first)) {
-    t->worth_served += got;
+  if (Bucket* bucket = bucket_of(first)) {
+    bucket->worth_served += worth_served;
   }
   if (!counted(first)) {
     return;
   }
   if (served) {
-    latency[c].add(took), latency_all.add(took);
+    latency[class_id].add(took);
+    latency_all.add(took);
   }
-  each(c, tenant, [&](Count& n) {
-    n.worth_served += got;
-    n.in_aim += in_aim;
-    n.late += served && !in_aim;
-    n.refused += !served && refused;
-    n.failed += !served && !refused;
+  update_counts(class_id, tenant, [&](Count& count) {
+    count.worth_served += worth_served;
+    count.in_aim += in_time;
+    count.late += served && !in_time;
+    count.refused += !served && refused;
+    count.failed += !served && !refused;
   });
 }
 
 void Metrics::close() {
-  const auto rest = [](Count& n) {
-    n.unanswered = n.asked - n.in_aim - n.late - n.refused - n.failed;
+  const auto count_unanswered = [](Count& count) {
+    count.unanswered = count.asked - count.in_aim - count.late - count.refused - count.failed;
   };
-  rest(all);
-  std::for_each(by_class.begin(), by_class.end(), rest);
-  std::for_each(by_tenant.begin(), by_tenant.end(), rest);
+  count_unanswered(all);
+  std::for_each(by_class.begin(), by_class.end(), count_unanswered);
+  std::for_each(by_tenant.begin(), by_tenant.end(), count_unanswered);
 }
 
 double Metrics::goodput_between(Duration from, Duration until) const {
-  double asked = 0, served = 0;
+  double worth_asked = 0;
+  double worth_served = 0;
   const auto last =
       std::min(seconds.size(), static_cast<std::size_t>(until / std::chrono::seconds(1)));
   for (auto i = static_cast<std::size_t>(from / std::chrono::seconds(1)); i < last; ++i) {
-    asked += seconds[i].worth_asked, served += seconds[i].worth_served;
+    worth_asked += seconds[i].worth_asked;
+    worth_served += seconds[i].worth_served;
   }
-  return asked > 0 ? served / asked : 1;
+  return worth_asked > 0 ? worth_served / worth_asked : 1;
 }
 
 double Metrics::recovery_s(Duration from, Duration until, double goal) const {
-  constexpr std::chrono::seconds kOne{1};
-  const auto good = [&](std::chrono::seconds at) { return goodput_between(at, at + kOne) >= goal; };
+  constexpr std::chrono::seconds kOneSecond{1};
+  const auto is_good = [&](std::chrono::seconds at) {
+    return goodput_between(at, at + kOneSecond) >= goal;
+  };
   const auto first = std::chrono::ceil<std::chrono::seconds>(from);
-  for (auto at = first; at + 3 * kOne <= until; at += kOne) {  // one lucky second is no recovery
-    if (good(at) && good(at + kOne) && good(at + 2 * kOne)) {
+  // One lucky second is no recovery.
+  for (auto at = first; at + 3 * kOneSecond <= until; at += kOneSecond) {
+    if (is_good(at) && is_good(at + kOneSecond) && is_good(at + 2 * kOneSecond)) {
       return static_cast<double>((at - first).count());
     }
   }
   return -1;
 }
 
-Tenth* Metrics::tenth_of(Time t) {
-  const auto i = static_cast<std::size_t>(t / kTenth);
-  return t >= Time{0} && i < tenths.size() ? &tenths[i] : nullptr;
+// Over the whole second that begins with that bucket.
+bool Metrics::matches_control(const Metrics& control, std::size_t first_bucket) const {
+  double served = 0;
+  double expected = 0;
+  for (std::size_t i = first_bucket; i < first_bucket + kBucketsPerSecond; ++i) {
+    served += buckets_[i].worth_served;
+    expected += control.buckets_[i].worth_served;
+  }
+  return served >= kFullServiceShare * expected;
 }
 
 Return Metrics::return_from(const Metrics& control, Time begun, Time back) const {
-  Return r;
-  const std::size_t count = std::min(tenths.size(), control.tenths.size());
-  const auto place = [](Time t) { return static_cast<std::size_t>(std::max(Time{0}, t) / kTenth); };
-  double asked = 0;
-  for (std::size_t i = place(begun); i < count; ++i) {
-    asked += tenths[i].worth_asked;
-    r.worth_lost += control.tenths[i].worth_served - tenths[i].worth_served;
+  Return result;
+  const std::size_t count = std::min(buckets_.size(), control.buckets_.size());
+  double worth_asked = 0;
+  for (std::size_t i = bucket_index(begun); i < count; ++i) {
+    worth_asked += buckets_[i].worth_asked;
+    result.worth_lost += control.buckets_[i].worth_served - buckets_[i].worth_served;
   }
-  if (const double seconds = static_cast<double>(count - std::min(count, place(begun))) / kWindow;
-      asked > 0) {
-    r.worth_lost *= seconds / asked;
+  if (worth_asked > 0) {
+    const std::size_t since_fault = count - std::min(count, bucket_index(begun));
+    result.worth_lost *= static_cast<double>(since_fault) / kBucketsPerSecond / worth_asked;
   }
-  const auto full = [&](std::size_t from) {
-    double got = 0, wanted = 0;
-    for (std::size_t i = from; i < from + kWindow; ++i) {
-      got += tenths[i].worth_served, wanted += control.tenths[i].worth_served;
-    }
-    return got >= kNearFull * wanted;
-  };
-  std::size_t held = 0;  // windows in a row, looked at from the first on
-  for (std::size_t i = place(back); i + kWindow <= count; ++i) {
-    held = full(i) ? held + 1 : 0;
-    if (held <= kHolds) {
-      continue;
+  std::size_t full_in_a_row = 0;
+  for (std::size_t i = bucket_index(back); i + kBucketsPerSecond <= count; ++i) {
+    full_in_a_row = matches_control(control, i) ? full_in_a_row + 1 : 0;
+    if (full_in_a_row > kFullServiceBuckets) {
+      const Time full_since = kBucketLength * (i - kFullServiceBuckets);
+      result.full_after = std::max(Duration{0}, full_since - back);
+      break;
     }
-    r.full_after = std::max(Duration{0}, Duration(kTenth * (i - kHolds)) - back);
-    break;
   }
-  return r;
+  return result;
+}
+
+void Metrics::add_ratios(Json::Value& json) const {
+  json["tries_per_request"] = ratio(tries, all.asked);
+  json["attempts_per_request"] = ratio(attempts, all.asked);
+  json["crossings_per_request"] = ratio(crossings, all.asked);
+  json["waste"] = work_done > 0 ? std::max(0.0, 1 - work_useful / work_done) : 0;
 }
 
 Json::Value Metrics::to_json(bool series) const {
-  const Scenario& s = *s_;
-  Json::Value v;
-  v["goodput"] = goodput();
-  v["all"] = all.to_json();
-  v["p50_s"] = latency_all.quantile(0.5);
-  v["p99_s"] = latency_all.quantile(0.99);
-  v["p999_s"] = latency_all.quantile(0.999);
+  Json::Value json;
+  json["goodput"] = goodput();
+  json["all"] = all.to_json();
+  add_quantiles(json, latency_all);
   for (std::size_t i = 0; i < by_class.size(); ++i) {
-    Json::Value c = by_class[i].to_json();
-    c["p50_s"] = latency[i].quantile(0.5);
-    c["p99_s"] = latency[i].quantile(0.99);
-    c["p999_s"] = latency[i].quantile(0.999);
-    v["classes"][s.classes[i].name] = c;
+    Json::Value& of_class = json["classes"][scenario_->classes[i].name];
+    of_class = by_class[i].to_json();
+    add_quantiles(of_class, latency[i]);
   }
   for (std::size_t i = 0; i < by_tenant.size(); ++i) {
-    v["tenants"][s.tenants[i].name] = by_tenant[i].to_json();
+    json["tenants"][scenario_->tenants[i].name] = by_tenant[i].to_json();
   }
-  v["tries"] = number(tries);
-  v["attempts"] = number(attempts);
-  v["tries_per_request"] =
-      all.asked > 0 ? static_cast<double>(tries) / static_cast<double>(all.asked) : 0;
-  v["attempts_per_request"] =
-      all.asked > 0 ? static_cast<double>(attempts) / static_cast<double>(all.asked) : 0;
-  v["crossings_per_request"] =
-      all.asked > 0 ? static_cast<double>(crossings) / static_cast<double>(all.asked) : 0;
-  v["connections"] = number(connections);
-  v["connected_pairs"] = number(pairs);
-  v["probes"] = number(probes);
-  v["unreachable"] = number(unreachable);
-  v["tipped"] = number(tipped);
-  v["work_done_s"] = work_done;
-  v["waste"] = work_done > 0 ? std::max(0.0, 1 - work_useful / work_done) : 0;
-  v["events"] = number(events);
-  v["decisions"] = number(decisions);
-  for (const Json::Value& t : tiers) {
-    v["tiers"].append(t);
+  json["tries"] = number(tries);
+  json["attempts"] = number(attempts);
+  json["connections"] = number(connections);
+  json["connected_pairs"] = number(pairs);
+  json["probes"] = number(probes);
+  json["unreachable"] = number(unreachable);
+  json["tipped"] = number(tipped);
+  json["work_done_s"] = work_done;
+  add_ratios(json);
+  json["events"] = number(events);
+  json["decisions"] = number(decisions);
+  for (const Json::Value& tier : tiers) {
+    json["tiers"].append(tier);
   }
-  if (!series) {
-    return v;
+  if (series) {
+    json["seconds"] = series_json();
+    json["latency_cdf"] = latency_all.cdf();
   }
-  for (const Second& w : seconds) {
+  return json;
+}
+
+Json::Value Metrics::series_json() const {
+  Json::Value rows;
+  for (const Second& second : seconds) {
     Json::Value row;
-    row["asked"] = number(w.asked);
-    row["in_aim"] = number(w.in_aim);
-    row["refused"] = number(w.refused);
-    row["failed"] = number(w.failed);
-    row["tries"] = number(w.tries);
-    row["attempts"] = number(w.attempts);
-    row["goodput"] = w.worth_asked > 0 ? w.worth_served / w.worth_asked : 1;
-    row["busy"] = w.busy;
-    row["waiting"] = number(w.waiting);
-    row["load_max_over_mean"] = w.load_max_over_mean;
-    v["seconds"].append(row);
+    row["asked"] = number(second.asked);
+    row["in_aim"] = number(second.in_aim);
+    row["refused"] = number(second.refused);
+    row["failed"] = number(second.failed);
+    row["tries"] = number(second.tries);
+    row["attempts"] = number(second.attempts);
+    row["goodput"] = second.worth_asked > 0 ? second.worth_served / second.worth_asked : 1;
+    row["busy"] = second.busy;
+    row["waiting"] = number(second.waiting);
+    row["load_max_over_mean"] = second.load_max_over_mean;
+    rows.append(row);
   }
-  v["latency_cdf"] = latency_all.cdf();
-  return v;
+  return rows;
 }
 
 }  // namespace beechhill::emulator
--- a/src/emulator/node.cpp
+++ b/src/emulator/node.cpp
@@ -6,69 +6,78 @@
 namespace beechhill::emulator {
 namespace {
 
-constexpr std::size_t kReportsKept = 64;  // a report can be that many refreshes late
-constexpr double kMostlyIdle = 0.5;  // of the cores, at the most busy while a choked node recovers
+// A report can be that many refreshes late.
+constexpr std::size_t kMaxReports = 64;
+// Share of the cores that are busy at the most while a collapsed backend recovers.
+constexpr double kMostlyIdle = 0.5;
 
 }  // namespace
 
 Node::Node(const TierSpec& spec, std::uint64_t seed, std::uint64_t index, std::optional<Time> born,
            Time now)
-    : spec_(&spec), random_(seed, Actor::kNode, index), born_(born), rolled_(now) {
+    : spec_(&spec), random_(seed, Actor::kNode, index), started_at_(born), advanced_to_(now) {
   speed_ = random_.uniform(spec.speed);
-  refreshed_ =
-      now - to_span(random_.uniform() * to_s(spec.report_interval));  // not all at the same instant
+  // Backends do not all refresh at the same instant.
+  refreshed_ = now - to_span(random_.uniform() * to_s(spec.report_interval));
 }
 
 double Node::warmth(Time now) const {
-  if (!born_ || spec_->cold_span <= Duration{0} || now >= *born_ + spec_->cold_span) {
+  if (!started_at_ || spec_->cold_span <= Duration{0} || now >= *started_at_ + spec_->cold_span) {
     return 1;
   }
-  const double age = std::max(0.0, to_s(now - *born_));
+  const double age = std::max(0.0, to_s(now - *started_at_));
   return spec_->cold_from + (1 - spec_->cold_from) * age / to_s(spec_->cold_span);
 }
 
 double Node::pace(Time now) const {
-  return speed_ * warmth(now) / (slow_ * (choked_ ? spec_->choke_slow : 1));
+  return speed_ * warmth(now) / (slowdown_ * (choked_ ? spec_->choke_slow : 1));
 }
 
 double Node::backlog_s(Time now) const {
-  // What runs is taken to be half done.
-  const double running =
-      started_ > 0 ? 0.5 * static_cast<double>(busy_) * busy_total_ / static_cast<double>(started_)
-                   : 0;
-  return (running + (run_work_ + room_work_) / pace(now)) / spec_->cores;
+  // What runs is taken to be half done, and as long as the mean so far.
+  const double running = jobs_started_ > 0 ? 0.5 * static_cast<double>(busy_) * busy_total_ /
+                                                 static_cast<double>(jobs_started_)
+                                           : 0;
+  return (running + (core_queue_work_ + slot_queue_work_) / pace(now)) / spec_->cores;
 }
 
 // Brings the integrals up to now, and closes the report windows that have ended.
-void Node::roll(Time now) {
-  while (rolled_ < now) {
-    const Time next = std::min(now, refreshed_ + spec_->report_interval);
-    const double dt = to_s(next - rolled_);
+void Node::advance(Time now) {
+  while (advanced_to_ < now) {
+    const Time window_end = refreshed_ + spec_->report_interval;
+    const Time next = std::min(now, window_end);
+    const double dt = to_s(next - advanced_to_);
     busy_in_window_ += dt * static_cast<double>(busy_);
     busy_total_ += dt * static_cast<double>(busy_);
     present_ += dt * static_cast<double>(in_hand());
-    rolled_ = next;
-    if (next < refreshed_ + spec_->report_interval) {
+    advanced_to_ = next;
+    if (next < window_end) {
       return;
     }
-    const double length = to_s(spec_->report_interval);
-    reports_.push_back({next, busy_in_window_ / length / spec_->cores, done_in_window_ / length});
-    if (reports_.size() > kReportsKept) {
-      reports_.pop_front();
-    }
-    busy_in_window_ = done_in_window_ = 0;
-    refreshed_ = next;
-    // Guards against walking every window of a long idle time: what was said last would only
-    // repeat.
-    const auto skip =
-        (now - next) / spec_->report_interval - static_cast<std::int64_t>(kReportsKept);
-    if (skip > 0 && busy_ == 0 && in_hand() == 0) {
-      refreshed_ += skip * spec_->report_interval, rolled_ = refreshed_;
-    }
+    close_report_window(now);
+  }
+}
+
+void Node::close_report_window(Time now) {
+  const double length = to_s(spec_->report_interval);
+  reports_.push_back(
+      {advanced_to_, busy_in_window_ / length / spec_->cores, done_in_window_ / length});
+  if (reports_.size() > kMaxReports) {
+    reports_.pop_front();
+  }
+  busy_in_window_ = 0;
+  done_in_window_ = 0;
+  refreshed_ = advanced_to_;
+  // Skips the windows of a long idle time whose reports would all be the same and replaced anyway.
+  const auto skip =
+      (now - advanced_to_) / spec_->report_interval - static_cast<std::int64_t>(kMaxReports);
+  if (skip > 0 && busy_ == 0 && in_hand() == 0) {
+    refreshed_ += skip * spec_->report_interval;
+    advanced_to_ = refreshed_;
   }
 }
 
-void Node::watch_crowd(Time now) {
+void Node::update_collapse(Time now) {
   if (spec_->choke_crowd <= 0) {
     return;
   }
@@ -97,103 +106,110 @@
   }
 }
 
-void Node::run(Time now, std::vector<Start>& starts) {
-  while (working_ < spec_->slots && !room_.empty()) {
+void Node::start_phases(Time now, std::vector<Start>& starts) {
+  while (working_ < spec_->slots && !slot_queue_.empty()) {
     ++working_;
-    room_work_ -= room_.front().work;
-    run_work_ += room_.front().work;
-    run_queue_.push_back(room_.front());
-    room_.pop_front();
-  }
-  while (busy_ < spec_->cores && !run_queue_.empty()) {
-    const Ready job = run_queue_.front();
-    run_queue_.pop_front();
-    run_work_ -= job.work;
+    slot_queue_work_ -= slot_queue_.front().work;
+    core_queue_work_ += slot_queue_.front().work;
+    core_queue_.push_back(slot_queue_.front());
+    slot_queue_.pop_front();
+  }
+  while (busy_ < spec_->cores && !core_queue_.empty()) {
+    const QueuedPhase job = core_queue_.front();
+    core_queue_.pop_front();
+    core_queue_work_ -= job.work;
     ++busy_;
-    if (job.first) {
-      waited_ += to_s(now - job.since), ++started_;
+    if (job.is_first) {
+      waited_ += to_s(now - job.since);
+      ++jobs_started_;
     }
     starts.push_back({job.job, now + to_span(job.work / pace(now))});
   }
-  if (run_queue_.empty()) {
-    run_work_ = 0;  // sums of reals do not come back to nothing by themselves
+  if (core_queue_.empty()) {
+    // Sums of floating-point numbers do not come back to 0 by themselves.
+    core_queue_work_ = 0;
   }
-  if (room_.empty()) {
-    room_work_ = 0;
+  if (slot_queue_.empty()) {
+    slot_queue_work_ = 0;
   }
-  watch_crowd(now);
+  update_collapse(now);
 }
 
 bool Node::take(Time now, JobId job, double work, std::vector<Start>& starts) {
-  roll(now);
-  watch_crowd(now);
+  advance(now);
+  update_collapse(now);
   if (in_hand() >= static_cast<std::size_t>(spec_->slots) + spec_->room) {
     return false;
   }
-  room_.push_back({job, work, now, true});
-  room_work_ += work;
-  run(now, starts);
-  most_waiting_ = std::max(most_waiting_, waiting());
+  slot_queue_.push_back({job, work, now, true});
+  slot_queue_work_ += work;
+  start_phases(now, starts);
+  max_waiting_ = std::max(max_waiting_, waiting());
   return true;
 }
 
 void Node::resume(Time now, JobId job, double work, std::vector<Start>& starts) {
-  roll(now);
-  run_queue_.push_back({job, work, now, false});
-  run_work_ += work;
-  run(now, starts);
+  advance(now);
+  core_queue_.push_back({job, work, now, false});
+  core_queue_work_ += work;
+  start_phases(now, starts);
 }
 
 void Node::phase_done(Time now, bool leaves, std::vector<Start>& starts) {
-  roll(now);
+  advance(now);
   --busy_;
   if (leaves) {
-    --working_, done_in_window_ += 1;
+    --working_;
+    done_in_window_ += 1;
   }
-  run(now, starts);
+  start_phases(now, starts);
 }
 
 void Node::leave(Time now, std::vector<Start>& starts) {
-  roll(now);
+  advance(now);
   --working_;
   done_in_window_ += 1;
-  run(now, starts);
+  start_phases(now, starts);
 }
 
 bool Node::withdraw(Time now, JobId job, std::vector<Start>& starts) {
-  roll(now);
-  const auto is_it = [job](const Ready& r) { return r.job == job; };
-  if (const auto it = std::find_if(room_.begin(), room_.end(), is_it); it != room_.end()) {
-    room_work_ -= it->work;
-    room_.erase(it);
-  } else if (const auto at = std::find_if(run_queue_.begin(), run_queue_.end(), is_it);
-             at != run_queue_.end()) {
-    run_work_ -= at->work;
-    run_queue_.erase(at);
+  advance(now);
+  const auto is_job = [job](const QueuedPhase& r) { return r.job == job; };
+  if (const auto it = std::find_if(slot_queue_.begin(), slot_queue_.end(), is_job);
+      it != slot_queue_.end()) {
+    slot_queue_work_ -= it->work;
+    slot_queue_.erase(it);
+  } else if (const auto at = std::find_if(core_queue_.begin(), core_queue_.end(), is_job);
+             at != core_queue_.end()) {
+    core_queue_work_ -= at->work;
+    core_queue_.erase(at);
     --working_;
   } else {
     return false;
   }
-  run(now, starts);
+  start_phases(now, starts);
   return true;
 }
 
 void Node::restart(Time now, Time born) {
-  roll(now);
-  room_.clear();
-  run_queue_.clear();
-  run_work_ = room_work_ = 0;
-  working_ = busy_ = 0;
+  advance(now);
+  slot_queue_.clear();
+  core_queue_.clear();
+  core_queue_work_ = 0;
+  slot_queue_work_ = 0;
+  working_ = 0;
+  busy_ = 0;
   choked_ = false;
   crowded_since_.reset();
   idle_since_.reset();
   reports_.clear();
-  busy_in_window_ = done_in_window_ = 0;
-  born_ = born;
+  busy_in_window_ = 0;
+  done_in_window_ = 0;
+  started_at_ = born;
 }
 
 LoadReport Node::report(Time now, Duration more_delay) {
-  roll(now);
+  advance(now);
   const Time until = now - spec_->report_delay - more_delay;
   for (auto it = reports_.rbegin(); it != reports_.rend(); ++it) {
     if (it->at > until) {
--- a/src/emulator/node.h
+++ b/src/emulator/node.h
@@ -1,6 +1,6 @@
-// One node as a state machine: cores, slots, a waiting room, warmth, choking, load reports. No
-// clock and no events of its own: the host tells it what happens when, and does what it returns.
-// The emulator's world and the stand-in nodes on sockets both host it.
+/// One backend as a state machine: cores, slots, a queue for slots, slow start, overload collapse,
+/// load reports. No clock and no events of its own: the host tells it what happens when, and does
+/// what it returns. The emulator and the fake backends on sockets both host it.
 #pragma once
 
 #include <deque>
@@ -12,89 +12,113 @@
 
 namespace beechhill::emulator {
 
+/// Names a job to the host.
 using JobId = std::uint64_t;
 
-struct Start {  // a job that has a core now, until then
+/// A phase of a job that has a core from now until then.
+struct Start {
   JobId job = 0;
   Time until{0};
 };
 
+/// All times must not go back from call to call. Work is in seconds on a core of speed 1.
 class Node {
  public:
+  /// `spec` must outlive it. `born`: when it started, where it is still cold.
   Node(const TierSpec& spec, std::uint64_t seed, std::uint64_t index, std::optional<Time> born,
        Time now);
 
-  // Takes a job whose first phase is `work` seconds on a core of speed 1. False: it is full, and
-  // the job has not run. What starts is appended to `starts`.
+  /// Takes a job whose first phase is `work` long. False: it is overloaded, and the job has not
+  /// run. What starts is appended to `starts`.
   bool take(Time now, JobId job, double work, std::vector<Start>& starts);
-  // A job that gave up its core without ending (it waits for the next tier) asks for one again.
+  /// A job that gave up its core without ending (it waits for the next tier) wants one again.
   void resume(Time now, JobId job, double work, std::vector<Start>& starts);
-  // The job's phase is over: its core is free. With `leaves`, its slot is free too.
+  /// The job's phase is over: its core is free. With `leaves`, its slot is free too.
   void phase_done(Time now, bool leaves, std::vector<Start>& starts);
-  void leave(Time now, std::vector<Start>& starts);  // a job that holds a slot but no core ends
-  // Takes out a job that waits for a core; false where it does not. Looks at its queue, which is
-  // bounded.
+  /// A job that holds a slot but no core ends.
+  void leave(Time now, std::vector<Start>& starts);
+  /// Takes out a job that waits for a core; false where it does not. O(queue), which is bounded.
   bool withdraw(Time now, JobId job, std::vector<Start>& starts);
-  // Everything in it is lost; it starts again cold at `born`.
+  /// Everything in it is lost; it starts again cold at `born`.
   void restart(Time now, Time born);
 
-  double warmth(Time now) const;  // present share of its whole capacity
+  /// The share of its full capacity that it has now.
+  double warmth(Time now) const;
   bool cold(Time now) const { return warmth(now) < 1; }
-  double capacity(Time now) const {
-    return spec_->cores * speed_ * warmth(now);
-  }  // core-seconds a second
-  std::size_t in_hand() const { return working_ + room_.size(); }
-  std::size_t waiting() const { return run_queue_.size() + room_.size(); }
-  double backlog_s(Time now) const;  // seconds of work that wait for each core at its present speed
+  /// Core-seconds a second.
+  double capacity(Time now) const { return spec_->cores * speed_ * warmth(now); }
+  std::size_t in_hand() const { return working_ + slot_queue_.size(); }
+  std::size_t waiting() const { return core_queue_.size() + slot_queue_.size(); }
+  /// Seconds of work that wait for each core, at its present speed.
+  double backlog_s(Time now) const;
+  /// Its load report as a proxy has it now: delayed and noisy.
   LoadReport report(Time now, Duration more_delay);
-  void slow_down(double times) { slow_ = times; }
+  void slow_down(double times) { slowdown_ = times; }
+  /// Whether its throughput has collapsed under load.
   bool choked() const { return choked_; }
-  const std::optional<Time>& born() const { return born_; }
+  const std::optional<Time>& born() const { return started_at_; }
   double speed() const { return speed_; }
 
-  // Totals, for the books.
+  /// Totals up to the last call that took a time.
   double busy_core_s() const { return busy_total_; }
   double waited_s() const { return waited_; }
-  double present_s() const { return present_; }  // integral of what it holds
-  std::uint64_t started() const { return started_; }
-  std::size_t most_waiting() const { return most_waiting_; }
-  void settle(Time now) { roll(now); }
+  /// The integral of in_hand() over time.
+  double present_s() const { return present_; }
+  std::uint64_t started() const { return jobs_started_; }
+  std::size_t most_waiting() const { return max_waiting_; }
+  /// Brings the totals up to now.
+  void settle(Time now) { advance(now); }
 
  private:
-  struct Ready {
+  struct QueuedPhase {
     JobId job = 0;
     double work = 0;
     Time since{0};
-    bool first = false;
+    bool is_first = false;
   };
-  void roll(Time now);
-  void watch_crowd(Time now);
-  void run(Time now, std::vector<Start>& starts);
+  /// A load report as refreshed.
+  struct ReportSample {
+    Time at{0};
+    double utilisation = 0;
+    double rate = 0;
+  };
+
+  void advance(Time now);
+  void close_report_window(Time now);
+  void update_collapse(Time now);
+  void start_phases(Time now, std::vector<Start>& starts);
   double pace(Time now) const;
 
   const TierSpec* spec_;
   Stream random_;
-  double speed_ = 1, slow_ = 1;
-  std::optional<Time> born_;
-  std::deque<Ready> room_;       // no slot yet
-  std::deque<Ready> run_queue_;  // a slot, no core
-  double run_work_ = 0, room_work_ = 0;
-  std::size_t working_ = 0, busy_ = 0;
+  double speed_ = 1;
+  double slowdown_ = 1;
+  std::optional<Time> started_at_;
+  // Jobs without a slot, and jobs with a slot but no core; and the work in each queue.
+  std::deque<QueuedPhase> slot_queue_;
+  std::deque<QueuedPhase> core_queue_;
+  double slot_queue_work_ = 0;
+  double core_queue_work_ = 0;
+  // Slots and cores in use.
+  std::size_t working_ = 0;
+  std::size_t busy_ = 0;
+
   bool choked_ = false;
-  std::optional<Time> crowded_since_, idle_since_;
   Time choked_at_{0};
+  std::optional<Time> crowded_since_;
+  std::optional<Time> idle_since_;
 
-  struct Seen {  // a load report as refreshed
-    Time at{0};
-    double utilisation = 0, rate = 0;
-  };
-  std::deque<Seen> reports_;
-  Time rolled_{0}, refreshed_{0};
-  double busy_in_window_ = 0, done_in_window_ = 0;
+  std::deque<ReportSample> reports_;
+  Time advanced_to_{0};
+  Time refreshed_{0};
+  double busy_in_window_ = 0;
+  double done_in_window_ = 0;
 
-  double busy_total_ = 0, waited_ = 0, present_ = 0;
-  std::uint64_t started_ = 0;
-  std::size_t most_waiting_ = 0;
+  double busy_total_ = 0;
+  double waited_ = 0;
+  double present_ = 0;
+  std::uint64_t jobs_started_ = 0;
+  std::size_t max_waiting_ = 0;
 };
 
 }  // namespace beechhill::emulator
--- a/src/emulator/policies.cpp
+++ b/src/emulator/policies.cpp
@@ -1,7 +1,9 @@
 #include <algorithm>
 #include <cmath>
-#include <functional>
+#include <limits>
+#include <optional>
 #include <unordered_map>
+#include <variant>
 
 #include "emulator/policy.h"
 #include "emulator/random.h"
@@ -17,234 +19,267 @@
   void handle(Time now, const Event& event, std::vector<Action>& actions) override {
     balancer_.handle(now, event, actions);
   }
-  EndpointStats known(EndpointId server) const override { return balancer_.endpoint_stats(server); }
+  EndpointStats known(EndpointId endpoint) const override {
+    return balancer_.endpoint_stats(endpoint);
+  }
 
  private:
   Balancer balancer_;
 };
 
-struct Known {  // a node as a plain policy sees it
+// Share of what is known of a backend that its next load report replaces.
+constexpr double kReportDecay = 0.2;
+// Seconds over which the rate of requests is averaged.
+constexpr double kRateWindowS = 5;
+// How often a policy may choose before whatever is allowed is taken.
+constexpr int kMaxChoices = 3;
+
+// A backend as a plain policy sees it.
+struct KnownBackend {
   bool up = false;
-  Endpoint entry;
-  std::uint32_t out = 0;
-  double rates = 0, utils = 0;
-  double credit = 0;  // of a cold node: what it may still be sent
-  Time credited{0};
+  Endpoint endpoint;
+  std::uint32_t outstanding = 0;
+  // Decaying sums of reported rates and utilisations.
+  double rates = 0;
+  double utilisations = 0;
+  // While it is cold: attempts that it may still be sent.
+  double credit = 0;
+  Time credited_at{0};
 };
 
-// What the plain policies share: no queue, no limit, tries again only what the class allows, and
-// gives a cold node its warmth's share of what a warm one gets from here.
+bool is_never_run(Result result) {
+  return result == Result::kOverloaded || result == Result::kConnectFailed ||
+         result == Result::kSkipped;
+}
+
+// What the plain policies share: no queue, no concurrency limit, retries only of what the class
+// allows, and slow start: a cold backend gets its warmth's share of what a warm one gets from here.
 class PlainPolicy : public Policy {
  public:
   explicit PlainPolicy(const Settings& settings)
-      : s_(settings), random_(settings.seed, Actor::kPolicy, 0) {}
+      : settings_(settings), random_(settings.seed, Actor::kPolicy, 0) {}
 
   void handle(Time now, const Event& event, std::vector<Action>& actions) override {
     now_ = now;
-    out_ = &actions;
-    if (const auto* d = std::get_if<EndpointUpdate>(&event)) {
-      on(*d);
-    }
-    if (const auto* r = std::get_if<Request>(&event)) {
-      on(*r);
-    }
-    if (const auto* o = std::get_if<Outcome>(&event)) {
-      on(*o);
-    }
-    if (const auto* g = std::get_if<ClientDisconnected>(&event)) {
-      on(*g);
-    }
+    actions_ = &actions;
+    std::visit([this](const auto& typed) { on(typed); }, event);
   }
 
  protected:
-  // One of `up()`, of which there is one at the least.
+  // An index into up(), which is not empty.
   virtual std::size_t choose() = 0;
   virtual bool admits(const Request&) { return true; }
-  virtual bool spare(Known& k) { return !cold(k) || credit_allows(k); }
+  virtual bool has_capacity(KnownBackend& backend) {
+    return !is_cold(backend) || has_credit(backend);
+  }
   const std::vector<EndpointId>& up() const { return up_; }
-  Known& known(std::size_t i) { return servers_[up_[i]]; }
+  KnownBackend& known(std::size_t i) { return backends_[up_[i]]; }
   Time now() const { return now_; }
   Stream& random() { return random_; }
-  const Settings& settings() const { return s_; }
+  const Settings& settings() const { return settings_; }
 
  private:
-  struct Call {
+  // Plain policies use no other events.
+  template <typename OtherEvent>
+  void on(const OtherEvent&) {}
+
+  struct RequestState {
     Request request;
-    std::vector<EndpointId> tried;
-    std::vector<Time> sent;
-    std::optional<std::size_t> maybe_ran;
-    std::uint32_t out = 0;
-    bool over = false;
+    // By attempt.
+    std::vector<EndpointId> endpoints;
+    std::vector<Time> sent_at;
+    // The first attempt that may have run.
+    std::optional<std::size_t> may_have_run;
+    std::uint32_t open_attempts = 0;
+    bool answered = false;
   };
 
-  void on(const EndpointUpdate& d) {
-    if (d.kind == UpdateKind::kFailed) {
+  void on(const EndpointUpdate& update) {
+    if (update.kind == UpdateKind::kFailed) {
       return;
     }
-    if (d.kind != UpdateKind::kDelta) {
-      for (Known& k : servers_) {
-        k.up = false;
+    if (update.kind != UpdateKind::kDelta) {
+      for (KnownBackend& backend : backends_) {
+        backend.up = false;
       }
     }
-    for (const Endpoint& e : d.endpoints) {
-      if (servers_.size() <= e.id) {
-        servers_.resize(e.id + 1);
+    for (const Endpoint& endpoint : update.endpoints) {
+      if (backends_.size() <= endpoint.id) {
+        backends_.resize(endpoint.id + 1);
       }
-      Known& k = servers_[e.id];
-      k.entry = e;
-      k.up = e.status == EndpointStatus::kUp;
+      KnownBackend& backend = backends_[endpoint.id];
+      backend.endpoint = endpoint;
+      backend.up = endpoint.status == EndpointStatus::kUp;
     }
     up_.clear();
-    for (EndpointId id = 0; id < servers_.size(); ++id) {
-      if (servers_[id].up) {
+    for (EndpointId id = 0; id < backends_.size(); ++id) {
+      if (backends_[id].up) {
         up_.push_back(id);
       }
     }
   }
 
-  bool cold(const Known& k) const {
-    return k.entry.started_at && now_ < *k.entry.started_at + s_.slow_start_window;
+  bool is_cold(const KnownBackend& backend) const {
+    const std::optional<Time>& started_at = backend.endpoint.started_at;
+    return started_at && now_ < *started_at + settings_.slow_start_window;
   }
-  bool credit_allows(Known& k) {  // whether a cold node's credit covers one more
-    const double age = to_s(now_ - *k.entry.started_at);
-    const double span = to_s(s_.slow_start_window);
-    const double warmth = s_.slow_start_initial_weight +
-                          (1 - s_.slow_start_initial_weight) * std::max(0.0, age) / span;
-    const double dt = to_s(now_ - k.credited);
-    k.credit = std::min(1.0, k.credit + warmth * dt * rate_ / static_cast<double>(up_.size()));
-    k.credited = now_;
-    return k.credit >= 1;
+
+  // Whether a cold backend's credit covers one more attempt.
+  bool has_credit(KnownBackend& backend) {
+    const double age = to_s(now_ - *backend.endpoint.started_at);
+    const double window = to_s(settings_.slow_start_window);
+    const double initial = settings_.slow_start_initial_weight;
+    const double warmth = initial + (1 - initial) * std::max(0.0, age) / window;
+    const double elapsed = to_s(now_ - backend.credited_at);
+    const double earned = warmth * elapsed * rate_ / static_cast<double>(up_.size());
+    backend.credit = std::min(1.0, backend.credit + earned);
+    backend.credited_at = now_;
+    return backend.credit >= 1;
   }
 
-  bool group_allows(const Call& c, const Known& k) const {
-    if (!c.maybe_ran) {
+  // Whether the class allows an attempt there, after one that may have run.
+  bool may_repeat_at(const RequestState& state, const KnownBackend& backend) const {
+    if (!state.may_have_run) {
       return true;
     }
-    const ClassSettings& s = s_.classes[c.request.class_id];
-    if (s.idempotency == Idempotency::kIdempotent) {
+    const ClassSettings& settings = settings_.classes[state.request.class_id];
+    if (settings.idempotency == Idempotency::kIdempotent) {
       return true;
     }
-    if (s.idempotency == Idempotency::kNonIdempotent ||
-        now_ >= c.sent[*c.maybe_ran] + s.deduplication_window) {
+    if (settings.idempotency == Idempotency::kNonIdempotent ||
+        now_ >= state.sent_at[*state.may_have_run] + settings.deduplication_window) {
       return false;
     }
-    const Endpoint& first = servers_[c.tried[*c.maybe_ran]].entry;
-    return s.deduplication_scope == DeduplicationScope::kAll ||
-           (k.entry.zone == first.zone &&
-            (s.deduplication_scope == DeduplicationScope::kZone || k.entry.cell == first.cell));
+    const Endpoint& first = backends_[state.endpoints[*state.may_have_run]].endpoint;
+    return settings.deduplication_scope == DeduplicationScope::kAll ||
+           (backend.endpoint.zone == first.zone &&
+            (settings.deduplication_scope == DeduplicationScope::kZone ||
+             backend.endpoint.cell == first.cell));
   }
 
-  // What choose() says, a few times; then whichever is allowed.
-  std::optional<EndpointId> pick(const Call& c) {
-    if (up_.empty() || !admits(c.request)) {
+  // What choose() returns, a few times; then whichever is allowed.
+  std::optional<EndpointId> pick(const RequestState& state) {
+    if (up_.empty() || !admits(state.request)) {
       return std::nullopt;
     }
-    for (int i = 0; i < 3; ++i) {
+    const auto is_allowed = [&](EndpointId id) {
+      return may_repeat_at(state, backends_[id]) && has_capacity(backends_[id]);
+    };
+    for (int i = 0; i < kMaxChoices; ++i) {
       const EndpointId id = up_[choose()];
-      if (group_allows(c, servers_[id]) && spare(servers_[id])) {
+      if (is_allowed(id)) {
         return id;
       }
     }
     const std::size_t from = random_.below(up_.size());
     for (std::size_t i = 0; i < up_.size(); ++i) {
       const EndpointId id = up_[(from + i) % up_.size()];
-      if (group_allows(c, servers_[id]) && spare(servers_[id])) {
+      if (is_allowed(id)) {
         return id;
       }
     }
     return std::nullopt;
   }
 
-  bool send(Call& c) {
-    const auto id = pick(c);
+  bool start_attempt(RequestState& state) {
+    const auto id = pick(state);
     if (!id) {
       return false;
     }
-    Known& k = servers_[*id];
-    k.out += 1;
-    if (cold(k)) {
-      k.credit -= 1;
+    KnownBackend& backend = backends_[*id];
+    backend.outstanding += 1;
+    if (is_cold(backend)) {
+      backend.credit -= 1;
     }
-    c.tried.push_back(*id);
-    c.sent.push_back(now_);
-    c.out += 1;
-    out_->push_back(StartAttempt{c.request.id, *id});
+    state.endpoints.push_back(*id);
+    state.sent_at.push_back(now_);
+    state.open_attempts += 1;
+    actions_->push_back(StartAttempt{state.request.id, *id});
     return true;
   }
 
-  void on(const Request& r) {
-    const double dt = to_s(now_ - rated_);
-    rate_ = rate_ * std::exp(-dt / 5) + 1.0 / 5;
-    rated_ = now_;
-    Call& c = calls_[r.id];
-    c.request = r;
-    if (!send(c)) {
-      give_up(c);
+  void on(const Request& request) {
+    const double elapsed = to_s(now_ - rate_updated_at_);
+    rate_ = rate_ * std::exp(-elapsed / kRateWindowS) + 1.0 / kRateWindowS;
+    rate_updated_at_ = now_;
+    RequestState& state = requests_[request.id];
+    state.request = request;
+    if (!start_attempt(state)) {
+      give_up(state);
     }
-    tidy(r.id);
+    remove_if_done(request.id);
   }
 
-  void on(const Outcome& o) {
-    const auto it = calls_.find(o.id);
-    if (it == calls_.end()) {
+  void on(const Outcome& outcome) {
+    const auto it = requests_.find(outcome.id);
+    if (it == requests_.end()) {
       return;
     }
-    Call& c = it->second;
-    Known& k = servers_[c.tried[o.attempt]];
-    k.out -= k.out > 0;
-    if (o.report.requests_per_s && o.report.utilization) {
-      k.rates += *o.report.requests_per_s - 0.2 * k.rates;
-      k.utils += *o.report.utilization - 0.2 * k.utils;
+    RequestState& state = it->second;
+    note_result(state, outcome);
+    state.answered = state.answered || outcome.is_final || outcome.result == Result::kOk;
+    if (!state.answered && state.open_attempts == 0) {
+      const bool may_retry =
+          state.endpoints.size() < settings_.max_attempts && now_ < state.request.deadline;
+      if (!may_retry || !start_attempt(state)) {
+        give_up(state);
+      }
     }
-    c.out -= 1;
-    const bool never = o.result == Result::kOverloaded || o.result == Result::kConnectFailed ||
-                       o.result == Result::kSkipped;
-    if (!never && !c.maybe_ran) {
-      c.maybe_ran = o.attempt;
+    remove_if_done(outcome.id);
+  }
+
+  void note_result(RequestState& state, const Outcome& outcome) {
+    KnownBackend& backend = backends_[state.endpoints[outcome.attempt]];
+    backend.outstanding -= backend.outstanding > 0;
+    const LoadReport& report = outcome.report;
+    if (report.requests_per_s && report.utilization) {
+      backend.rates += *report.requests_per_s - kReportDecay * backend.rates;
+      backend.utilisations += *report.utilization - kReportDecay * backend.utilisations;
     }
-    c.over = c.over || o.is_final || o.result == Result::kOk;
-    if (!c.over && c.out == 0) {
-      const bool more = c.tried.size() < s_.max_attempts && now_ < c.request.deadline;
-      if (!more || !send(c)) {
-        give_up(c);
-      }
+    state.open_attempts -= 1;
+    if (!state.may_have_run && !is_never_run(outcome.result)) {
+      state.may_have_run = outcome.attempt;
     }
-    tidy(o.id);
   }
 
-  void on(const ClientDisconnected& g) {
-    const auto it = calls_.find(g.id);
-    if (it == calls_.end()) {
+  void on(const ClientDisconnected& event) {
+    const auto it = requests_.find(event.id);
+    if (it == requests_.end()) {
       return;
     }
-    it->second.over = true;
-    tidy(g.id);
+    it->second.answered = true;
+    remove_if_done(event.id);
   }
 
-  void give_up(Call& c) {
-    const ClassSettings& k = s_.classes[c.request.class_id];
-    const bool safe = !c.maybe_ran || k.idempotency == Idempotency::kIdempotent ||
-                      (k.idempotency == Idempotency::kIdempotencyKey &&
-                       k.deduplication_scope == DeduplicationScope::kAll);
-    c.over = true;
-    out_->push_back(safe ? Action(Reject{c.request.id, Duration{0}}) : Action(Fail{c.request.id}));
+  void give_up(RequestState& state) {
+    const ClassSettings& settings = settings_.classes[state.request.class_id];
+    const bool retry_is_harmless = !state.may_have_run ||
+                                   settings.idempotency == Idempotency::kIdempotent ||
+                                   (settings.idempotency == Idempotency::kIdempotencyKey &&
+                                    settings.deduplication_scope == DeduplicationScope::kAll);
+    state.answered = true;
+    const RequestId id = state.request.id;
+    actions_->push_back(retry_is_harmless ? Action(Reject{id, Duration{0}}) : Action(Fail{id}));
   }
 
-  void tidy(RequestId id) {
-    const auto it = calls_.find(id);
-    if (it != calls_.end() && it->second.over && it->second.out == 0) {
-      calls_.erase(it);
+  void remove_if_done(RequestId id) {
+    const auto it = requests_.find(id);
+    if (it != requests_.end() && it->second.answered && it->second.open_attempts == 0) {
+      requests_.erase(it);
     }
   }
 
-  Settings s_;
+  Settings settings_;
   Stream random_;
-  Time now_{0}, rated_{0};
+  Time now_{0};
+  // Requests a second, and when it was brought up to date.
   double rate_ = 0;
-  std::vector<Action>* out_ = nullptr;
-  std::vector<Known> servers_;
+  Time rate_updated_at_{0};
+  std::vector<Action>* actions_ = nullptr;
+  std::vector<KnownBackend> backends_;
   std::vector<EndpointId> up_;
-  std::unordered_map<RequestId, Call> calls_;  // looked up only
+  // Looked up only, never walked: the order of a hash table is no part of a run.
+  std::unordered_map<RequestId, RequestState> requests_;
 };
 
 class RandomPolicy : public PlainPolicy {
@@ -255,19 +290,22 @@
 
 class RoundRobin : public PlainPolicy {
  public:
-  explicit RoundRobin(const Settings& s) : PlainPolicy(s), next_(random().below(1 << 20)) {}
+  explicit RoundRobin(const Settings& settings)
+      : PlainPolicy(settings), next_(random().below(1 << 20)) {}
   std::size_t choose() override { return next_++ % up().size(); }
 
  private:
-  std::size_t next_;  // proxies do not go round together
+  // Begins anywhere, so that proxies do not go round together.
+  std::size_t next_;
 };
 
 class TwoChoices : public PlainPolicy {
  public:
   using PlainPolicy::PlainPolicy;
   std::size_t choose() override {
-    const std::size_t a = random().below(up().size()), b = random().below(up().size());
-    return known(b).out < known(a).out ? b : a;
+    const std::size_t a = random().below(up().size());
+    const std::size_t b = random().below(up().size());
+    return known(b).outstanding < known(a).outstanding ? b : a;
   }
 };
 
@@ -275,11 +313,12 @@
  public:
   using PlainPolicy::PlainPolicy;
   std::size_t choose() override {
-    const std::size_t from = random().below(up().size());  // ties go to a different one each time
+    // Ties go to a different one each time.
+    const std::size_t from = random().below(up().size());
     std::size_t best = from;
     for (std::size_t i = 1; i < up().size(); ++i) {
       const std::size_t at = (from + i) % up().size();
-      if (known(at).out < known(best).out) {
+      if (known(at).outstanding < known(best).outstanding) {
         best = at;
       }
     }
@@ -291,22 +330,27 @@
 class Weighted : public PlainPolicy {
  public:
   using PlainPolicy::PlainPolicy;
+  // Relative to the mean.
+  static constexpr double kMinWeight = 0.1;
   std::size_t choose() override {
-    double rates = 0, utils = 0;
+    double rates = 0;
+    double utilisations = 0;
     for (std::size_t i = 0; i < up().size(); ++i) {
-      rates += known(i).rates, utils += known(i).utils;
+      rates += known(i).rates;
+      utilisations += known(i).utilisations;
     }
-    const double mean = utils > 0 && rates > 0 ? rates / utils : 1;
-    const auto weight = [&](const Known& k) {
-      return std::max(0.1 * mean, (k.rates + mean) / (k.utils + 1));
+    const double mean = utilisations > 0 && rates > 0 ? rates / utilisations : 1;
+    const auto weight = [&](const KnownBackend& backend) {
+      return std::max(kMinWeight * mean, (backend.rates + mean) / (backend.utilisations + 1));
     };
-    double all = 0;
+    double sum = 0;
     for (std::size_t i = 0; i < up().size(); ++i) {
-      all += weight(known(i));
+      sum += weight(known(i));
     }
-    double left = random().uniform() * all;
+    double left = random().uniform() * sum;
     for (std::size_t i = 0; i < up().size(); ++i) {
-      if ((left -= weight(known(i))) < 0) {
+      left -= weight(known(i));
+      if (left < 0) {
         return i;
       }
     }
@@ -314,36 +358,44 @@
   }
 };
 
+// Sees the true state of the backends: an upper bound for what a policy can reach.
 class Oracle : public PlainPolicy {
  public:
-  Oracle(const Settings& s, const TrueState& truth) : PlainPolicy(s), truth_(truth) {
-    for (const ClassSettings& c : s.classes) {
-      most_worth_ = std::max(most_worth_, c.priority_weight);
+  Oracle(const Settings& settings, const TrueState& truth) : PlainPolicy(settings), truth_(truth) {
+    for (const ClassSettings& request_class : settings.classes) {
+      max_weight_ = std::max(max_weight_, request_class.priority_weight);
     }
   }
-  // Refuses at the first tier what would wait too long for its aim, the cheaper classes sooner.
-  bool admits(const Request& r) override {
+
+  // Rejects at the first tier what would wait too long for its objective, lower classes sooner.
+  bool admits(const Request& request) override {
     if (settings().tier > 0) {
       return true;
     }
-    const ClassSettings& k = settings().classes[r.class_id];
+    const ClassSettings& request_class = settings().classes[request.class_id];
     const double wait = truth_.wait_s(now(), 0, up()[choose()]);
-    return wait <= to_s(k.latency_objective) * (0.25 + 0.5 * k.priority_weight / most_worth_);
+    const double share = 0.25 + 0.5 * request_class.priority_weight / max_weight_;
+    return wait <= to_s(request_class.latency_objective) * share;
   }
-  bool spare(Known& k) override { return truth_.spares(now(), settings().tier, k.entry.id); }
+
+  bool has_capacity(KnownBackend& backend) override {
+    return truth_.spares(now(), settings().tier, backend.endpoint.id);
+  }
+
   std::size_t choose() override {
     const std::uint32_t tier = settings().tier;
-    std::size_t best = random().below(up().size());
-    double least = 1e18;
-    const std::size_t from = best;
+    const std::size_t from = random().below(up().size());
+    std::size_t best = from;
+    double min_wait = std::numeric_limits<double>::infinity();
     for (std::size_t i = 0; i < up().size(); ++i) {
       const std::size_t at = (from + i) % up().size();
       if (!truth_.spares(now(), tier, up()[at])) {
         continue;
       }
       const double wait = truth_.wait_s(now(), tier, up()[at]);
-      if (wait < least) {
-        least = wait, best = at;
+      if (wait < min_wait) {
+        min_wait = wait;
+        best = at;
       }
     }
     return best;
@@ -351,7 +403,8 @@
 
  private:
   const TrueState& truth_;
-  double most_worth_ = 1e-9;
+  // Keeps weights of 0 from dividing by 0.
+  double max_weight_ = 1e-9;
 };
 
 }  // namespace
--- a/src/emulator/rules.cpp
+++ b/src/emulator/rules.cpp
@@ -8,17 +8,23 @@
 namespace beechhill::emulator {
 namespace {
 
-constexpr std::size_t kKept = 16;
-constexpr std::size_t kTrace = 4096;  // bytes of one request's trace
-constexpr double kChance = 8;  // mean jobs that a cold node's budget leaves room for chance, or 2
-                               // roots of N and 2 if fewer
-constexpr double kAwareShare =
-    2.0 / 3;  // of the work, that proxies which knew of the start have sent
-
-const char* word(Result r) {
-  static constexpr const char* kWords[] = {
+constexpr std::size_t kMaxViolations = 16;
+// Bytes of one request's trace.
+constexpr std::size_t kMaxTrace = 4096;
+// Mean jobs by which a cold backend's budget may be exceeded by chance: at the most this, or twice
+// the root of the jobs in the budget and two more where that is fewer.
+constexpr double kMaxChanceJobs = 8;
+// Of the work, that proxies which knew of the start have sent: only then is it their violation.
+constexpr double kAwareShare = 2.0 / 3;
+
+const char* name_of_result(Result result) {
+  static constexpr const char* kNames[] = {
       "ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot"};
-  return kWords[static_cast<std::size_t>(r)];
+  return kNames[static_cast<std::size_t>(result)];
+}
+
+std::uint64_t backend_key(std::uint32_t tier, EndpointId endpoint) {
+  return (static_cast<std::uint64_t>(tier) << 32) | endpoint;
 }
 
 }  // namespace
@@ -30,181 +36,197 @@
 
 std::uint64_t RuleChecker::all() const {
   std::uint64_t sum = 0;
-  for (const std::uint64_t n : counts_) {
-    sum += n;
+  for (const std::uint64_t count : counts_) {
+    sum += count;
   }
   return sum;
 }
 
-void RuleChecker::note(Call& c, Time now, const std::string& what) {
-  if (c.trace.size() < kTrace) {
-    c.trace += fmt::format("  {:.6f} {}\n", to_s(now), what);
+RuleChecker::RequestRecord* RuleChecker::find(std::uint64_t id) {
+  const auto it = requests_.find(id);
+  return it == requests_.end() ? nullptr : &it->second;
+}
+
+void RuleChecker::add_to_trace(RequestRecord& request, Time now, const std::string& what) {
+  if (request.trace.size() < kMaxTrace) {
+    request.trace += fmt::format("  {:.6f} {}\n", to_s(now), what);
   }
 }
 
-void RuleChecker::broken(Time now, Rule rule, std::uint64_t call, std::string what,
-                         const std::string& trace) {
+void RuleChecker::report(Time now, Rule rule, std::uint64_t request, std::string what) {
   ++counts_[static_cast<std::size_t>(rule)];
-  if (kept_.size() < kKept) {
-    kept_.push_back({rule, now, call, std::move(what), trace});
+  if (violations_.size() < kMaxViolations) {
+    const RequestRecord* record = find(request);
+    violations_.push_back({rule, now, request, std::move(what), record ? record->trace : ""});
   }
 }
 
-void RuleChecker::taken(Time now, std::uint64_t call, ClassId c, Time deadline) {
-  Call& made = calls_[call];
-  made = Call{c, deadline, false, false, Time{0}, {}, {}};
-  note(made, now,
-       fmt::format("taken class={} deadline={:.6f}", s_.classes[c].name, to_s(deadline)));
+void RuleChecker::taken(Time now, std::uint64_t call, ClassId class_id, Time deadline) {
+  RequestRecord& request = requests_[call];
+  request = RequestRecord{class_id, deadline, false, false, Time{0}, {}, {}};
+  add_to_trace(request, now,
+               fmt::format("taken class={} deadline={:.6f}", scenario_.classes[class_id].name,
+                           to_s(deadline)));
 }
 
-bool RuleChecker::may_have_run(const Attempt& a) {
-  return !a.result || (*a.result != Result::kOverloaded && *a.result != Result::kConnectFailed &&
-                       *a.result != Result::kSkipped);
+bool RuleChecker::may_have_run(const Attempt& attempt) {
+  return !attempt.result ||
+         (*attempt.result != Result::kOverloaded && *attempt.result != Result::kConnectFailed &&
+          *attempt.result != Result::kSkipped);
 }
 
 void RuleChecker::answered(Time now, std::uint64_t call, bool refusal) {
-  const auto it = calls_.find(call);
-  if (it == calls_.end()) {
+  RequestRecord* request = find(call);
+  if (!request) {
     return;
   }
-  Call& c = it->second;
-  note(c, now, refusal ? "refused" : "answered");
-  if (c.excused) {
-    return;  // nobody hears it
+  add_to_trace(*request, now, refusal ? "refused" : "answered");
+  if (request->excused) {
+    // The client is gone.
+    return;
   }
-  if (c.answered) {
-    return broken(now, Rule::kOneAnswer, call, "a second final answer", c.trace);
+  if (request->answered) {
+    return report(now, Rule::kOneAnswer, call, "a second final answer");
   }
-  c.answered = true;
-  c.answered_at = now;
-  if (now > c.deadline + s_.answer_grace + slack_) {
-    broken(now, Rule::kOneAnswer, call, "answered after the deadline and its grace", c.trace);
+  request->answered = true;
+  request->answered_at = now;
+  if (now > request->deadline + scenario_.answer_grace + slack_) {
+    report(now, Rule::kOneAnswer, call, "answered after the deadline and its grace");
   }
-  const ClassSettings& k = s_.classes[c.c].settings;
-  if (!refusal || k.idempotency == Idempotency::kIdempotent) {
-    return;
+  const ClassSettings& settings = scenario_.classes[request->class_id].settings;
+  const bool harmless = settings.idempotency == Idempotency::kIdempotent ||
+                        (settings.idempotency == Idempotency::kIdempotencyKey &&
+                         settings.deduplication_scope == DeduplicationScope::kAll);
+  if (refusal && !harmless &&
+      std::any_of(request->attempts.begin(), request->attempts.end(), may_have_run)) {
+    report(now, Rule::kEffects, call, "refused as harmless after it may have run");
   }
-  if (k.idempotency == Idempotency::kIdempotencyKey &&
-      k.deduplication_scope == DeduplicationScope::kAll) {
+}
+
+void RuleChecker::sent(Time now, std::uint64_t call, std::uint32_t tier, EndpointId node,
+                       const Endpoint& entry, std::optional<Time> told, Duration held) {
+  const Time sent_at = now - held;
+  RequestRecord* request = find(call);
+  if (!request) {
     return;
   }
-  for (const Attempt& a : c.attempts) {
-    if (may_have_run(a)) {
-      return broken(now, Rule::kEffects, call, "refused as harmless after it may have run",
-                    c.trace);
-    }
+  add_to_trace(
+      *request, sent_at,
+      fmt::format("sent attempt={} tier={} node={}", request->attempts.size(), tier, node));
+  if (request->answered && sent_at >= request->answered_at + slack_) {
+    report(sent_at, Rule::kOneAnswer, call, "sent after its final answer");
   }
+  check_drain(sent_at, call, node, told);
+  check_repeat(sent_at, call, entry);
+  request->attempts.push_back({node, entry.zone, entry.cell, sent_at, std::nullopt});
 }
 
-void RuleChecker::sent(Time now, std::uint64_t call, std::uint32_t tier, EndpointId node,
-                       const Endpoint& entry, std::optional<Time> told, Duration held) {
-  now -= held;
-  const auto it = calls_.find(call);
-  if (it == calls_.end()) {
+void RuleChecker::check_drain(Time now, std::uint64_t id, EndpointId endpoint,
+                              std::optional<Time> told) {
+  if (told && now > *told + scenario_.drain_grace + slack_) {
+    report(now, Rule::kDrains, id,
+           fmt::format("sent to node {} {:.3f} s after it was told to drain", endpoint,
+                       to_s(now - *told)));
+  }
+}
+
+void RuleChecker::check_repeat(Time now, std::uint64_t id, const Endpoint& endpoint) {
+  const RequestRecord& request = *find(id);
+  const ClassSettings& settings = scenario_.classes[request.class_id].settings;
+  const bool any_open = std::any_of(request.attempts.begin(), request.attempts.end(),
+                                    [](const Attempt& attempt) { return !attempt.result; });
+  if (any_open && !scenario_.parallel_tries) {
+    report(now, Rule::kEffects, id, "two attempts at once");
+  }
+  const auto first = std::find_if(request.attempts.begin(), request.attempts.end(), may_have_run);
+  if (first == request.attempts.end()) {
     return;
   }
-  Call& c = it->second;
-  note(c, now, fmt::format("sent attempt={} tier={} node={}", c.attempts.size(), tier, node));
-  if (c.answered && now >= c.answered_at + slack_) {
-    broken(now, Rule::kOneAnswer, call, "sent after its final answer", c.trace);
-  }
-  if (told && now > *told + s_.drain_grace + slack_) {
-    broken(
-        now, Rule::kDrains, call,
-        fmt::format("sent to node {} {:.3f} s after it was told to drain", node, to_s(now - *told)),
-        c.trace);
-  }
-  const ClassSettings& k = s_.classes[c.c].settings;
-  const Attempt* first = nullptr;
-  std::size_t open = 0;
-  for (const Attempt& a : c.attempts) {
-    open += !a.result;
-    if (!first && may_have_run(a)) {
-      first = &a;
-    }
-  }
-  if (open > 0 && !s_.parallel_tries) {
-    broken(now, Rule::kEffects, call, "two attempts at once", c.trace);
-  }
-  if (first && k.idempotency == Idempotency::kNonIdempotent) {
-    broken(now, Rule::kEffects, call, "sent again after it may have run", c.trace);
-  }
-  if (first && k.idempotency == Idempotency::kIdempotencyKey) {
-    const bool within =
-        k.deduplication_scope == DeduplicationScope::kAll ||
-        (entry.zone == first->zone &&
-         (k.deduplication_scope == DeduplicationScope::kZone || entry.cell == first->cell));
-    if (!within) {
-      broken(now, Rule::kEffects, call, "sent again outside its group", c.trace);
-    }
-    if (now > first->sent + k.deduplication_window + slack_) {
-      broken(now, Rule::kEffects, call, "sent again after its group's memory span", c.trace);
-    }
-  }
-  c.attempts.push_back({node, entry.zone, entry.cell, now, std::nullopt});
+  if (settings.idempotency == Idempotency::kNonIdempotent) {
+    report(now, Rule::kEffects, id, "sent again after it may have run");
+  }
+  if (settings.idempotency == Idempotency::kIdempotencyKey) {
+    check_deduplication(now, id, *first, endpoint);
+  }
+}
+
+// Whether the backend recognises the idempotency key of the first attempt that may have run.
+void RuleChecker::check_deduplication(Time now, std::uint64_t id, const Attempt& first,
+                                      const Endpoint& endpoint) {
+  const ClassSettings& settings = scenario_.classes[find(id)->class_id].settings;
+  const bool within_scope =
+      settings.deduplication_scope == DeduplicationScope::kAll ||
+      (endpoint.zone == first.zone &&
+       (settings.deduplication_scope == DeduplicationScope::kZone || endpoint.cell == first.cell));
+  if (!within_scope) {
+    report(now, Rule::kEffects, id, "sent again outside its group");
+  }
+  if (now > first.sent_at + settings.deduplication_window + slack_) {
+    report(now, Rule::kEffects, id, "sent again after its group's memory span");
+  }
 }
 
 void RuleChecker::ended(Time now, std::uint64_t call, std::uint32_t attempt, Result result) {
-  const auto it = calls_.find(call);
-  if (it == calls_.end() || attempt >= it->second.attempts.size()) {
+  RequestRecord* request = find(call);
+  if (!request || attempt >= request->attempts.size()) {
     return;
   }
-  it->second.attempts[attempt].result = result;
-  note(it->second, now, fmt::format("attempt={} {}", attempt, word(result)));
+  request->attempts[attempt].result = result;
+  add_to_trace(*request, now, fmt::format("attempt={} {}", attempt, name_of_result(result)));
 }
 
 void RuleChecker::excused(Time now, std::uint64_t call) {
-  const auto it = calls_.find(call);
-  if (it == calls_.end() || it->second.answered) {
+  RequestRecord* request = find(call);
+  if (!request || request->answered) {
     return;
   }
-  note(it->second, now, "excused");
-  it->second.answered = it->second.excused = true;
-  it->second.answered_at = now;
+  add_to_trace(*request, now, "excused");
+  request->answered = true;
+  request->excused = true;
+  request->answered_at = now;
 }
 
 void RuleChecker::forget(std::uint64_t call) {
-  calls_.erase(call);
+  requests_.erase(call);
 }
 
 void RuleChecker::overdue(Time now, std::uint64_t call) {
-  const auto it = calls_.find(call);
-  if (it == calls_.end() || it->second.answered) {
-    return;
+  const RequestRecord* request = find(call);
+  if (request && !request->answered) {
+    report(now, Rule::kOneAnswer, call, "no final answer by the deadline and its grace");
   }
-  broken(now, Rule::kOneAnswer, call, "no final answer by the deadline and its grace",
-         it->second.trace);
 }
 
 bool RuleChecker::pressed(Time now, std::uint32_t tier, EndpointId node, double work,
                           double capacity, double usual_work, bool aware) {
-  auto& window = pressure_[(static_cast<std::uint64_t>(tier) << 32) | node];
+  std::deque<ColdWork>& window = cold_work_[backend_key(tier, node)];
   window.push_back({now, work, aware});
-  while (window.front().at + s_.collapse_delay < now) {
+  while (window.front().at + scenario_.collapse_delay < now) {
     window.pop_front();
   }
-  double sent = 0, known = 0;
-  for (const Press& p : window) {
-    sent += p.work, known += p.aware ? p.work : 0;
+  double sent = 0;
+  double sent_aware = 0;
+  for (const ColdWork& arrival : window) {
+    sent += arrival.work_s;
+    sent_aware += arrival.aware ? arrival.work_s : 0;
   }
-  const double most = s_.collapse_ratio * capacity * to_s(s_.collapse_delay);
-  const double chance =
-      usual_work > 0 ? std::min(kChance, 2 * std::sqrt(most / usual_work) + 2) : 0;
-  if (sent <= most + chance * usual_work) {
+  const double budget = scenario_.collapse_ratio * capacity * to_s(scenario_.collapse_delay);
+  const double chance_jobs =
+      usual_work > 0 ? std::min(kMaxChanceJobs, 2 * std::sqrt(budget / usual_work) + 2) : 0;
+  if (sent <= budget + chance_jobs * usual_work) {
     return false;
   }
-  if (known >= kAwareShare * sent) {
-    broken(now, Rule::kCold, 0,
+  if (sent_aware >= kAwareShare * sent) {
+    report(now, Rule::kCold, 0,
            fmt::format("cold node {} of tier {} was sent {:.3f} core-seconds in {:.1f} s and can "
                        "do {:.3f} a second",
-                       node, tier, sent, to_s(s_.collapse_delay), capacity),
-           "");
+                       node, tier, sent, to_s(scenario_.collapse_delay), capacity));
   }
   return true;
 }
 
 void RuleChecker::node_warm(std::uint32_t tier, EndpointId node) {
-  pressure_.erase((static_cast<std::uint64_t>(tier) << 32) | node);
+  cold_work_.erase(backend_key(tier, node));
 }
 
 }  // namespace beechhill::emulator
