--- a/src/snapshot/snapshot.cpp
+++ b/src/snapshot/snapshot.cpp
@@ -111,7 +111,7 @@
 std::string encode(const Snapshot& snapshot) {
   Json::Value root;
   root[kNameKey] = snapshot.name;
-  root[kSettingsKey] = snapshot.settings_hash;
+  root[kSettingsKey] = snapshot.settings_fingerprint;
   root[kIncarnationKey] = Json::UInt64(snapshot.incarnation);
   root[kWrittenAtKey] = Json::Int64(snapshot.written_at.count());
   Json::Value& records = root[kRecordsKey] = Json::Value(Json::arrayValue);
@@ -139,7 +139,7 @@
   const Json::Value& root = *decoded;
   Snapshot snapshot;
   snapshot.name = root[kNameKey].asString();
-  snapshot.settings_hash = root[kSettingsKey].asString();
+  snapshot.settings_fingerprint = root[kSettingsKey].asString();
   snapshot.incarnation = root[kIncarnationKey].asUInt64();
   snapshot.written_at = std::chrono::milliseconds(root[kWrittenAtKey].asInt64());
   for (const Json::Value& host : root[kExcludedBackendsKey]) {
@@ -176,12 +176,12 @@
 
 std::optional<RejectionReason> rejection_reason(const Snapshot& snapshot,
                                                 std::string_view process_name,
-                                                std::string_view settings_hash,
+                                                std::string_view settings_fingerprint,
                                                 std::chrono::milliseconds now) {
   if (snapshot.name != process_name) {
     return RejectionReason::kOtherProcess;
   }
-  if (snapshot.settings_hash != settings_hash) {
+  if (snapshot.settings_fingerprint != settings_fingerprint) {
     return RejectionReason::kOtherSettings;
   }
   if (snapshot.written_at > now + kClockTolerance) {
--- a/src/snapshot/snapshot.h
+++ b/src/snapshot/snapshot.h
@@ -29,9 +29,9 @@
 struct Snapshot {
   /// Of the process that wrote it.
   std::string name;
-  /// Identifies the settings that the records depend on. Records that were learned under other
-  /// settings are void.
-  std::string settings_hash;
+  /// Equal for processes whose settings agree in what the records depend on. Records that were
+  /// learned under other settings are void.
+  std::string settings_fingerprint;
   /// Counts the processes of this name, from 1.
   std::uint64_t incarnation = 0;
   /// Unix time.
@@ -68,11 +68,11 @@
 /// Returns the reason as it stands in the log.
 const char* name(RejectionReason reason);
 
-/// Returns why the process `process_name` with the settings `settings_hash` may not use the records
-/// at the Unix time `now`, or nothing where it may.
+/// Returns why the process `process_name` with the settings `settings_fingerprint` may not use the
+/// records at the Unix time `now`, or nothing where it may.
 std::optional<RejectionReason> rejection_reason(const Snapshot& snapshot,
                                                 std::string_view process_name,
-                                                std::string_view settings_hash,
+                                                std::string_view settings_fingerprint,
                                                 std::chrono::milliseconds now);
 
 /// Returns statistics of the age `age`, reduced by exponential decay (a factor of e a minute).
--- a/src/snapshot/snapshot_store.cpp
+++ b/src/snapshot/snapshot_store.cpp
@@ -40,10 +40,10 @@
 }  // namespace
 
 SnapshotStore::SnapshotStore(const std::string& directory, std::string process_name,
-                             std::string settings_hash, DurableWrite write)
+                             std::string settings_fingerprint, DurableWrite write)
     : path_(file_path(directory, process_name)),
       process_name_(std::move(process_name)),
-      settings_hash_(std::move(settings_hash)),
+      settings_fingerprint_(std::move(settings_fingerprint)),
       lock_(lock_exclusively(path_)),
       writer_(path_, std::move(write)) {
 }
@@ -60,7 +60,7 @@
     return std::nullopt;
   }
   incarnation_ = snapshot->incarnation + 1;
-  const auto reason = rejection_reason(*snapshot, process_name_, settings_hash_, now);
+  const auto reason = rejection_reason(*snapshot, process_name_, settings_fingerprint_, now);
   if (!reason) {
     return snapshot;
   }
@@ -77,7 +77,7 @@
                                std::chrono::milliseconds now) {
   Snapshot snapshot;
   snapshot.name = process_name_;
-  snapshot.settings_hash = settings_hash_;
+  snapshot.settings_fingerprint = settings_fingerprint_;
   snapshot.incarnation = incarnation_;
   snapshot.written_at = now;
   snapshot.records = std::move(records);
--- a/src/snapshot/snapshot_store.h
+++ b/src/snapshot/snapshot_store.h
@@ -22,9 +22,9 @@
 class SnapshotStore {
  public:
   /// Throws std::runtime_error where the directory cannot be used, or another process keeps
-  /// snapshots there under `process_name`. `settings_hash`: see Snapshot.
-  SnapshotStore(const std::string& directory, std::string process_name, std::string settings_hash,
-                DurableWrite write = write_durably);
+  /// snapshots there under `process_name`. `settings_fingerprint`: see Snapshot.
+  SnapshotStore(const std::string& directory, std::string process_name,
+                std::string settings_fingerprint, DurableWrite write = write_durably);
 
   /// Returns what the last process left; blocks on the disk. Where the records may not be used at
   /// the Unix time `now`, the file is renamed to "*.aside" and the reason logged; then only the
@@ -39,7 +39,7 @@
  private:
   const std::string path_;
   const std::string process_name_;
-  const std::string settings_hash_;
+  const std::string settings_fingerprint_;
   std::uint64_t incarnation_ = 1;
   net::Fd lock_;
   AsyncSnapshotWriter writer_;
--- a/tests/snapshot_test.cpp
+++ b/tests/snapshot_test.cpp
@@ -30,7 +30,7 @@
   const std::optional<Snapshot> decoded = decode(encode(snapshot));
   ASSERT_TRUE(decoded);
   EXPECT_EQ(decoded->name, snapshot.name);
-  EXPECT_EQ(decoded->settings_hash, snapshot.settings_hash);
+  EXPECT_EQ(decoded->settings_fingerprint, snapshot.settings_fingerprint);
   EXPECT_EQ(decoded->incarnation, 7U);
   EXPECT_EQ(decoded->written_at, snapshot.written_at);
   ASSERT_EQ(decoded->records.size(), 2U);
@@ -41,9 +41,9 @@
 
 class SnapshotRejection : public testing::Test {
  protected:
-  std::optional<RejectionReason> rejection(const char* name, const char* settings_hash,
+  std::optional<RejectionReason> rejection(const char* name, const char* settings_fingerprint,
                                            std::chrono::milliseconds now) const {
-    return rejection_reason(snapshot_, name, settings_hash, now);
+    return rejection_reason(snapshot_, name, settings_fingerprint, now);
   }
 
   const Snapshot snapshot_ = sample();
--- a/tests/stored_format_test.cpp
+++ b/tests/stored_format_test.cpp
@@ -41,7 +41,7 @@
   const std::optional<Snapshot> read = snapshot::decode(contents(kSnapshotData + "full.snapshot"));
   ASSERT_TRUE(read);
   EXPECT_EQ(read->name, "proxy/1");
-  EXPECT_EQ(read->settings_hash, "z/0/ver/ajuste");
+  EXPECT_EQ(read->settings_fingerprint, "z/0/ver/ajuste");
   EXPECT_EQ(read->incarnation, kMaxCounter);
   EXPECT_EQ(read->written_at, 1'764'633'600'123ms);
   EXPECT_EQ(read->excluded_backends, (std::set<std::string>{"s-9", "s \"10\""}));
@@ -58,7 +58,7 @@
   const std::optional<Snapshot> read = snapshot::decode(contents(kSnapshotData + "empty.snapshot"));
   ASSERT_TRUE(read);
   EXPECT_EQ(read->name, "");
-  EXPECT_EQ(read->settings_hash, "");
+  EXPECT_EQ(read->settings_fingerprint, "");
   EXPECT_EQ(read->incarnation, 0U);
   EXPECT_EQ(read->written_at, 0ms);
   EXPECT_TRUE(read->records.empty());
@@ -86,7 +86,7 @@
   const std::optional<Snapshot> read = store.load(1'000'000ms);
   ASSERT_TRUE(read);
   EXPECT_EQ(read->name, "site/t");
-  EXPECT_EQ(read->settings_hash, "z/0/ver");
+  EXPECT_EQ(read->settings_fingerprint, "z/0/ver");
   EXPECT_EQ(read->incarnation, 1U);
   EXPECT_EQ(read->written_at, 1'000'000ms);
   EXPECT_EQ(read->excluded_backends, std::set<std::string>{"s-9"});
