--- a/src/balancer/policy/retry_policy.cpp
+++ b/src/balancer/policy/retry_policy.cpp
@@ -36,7 +36,7 @@
 }
 
 bool RetryPolicy::safe_on(const RequestState& state, const EndpointRecord& record, Time now) const {
-  if (safe_anywhere(state)) {
+  if (!state.maybe_ran_at || safe_anywhere(state)) {
     return true;
   }
   const ClassSettings& settings = class_of(state);
--- a/src/balancer/policy/slow_start.cpp
+++ b/src/balancer/policy/slow_start.cpp
@@ -15,10 +15,11 @@
 }
 
 double SlowStart::capacity_share(const EndpointRecord& record, Time now) const {
-  if (!warming_up(record, now)) {
+  const std::optional<Time> since = record.serving_since();
+  if (!since || !warming_up(record, now)) {
     return 1;
   }
-  const double age_s = std::max(0.0, seconds(now - *record.serving_since()));
+  const double age_s = std::max(0.0, seconds(now - *since));
   const double initial = settings_.slow_start_initial_weight;
   return initial + (1 - initial) * age_s / seconds(settings_.slow_start_window);
 }
--- a/src/balancer/state/fleet_statistics.cpp
+++ b/src/balancer/state/fleet_statistics.cpp
@@ -34,9 +34,12 @@
 // A large fleet is surveyed once in endpoints / this many choices.
 constexpr std::size_t kSurveyShare = 10;
 
+// Stands for a figure that a report does not have; out of bounds, too.
+constexpr double kNotReported = -1;
+
 // False for NaN.
-bool within(const std::optional<double>& value, double max) {
-  return value && *value >= 0 && *value <= max;
+bool within(double value, double max) {
+  return value >= 0 && value <= max;
 }
 
 bool is_error(Result result) {
@@ -82,17 +85,17 @@
 }
 
 void FleetStatistics::record_report(EndpointRecord& record, const LoadReport& report, Time now) {
-  if (!within(report.requests_per_s, kMaxRequestsPerS) ||
-      !within(report.utilization, kMaxUtilization)) {
+  const double requests_per_s = report.requests_per_s.value_or(kNotReported);
+  const double utilization = report.utilization.value_or(kNotReported);
+  if (!within(requests_per_s, kMaxRequestsPerS) || !within(utilization, kMaxUtilization)) {
     return;
   }
   if (record.entry.zone == settings_.zone) {
-    zone_utilization_.add(now, kZoneUtilizationWindowS, *report.utilization);
+    zone_utilization_.add(now, kZoneUtilizationWindowS, utilization);
   }
   EndpointStats& stats = record.stats;
-  stats.weighted_rates += *report.requests_per_s - kReportSmoothing * stats.weighted_rates;
-  stats.weighted_utilizations +=
-      *report.utilization - kReportSmoothing * stats.weighted_utilizations;
+  stats.weighted_rates += requests_per_s - kReportSmoothing * stats.weighted_rates;
+  stats.weighted_utilizations += utilization - kReportSmoothing * stats.weighted_utilizations;
 }
 
 void FleetStatistics::decay(EndpointRecord& record, Time now) const {
