--- /dev/null
+++ b/tests/balancer/endpoint_selector_test.cpp
@@ -0,0 +1,281 @@
+// Endpoint selection: spreading, load weights, the subset in use, and other zones.
+#include "support/balancer_driver.h"
+
+namespace beechhill::test {
+namespace {
+
+TEST(EndpointSelection, StartsEveryRequestWhileEndpointsAreIdle) {
+  Driver driver;
+  driver.list_endpoints(4);
+  for (RequestId id = 0; id < 40; ++id) {
+    EXPECT_EQ(count<StartAttempt>(driver.request(id, id % 3)), 1u);
+  }
+  EXPECT_TRUE(driver.final_answers.empty());
+}
+
+TEST(EndpointSelection, SpreadsEvenlyOverEqualEndpoints) {
+  Driver driver;
+  driver.list_endpoints(4);
+  for (RequestId id = 0; id < 40; ++id) {
+    driver.request(id);
+  }
+  std::map<EndpointId, int> attempts_of;
+  for (const auto& s : driver.attempts) {
+    ++attempts_of[s.endpoint];
+  }
+  for (const auto& [endpoint, n] : attempts_of) {
+    EXPECT_EQ(n, 10) << endpoint;
+  }
+}
+
+TEST(LoadWeights, FollowLoadReports) {
+  Driver driver;
+  driver.list_endpoints(2);
+  for (int i = 0; i < 20; ++i) {
+    driver.handle(HealthCheckResult{0, Result::kOk, {0.5, 30.0}});
+    driver.handle(HealthCheckResult{1, Result::kOk, {0.5, 10.0}});
+  }
+  for (RequestId id = 0; id < 40; ++id) {
+    driver.request(id);
+  }
+  const auto fast = std::count_if(driver.attempts.begin(), driver.attempts.end(),
+                                  [](auto& s) { return s.endpoint == 0; });
+  EXPECT_NEAR(static_cast<double>(fast), 29, 2);  // 3 to 1, less a little for the prior
+}
+
+TEST(LoadWeights, AreAtLeastATenthOfTheMean) {
+  Driver driver;
+  driver.list_endpoints(2);
+  for (int i = 0; i < 20; ++i) {
+    driver.handle(HealthCheckResult{0, Result::kOk, {0.5, 1000.0}});
+    driver.handle(HealthCheckResult{1, Result::kOk, {0.5, 0.01}});
+  }
+  for (RequestId id = 0; id < 100; ++id) {
+    driver.request(id);
+  }
+  EXPECT_GE(std::count_if(driver.attempts.begin(), driver.attempts.end(),
+                          [](auto& s) { return s.endpoint == 1; }),
+            3);
+}
+
+TEST(LoadWeights, IgnoreReportsOfNearlyIdleEndpoints) {
+  Driver driver;
+  driver.list_endpoints(2);
+  driver.handle(HealthCheckResult{0, Result::kOk, {0.001, 50.0}});  // would be a weight of 50,000
+  driver.handle(HealthCheckResult{1, Result::kOk, {0.5, 10.0}});
+  for (RequestId id = 0; id < 20; ++id) {
+    driver.request(id);
+  }
+  EXPECT_NEAR(std::count_if(driver.attempts.begin(), driver.attempts.end(),
+                            [](auto& s) { return s.endpoint == 1; }),
+              7, 3);
+}
+
+// Guards against minutes without weights where a replica may check little: endpoints of a type are
+// alike.
+TEST(LoadWeights, StartFromTheInstanceTypeBeforeTheFirstReport) {
+  Driver driver;
+  driver.list_endpoints_of_types(8, [](EndpointId i) { return i % 2; });
+  for (int i = 0; i < 20; ++i) {
+    driver.handle(HealthCheckResult{0, Result::kOk, {0.5, 30.0}});
+    driver.handle(HealthCheckResult{1, Result::kOk, {0.5, 10.0}});
+  }
+  for (RequestId id = 0; id < 120; ++id) {
+    driver.request(id);
+  }
+  const auto fast = std::count_if(driver.attempts.begin(), driver.attempts.end(),
+                                  [](auto& s) { return s.endpoint % 2 == 0; });
+  EXPECT_GT(fast, 80);
+}
+
+// Guards against meeting each of many endpoints so seldom that a slow one is never noticed
+// (incident id9112b).
+TEST(EndpointSubset, GrowsWithTheRequestRate) {
+  std::size_t rare = 0;
+  std::size_t frequent = 0;
+  for (std::uint64_t seed = 0; seed < 20; ++seed) {
+    Settings settings = basic_settings();
+    settings.seed = seed;
+    for (const auto pause : {milliseconds(1500), milliseconds(30)}) {
+      Driver driver(settings);
+      driver.list_endpoints(60);
+      std::set<EndpointId> sent;
+      for (RequestId id = 0; id < 200; ++id) {
+        driver.request(id);
+        sent.insert(driver.attempts.back().endpoint);
+        driver.advance(milliseconds(100));
+        driver.outcome(id, 0, Result::kOk);
+        driver.advance(pause);
+      }
+      (pause > milliseconds(1000) ? rare : frequent) += sent.size();
+    }
+  }
+  EXPECT_LT(rare, 20u * 14);
+  EXPECT_GT(frequent, 20u * 55);
+}
+
+// Guards against replicas that start together and crowd a few endpoints each, until a rate over
+// five seconds has built up.
+TEST(EndpointSubset, FollowsTheRequestRateSoonAfterStart) {
+  Settings settings = basic_settings();
+  settings.replicas = 1000;
+  std::size_t met = 0;
+  for (settings.seed = 0; settings.seed < 10; ++settings.seed) {
+    Driver driver(settings);
+    driver.list_endpoints(60);
+    std::set<EndpointId> sent;
+    for (RequestId id = 0; id < 100; ++id) {
+      driver.request(id);
+      if (id >= 64) {
+        sent.insert(driver.attempts.back().endpoint);  // from the second second on
+      }
+      driver.advance(milliseconds(10));
+      driver.outcome(id, 0, Result::kOk);
+      driver.advance(milliseconds(6));
+    }
+    met += sent.size();
+  }
+  EXPECT_GT(met, 10u * 26);  // of 36 attempts; 13 endpoints where a fifth of the rate counts
+}
+
+// Guards against all replicas starting with the same endpoint (incidents id9112b, ic9b421,
+// i225916).
+TEST(EndpointSelection, SpreadsByWeightOverReplicasThatGetOneRequestEach) {
+  std::map<EndpointId, int> sent;
+  for (std::uint64_t seed = 0; seed < 400; ++seed) {
+    Settings settings = basic_settings();
+    settings.seed = seed;
+    Driver driver(settings);
+    driver.list_endpoints(4);
+    for (int i = 0; i < 40; ++i) {
+      for (EndpointId id = 0; id < 4; ++id) {
+        driver.handle(HealthCheckResult{id, Result::kOk, {0.5, id == 3 ? 30.0 : 10.0}});
+      }
+    }
+    driver.request(1);
+    ++sent[driver.attempts.at(0).endpoint];
+  }
+  EXPECT_NEAR(sent[3], 190, 50);  // near half, by weight
+  EXPECT_NEAR(sent[0], 70, 30);
+}
+
+// Guards against own attempts being forgotten at once by the first endpoints in the list.
+TEST(EndpointSelection, TakesTurnsAtAFewRequestsASecond) {
+  Driver driver;
+  driver.list_endpoints(12);
+  std::map<EndpointId, int> sent;
+  for (RequestId id = 0; id < 100; ++id) {
+    driver.request(id);
+    ++sent[driver.attempts.back().endpoint];
+    driver.advance(milliseconds(20));
+    driver.outcome(id, 0, Result::kOk);
+    driver.advance(milliseconds(500));
+  }
+  EXPECT_EQ(sent.size(), 12u);
+  for (const auto& [endpoint, times] : sent) {
+    EXPECT_LE(times, 10) << endpoint;
+  }
+}
+
+// No report, however absurd, takes the weight of its endpoint out of bounds.
+TEST(LoadWeights, StayBoundedOnAbsurdReports) {
+  constexpr double kNaN = std::numeric_limits<double>::quiet_NaN(),
+                   kInfinity = std::numeric_limits<double>::infinity();
+  for (const LoadReport& absurd :
+       {LoadReport{kNaN, 10.0}, LoadReport{0.5, kNaN}, LoadReport{0.5, kInfinity},
+        LoadReport{-1.0, 10.0}, LoadReport{0.5, 1e300}}) {
+    Driver driver;
+    driver.list_endpoints(4);
+    for (EndpointId id = 0; id < 4; ++id) {
+      driver.handle(HealthCheckResult{id, Result::kOk, {0.5, 10.0}});
+    }
+    driver.handle(HealthCheckResult{0, Result::kOk, absurd});
+    std::map<EndpointId, int> attempts_of;
+    for (RequestId id = 0; id < 100; ++id) {
+      driver.request(id);
+      ++attempts_of[driver.attempts.back().endpoint];
+    }
+    for (EndpointId id = 0; id < 4; ++id) {
+      EXPECT_GT(attempts_of[id], 10) << id;
+    }
+  }
+}
+
+Settings cross_zone_settings() {
+  Settings settings = basic_settings();
+  settings.cross_zone_cost = 0.05;
+  return settings;
+}
+
+// The share of requests, one each 20 ms that takes 200 ms, which cross where the own zone reports
+// `used`.
+double cross_zone_share(double used) {
+  Driver driver(cross_zone_settings());
+  EndpointUpdate list{UpdateKind::kSnapshot, {}};
+  for (EndpointId id = 0; id < 8; ++id) {
+    list.endpoints.push_back({id, EndpointStatus::kUp, id % 2, id % 2, {}});
+  }
+  driver.handle(list);
+  std::size_t done = 0;
+  std::size_t crossed = 0;
+  for (RequestId id = 1; id <= 600; ++id, driver.advance(milliseconds(20))) {
+    driver.request(id);
+    for (; driver.attempts.size() > done + 10; ++done) {
+      const StartAttempt& s = driver.attempts[done];
+      const double busy = s.endpoint % 2 == 0 ? used : 0.1;
+      driver.handle(Outcome{s.id, 0, Result::kOk, true, {busy, 10 * busy}});
+    }
+  }
+  for (const StartAttempt& s : driver.attempts) {
+    crossed += s.id > 200 && s.endpoint % 2 == 1;
+  }
+  return static_cast<double>(crossed) / 400;
+}
+
+// Own attempts alone would spread requests over both zones from the first on, each at a cost.
+TEST(CrossZone, StaysInTheOwnZoneWhileItHasCapacity) {
+  EXPECT_EQ(cross_zone_share(0.2), 0);
+  EXPECT_EQ(cross_zone_share(0.6), 0);
+}
+
+// The more the own zone is used, the more crosses, and no more than an even part.
+TEST(CrossZone, SpreadsAsTheOwnZoneFills) {
+  const double nearly_full = cross_zone_share(0.95);
+  const double full = cross_zone_share(1.3);
+  EXPECT_GT(nearly_full, 0.05);
+  EXPECT_GT(full, nearly_full);
+  EXPECT_LE(full, 0.55);
+}
+
+// Where nothing is reported, a limit that binds tells that the own zone is full.
+TEST(CrossZone, SpreadsWhenTheLimitBindsWithoutReports) {
+  Driver driver(cross_zone_settings());
+  driver.update_endpoint({0, EndpointStatus::kUp, 0, 0, {}});
+  driver.update_endpoint({1, EndpointStatus::kUp, 1, 1, {}});
+  RequestId id = 0;
+  for (int round = 0; round < 30;
+       ++round) {  // each answer of the own zone is late: the limit falls to its minimum
+    const RequestId late = ++id;
+    driver.request(late);
+    driver.advance(milliseconds(990));
+    driver.outcome(late, 0, Result::kOk);
+  }
+  const std::size_t before = driver.attempts.size();
+  while (driver.request(++id).size() > 0 && id < 100) {
+    continue;
+  }
+  EXPECT_GT(driver.attempts.size() - before, 3u);
+  EXPECT_TRUE(std::any_of(driver.attempts.begin(), driver.attempts.end(),
+                          [](auto& s) { return s.endpoint == 1; }));
+}
+
+// An own zone without endpoints that are up is no reason to wait.
+TEST(CrossZone, CrossesAtOnceWhenTheOwnZoneHasNoEndpoint) {
+  Driver driver(cross_zone_settings());
+  driver.update_endpoint({0, EndpointStatus::kDraining, 0, 0, {}});
+  driver.update_endpoint({1, EndpointStatus::kUp, 1, 1, {}});
+  EXPECT_EQ(count<StartAttempt>(driver.request(1)), 1u);
+}
+
+}  // namespace
+}  // namespace beechhill::test
--- /dev/null
+++ b/tests/balancer/health_checker_test.cpp
@@ -0,0 +1,50 @@
+// Health checks: when they run, and which endpoints they ask.
+#include "support/balancer_driver.h"
+
+namespace beechhill::test {
+namespace {
+
+// Guards against crowding the slowest type in a replica's first seconds (incident ic9b421).
+TEST(HealthChecks, AskAFewEndpointsOfUnknownInstanceTypesAtStart) {
+  Settings settings = basic_settings();
+  settings.load_reports_require_health_checks = settings.health_checks_allowed = true;
+  settings.health_check_cost = 0.05;
+  Driver driver(settings);
+  driver.list_endpoints_of_types(20, [](EndpointId i) { return i / 10; });
+  std::set<std::uint32_t> types;
+  std::size_t checks = 0;
+  for (int i = 0; i < 200; ++i) {
+    const std::size_t seen = driver.actions.size();
+    driver.advance(milliseconds(100));
+    for (std::size_t k = seen; k < driver.actions.size(); ++k) {
+      if (const auto* check = std::get_if<HealthCheck>(&driver.actions[k])) {
+        ++checks;
+        types.insert(check->endpoint / 10);
+        driver.handle(HealthCheckResult{check->endpoint, Result::kOk, {1.5, 10.0}});
+        driver.request(1000 + k);  // each choice rests on the reports so far
+      }
+    }
+  }
+  EXPECT_GE(checks, 4u);
+  EXPECT_EQ(types.size(), 2u);
+}
+
+TEST(HealthChecks, RunOnlyWhereNeededAndAllowed) {
+  for (const bool needed : {false, true}) {
+    for (const bool allowed : {false, true}) {
+      Settings settings = basic_settings();
+      settings.load_reports_require_health_checks = needed,
+      settings.health_checks_allowed = allowed;
+      Driver driver(settings);
+      driver.list_endpoints(3);
+      for (RequestId id = 0; id < 20; ++id) {
+        driver.request(id);
+        driver.advance(milliseconds(500));
+      }
+      EXPECT_EQ(count<HealthCheck>(driver.actions) > 0, needed && allowed);
+    }
+  }
+}
+
+}  // namespace
+}  // namespace beechhill::test
--- a/tests/balancer/slow_start_fleet_test.cpp
+++ b/tests/balancer/slow_start_fleet_test.cpp
@@ -1,6 +1,6 @@
-// Cold servers under the sum of what all instances send: past the N calls that the settings allow
-// one within their window, only 2 roots of N and 2 more are chance, however many instances there
-// are. By the books of the servers.
+// Slow start of a fleet: what all replicas together send to an endpoint that warms up. Beyond the N
+// requests that the settings allow within their window, only 2 * sqrt(N) + 2 more may be chance,
+// however many replicas there are. Counted at the endpoints.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -17,205 +17,224 @@
 namespace beechhill::test {
 namespace {
 
-constexpr double kLoad = 0.75, kColdFrom = 0.2, kColdSpan = 12;  // of all there is; a part; seconds
-constexpr EndpointId kServers = 20;
-constexpr Time kColdAt{6'000'000};
+constexpr double kLoad = 0.75;  // of what all endpoints can do
+constexpr double kInitialWeight = 0.2;
+constexpr double kSlowStartWindowS = 12;
+constexpr EndpointId kEndpoints = 20;
+constexpr Time kRestartAt{6'000'000};
 
 struct Fleet {
-  int instances = 1;
-  double rate = 15;             // that a server can do, a second
-  double multiple = 3;          // of it, at which a cold one falls
-  double window = 3;            // seconds
-  EndpointId cold = 1;          // of the servers
-  double most = 1;              // times what another instance sees, the first does
-  double restarted = 0;         // of the instances, the moment the servers are
-  double burst = 1;             // for 3 s, two after it
-  double errors = 0, full = 0;  // answers; of cold servers
+  int replicas = 1;
+  double rate_per_s = 15;      // that a warm endpoint can serve
+  double collapse_ratio = 3;   // of it, at which one that warms up collapses
+  double window_s = 3;         // for which it has to last
+  EndpointId restarted = 1;    // endpoints
+  double first_replica = 1;    // times the traffic of another, that the first replica gets
+  double new_replicas = 0;     // share that starts at the moment the endpoints do
+  double burst = 1;            // factor of the load for 3 s, from 2 s after the restart
+  double error_rate = 0;       // of all answers
+  double overloaded_rate = 0;  // of answers of restarted endpoints
 };
 
-Duration from_s(double s) {
+Duration from_seconds(double s) {
   return Duration(static_cast<std::int64_t>(s * 1e6));
 }
 
-class Play {
+class FleetRun {
  public:
-  Play(const Fleet& fleet, std::uint64_t seed)
-      : f_(fleet),
+  FleetRun(const Fleet& fleet, std::uint64_t seed)
+      : fleet_(fleet),
         random_(seed),
-        balancers_(static_cast<std::size_t>(f_.instances)),
-        tries_(balancers_.size()) {
-    settings_.replicas = static_cast<std::uint32_t>(f_.instances);
+        balancers_(static_cast<std::size_t>(fleet_.replicas)),
+        attempt_counts_(balancers_.size()) {
+    settings_.replicas = static_cast<std::uint32_t>(fleet_.replicas);
     settings_.classes.resize(1);
     settings_.classes[0].idempotency = Idempotency::kIdempotent;
     settings_.classes[0].latency_objective = std::chrono::seconds(1);
     settings_.classes[0].deadline = std::chrono::seconds(3);
-    settings_.slow_start_window = from_s(kColdSpan);
-    settings_.slow_start_initial_weight = kColdFrom;
-    settings_.overload_collapse_ratio = f_.multiple;
-    settings_.overload_collapse_delay = from_s(f_.window);
+    settings_.slow_start_window = from_seconds(kSlowStartWindowS);
+    settings_.slow_start_initial_weight = kInitialWeight;
+    settings_.overload_collapse_ratio = fleet_.collapse_ratio;
+    settings_.overload_collapse_delay = from_seconds(fleet_.window_s);
     settings_.max_attempts = 4;
     settings_.cancellation_allowed = true;
     for (std::size_t i = 0; i < balancers_.size(); ++i) {
-      parts_.push_back((0.5 + uniform()) * (i == 0 ? f_.most : 1));
+      traffic_parts_.push_back((0.5 + uniform()) * (i == 0 ? fleet_.first_replica : 1));
     }
   }
 
-  // The most that a cold server got beyond its N, over what may be chance.
-  double worst() {
+  // The most that a restarted endpoint got beyond its N, over what may be chance.
+  double worst_excess() {
     for (std::size_t i = 0; i < balancers_.size(); ++i) {
-      start(i, false), next_arrival(i);
+      start(i, false);
+      schedule_arrival(i);
     }
-    at(kColdAt, [this] {
+    at(kRestartAt, [this] {
       for (std::size_t i = 0; i < balancers_.size(); ++i) {
-        uniform() < f_.restarted ? start(i, true) : list(i, true);
+        if (uniform() < fleet_.new_replicas) {
+          start(i, true);
+        } else {
+          send_endpoints(i, true);
+        }
       }
     });
-    while (!events_.empty() && events_.top().at < kColdAt + settings_.slow_start_window) {
-      const Happening next = events_.top();
+    while (!events_.empty() && events_.top().at < kRestartAt + settings_.slow_start_window) {
+      const ScheduledTask next = events_.top();
       events_.pop();
       now_ = std::max(now_, next.at);
-      next.what();
+      next.task();
     }
-    return worst_;
+    return worst_excess_;
   }
 
  private:
-  struct Happening {
+  struct ScheduledTask {
     Time at;
     std::uint64_t order;
-    std::function<void()> what;
-    bool operator<(const Happening& o) const {
+    std::function<void()> task;
+    bool operator<(const ScheduledTask& o) const {
       return std::tie(at, order) > std::tie(o.at, o.order);
     }
   };
   double uniform() { return std::uniform_real_distribution<>(0, 1)(random_); }
-  void at(Time when, std::function<void()> what) {
-    events_.push({when, ++order_, std::move(what)});
+  void at(Time when, std::function<void()> task) {
+    events_.push({when, ++order_, std::move(task)});
   }
 
-  void start(std::size_t i, bool cold) {
-    Settings mine = settings_;
-    mine.seed = random_();
+  void start(std::size_t i, bool after_restart) {
+    Settings settings = settings_;
+    settings.seed = random_();
     std::vector<Action> actions;
-    tries_[i].clear();
-    balancers_[i] = std::make_unique<Balancer>(now_, mine, actions);
-    perform(i, actions);
-    list(i, cold);
+    attempt_counts_[i].clear();
+    balancers_[i] = std::make_unique<Balancer>(now_, settings, actions);
+    carry_out(i, actions);
+    send_endpoints(i, after_restart);
   }
-  void list(std::size_t i, bool cold) {
-    EndpointUpdate d;
-    for (EndpointId id = 0; id < kServers; ++id) {
-      Endpoint e;
-      e.id = id;
-      if (cold && id < f_.cold) {
-        e.started_at = kColdAt;
+  void send_endpoints(std::size_t i, bool after_restart) {
+    EndpointUpdate update;
+    for (EndpointId id = 0; id < kEndpoints; ++id) {
+      Endpoint endpoint;
+      endpoint.id = id;
+      if (after_restart && id < fleet_.restarted) {
+        endpoint.started_at = kRestartAt;
       }
-      d.endpoints.push_back(e);
+      update.endpoints.push_back(endpoint);
     }
-    give(i, d);
+    handle(i, update);
   }
-  void next_arrival(std::size_t i) {
-    double all = 0;
-    for (double part : parts_) {
-      all += part;
+  void schedule_arrival(std::size_t i) {
+    double total = 0;
+    for (double part : traffic_parts_) {
+      total += part;
     }
-    const bool more =
-        now_ > kColdAt + std::chrono::seconds(2) && now_ < kColdAt + std::chrono::seconds(5);
-    const double rate = f_.rate * kServers * kLoad * parts_[i] / all * (more ? f_.burst : 1);
-    at(now_ + from_s(-std::log(1 - uniform()) / rate), [this, i] {
-      Request r;
-      r.id = ++next_id_;
-      r.deadline = now_ + settings_.classes[0].deadline;
-      give(i, r);
-      next_arrival(i);
+    const bool in_burst =
+        now_ > kRestartAt + std::chrono::seconds(2) && now_ < kRestartAt + std::chrono::seconds(5);
+    const double rate = fleet_.rate_per_s * kEndpoints * kLoad * traffic_parts_[i] / total *
+                        (in_burst ? fleet_.burst : 1);
+    at(now_ + from_seconds(-std::log(1 - uniform()) / rate), [this, i] {
+      Request request;
+      request.id = ++next_id_;
+      request.deadline = now_ + settings_.classes[0].deadline;
+      handle(i, request);
+      schedule_arrival(i);
     });
   }
-  void give(std::size_t i, const Event& event) {
+  void handle(std::size_t i, const Event& event) {
     std::vector<Action> actions;
     balancers_[i]->handle(now_, event, actions);
-    perform(i, actions);
+    carry_out(i, actions);
   }
-  void perform(std::size_t i, const std::vector<Action>& actions) {
-    const Balancer* const life = balancers_[i].get();
-    for (const Action& a : actions) {
-      if (const auto* timer = std::get_if<SetTimer>(&a)) {
-        at(timer->at, [this, i, life, token = timer->token] {
-          if (balancers_[i].get() == life) {
-            give(i, Timer{token});
+  void carry_out(std::size_t i, const std::vector<Action>& actions) {
+    const Balancer* const incarnation = balancers_[i].get();
+    for (const Action& action : actions) {
+      if (const auto* timer = std::get_if<SetTimer>(&action)) {
+        at(timer->at, [this, i, incarnation, token = timer->token] {
+          if (balancers_[i].get() == incarnation) {
+            handle(i, Timer{token});
           }
         });
       }
-      const auto* send = std::get_if<StartAttempt>(&a);
-      if (!send) {
+      const auto* attempt = std::get_if<StartAttempt>(&action);
+      if (attempt == nullptr) {
         continue;
       }
-      const bool cold = send->endpoint < f_.cold && now_ >= kColdAt;
-      if (cold) {
-        press(send->endpoint);
+      const bool restarted = attempt->endpoint < fleet_.restarted && now_ >= kRestartAt;
+      if (restarted) {
+        count_attempt(attempt->endpoint);
       }
-      const Result result = uniform() < f_.errors         ? Result::kError
-                            : cold && uniform() < f_.full ? Result::kOverloaded
-                                                          : Result::kOk;
-      const Outcome outcome{send->id, tries_[i][send->id]++, result, result == Result::kOk, {}};
-      at(now_ + from_s(result == Result::kOk ? 0.05 + 0.1 * uniform() : 0.005),
-         [this, i, life, outcome] {
-           if (balancers_[i].get() == life) {
-             give(i, outcome);
+      const Result result = uniform() < fleet_.error_rate                     ? Result::kError
+                            : restarted && uniform() < fleet_.overloaded_rate ? Result::kOverloaded
+                                                                              : Result::kOk;
+      const Outcome outcome{
+          attempt->id, attempt_counts_[i][attempt->id]++, result, result == Result::kOk, {}};
+      at(now_ + from_seconds(result == Result::kOk ? 0.05 + 0.1 * uniform() : 0.005),
+         [this, i, incarnation, outcome] {
+           if (balancers_[i].get() == incarnation) {
+             handle(i, outcome);
            }
          });
     }
   }
-  void press(EndpointId server) {
-    std::deque<Time>& window = windows_[server];
+  void count_attempt(EndpointId endpoint) {
+    std::deque<Time>& window = recent_attempts_[endpoint];
     window.push_back(now_);
     while (window.front() + settings_.overload_collapse_delay < now_) {
       window.pop_front();
     }
-    const double age = std::chrono::duration<double>(now_ - kColdAt).count();
-    const double n =
-        f_.multiple * (kColdFrom + (1 - kColdFrom) * age / kColdSpan) * f_.rate * f_.window;
-    worst_ = std::max(worst_, (static_cast<double>(window.size()) - n) / (2 * std::sqrt(n) + 2));
+    const double age = std::chrono::duration<double>(now_ - kRestartAt).count();
+    const double n = fleet_.collapse_ratio *
+                     (kInitialWeight + (1 - kInitialWeight) * age / kSlowStartWindowS) *
+                     fleet_.rate_per_s * fleet_.window_s;
+    worst_excess_ =
+        std::max(worst_excess_, (static_cast<double>(window.size()) - n) / (2 * std::sqrt(n) + 2));
   }
 
-  Fleet f_;
+  Fleet fleet_;
   std::mt19937_64 random_;
   Settings settings_;
   std::vector<std::unique_ptr<Balancer>> balancers_;
-  std::vector<std::map<RequestId, std::uint32_t>> tries_;
-  std::vector<double> parts_;
-  std::priority_queue<Happening> events_;
+  std::vector<std::map<RequestId, std::uint32_t>> attempt_counts_;
+  std::vector<double> traffic_parts_;
+  std::priority_queue<ScheduledTask> events_;
   std::uint64_t order_ = 0;
   RequestId next_id_ = 0;
   Time now_{0};
-  std::map<EndpointId, std::deque<Time>> windows_;
-  double worst_ = -1e9;
+  std::map<EndpointId, std::deque<Time>> recent_attempts_;
+  double worst_excess_ = -1e9;
 };
 
-class Ramp : public testing::TestWithParam<int> {};  // instances
+class SlowStartFleet : public testing::TestWithParam<int> {};  // replicas
 
-TEST_P(Ramp, HoldsForTheFleet) {
+TEST_P(SlowStartFleet, StaysUnderTheCollapseRatio) {
   std::uint64_t seed = 0;
-  for (const double rate : {4.0, 15.0}) {
-    for (const EndpointId cold : {EndpointId{1}, EndpointId{12}}) {
-      for (const auto& [multiple, window] : {std::pair{3.0, 3.0}, std::pair{2.0, 1.5}}) {
-        Fleet f;
-        f.instances = GetParam(), f.rate = rate, f.cold = cold, f.multiple = multiple,
-        f.window = window;
-        const auto holds = [&](const char* what) {
-          EXPECT_LE(Play(f, ++seed).worst(), 1)
-              << what << ": rate " << rate << ", cold " << cold << ", multiple " << multiple;
+  for (const double rate_per_s : {4.0, 15.0}) {
+    for (const EndpointId restarted : {EndpointId{1}, EndpointId{12}}) {
+      for (const auto& [ratio, window_s] : {std::pair{3.0, 3.0}, std::pair{2.0, 1.5}}) {
+        Fleet fleet;
+        fleet.replicas = GetParam();
+        fleet.rate_per_s = rate_per_s;
+        fleet.restarted = restarted;
+        fleet.collapse_ratio = ratio;
+        fleet.window_s = window_s;
+        const auto expect_no_collapse = [&](const char* scenario) {
+          EXPECT_LE(FleetRun(fleet, ++seed).worst_excess(), 1)
+              << scenario << ": rate " << rate_per_s << ", restarted " << restarted << ", ratio "
+              << ratio;
         };
-        f.most = 8;
-        holds("one instance sees eight times what others do");
-        f.restarted = 0.5, f.most = 1;
-        holds("half of the instances start with the servers");
-        f.burst = 1.5, f.errors = 0.1, f.full = 0.3;
-        holds("a burst, errors, and cold servers that turn calls away");
+        fleet.first_replica = 8;
+        expect_no_collapse("one replica gets eight times the traffic of others");
+        fleet.new_replicas = 0.5;
+        fleet.first_replica = 1;
+        expect_no_collapse("half of the replicas start with the endpoints");
+        fleet.burst = 1.5;
+        fleet.error_rate = 0.1;
+        fleet.overloaded_rate = 0.3;
+        expect_no_collapse("a burst, errors, and restarted endpoints that refuse requests");
       }
     }
   }
 }
-INSTANTIATE_TEST_SUITE_P(Instances, Ramp, testing::Values(1, 5, 30, 300));
+INSTANTIATE_TEST_SUITE_P(Replicas, SlowStartFleet, testing::Values(1, 5, 30, 300));
 
 }  // namespace
 }  // namespace beechhill::test
--- a/tests/properties_test.cpp
+++ b/tests/properties_test.cpp
@@ -58,7 +58,7 @@
         told_(deployment()),
         rules_(told_),
         driver_(settings()) {
-    driver_.seen = [this](const std::vector<Action>& actions) { carry_out(actions); };
+    driver_.on_actions = [this](const std::vector<Action>& actions) { carry_out(actions); };
     servers_.resize(one_of<std::size_t>(dice_, {1, 2, 6, 20, 60, 300}));
     for (EndpointId id = 0; id < servers_.size(); ++id) {
       servers_[id].entry = {id, EndpointStatus::kRemoved, 0, 0, {}, 0};
@@ -198,10 +198,10 @@
       const Time when = std::max(driver_.now, happenings_.begin()->first);
       const auto what = std::move(happenings_.begin()->second);
       happenings_.erase(happenings_.begin());
-      driver_.pass(when - driver_.now);
+      driver_.advance(when - driver_.now);
       what();
     }
-    driver_.pass(until - driver_.now);
+    driver_.advance(until - driver_.now);
   }
 
   void give(const Event& event, const std::string& what) {
@@ -209,7 +209,7 @@
     if (script_.size() > kScript) {
       script_.pop_front();
     }
-    driver_.give(event);
+    driver_.handle(event);
   }
 
   // ---- Clients
@@ -485,7 +485,7 @@
   // ---- What must be true once all is over: a few whole servers, nothing running, and a long pause
 
   std::size_t send_all(int n, std::vector<RequestId>* ids = nullptr) {
-    const std::size_t before = driver_.sends.size();
+    const std::size_t before = driver_.attempts.size();
     for (int i = 0; i < n; ++i) {
       const RequestId id = next_++;
       Made& made = calls_[id];
@@ -498,7 +498,7 @@
         ids->push_back(id);
       }
     }
-    return driver_.sends.size() - before;
+    return driver_.attempts.size() - before;
   }
 
   void aftermath() {
@@ -540,11 +540,11 @@
     std::map<EndpointId, int> got;
     int sent = 0;
     for (int i = 0; i < 100; ++i) {
-      const std::size_t before = driver_.sends.size();
+      const std::size_t before = driver_.attempts.size();
       ids.clear();
       send_all(1, &ids);
-      if (driver_.sends.size() > before) {
-        ++sent, ++got[driver_.sends.back().endpoint];
+      if (driver_.attempts.size() > before) {
+        ++sent, ++got[driver_.attempts.back().endpoint];
       }
       advance(driver_.now + told_.classes[0].settings.latency_objective / 20);
       if (!calls_.at(ids[0]).attempts.empty()) {
--- a/tests/support/balancer_driver.h
+++ b/tests/support/balancer_driver.h
@@ -1,4 +1,4 @@
-// Drives one Balancer with scripted events under a simulated clock and keeps what it did.
+// Drives one Balancer with scripted events under a simulated clock and records what it did.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -6,6 +6,7 @@
 #include <functional>
 #include <map>
 #include <set>
+#include <utility>
 #include <vector>
 
 #include "beechhill/balancer.h"
@@ -14,124 +15,136 @@
 
 using std::chrono::milliseconds;
 
+// Indices of the classes of basic_settings().
+inline constexpr ClassId kIdempotentClass = 0;
+inline constexpr ClassId kKeyedClass = 1;
+inline constexpr ClassId kNonIdempotentClass = 2;
+
+/// One class of each idempotency, with an objective of 1 s and a deadline of 4 s.
 inline Settings basic_settings() {
-  Settings s;
-  s.seed = 7;
-  ClassSettings repeatable, keyed, once;
-  repeatable.idempotency = Idempotency::kIdempotent;
+  ClassSettings idempotent;
+  idempotent.idempotency = Idempotency::kIdempotent;
+  ClassSettings keyed;
   keyed.idempotency = Idempotency::kIdempotencyKey;
   keyed.deduplication_scope = DeduplicationScope::kCell;
   keyed.deduplication_window = milliseconds(3000);
-  once.idempotency = Idempotency::kNonIdempotent;
-  for (auto* c : {&repeatable, &keyed, &once}) {
-    c->latency_objective = milliseconds(1000);
-    c->deadline = milliseconds(4000);
-    s.classes.push_back(*c);
+  ClassSettings non_idempotent;
+  non_idempotent.idempotency = Idempotency::kNonIdempotent;
+
+  Settings settings;
+  settings.seed = 7;
+  settings.classes = {idempotent, keyed, non_idempotent};
+  for (ClassSettings& class_settings : settings.classes) {
+    class_settings.latency_objective = milliseconds(1000);
+    class_settings.deadline = milliseconds(4000);
   }
-  s.slow_start_window = milliseconds(10000);
-  s.slow_start_initial_weight = 0.2;
-  s.overload_collapse_ratio = 3;
-  s.overload_collapse_delay = milliseconds(1000);
-  s.cancellation_allowed = true;
-  s.hedging_allowed = true;
-  s.max_attempts = 3;
-  s.discovery_poll_interval = milliseconds(10000);
-  return s;
+  settings.slow_start_window = milliseconds(10000);
+  settings.slow_start_initial_weight = 0.2;
+  settings.overload_collapse_ratio = 3;
+  settings.overload_collapse_delay = milliseconds(1000);
+  settings.cancellation_allowed = true;
+  settings.hedging_allowed = true;
+  settings.max_attempts = 3;
+  settings.discovery_poll_interval = milliseconds(10000);
+  return settings;
 }
-inline constexpr ClassId kRepeatable = 0, kKeyed = 1, kOnce = 2;
 
 class Driver {
  public:
-  explicit Driver(Settings settings = basic_settings()) : balancer_(now, std::move(settings), all) {
-    note(all);
+  explicit Driver(Settings settings = basic_settings())
+      : balancer_(now, std::move(settings), actions) {
+    record(actions);
   }
 
-  // Returns what the module did on this event.
-  std::vector<Action> give(const Event& event) {
-    std::vector<Action> out;
-    balancer_.handle(now, event, out);
-    all.insert(all.end(), out.begin(), out.end());
-    note(out);
-    if (seen) {
-      seen(out);
-    }
-    return out;
-  }
-
-  void note(const std::vector<Action>& out) {
-    for (const auto& a : out) {
-      if (const auto* send = std::get_if<StartAttempt>(&a)) {
-        sends.push_back(*send);
-      }
-      if (const auto* timer = std::get_if<SetTimer>(&a)) {
-        timers_.emplace(timer->at, timer->token);
-      }
-      if (const auto* refuse = std::get_if<Reject>(&a)) {
-        answers.insert(refuse->id);
-      }
-      if (const auto* fail = std::get_if<Fail>(&a)) {
-        answers.insert(fail->id);
-      }
+  /// Returns the actions of this event.
+  std::vector<Action> handle(const Event& event) {
+    std::vector<Action> event_actions;
+    balancer_.handle(now, event, event_actions);
+    actions.insert(actions.end(), event_actions.begin(), event_actions.end());
+    record(event_actions);
+    if (on_actions) {
+      on_actions(event_actions);
     }
+    return event_actions;
   }
 
-  void servers(std::uint32_t n, UpdateKind kind = UpdateKind::kSnapshot) {
-    EndpointUpdate d{kind, {}};
-    for (EndpointId i = 0; i < n; ++i) {
-      d.endpoints.push_back({i, EndpointStatus::kUp, 0, i / 2, {}});
+  /// Lists endpoints 0 to count - 1 in one zone, in cells of two.
+  void list_endpoints(std::uint32_t count, UpdateKind kind = UpdateKind::kSnapshot) {
+    EndpointUpdate update{kind, {}};
+    for (EndpointId id = 0; id < count; ++id) {
+      update.endpoints.push_back({id, EndpointStatus::kUp, 0, id / 2, {}});
     }
-    give(d);
+    handle(update);
   }
-  template <typename KindOf>
-  void servers_of_kinds(std::uint32_t n, KindOf kind_of) {
-    EndpointUpdate d{UpdateKind::kSnapshot, {}};
-    for (EndpointId i = 0; i < n; ++i) {
-      const auto kind = static_cast<std::uint32_t>(kind_of(i));
-      d.endpoints.push_back({i, EndpointStatus::kUp, 0, 0, {}, kind});
+  /// Lists endpoints 0 to count - 1 in one cell; `type_of` maps an id to its instance type.
+  template <typename TypeOf>
+  void list_endpoints_of_types(std::uint32_t count, TypeOf type_of) {
+    EndpointUpdate update{UpdateKind::kSnapshot, {}};
+    for (EndpointId id = 0; id < count; ++id) {
+      const auto type = static_cast<std::uint32_t>(type_of(id));
+      update.endpoints.push_back({id, EndpointStatus::kUp, 0, 0, {}, type});
     }
-    give(d);
+    handle(update);
   }
-  void change(Endpoint entry) { give(EndpointUpdate{UpdateKind::kDelta, {entry}}); }
+  void update_endpoint(Endpoint entry) { handle(EndpointUpdate{UpdateKind::kDelta, {entry}}); }
 
-  std::vector<Action> request(RequestId id, ClassId class_id = kRepeatable,
+  std::vector<Action> request(RequestId id, ClassId class_id = kIdempotentClass,
                               TenantId tenant = kNoTenant) {
-    return give(Request{id, class_id, tenant, now + milliseconds(4000), {}});
+    return handle(Request{id, class_id, tenant, now + milliseconds(4000), {}});
   }
   std::vector<Action> outcome(RequestId id, std::uint32_t attempt, Result result,
-                              bool final = false) {
-    return give(Outcome{id, attempt, result, final || result == Result::kOk, {}});
+                              bool is_final = false) {
+    return handle(Outcome{id, attempt, result, is_final || result == Result::kOk, {}});
   }
 
-  // Lets time pass, firing timers as they fall due.
-  void pass(Duration d) {
-    const Time end = now + d;
+  /// Lets time pass; timers expire when they are due.
+  void advance(Duration duration) {
+    const Time end = now + duration;
     while (!timers_.empty() && timers_.begin()->first <= end) {
       const auto [at, token] = *timers_.begin();
       timers_.erase(timers_.begin());
       now = std::max(now, at);
-      give(Timer{token});
+      handle(Timer{token});
     }
     now = end;
   }
 
-  std::function<void(const std::vector<Action>&)> seen;  // after each event
+  std::function<void(const std::vector<Action>&)> on_actions;  // called after each event
   Time now{1'000'000};
-  std::vector<Action> all;
-  std::vector<StartAttempt> sends;
-  std::multiset<RequestId> answers;  // refused or failed
+  std::vector<Action> actions;             // all so far
+  std::vector<StartAttempt> attempts;      // all so far
+  std::multiset<RequestId> final_answers;  // rejected or failed
 
  private:
+  void record(const std::vector<Action>& event_actions) {
+    for (const Action& action : event_actions) {
+      if (const auto* attempt = std::get_if<StartAttempt>(&action)) {
+        attempts.push_back(*attempt);
+      }
+      if (const auto* timer = std::get_if<SetTimer>(&action)) {
+        timers_.emplace(timer->at, timer->token);
+      }
+      if (const auto* rejection = std::get_if<Reject>(&action)) {
+        final_answers.insert(rejection->id);
+      }
+      if (const auto* failure = std::get_if<Fail>(&action)) {
+        final_answers.insert(failure->id);
+      }
+    }
+  }
+
   std::multimap<Time, TimerToken> timers_;
   Balancer balancer_;
 };
 
+/// How many of the actions are of type A.
 template <typename A>
 std::size_t count(const std::vector<Action>& actions) {
-  std::size_t n = 0;
-  for (const auto& a : actions) {
-    n += std::holds_alternative<A>(a);
+  std::size_t matching = 0;
+  for (const Action& action : actions) {
+    matching += std::holds_alternative<A>(action) ? 1 : 0;
   }
-  return n;
+  return matching;
 }
 
 }  // namespace beechhill::test
