--- a/src/config/toml_reader.cpp
+++ b/src/config/toml_reader.cpp
@@ -24,6 +24,30 @@
     {"ns", 1e-3}, {"us", 1}, {"ms", 1e3}, {"s", 1e6}, {"m", 60e6}, {"h", 3600e6},
 };
 
+// The value of an integer, rounded where a double does not hold it, or of a floating-point number;
+// nothing of another type.
+std::optional<double> as_number(const toml::node& node) {
+  if (const toml::value<std::int64_t>* integer = node.as_integer()) {
+    return static_cast<double>(integer->get());
+  }
+  if (const toml::value<double>* number = node.as_floating_point()) {
+    return number->get();
+  }
+  return std::nullopt;
+}
+
+// A number, or an array of two numbers; nothing where it is neither.
+std::optional<Range> as_range(const toml::node& node) {
+  const toml::array* const bounds = node.as_array();
+  const bool is_pair = bounds != nullptr && bounds->size() == 2;
+  const std::optional<double> from = as_number(is_pair ? *bounds->get(0) : node);
+  const std::optional<double> to = as_number(is_pair ? *bounds->get(1) : node);
+  if (!from || !to) {
+    return std::nullopt;
+  }
+  return Range{*from, *to};
+}
+
 // "FILE:LINE". A table may be merged from several files: `source` names its own, where it has one.
 std::string location(const std::string& file, const toml::source_region& source) {
   if (!source.begin) {
@@ -62,8 +86,9 @@
 
 std::optional<Duration> parse_span(std::string_view text) {
   double value = 0;
-  const char* const text_end = text.data() + text.size();
-  const auto [number_end, error] = std::from_chars(text.data(), text_end, value);
+  const char* const text_begin = text.data();
+  const char* const text_end = text_begin + text.size();
+  const auto [number_end, error] = std::from_chars(text_begin, text_end, value);
   if (error != std::errc()) {
     return std::nullopt;
   }
@@ -100,10 +125,11 @@
   if (node == nullptr) {
     return fallback;
   }
-  if (!node->is_boolean()) {
+  const toml::value<bool>* const value = node->as_boolean();
+  if (value == nullptr) {
     fault(key, "not true or false");
   }
-  return *node->value<bool>();
+  return value->get();
 }
 
 double TomlReader::number(std::string_view key, double fallback, double min, double max) {
@@ -111,16 +137,16 @@
   if (node == nullptr) {
     return fallback;
   }
-  if (!node->is_number()) {
+  const std::optional<double> value = as_number(*node);
+  if (!value) {
     fault(key, "not a number");
   }
-  const double value = *node->value<double>();
-  if (!(value >= min && value <= max)) {
+  if (!(*value >= min && *value <= max)) {
     std::ostringstream reason;
     reason << "not from " << min << " to " << max;
     fault(key, reason.str());
   }
-  return value;
+  return *value;
 }
 
 std::int64_t TomlReader::integer(std::string_view key, std::int64_t fallback, std::int64_t min,
@@ -129,10 +155,11 @@
   if (node == nullptr) {
     return fallback;
   }
-  if (!node->is_integer()) {
+  const toml::value<std::int64_t>* const integer = node->as_integer();
+  if (integer == nullptr) {
     fault(key, "not a whole number");
   }
-  const std::int64_t value = *node->value<std::int64_t>();
+  const std::int64_t value = integer->get();
   if (value < min || value > max) {
     fault(key, "not from " + std::to_string(min) + " to " + std::to_string(max));
   }
@@ -144,10 +171,11 @@
   if (node == nullptr) {
     return fallback;
   }
-  if (!node->is_string()) {
+  const toml::value<std::string>* const value = node->as_string();
+  if (value == nullptr) {
     fault(key, "not a text");
   }
-  return *node->value<std::string>();
+  return value->get();
 }
 
 std::size_t TomlReader::word(std::string_view key, std::size_t fallback,
@@ -171,8 +199,8 @@
   if (node == nullptr) {
     return fallback;
   }
-  const auto value =
-      node->is_string() ? parse_span(*node->value<std::string_view>()) : std::nullopt;
+  const toml::value<std::string>* const text = node->as_string();
+  const std::optional<Duration> value = text != nullptr ? parse_span(text->get()) : std::nullopt;
   if (!value) {
     fault(key, "not a span of time such as \"250ms\", \"1.5s\" or \"2m\"");
   }
@@ -187,22 +215,16 @@
   if (node == nullptr) {
     return fallback;
   }
-  Range range;
-  if (const toml::array* pair = node->as_array();
-      pair && pair->size() == 2 && pair->get(0)->is_number() && pair->get(1)->is_number()) {
-    range = {*pair->get(0)->value<double>(), *pair->get(1)->value<double>()};
-  } else if (node->is_number()) {
-    range.from = *node->value<double>();
-    range.to = range.from;
-  } else {
+  const std::optional<Range> range = as_range(*node);
+  if (!range) {
     fault(key, "not a number or [least, most]");
   }
-  if (!(range.from >= min && range.to <= max && range.from <= range.to)) {
+  if (!(range->from >= min && range->to <= max && range->from <= range->to)) {
     std::ostringstream reason;
     reason << "not within " << min << " to " << max << ", the lesser first";
     fault(key, reason.str());
   }
-  return range;
+  return *range;
 }
 
 std::vector<std::string> TomlReader::texts(std::string_view key) {
@@ -216,10 +238,11 @@
     fault(key, "not an array of texts");
   }
   for (const toml::node& item : *array) {
-    if (!item.is_string()) {
+    const toml::value<std::string>* const text = item.as_string();
+    if (text == nullptr) {
       fault(key, "not an array of texts");
     }
-    all.push_back(*item.value<std::string>());
+    all.push_back(text->get());
   }
   return all;
 }
--- a/tests/operator_file_test.cpp
+++ b/tests/operator_file_test.cpp
@@ -18,7 +18,8 @@
       {"\n[log]\nlevle = \"info\"", "op:3: log.levle: unknown key"},
       {"[logs]", "op:1: logs: unknown key"},
       {"log = 3", "op:1: log: not a table"},
-      {"[log", "op:1: "}};
+      {"[log", "op:1: "},
+      {"[maintenance]\nreserve = 9007199254740993", "op:2: maintenance.reserve: not from 0 to 10"}};
   for (const auto& c : cases) {
     std::string error;
     try {
