--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -22,7 +22,7 @@
 
 // From the accept to the call's last byte.
 constexpr auto kReadTimeout = 1500ms;
-// While all connections are in use, one that has sent no whole call by this age may be evicted: a
+// While all connections are in use, one without a complete call by this age may be evicted: a
 // caller that is not idle has sent it by then.
 constexpr auto kEvictionAge = 20ms;
 // For the actor that owns the state. Operators are owed an answer within 1 s.
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -18,7 +18,7 @@
 namespace beechhill::admin {
 
 /// Connections open at a time. Further ones wait in the backlog until one ends, or the oldest that
-/// has sent no whole call is closed.
+/// has not sent a complete call is closed.
 inline constexpr std::size_t kMaxConnections = 16;
 
 /// Carries out the commands on membership and maintenance and completes `reply`, with a body. Null
--- a/src/admin/command.cpp
+++ b/src/admin/command.cpp
@@ -48,13 +48,19 @@
       return true;
     case Arguments::kBackendId: {
       std::optional<std::string> id = find_single_parameter(query, "target");
-      command.backend_id = std::move(id).value_or("");
-      return id.has_value();
+      if (!id) {
+        return false;
+      }
+      command.backend_id = std::move(*id);
+      return true;
     }
     case Arguments::kParameters: {
       std::optional<QueryParameters> parameters = parse_query(query);
-      command.parameters = std::move(parameters).value_or(QueryParameters{});
-      return parameters.has_value();
+      if (!parameters) {
+        return false;
+      }
+      command.parameters = std::move(*parameters);
+      return true;
     }
   }
   return false;
--- a/src/bootstrap/cluster.cpp
+++ b/src/bootstrap/cluster.cpp
@@ -50,13 +50,22 @@
   return {settings.probe_interval, settings.forget_after, settings.seed_addresses};
 }
 
+sockaddr_in listen_address(const config::MembershipSettings& settings) {
+  const std::optional<sockaddr_in> address = net::parse_address(settings.listen_address);
+  if (!address) {
+    throw std::runtime_error("membership.listen: not an IPv4 address and a port: " +
+                             settings.listen_address);
+  }
+  return *address;
+}
+
 class GossipCluster : public Cluster {
  public:
   explicit GossipCluster(const ClusterDependencies& dependencies)
       : dependencies_(dependencies),
         gossip_(dependencies.scheduler,
                 swim_settings(dependencies.config, dependencies.settings.membership),
-                *net::parse_address(dependencies.settings.membership.listen_address),
+                listen_address(dependencies.settings.membership),
                 dependencies.settings.membership.advertised_address, dependencies.config.name,
                 load_keys(dependencies.settings.membership.key_file), gossip_handlers()) {
     if (!dependencies.settings.maintenance.voters.empty()) {
@@ -153,34 +162,41 @@
       reply->complete(200);
     } else if (!maintenance_) {
       reply->complete(404);
-    } else if (command.type == admin::CommandType::kMaintenanceStatus) {
-      query_maintenance(command, std::move(reply));
     } else {
-      command_maintenance(command, std::move(reply));
+      handle_maintenance(command, std::move(reply), maintenance_->inbox());
     }
   }
 
-  void query_maintenance(const admin::Command& command,
-                         std::shared_ptr<runtime::PendingTextReply> reply) {
+  static void handle_maintenance(const admin::Command& command,
+                                 std::shared_ptr<runtime::PendingTextReply> reply,
+                                 maintenance::MaintenanceMailbox& inbox) {
+    std::optional<maintenance::MaintenanceMessage> message =
+        command.type == admin::CommandType::kMaintenanceStatus
+            ? status_query(command, reply)
+            : maintenance_command(command, reply);
+    if (!message) {
+      reply->complete(400);
+    } else if (!inbox.post(std::move(*message))) {
+      reply->complete(503);
+    }
+  }
+
+  static maintenance::MaintenanceMessage status_query(
+      const admin::Command& command, std::shared_ptr<runtime::PendingTextReply> reply) {
     const auto id = command.parameters.find("id");
     const std::string request_id = id == command.parameters.end() ? "" : id->second;
-    post_to_maintenance(maintenance::QueryStatus{request_id, reply}, *reply);
+    return maintenance::QueryStatus{request_id, std::move(reply)};
   }
 
-  void command_maintenance(const admin::Command& command,
-                           std::shared_ptr<runtime::PendingTextReply> reply) {
+  // Nothing where the command is malformed; the reply's text says why.
+  static std::optional<maintenance::MaintenanceMessage> maintenance_command(
+      const admin::Command& command, std::shared_ptr<runtime::PendingTextReply> reply) {
     auto parsed =
         maintenance::parse_operator_command(command.action, command.parameters, reply->text);
     if (!parsed) {
-      return reply->complete(400);
-    }
-    post_to_maintenance(maintenance::SubmitCommand{std::move(*parsed), reply}, *reply);
-  }
-
-  void post_to_maintenance(maintenance::MaintenanceMessage message, runtime::PendingReply& reply) {
-    if (!maintenance_->inbox().post(std::move(message))) {
-      reply.complete(503);
+      return std::nullopt;
     }
+    return maintenance::SubmitCommand{std::move(*parsed), std::move(reply)};
   }
 
   ClusterDependencies dependencies_;
--- a/src/bootstrap/resource_allocation.cpp
+++ b/src/bootstrap/resource_allocation.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t kReserveDivisor = 10;
 // Streamed bodies get this part of the memory; the rest is for buffered requests and the program.
 constexpr std::size_t kBodyMemoryDivisor = 6;
-constexpr std::size_t kBytesPerMegabyte = 1024 * 1024;
+constexpr std::size_t kBytesPerMegabyte = std::size_t{1024} * 1024;
 
 }  // namespace
 
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -105,8 +105,9 @@
 
 int parse_descriptor(std::string_view text) {
   int descriptor = -1;
-  const char* const end = text.data() + text.size();
-  const auto [stop, error] = std::from_chars(text.data(), end, descriptor);
+  const char* const begin = text.data();
+  const char* const end = begin + text.size();
+  const auto [stop, error] = std::from_chars(begin, end, descriptor);
   if (error != std::errc{} || stop != end || descriptor < 0) {
     throw_json_error("GW_FD", "not a descriptor: " + std::string(text));
   }
--- a/src/config/json.cpp
+++ b/src/config/json.cpp
@@ -41,11 +41,11 @@
 }
 
 Json::Value parse(const char* begin, const char* end, const std::string& name) {
-  static const std::unique_ptr<Json::CharReader> reader = make_strict_reader();
+  static const std::unique_ptr<Json::CharReader> kReader = make_strict_reader();
   Json::Value value;
   std::string errors;
   try {
-    if (reader->parse(begin, end, &value, &errors)) {
+    if (kReader->parse(begin, end, &value, &errors)) {
       return value;
     }
   } catch (const Json::Exception& error) {
--- a/src/http/chunked_decoder.cpp
+++ b/src/http/chunked_decoder.cpp
@@ -78,9 +78,10 @@
 
 Progress ChunkedDecoder::decode_size(std::string_view line) {
   const std::string_view digits = trim(line.substr(0, line.find(';')));
-  const char* const end = digits.data() + digits.size();
+  const char* const begin = digits.data();
+  const char* const end = begin + digits.size();
   std::uint32_t size = 0;
-  const auto [stop, error] = std::from_chars(digits.data(), end, size, kHexadecimal);
+  const auto [stop, error] = std::from_chars(begin, end, size, kHexadecimal);
   if (digits.empty() || error != std::errc{} || stop != end) {
     return Progress::kBad;
   }
--- a/src/http/field_values.cpp
+++ b/src/http/field_values.cpp
@@ -14,8 +14,9 @@
 
 std::optional<double> parse_finite(std::string_view text) {
   double value = 0;
-  const char* const end = text.data() + text.size();
-  const auto [stop, error] = std::from_chars(text.data(), end, value);
+  const char* const begin = text.data();
+  const char* const end = begin + text.size();
+  const auto [stop, error] = std::from_chars(begin, end, value);
   if (error != std::errc{} || stop != end || !std::isfinite(value)) {
     return std::nullopt;
   }
@@ -26,8 +27,9 @@
 
 std::optional<std::uint64_t> whole_number(std::string_view text) {
   std::uint64_t value = 0;
-  const char* const end = text.data() + text.size();
-  const auto [stop, error] = std::from_chars(text.data(), end, value);
+  const char* const begin = text.data();
+  const char* const end = begin + text.size();
+  const auto [stop, error] = std::from_chars(begin, end, value);
   if (text.empty() || error != std::errc{} || stop != end) {
     return std::nullopt;
   }
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -231,7 +231,7 @@
     framing_ = Framing::kLength;
   } else {
     // Only a stated length, or the announcement that the connection's end is the body's end, tells
-    // a whole body from a truncated one.
+    // a complete body from a truncated one.
     if (kind_ == Kind::kResponse && !message_.headers.has_token("Connection", "close")) {
       return false;
     }
--- a/src/log/log_line.cpp
+++ b/src/log/log_line.cpp
@@ -29,12 +29,12 @@
 
 // jsoncpp escapes quotes, control bytes and what is no UTF-8, so that a line stays one line.
 std::string quote(std::string_view text) {
-  static const Json::StreamWriterBuilder builder = [] {
+  static const Json::StreamWriterBuilder kBuilder = [] {
     Json::StreamWriterBuilder compact;
     compact["indentation"] = "";
     return compact;
   }();
-  return Json::writeString(builder, Json::Value(text.data(), text.data() + text.size()));
+  return Json::writeString(kBuilder, Json::Value(text.data(), text.data() + text.size()));
 }
 
 std::string format_value(Format, bool value) {
--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -25,7 +25,7 @@
   return root;
 }
 
-// Silent callers, and callers that have sent half a call, hold all connections; a whole call is
+// Silent callers, and callers that have sent half a call, hold all connections; a complete call is
 // answered meanwhile, also while clients hold all of theirs.
 TEST(OperatorCalls, AreAnsweredWhileSilentCallersAndClientsHoldAllConnections) {
   const Door a, b;
