--- /dev/null
+++ b/src/experiments/experiment_runner.cpp
@@ -0,0 +1,181 @@
+// run_experiment(): the cells of an experiment over a pool of threads, and its three files.
+#include <fmt/format.h>
+
+#include <algorithm>
+#include <atomic>
+#include <exception>
+#include <filesystem>
+#include <map>
+#include <mutex>
+#include <optional>
+#include <thread>
+
+#include "experiments/experiment.h"
+
+namespace beechhill::experiments {
+namespace {
+
+// Bytes of violations after which no more are collected.
+constexpr std::size_t kMaxViolationText = 64 * 1024;
+
+std::string timing_line(const Cell& cell, const RunOutput& out) {
+  const double events = out.result["events"].asDouble();
+  const double decisions = std::max(1.0, out.result["decisions"].asDouble());
+  constexpr double kMicrosecondsPerSecond = 1e6;
+  return fmt::format(
+      R"({{"cell":{},"wall_s":{:.3f},"events_per_s":{:.0f},"us_per_decision":{:.3f}}})", cell.key,
+      out.wall_s, events / out.wall_s, kMicrosecondsPerSecond * out.wall_s / decisions);
+}
+
+// One call of run_experiment(). Workers share what is after the mutex.
+class ExperimentRunner {
+ public:
+  ExperimentRunner(const Experiment& experiment, std::string out_path,
+                   const std::function<void(std::size_t, std::size_t)>& progress,
+                   const std::function<bool()>& stop)
+      : experiment_(experiment),
+        out_path_(std::move(out_path)),
+        partial_path_(out_path_ + ".partial"),
+        progress_(progress),
+        stop_(stop),
+        cells_(cells_of(experiment)) {}
+
+  Summary run(unsigned threads) {
+    read_finished_cells();
+    open_files();
+    run_pool(threads);
+    partial_.reset();
+    if (finished_.size() < cells_.size()) {
+      // Stopped early: the partial file holds what there is.
+      return summary_;
+    }
+    write_result();
+    return summary_;
+  }
+
+ private:
+  void read_finished_cells() {
+    for (const std::string& path : {out_path_, partial_path_}) {
+      bool torn = false;
+      for (const Json::Value& row : read_lines(path, torn)) {
+        finished_[one_line(row["cell"])] = one_line(row);
+      }
+      summary_.torn = summary_.torn || torn;
+    }
+    for (const Cell& cell : cells_) {
+      if (!finished_.contains(cell.key)) {
+        todo_.push_back(&cell);
+      }
+    }
+    summary_.kept = cells_.size() - todo_.size();
+  }
+
+  // The partial file begins with what was complete: a torn line is not appended to.
+  void open_files() {
+    partial_.emplace(partial_path_, "wb");
+    for (const Cell& cell : cells_) {
+      if (const auto it = finished_.find(cell.key); it != finished_.end()) {
+        partial_->write(it->second);
+      }
+    }
+    timing_.emplace(out_path_ + ".timing", "ab");
+  }
+
+  void run_pool(unsigned threads) {
+    std::vector<std::thread> pool;
+    for (unsigned i = 0; i < std::max(1u, threads); ++i) {
+      pool.emplace_back([this] { work(); });
+    }
+    for (std::thread& thread : pool) {
+      thread.join();
+    }
+    if (error_) {
+      std::rethrow_exception(error_);
+    }
+  }
+
+  void work() {
+    while (!stop_ || !stop_()) {
+      const std::size_t i = next_++;
+      if (i >= todo_.size()) {
+        return;
+      }
+      try {
+        run_cell(*todo_[i]);
+      } catch (...) {
+        const std::lock_guard lock(mutex_);
+        error_ = std::current_exception();
+        next_ = todo_.size();
+      }
+    }
+  }
+
+  void run_cell(const Cell& cell) {
+    const RunOutput out = run_scenario(cell.scenario, cell.policy, experiment_.series);
+    Json::Value row;
+    row["cell"] = cell.labels;
+    row["result"] = out.result;
+    const std::string line = one_line(row);
+    const std::lock_guard lock(mutex_);
+    partial_->write(line);
+    timing_->write(timing_line(cell, out));
+    finished_[cell.key] = line;
+    ++summary_.run;
+    count_violations(cell, out);
+    if (progress_) {
+      progress_(summary_.kept + summary_.run, cells_.size());
+    }
+  }
+
+  void count_violations(const Cell& cell, const RunOutput& out) {
+    if (cell.policy != "module") {
+      summary_.plain_violations += out.violations;
+      return;
+    }
+    summary_.module_violations += out.violations;
+    if (summary_.violation_text.size() < kMaxViolationText) {
+      summary_.violation_text += out.violation_text;
+    }
+  }
+
+  // In the grid's order; the file is replaced at once, or not at all.
+  void write_result() {
+    const std::string new_path = out_path_ + ".new";
+    {
+      LineWriter writer(new_path, "wb");
+      for (const Cell& cell : cells_) {
+        writer.write(finished_.at(cell.key));
+      }
+      writer.sync();
+    }
+    std::filesystem::rename(new_path, out_path_);
+    std::filesystem::remove(partial_path_);
+  }
+
+  const Experiment& experiment_;
+  const std::string out_path_;
+  const std::string partial_path_;
+  const std::function<void(std::size_t, std::size_t)>& progress_;
+  const std::function<bool()>& stop_;
+  const std::vector<Cell> cells_;
+  std::vector<const Cell*> todo_;
+  std::atomic<std::size_t> next_{0};
+
+  std::mutex mutex_;
+  // By the cell's key: its line.
+  std::map<std::string, std::string> finished_;
+  std::optional<LineWriter> partial_;
+  std::optional<LineWriter> timing_;
+  Summary summary_;
+  std::exception_ptr error_;
+};
+
+}  // namespace
+
+Summary run_experiment(const Experiment& experiment, const std::string& out_path, unsigned threads,
+                       const std::function<void(std::size_t, std::size_t)>& progress,
+                       const std::function<bool()>& stop) {
+  return ExperimentRunner(experiment, out_path, progress, stop).run(threads);
+}
+
+}  // namespace beechhill::experiments
--- a/src/experiments/plot.h
+++ b/src/experiments/plot.h
@@ -1,4 +1,4 @@
-// Results as one HTML page with SVG plots and a table. gnuplot is called as a program.
+/// Results as one HTML page with SVG plots and a table.
 #pragma once
 
 #include <json/json.h>
@@ -8,8 +8,9 @@
 
 namespace beechhill::experiments {
 
-// `rows` as read_lines returns them, `timing` the rows of the timing file or none. Throws
-// std::runtime_error where gnuplot is missing or fails. The page needs nothing but itself.
+/// `rows` as read_lines returns them, `timing` the rows of the timing file or none. The page needs
+/// nothing but itself. Throws std::runtime_error where there are no rows, or gnuplot is missing or
+/// fails.
 std::string html_report(const std::string& title, const std::vector<Json::Value>& rows,
                         const std::vector<Json::Value>& timing);
 
--- a/src/experiments/temp_folder.h
+++ b/src/experiments/temp_folder.h
@@ -1,15 +1,19 @@
-// A private folder under the system's temporary one, gone with all that is in it when this ends.
+/// A private directory for temporary files.
 #pragma once
 
 #include <cstdlib>
 #include <filesystem>
 #include <stdexcept>
 #include <string>
+#include <system_error>
 
 namespace beechhill::experiments {
 
+/// A directory under the system's temporary one. Removed, with all that is in it, when this is
+/// destroyed.
 class TempFolder {
  public:
+  /// Throws std::runtime_error where it cannot be made.
   TempFolder() {
     std::string path = (std::filesystem::temp_directory_path() / "beechhill-XXXXXX").string();
     if (!::mkdtemp(path.data())) {
@@ -23,6 +27,8 @@
   }
   TempFolder(const TempFolder&) = delete;
   TempFolder& operator=(const TempFolder&) = delete;
+
+  /// The path of a file in it.
   std::string file(const std::string& name) const { return (path_ / name).string(); }
 
  private:
