--- /dev/null
+++ b/tests/experiment_test.cpp
@@ -0,0 +1,75 @@
+// Experiments: results that do not depend on threads or interruptions.
+#include "experiments/experiment.h"
+
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <cstdlib>
+#include <filesystem>
+#include <fstream>
+#include <string>
+
+#include "support/emulator_scenarios.h"
+
+namespace beechhill::experiments {
+namespace {
+
+using test::bytes_of;
+
+class Experiments : public testing::Test {
+ protected:
+  void SetUp() override {
+    std::string path = (std::filesystem::temp_directory_path() / "experiments-XXXXXX").string();
+    ASSERT_NE(::mkdtemp(path.data()), nullptr);
+    dir_ = path;
+    std::ofstream(dir_ + "/s.toml")
+        << "length = \"3s\"\n[load]\nutilisation = 0.5\n[[class]]\nname = \"c\"\n[[tier]]\nname = "
+           "\"t\"\nnodes = 4\n";
+    std::ofstream(dir_ + "/e.toml")
+        << "scenario = \"s.toml\"\npolicies = [\"module\", \"random\"]\nseeds = [1, 2, 3]\n"
+           "[grid]\n\"load.utilisation\" = [0.5, 0.9]\n\"tier.0.nodes\" = [3, 5]\n";
+    experiment_ = load_experiment(dir_ + "/e.toml");
+  }
+  void TearDown() override { std::filesystem::remove_all(dir_); }
+  std::string run(const std::string& name, unsigned threads) {
+    run_experiment(experiment_, dir_ + "/" + name, threads);
+    return bytes_of(dir_ + "/" + name);
+  }
+  std::string dir_;
+  Experiment experiment_;
+};
+
+TEST_F(Experiments, GiveEqualBytesOnAnyNumberOfThreads) {
+  const std::string one = run("one", 1);
+  EXPECT_EQ(std::count(one.begin(), one.end(), '\n'), 24);
+  EXPECT_EQ(one, run("four", 4));
+}
+
+TEST_F(Experiments, ContinueAfterAnInterruptionAndDetectATornLine) {
+  const std::string complete = run("complete", 4);
+  int started = 0;
+  run_experiment(experiment_, dir_ + "/cut", 1, {}, [&started] { return ++started > 10; });
+  EXPECT_FALSE(std::filesystem::exists(dir_ + "/cut"));
+  const std::string partial = bytes_of(dir_ + "/cut.partial");
+  EXPECT_EQ(std::count(partial.begin(), partial.end(), '\n'), 10);
+  std::ofstream(dir_ + "/cut.partial", std::ios::binary) << partial.substr(0, partial.size() - 30);
+  const Summary summary = run_experiment(experiment_, dir_ + "/cut", 4);
+  EXPECT_TRUE(summary.torn);
+  EXPECT_EQ(summary.kept, 9u);
+  EXPECT_EQ(summary.run, 15u);
+  EXPECT_EQ(bytes_of(dir_ + "/cut"), complete);
+  // A changed scenario is not taken for a finished one.
+  std::ofstream(dir_ + "/s.toml", std::ios::app) << "cores = 2\n";
+  experiment_ = load_experiment(dir_ + "/e.toml");
+  EXPECT_EQ(run_experiment(experiment_, dir_ + "/cut", 4).run, 24u);
+}
+
+TEST_F(Experiments, RejectAGridOverUnknownKeys) {
+  for (const char* path : {"tier.1.nodes", "tier.x.nodes", "length.x", "a..b", "tier.0.nodse"}) {
+    std::ofstream(dir_ + "/e.toml") << "scenario = \"s.toml\"\n[grid]\n\"" << path << "\" = [1]\n";
+    EXPECT_ANY_THROW(load_experiment(dir_ + "/e.toml")) << path;
+  }
+}
+
+}  // namespace
+}  // namespace beechhill::experiments
