--- a/src/experiments/experiment_runner.cpp
+++ b/src/experiments/experiment_runner.cpp
@@ -45,7 +45,7 @@
     open_files();
     run_pool(threads);
     partial_.reset();
-    if (finished_.size() < cells_.size()) {
+    if (summary_.kept + summary_.run < cells_.size()) {
       // Stopped early: the partial file holds what there is.
       return summary_;
     }
--- a/tests/experiment_test.cpp
+++ b/tests/experiment_test.cpp
@@ -64,6 +64,24 @@
   EXPECT_EQ(run_experiment(experiment_, dir_ + "/cut", 4).run, 24u);
 }
 
+// What a former run has left of another scenario does not count as finished.
+TEST_F(Experiments, StopEarlyBesideTheResultOfAChangedScenario) {
+  run("out", 4);
+  std::ofstream(dir_ + "/s.toml", std::ios::app) << "cores = 2\n";
+  experiment_ = load_experiment(dir_ + "/e.toml");
+  const std::string former = bytes_of(dir_ + "/out");
+  int started = 0;
+  const Summary stopped =
+      run_experiment(experiment_, dir_ + "/out", 1, {}, [&started] { return ++started > 10; });
+  EXPECT_EQ(stopped.kept, 0u);
+  EXPECT_EQ(stopped.run, 10u);
+  EXPECT_EQ(bytes_of(dir_ + "/out"), former);
+  const Summary finished = run_experiment(experiment_, dir_ + "/out", 4);
+  EXPECT_EQ(finished.kept, 10u);
+  EXPECT_EQ(finished.run, 14u);
+  EXPECT_NE(bytes_of(dir_ + "/out"), former);
+}
+
 TEST_F(Experiments, RejectAGridOverUnknownKeys) {
   for (const char* path : {"tier.1.nodes", "tier.x.nodes", "length.x", "a..b", "tier.0.nodse"}) {
     std::ofstream(dir_ + "/e.toml") << "scenario = \"s.toml\"\n[grid]\n\"" << path << "\" = [1]\n";
