--- /dev/null
+++ b/src/proxy/backend_exchange.cpp
@@ -0,0 +1,251 @@
+#include "proxy/backend_exchange.h"
+
+#include <algorithm>
+#include <chrono>
+#include <memory>
+#include <string_view>
+#include <utility>
+
+#include "runtime/time.h"
+
+namespace beechhill::proxy {
+
+using namespace std::chrono_literals;
+using net::Io;
+using runtime::Clock;
+using runtime::now;
+using runtime::Task;
+using runtime::to_point;
+
+namespace {
+
+// Without a byte of a streamed body, from either side.
+constexpr auto kStreamTimeout = 5000ms;
+
+// Bytes of a response that states a larger length than http::kMaxBody, before its client gets any.
+constexpr std::size_t kFirstPartBytes = 8 * 1024;
+
+LoadReport load_report_of(const http::Headers& headers) {
+  LoadReport report;
+  if (const std::string* text = headers.find("Endpoint-Load-Metrics")) {
+    report.utilization = http::load_value(*text, "cpu_share");
+    report.requests_per_s = http::load_value(*text, "served_ps");
+  }
+  return report;
+}
+
+Result result_of(const http::Message& message) {
+  if (message.status == 200) {
+    return Result::kOk;
+  }
+  const std::string* never_ran = message.headers.find("X-Never-Ran");
+  // Guards against adding load to an overloaded tier for one full backend: only the header proves
+  // that the request was not executed.
+  if ((message.status == 503 || message.status == 504) && never_ran && *never_ran == "1") {
+    return Result::kOverloaded;
+  }
+  return Result::kError;
+}
+
+}  // namespace
+
+Task<ExchangeResult> BackendExchange::run(Time write_deadline, Time deadline) {
+  ++connection_.requests;
+  const std::string bytes = payload_.encode(net::to_string(connection_.address), deadline - now());
+  Io written = co_await connection_.stream->write(bytes, to_point(write_deadline));
+  if (written == Io::kOk && payload_.remaining_body()) {
+    written = co_await write_remaining_body();
+    deadline = now() + attempt_->response_timeout;
+  }
+  if (written != Io::kOk) {  // its last byte was not sent, so it was not executed
+    connection_.end_reason = EndReason::kReset;
+    co_return std::move(result_);
+  }
+  const bool is_health_check = payload_.trace_id().empty();
+  if (!is_health_check) {
+    pool_.telemetry.count_upstream_request();
+  }
+  co_await receive(deadline);
+  co_return std::move(result_);
+}
+
+// The rest of a streamed request, at the pace of its client. Anything but kOk: its last byte was
+// not sent. A backend that closes, or responds before it has received everything, wants no more of
+// it.
+Task<Io> BackendExchange::write_remaining_body() {
+  net::Stream& stream = *connection_.stream;
+  BodyPipe& pipe = *payload_.remaining_body();
+  for (;;) {
+    std::string bytes;
+    const bool last = pipe.is_complete();
+    if (!pipe.empty()) {
+      bytes = payload_.frame_body(pipe.take());
+    }
+    if (last) {
+      bytes += payload_.frame_body_end();
+    }
+    const Io io = co_await stream.write(bytes, Clock::now() + kStreamTimeout);
+    if (io != Io::kOk || last) {
+      co_return io;
+    }
+    if (pipe.is_aborted()) {
+      co_return Io::kError;
+    }
+    if (!pipe.empty() || pipe.is_complete()) {
+      continue;
+    }
+    std::string early_response;
+    const Io early =
+        co_await stream.read(early_response, Clock::now() + kStreamTimeout, &pipe.data_available());
+    if (early != Io::kNotified && early != Io::kTimeout) {
+      co_return Io::kError;
+    }
+  }
+}
+
+// Only a complete response to this very request counts; after anything else the request may have
+// been executed, and the connection is of no more use.
+Task<> BackendExchange::receive(Time deadline) {
+  const ReadOutcome outcome = co_await read_first_part(deadline);
+  if (outcome == ReadOutcome::kFailed || !take_response()) {
+    co_return;
+  }
+  if (outcome == ReadOutcome::kStreaming) {
+    if (!attempt_ || result_.result != Result::kOk) {  // nobody is to have the rest
+      connection_.end_reason = EndReason::kBadReply;
+      co_return;
+    }
+    result_.response.content_length = parser_.length();
+    if (!co_await stream_response()) {
+      co_return;
+    }
+  }
+  reusable_ = parser_.message().keep_alive() && buffer_.empty();
+  connection_.end_reason = buffer_.empty() ? EndReason::kPeerClosed : EndReason::kBadReply;
+}
+
+// A complete response, or of one that is streamed its head and first part.
+Task<BackendExchange::ReadOutcome> BackendExchange::read_first_part(Time deadline) {
+  bool started = false;
+  for (;;) {
+    const Time until = started ? std::min(deadline, now() + pool_.max_response_gap) : deadline;
+    const Io io = co_await connection_.stream->read(buffer_, to_point(until));
+    http::Progress progress = http::Progress::kMore;
+    if (io == Io::kOk) {
+      progress = parse_buffer();
+    } else if (io == Io::kEof && parser_.head_done()) {
+      progress = parser_.end();
+    }
+    if (progress == http::Progress::kDone) {
+      co_return ReadOutcome::kDone;
+    }
+    if (io != Io::kOk || progress == http::Progress::kBad) {
+      record_failure(io, started);
+      co_return ReadOutcome::kFailed;
+    }
+    if (streams_response_) {
+      co_return ReadOutcome::kStreaming;
+    }
+    started = true;
+  }
+}
+
+http::Progress BackendExchange::parse_buffer() {
+  const http::Progress progress = parser_.feed_part(buffer_);
+  const bool states_large = parser_.length().value_or(0) > http::kMaxBody;
+  const std::size_t max_buffered = states_large ? kFirstPartBytes : http::kMaxBody;
+  streams_response_ =
+      progress == http::Progress::kMore && parser_.message().body.size() > max_buffered;
+  return progress;
+}
+
+void BackendExchange::record_failure(Io io, bool response_started) {
+  if (io == Io::kEof || io == Io::kError) {
+    connection_.end_reason = EndReason::kReset;
+    result_.result = Result::kReset;
+  } else if (io == Io::kTimeout && !response_started) {
+    connection_.end_reason = EndReason::kStepTimeout;
+    result_.result = Result::kTimeout;
+  } else {
+    connection_.end_reason = EndReason::kBadReply;
+    result_.result = Result::kError;
+  }
+}
+
+// False where it is the response to another request.
+bool BackendExchange::take_response() {
+  http::Message& message = parser_.message();
+  const std::string_view trace_id = payload_.trace_id();
+  const bool echoes_trace_id = !trace_id.empty() && message.body.starts_with(trace_id);
+  // Guards against passing on what was left over from the response before it on this connection.
+  if (message.status == 200 && !echoes_trace_id && connection_.echoes_trace_ids) {
+    connection_.echoes_trace_ids = false;
+    connection_.end_reason = EndReason::kBadReply;
+    result_.result = Result::kError;
+    return false;
+  }
+  connection_.echoes_trace_ids = echoes_trace_id;
+  result_.result = result_of(message);
+  result_.load_report = load_report_of(message.headers);
+  result_.response.body = std::move(message.body);
+  if (const std::string* type = message.headers.find("Content-Type")) {
+    result_.response.content_type = *type;
+  }
+  return true;
+}
+
+// A streamed response, whose first part has arrived: posted at once, and passed on until its end.
+// The request's deadline does not cut off what the backend still sends. Returns whether it is
+// complete.
+Task<bool> BackendExchange::stream_response() {
+  runtime::Notifier capacity;
+  const auto pipe = std::make_shared<BodyPipe>(pool_.body_budget);
+  const BodyPipe::WriterGuard writing(pipe.get(), capacity);
+  AttemptCompleted outcome{attempt_->request_id, attempt_->attempt_number, Result::kOk,
+                           result_.load_report, std::move(result_.response)};
+  outcome.response.remaining_body = pipe;
+  result_.posted = true;
+  DecisionMessage message(std::move(outcome));
+  co_await post_reliably(scheduler_, decisions_, std::move(message));
+  const http::Progress progress = co_await forward_body(*pipe, capacity);
+  if (progress != http::Progress::kDone) {
+    connection_.end_reason =
+        pipe->reader_closed() ? EndReason::kStepCancelled : EndReason::kBadReply;
+    co_return false;
+  }
+  pipe->finish();
+  co_return true;
+}
+
+// Until the body's end, or until nobody reads it any more.
+Task<http::Progress> BackendExchange::forward_body(BodyPipe& pipe, runtime::Notifier& capacity) {
+  http::Progress progress = http::Progress::kMore;
+  std::string bytes;
+  while (!pipe.reader_closed()) {
+    progress = parser_.feed_body(buffer_, bytes);
+    if (progress == http::Progress::kBad) {
+      break;
+    }
+    if (!bytes.empty()) {
+      pipe.push(bytes);
+    }
+    if (progress == http::Progress::kDone) {
+      break;
+    }
+    if (pipe.full()) {
+      runtime::Wait wait(scheduler_);
+      wait.notified(capacity);
+      co_await wait;
+      continue;
+    }
+    const Io io =
+        co_await connection_.stream->read(buffer_, Clock::now() + kStreamTimeout, &capacity);
+    if (io == Io::kNotified || io == Io::kOk) {
+      continue;
+    }
+    co_return io == Io::kEof ? parser_.end() : progress;
+  }
+  co_return progress;
+}
+
+}  // namespace beechhill::proxy
--- /dev/null
+++ b/src/proxy/backend_exclusions.h
@@ -0,0 +1,59 @@
+// Which backends receive nothing, whatever the endpoint list says of them.
+#pragma once
+
+#include <map>
+#include <set>
+#include <string>
+#include <utility>
+
+#include "beechhill/balancer.h"
+#include "proxy/decision_messages.h"
+
+namespace beechhill::proxy {
+
+/// Operators' exclusions and the permissions that the proxies have agreed on, by backend id. Both
+/// outlast the backend's entry in the list.
+class BackendExclusions {
+ public:
+  explicit BackendExclusions(std::set<std::string> excluded_by_operator)
+      : excluded_by_operator_(std::move(excluded_by_operator)) {}
+
+  /// True where that changed anything.
+  bool set_excluded_by_operator(const std::string& backend_id, bool excluded) {
+    return excluded ? excluded_by_operator_.insert(backend_id).second
+                    : excluded_by_operator_.erase(backend_id) > 0;
+  }
+  bool is_excluded_by_operator(const std::string& backend_id) const {
+    return excluded_by_operator_.contains(backend_id);
+  }
+  const std::set<std::string>& excluded_by_operator() const { return excluded_by_operator_; }
+
+  /// Returns the permissions that were in force before.
+  DispatchPermissions replace_permissions(DispatchPermissions permissions) {
+    serving_permitted_until_ = permissions.serving_permitted_until;
+    return std::exchange(permissions_, std::move(permissions));
+  }
+  const DispatchPermissions& permissions() const { return permissions_; }
+
+  /// Time::max() where no permission limits it.
+  Time permitted_until(const std::string& backend_id) const {
+    const auto it = permissions_.permitted_until.find(backend_id);
+    return it == permissions_.permitted_until.end() ? Time::max() : it->second;
+  }
+
+  /// Excluded by an operator, or not permitted any more.
+  bool is_excluded(const std::string& backend_id, Time now) const {
+    return is_excluded_by_operator(backend_id) || permitted_until(backend_id) <= now;
+  }
+
+  /// Nothing may be sent to any backend until replace_permissions() permits it.
+  void require_permissions() { serving_permitted_until_ = Time::min(); }
+  bool serving_permitted(Time now) const { return now < serving_permitted_until_; }
+
+ private:
+  std::set<std::string> excluded_by_operator_;
+  DispatchPermissions permissions_;
+  Time serving_permitted_until_ = Time::max();
+};
+
+}  // namespace beechhill::proxy
--- a/src/proxy/body_pipe.h
+++ b/src/proxy/body_pipe.h
@@ -1,5 +1,5 @@
-// A body on its way from one connection to another: bounded, with one writer and one reader.
-// Whoever is slower holds the other back.
+// A body on its way from one connection to another, bounded, with one writer and one reader:
+// whoever is slower holds the other back.
 #pragma once
 
 #include <cstddef>
@@ -10,23 +10,27 @@
 
 namespace beechhill::proxy {
 
-// Bytes that all pipes together may hold; beyond it new large requests are refused, and answers go
-// in small pieces.
+/// Bytes that all pipes together should hold. Beyond it new streamed requests are rejected, and
+/// each pipe holds less.
 class BodyBudget {
  public:
   explicit BodyBudget(std::size_t bytes) : limit_(bytes) {}
+
   bool has_capacity() const { return used_ < limit_; }
   void set_limit(std::size_t bytes) { limit_ = bytes; }
 
  private:
   friend class BodyPipe;
-  std::size_t limit_, used_ = 0;
+  std::size_t limit_;
+  std::size_t used_ = 0;
 };
 
+/// One body. `budget` outlives it.
 class BodyPipe {
  public:
-  static constexpr std::size_t kMaxBufferedBytes = 64 * 1024,
-                               kMaxBufferedBytesWhenOverBudget = 16 * 1024;
+  /// Beyond these the pipe is full; the last part written may exceed them.
+  static constexpr std::size_t kMaxBufferedBytes = 64 * 1024;
+  static constexpr std::size_t kMaxBufferedBytesWhenOverBudget = 16 * 1024;
 
   explicit BodyPipe(BodyBudget& budget) : budget_(budget) {}
   ~BodyPipe() { budget_.used_ -= bytes_.size(); }
@@ -34,15 +38,16 @@
   BodyPipe& operator=(const BodyPipe&) = delete;
 
   // ---- The writer's side
-  // For as long as the writer is there: `to_writer` is notified when there is room again or the
-  // reader has gone. However the writer ends, a body that is not whole is broken off then, and the
-  // notifier not touched any more.
+
+  /// Held for as long as the writer is there: `capacity_available` is notified when the pipe is no
+  /// longer full, or its reader has closed it. However the writer ends, a body that is incomplete
+  /// is aborted then, and the notifier is not used any more.
   class WriterGuard {
    public:
-    WriterGuard(BodyPipe* pipe, runtime::Notifier& to_writer)
-        : pipe_(pipe) {  // null: there is nothing to write
+    /// `pipe` null: there is nothing to write.
+    WriterGuard(BodyPipe* pipe, runtime::Notifier& capacity_available) : pipe_(pipe) {
       if (pipe_) {
-        pipe_->to_writer_ = &to_writer;
+        pipe_->capacity_available_ = &capacity_available;
       }
     }
     ~WriterGuard() {
@@ -50,7 +55,7 @@
         return;
       }
       pipe_->abort();
-      pipe_->to_writer_ = nullptr;
+      pipe_->capacity_available_ = nullptr;
     }
     WriterGuard(const WriterGuard&) = delete;
     WriterGuard& operator=(const WriterGuard&) = delete;
@@ -58,54 +63,82 @@
    private:
     BodyPipe* pipe_;
   };
+
   bool full() const {
     return bytes_.size() >=
            (budget_.has_capacity() ? kMaxBufferedBytes : kMaxBufferedBytesWhenOverBudget);
   }
-  void push(std::string& bytes) {  // takes all of it: the last piece may go beyond
+  /// Takes all of `bytes`, which is empty afterwards.
+  void push(std::string& bytes) {
     budget_.used_ += bytes.size();
     bytes_ += std::exchange(bytes, {});
-    to_reader_.notify();
+    data_available_.notify();
+  }
+  /// The body is complete.
+  void finish() {
+    state_ = State::kComplete;
+    data_available_.notify();
   }
-  void finish() { end_ = End::kWhole, to_reader_.notify(); }
-  void abort() {  // it will never be whole; nothing after the first end
-    if (end_ == End::kOpen) {
-      end_ = End::kBroken;
+  /// The body will never be complete. Without effect on one that is.
+  void abort() {
+    if (state_ == State::kOpen) {
+      state_ = State::kAborted;
     }
-    to_reader_.notify();
+    data_available_.notify();
   }
-  bool reader_closed() const { return gone_; }  // the reader has gone
-  // Whether a byte has been taken out: then nobody can have the body from its beginning any more.
-  bool reading_started() const { return begun_; }
+  bool reader_closed() const { return reader_closed_; }
+  /// Whether the reader has taken a byte: then nobody can read the body from its start any more.
+  bool reading_started() const { return reading_started_; }
 
   // ---- The reader's side
+
+  /// Closes the reader's side at its end.
+  class ReaderGuard {
+   public:
+    explicit ReaderGuard(BodyPipe& pipe) : pipe_(pipe) {}
+    ~ReaderGuard() { pipe_.close_reader(); }
+    ReaderGuard(const ReaderGuard&) = delete;
+    ReaderGuard& operator=(const ReaderGuard&) = delete;
+
+   private:
+    BodyPipe& pipe_;
+  };
+
   bool empty() const { return bytes_.empty(); }
+  /// All bytes that the pipe holds.
   std::string take() {
-    begun_ = true;
+    reading_started_ = true;
     budget_.used_ -= bytes_.size();
-    if (to_writer_) {
-      to_writer_->notify();
-    }
+    notify_writer();
     return std::exchange(bytes_, {});
   }
-  bool is_complete() const { return end_ == End::kWhole; }
-  bool is_aborted() const { return end_ == End::kBroken; }
-  runtime::Notifier& data_available() { return to_reader_; }
+  /// Whether the writer has finished; the pipe may still hold bytes.
+  bool is_complete() const { return state_ == State::kComplete; }
+  bool is_aborted() const { return state_ == State::kAborted; }
+  /// Notified of bytes, and of the body's end.
+  runtime::Notifier& data_available() { return data_available_; }
   void close_reader() {
-    gone_ = true;
-    if (to_writer_) {
-      to_writer_->notify();
-    }
+    reader_closed_ = true;
+    notify_writer();
   }
 
  private:
-  enum class End { kOpen, kWhole, kBroken };
+  enum class State { kOpen, kComplete, kAborted };
+
+  void notify_writer() {
+    if (capacity_available_) {
+      capacity_available_->notify();
+    }
+  }
+
   BodyBudget& budget_;
-  runtime::Notifier* to_writer_ = nullptr;
-  runtime::Notifier to_reader_;
+  /// The writer's; null where there is none.
+  runtime::Notifier* capacity_available_ = nullptr;
+  runtime::Notifier data_available_;
   std::string bytes_;
-  End end_ = End::kOpen;
-  bool begun_ = false, gone_ = false;
+  State state_ = State::kOpen;
+  bool reading_started_ = false;
+  bool reader_closed_ = false;
 };
 
 }  // namespace beechhill::proxy
--- /dev/null
+++ b/src/proxy/client_request_parser.cpp
@@ -0,0 +1,123 @@
+#include "proxy/client_request_parser.h"
+
+#include <algorithm>
+#include <chrono>
+#include <utility>
+
+#include "proxy/http_payload.h"
+#include "runtime/time.h"
+
+namespace beechhill::proxy {
+namespace {
+
+using namespace std::chrono_literals;
+
+// The estimate of how long a streamed body takes to arrive, for the balancer.
+constexpr Duration kEstimatedUploadTime = 60s;
+
+// How long after its deadline a request's id stays taken: no attempt is outstanding any more then.
+constexpr Duration kIdRetention = 1s;
+
+constexpr std::size_t kMaxTraceIdBytes = 128;
+
+constexpr const char* kSingleValueHeaders[] = {"Host", "X-Trace-Id", "X-Customer",
+                                               "X-Expires-In-Ms", "Idempotency-Key"};
+
+bool headers_are_unambiguous(const http::Headers& headers) {
+  return std::all_of(std::begin(kSingleValueHeaders), std::end(kSingleValueHeaders),
+                     [&headers](const char* name) {
+                       const std::string* value = headers.find(name);
+                       return !value || (!value->empty() && headers.count(name) == 1);
+                     });
+}
+
+// Whether the headers and the body that a class of requests must have, or must not have, are right.
+bool is_well_formed(const http::Message& message, Idempotency idempotency) {
+  const http::Headers& headers = message.headers;
+  if (idempotency == Idempotency::kIdempotent &&
+      (!message.body.empty() || headers.find("Transfer-Encoding"))) {
+    return false;
+  }
+  if (!headers_are_unambiguous(headers)) {
+    return false;
+  }
+  const std::string* trace_id = headers.find("X-Trace-Id");
+  if (!trace_id || trace_id->size() > kMaxTraceIdBytes) {
+    return false;
+  }
+  return idempotency != Idempotency::kIdempotencyKey || headers.find("Idempotency-Key");
+}
+
+// How long the client waits: what it states, up to the class's deadline. Nothing where what it
+// states cannot be understood.
+std::optional<Duration> client_timeout(const http::Headers& headers, Duration class_deadline) {
+  const std::string* text = headers.find("X-Expires-In-Ms");
+  if (!text) {
+    return class_deadline;
+  }
+  const auto stated_ms = http::whole_number(*text);
+  if (!stated_ms || *stated_ms == 0) {
+    return std::nullopt;
+  }
+  const auto max_ms = std::chrono::ceil<std::chrono::milliseconds>(class_deadline).count();
+  return std::chrono::milliseconds(std::min(*stated_ms, static_cast<std::uint64_t>(max_ms)));
+}
+
+}  // namespace
+
+ClientRequestParser::ClientRequestParser(const config::Config& config) : config_(config) {
+  for (const auto& name : config.named_settings.classes) {
+    class_ids_.id(name);
+  }
+  for (const auto& name : config.named_settings.tenants) {
+    tenant_ids_.id(name);
+  }
+}
+
+std::optional<ClassId> ClientRequestParser::find_class(const std::string& target) const {
+  return class_ids_.known(target.substr(1, target.find_first_of("/?", 1) - 1));
+}
+
+// kNoTenant where the header is absent; nothing where it names no tenant.
+std::optional<TenantId> ClientRequestParser::find_tenant(const http::Headers& headers) const {
+  const std::string* name = headers.find("X-Customer");
+  return name ? tenant_ids_.known(*name) : std::optional<TenantId>(kNoTenant);
+}
+
+ClientRequestParser::ParsedRequest ClientRequestParser::parse(
+    http::Message& message, std::optional<std::uint64_t> content_length,
+    std::shared_ptr<BodyPipe> upload, Time latest_deadline) {
+  const auto class_id = find_class(message.target);
+  if (!class_id) {
+    return RequestError::kNotFound;
+  }
+  const ClassSettings& settings = config_.named_settings.settings.classes[*class_id];
+  const bool idempotent = settings.idempotency == Idempotency::kIdempotent;
+  if (message.method != (idempotent ? "GET" : "POST")) {
+    return RequestError::kMethodNotAllowed;
+  }
+  if (!is_well_formed(message, settings.idempotency)) {
+    return RequestError::kBadRequest;
+  }
+  const auto tenant = find_tenant(message.headers);
+  const auto timeout = client_timeout(message.headers, settings.deadline);
+  if (!tenant || !timeout) {
+    return RequestError::kBadRequest;
+  }
+  auto request = std::make_shared<ClientRequest>();
+  request->class_id = *class_id;
+  request->tenant = *tenant;
+  request->arrived_at = runtime::now();
+  request->client_timeout = *timeout;
+  const Duration upload_time = upload ? kEstimatedUploadTime : Duration{0};
+  request->deadline = std::min(request->arrived_at + *timeout + upload_time, latest_deadline);
+  const std::string& trace_id = *message.headers.find("X-Trace-Id");
+  if (!open_ids_.insert(trace_id, request->arrived_at, request->deadline + kIdRetention)) {
+    return RequestError::kConflict;
+  }
+  request->payload = std::make_shared<const HttpPayload>(std::move(message), std::move(upload),
+                                                         content_length, *timeout);
+  return request;
+}
+
+}  // namespace beechhill::proxy
--- a/src/proxy/decision_actor.h
+++ b/src/proxy/decision_actor.h
@@ -1,164 +1,207 @@
-// Sole owner of the decision module: its clock, timers, operations and the numbers that names stand
-// for.
+// The actor that owns the balancer: its clock, timers and requests, and the ids that stand for
+// names in it.
 #pragma once
 
+#include <netinet/in.h>
+
+#include <chrono>
+#include <cstdint>
 #include <deque>
 #include <functional>
 #include <map>
 #include <memory>
+#include <optional>
 #include <set>
 #include <string>
 #include <unordered_map>
-#include <unordered_set>
 #include <vector>
 
 #include "config/interner.h"
+#include "proxy/active_request.h"
+#include "proxy/backend_exclusions.h"
+#include "proxy/departed_backends.h"
 #include "proxy/messages.h"
+#include "proxy/restored_records.h"
+#include "proxy/zone_utilization.h"
 #include "recovery/recovery_tracker.h"
 #include "routing/subset.h"
 #include "snapshot/snapshot.h"
 
 namespace beechhill::proxy {
 
+/// Decides, with the balancer, what happens to each request. All members are called on the
+/// scheduler's thread.
 class DecisionActor {
  public:
   using BackendFactory =
       std::function<std::unique_ptr<Backend>(DecisionMailbox&, EndpointId, const sockaddr_in&)>;
 
-  // `watch` is where the module's orders to watch discovery go. With `subset.nodes` 0 the module
-  // hears of every node. `barred`: ids that operators had left out when this process started.
-  // `learned`: what an earlier process of this name had learned, believed only of backends that a
-  // list names, in the same start.
+  /// `watch` receives the balancer's orders to watch discovery. With `subset.min_endpoints` 0 the
+  /// balancer uses all endpoints. `excluded`: ids that operators had excluded when this process
+  /// started. `records`: what an earlier process of this name had learned; used only of backends
+  /// that a list names with the same start.
   DecisionActor(runtime::Scheduler& scheduler, const config::Config& config,
-                BackendFactory make_peer, EndpointWatchMailbox& watch,
-                const routing::SubsetSettings& subset = {}, std::set<std::string> barred = {},
-                std::vector<snapshot::EndpointRecord> learned = {});
+                BackendFactory make_backend, EndpointWatchMailbox& watch,
+                const routing::SubsetSettings& subset = {}, std::set<std::string> excluded = {},
+                const std::vector<snapshot::EndpointRecord>& records = {});
 
   DecisionMailbox& inbox() { return inbox_; }
-  bool ready() const { return course_.ready(); }
-  bool has_discovery_update() const { return heard_; }  // from discovery, since the start
-  // Whether what is held may decide where something new goes: not within a gap, nor until discovery
-  // was heard after it.
+
+  /// Whether requests may be accepted: an endpoint list is held and the start is over.
+  bool ready() const { return recovery_.ready(); }
+  /// Whether discovery has sent an update since the start.
+  bool has_discovery_update() const { return has_discovery_update_; }
+  /// Whether the endpoint list may decide where something new goes: false within a gap, until
+  /// discovery has resynced this process, and without permission to serve.
   bool endpoints_are_current() const {
-    return course_.endpoints_are_current(now()) && serving_permitted();
+    return recovery_.endpoints_are_current(now()) && serving_permitted();
   }
-  bool serving_permitted() const { return now() < serve_until_; }
-  recovery::Stage stage() const { return course_.stage(); }
-  // Nothing is sent until WorkRights say so.
-  void require_permissions() { serve_until_ = Time::min(); }
+  bool serving_permitted() const { return exclusions_.serving_permitted(now()); }
+  recovery::Stage stage() const { return recovery_.stage(); }
+
+  /// From now on nothing is sent until DispatchPermissions permit it.
+  void require_permissions() { exclusions_.require_permissions(); }
 
-  struct ListedBackend {  // a backend, as staff's plans go by
-    std::string id, zone, instance_type;
+  /// A listed backend, as maintenance plans see it.
+  struct ListedBackend {
+    std::string id;
+    std::string zone;
+    std::string instance_type;
     std::uint32_t cell = 0;
-    bool up = false, warm = false;  // in service, and not left out by hand
+    /// In service, and not excluded by an operator.
+    bool up = false;
+    /// Beyond its slow start window.
+    bool warm = false;
+    /// Unix time of its latest start; 0: not stated.
     std::chrono::milliseconds started_at{0};
-    double relative_capacity = 1;  // of what it can do, against the others, as reports show it
+    /// Relative to the average backend, from load reports, rounded to half powers of two.
+    double relative_capacity = 1;
   };
   std::vector<ListedBackend> listed_backends() const;
-  std::map<std::string, double> utilization_by_zone() const;  // by zone, as reports say
-  // Of those that are left out: with something of this process open there, or in which what was
-  // begun may still leave.
+
+  /// Smoothed, from load reports, 0 to 1.
+  std::map<std::string, double> utilization_by_zone() const;
+
+  /// Ids of excluded backends that are still in use by this process, or may be, as their drain
+  /// grace is not over.
   std::set<std::string> busy_excluded_backends() const;
-  std::vector<snapshot::EndpointRecord> endpoint_records() const;  // so far, with Unix times
-  const std::set<std::string>& excluded_backends() const { return barred_; }
+
+  /// What has been learned so far; at most snapshot::kMaxRecords beside what was never claimed.
+  std::vector<snapshot::EndpointRecord> endpoint_records() const;
+
+  const std::set<std::string>& excluded_backends() const {
+    return exclusions_.excluded_by_operator();
+  }
+
+  /// Processes messages and timers until its task is cancelled.
   runtime::Task<> run();
 
  private:
-  struct Sent {
-    EndpointId server = 0;
-    Time at{0};
-  };
-  struct Entry {
-    std::shared_ptr<ClientRequest> operation;
-    std::vector<Sent> sent;  // by attempt
-    int out = 0;             // attempts without an outcome
-    bool over = false;
-    bool written = false;                     // an attempt has reached a backend whole, or may have
-    std::optional<std::size_t> may_have_run;  // the first attempt of which that is so
-  };
-
   struct BackendEntry {
-    std::unique_ptr<Backend> peer;                    // none: that number is free
-    EndpointStatus state = EndpointStatus::kRemoved;  // as last told
-    bool barred = false;                              // left out by hand, or taken out for work
-    Time barred_at{0};
-    Time until = Time::max();  // of the right to use it
-    std::uint32_t zone = 0, kind = 0, cell = 0;
+    /// Null: this id is free.
+    std::unique_ptr<Backend> backend;
+    EndpointStatus status = EndpointStatus::kRemoved;
+    bool excluded = false;
+    Time excluded_at{0};
+    Time permitted_until = Time::max();
+    std::uint32_t zone = 0;
+    std::uint32_t instance_type = 0;
+    std::uint32_t cell = 0;
     sockaddr_in address{};
-    std::chrono::milliseconds born{0};
-    std::size_t used = 0;  // operations' attempts and probes that refer to it
+    std::chrono::milliseconds started_at{0};
+    /// Attempts, response streams and health checks that refer to it.
+    std::size_t references = 0;
   };
 
-  bool returning();
-  void catch_up();
-  void say_stage();
-  void drive(const Event& event);
-  void perform();
-  void end(Entry& entry, ClientResponse answer);
-  void tidy(RequestId id);
-
-  void on(RequestReceived& arrived);
-  void on(RequestAbandoned& left);
-  void on(AttemptCompleted& done);
-  void on(ResponseStreamEnded& done);
-  void on(HealthCheckCompleted& done);
-  void on(config::EndpointList& pool);
+  // ---- Loop, timers and recovery (decision_actor.cpp)
+  bool update_recovery();
+  void log_stage_change();
+  void process(DecisionMessage& message);
+  void process_inbox();
+  void process_deferred();
+  void fire_timers();
+  bool timer_is_due() const;
+  void handle_event(const Event& event);
+  void perform_actions();
+  Time unix_now() const { return now() + unix_offset_; }
   void on(ResyncComplete&);
-  void on(ExcludeBackend& order);
-  void on(GetEndpointCounts& census);
-  void on(DispatchPermissions& rights);
-  bool out(const std::string& host) const;
-  void refresh(const std::string& host);
-  void note_use(EndpointId server, const LoadReport& report);
-  bool ever_listed(const std::string& host) const;
-  void take_list(const config::EndpointList& pool, UpdateKind kind);
-  void bar(EndpointId server, bool barred);
-  void tell(EndpointId server, BackendStatus status);
-  EndpointUpdate part_of(EndpointUpdate list, const std::vector<std::uint64_t>& hashes);
-  void let_go(EndpointId server);
-  void recall(EndpointId server);
-
-  void act(const StartAttempt& a);
-  void act(const Cancel& a);
-  void act(const Reject& a);
-  void act(const Fail& a);
-  void act(const HealthCheck& a);
-  void act(const SetTimer& a);
+  void on(GetEndpointCounts& query);
+  void act(const SetTimer& action);
   void act(const WatchEndpoints&);
 
+  // ---- Requests and attempts (decision_actor_requests.cpp)
+  void on(RequestReceived& message);
+  void on(RequestAbandoned& message);
+  void on(AttemptCompleted& outcome);
+  void on(ResponseStreamEnded& message);
+  void on(HealthCheckCompleted& outcome);
+  void act(const StartAttempt& action);
+  void act(const Cancel& action);
+  void act(const Reject& action);
+  void act(const Fail& action);
+  void act(const HealthCheck& action);
+  AttemptRequest make_attempt(const ActiveRequest& active) const;
+  Result post_attempt(const ActiveRequest& active, EndpointId endpoint, AttemptRequest&& attempt);
+  ActiveRequest* find_request(RequestId id);
+  void release_request_if_finished(RequestId id);
+  void add_reference(EndpointId endpoint) { ++backends_[endpoint].references; }
+  void drop_reference(EndpointId endpoint);
+
+  // ---- The endpoint list, exclusions and permissions (decision_actor_endpoints.cpp)
+  void on(config::EndpointList& list);
+  void on(ExcludeBackend& command);
+  void on(DispatchPermissions& permissions);
+  void apply_list(const config::EndpointList& list, UpdateKind kind);
+  Endpoint upsert_backend(const config::EndpointListEntry& row);
+  void remove_unlisted(const std::vector<EndpointId>& listed);
+  EndpointUpdate select_subset(EndpointUpdate update, const std::vector<std::uint64_t>& hashes);
+  void restore_stats(const std::vector<EndpointId>& endpoints);
+  void update_exclusion(const std::string& backend_id);
+  void set_excluded(EndpointId endpoint, bool excluded);
+  void post_status(EndpointId endpoint, BackendStatus status);
+  void release_backend_if_unused(EndpointId endpoint);
+  bool was_ever_listed(const std::string& backend_id) const;
+
+  // ---- Queries (decision_actor_queries.cpp)
+  ListedBackend describe(EndpointId endpoint, double average_capacity) const;
+  double average_capacity() const;
+
   runtime::Scheduler& scheduler_;
-  BackendFactory make_peer_;
+  BackendFactory make_backend_;
   EndpointWatchMailbox& watch_;
+  /// Empty: all endpoints are used.
   std::optional<routing::SubsetView> subset_;
   DecisionMailbox inbox_;
-  std::set<std::string> barred_;  // left out by hand, by id: a ban outlasts what the list says
-  DispatchPermissions rights_;  // of machines in work, by id: they outlast what the list says, too
-  Time serve_until_ = Time::max();
-  std::map<std::uint32_t, double> use_;  // by zone, smoothed
-  Duration drain_grace_, cold_span_, advice_;
-  std::uint32_t most_tries_;
-  std::vector<std::optional<Duration>>
-      memory_spans_;  // by class, of keyed ones: how long a repeat is known as one
-  Time unix_offset_;  // Unix time less the module's clock
-  std::unordered_map<std::string, snapshot::EndpointRecord>
-      claims_;                             // of an earlier process, by host, until a list names it
-  std::uint64_t recalled_ = 0, void_ = 0;  // of them: believed, and not
-  bool heard_ = false;
-  recovery::RecoveryTracker course_;
-  recovery::Stage said_ = recovery::Stage::kNoEndpoints;  // in the log
-  // What came on the way back, in its order: as each message stands for a descriptor's doing, no
-  // more than that.
-  std::deque<DecisionMessage> late_;
-  config::Interner servers_, zones_, kinds_;
-  std::vector<BackendEntry> backends_;  // by ServerId
-  std::unordered_set<std::string>
-      gone_;                            // ids that a list once named, kMostGone of them at the most
-  std::deque<std::string> gone_order_;  // the longest gone first
-  std::unordered_map<RequestId, Entry> entries_;
+  BackendExclusions exclusions_;
+  ZoneUtilization zone_utilization_;
+  Duration drain_grace_;
+  Duration slow_start_window_;
+  Duration max_retry_after_;
+  std::uint32_t max_attempts_;
+  /// By class; empty where the class has no idempotency key.
+  std::vector<std::optional<Duration>> deduplication_windows_;
+  /// Unix time less the steady clock's.
+  Time unix_offset_;
+  RestoredRecords restored_records_;
+  bool has_discovery_update_ = false;
+  recovery::RecoveryTracker recovery_;
+  recovery::Stage logged_stage_ = recovery::Stage::kNoEndpoints;
+  /// Messages that arrived while resyncing, in order. Each stands for a descriptor's event, which
+  /// bounds them.
+  std::deque<DecisionMessage> deferred_messages_;
+  config::Interner endpoint_ids_;
+  config::Interner zone_ids_;
+  config::Interner instance_type_ids_;
+  std::vector<BackendEntry> backends_;  // by EndpointId
+  DepartedBackends departed_backends_;
+  std::unordered_map<RequestId, ActiveRequest> requests_;
   std::multimap<Time, TimerToken> timers_;
+  /// Filled by the balancer, its constructor included.
   std::vector<Action> actions_;
-  std::vector<DecisionMessage> own_;  // outcomes of sends that never left, for after this event
-  RequestId next_id_ = 1;
+  /// Outcomes of attempts and health checks that were never posted, to be processed after the
+  /// present event.
+  std::vector<DecisionMessage> immediate_outcomes_;
+  RequestId next_request_id_ = 1;
   Balancer balancer_;
 };
 
--- a/src/proxy/descriptor_budget.h
+++ b/src/proxy/descriptor_budget.h
@@ -5,15 +5,18 @@
 
 namespace beechhill::proxy {
 
+/// A counter with a limit that may change.
 class DescriptorBudget {
  public:
   explicit DescriptorBudget(std::size_t limit) : limit_(limit) {}
+
   bool has_capacity() const { return used_ < limit_; }
   std::size_t used() const { return used_; }
-  // Under what is used: there is no room until so many have gone.
+  /// Below used(): there is no capacity until enough slots have been released.
   void set_limit(std::size_t limit) { limit_ = limit; }
 
-  class Slot {  // one descriptor's place, for as long as this lives
+  /// One descriptor, for as long as this lives. Taken whether or not there is capacity.
+  class Slot {
    public:
     explicit Slot(DescriptorBudget& budget) : budget_(budget) { ++budget_.used_; }
     ~Slot() { --budget_.used_; }
@@ -25,7 +28,8 @@
   };
 
  private:
-  std::size_t limit_, used_ = 0;
+  std::size_t limit_;
+  std::size_t used_ = 0;
 };
 
 }  // namespace beechhill::proxy
--- a/src/proxy/endpoint_watch_actor.cpp
+++ b/src/proxy/endpoint_watch_actor.cpp
@@ -1,7 +1,9 @@
 #include "proxy/endpoint_watch_actor.h"
 
 #include <algorithm>
-#include <optional>
+#include <string_view>
+#include <utility>
+#include <variant>
 
 #include "http/message.h"
 #include "log/log.h"
@@ -17,200 +19,251 @@
 
 namespace {
 
-constexpr auto kConnectLimit = 500ms;
-// Discovery's agent stands on this machine, or near, and answers at once: a call without its
-// answer's head by then was not heard. Every kPatience such calls in a row the next ones wait as
-// much longer, up to kSilence, for an agent that is slow.
-constexpr auto kFirstWord = 500ms;
-constexpr int kPatience = 8;
-// After a call that failed sooner than kFirstWord. What discovery learns at its return counts as
-// told at once, so this stays well under a drain's grace, the shortest known of which are 200 ms.
-constexpr auto kLeastPause = 50ms, kMostPause = 100ms;
-constexpr std::size_t kListRate = 100;  // bytes a millisecond of a list under way, at the least
+constexpr auto kConnectTimeout = 500ms;
+
+// Discovery's agent runs on this machine, or near, and answers at once: a connection without a
+// response head by then was not served.
+constexpr auto kResponseHeadTimeout = 500ms;
+
+// After each so many unanswered connections in a row the response head may take
+// kResponseHeadTimeout longer, up to kWatchSilenceTimeout, for an agent that is slow.
+constexpr int kUnansweredPerTimeoutStep = 8;
+
+// After a connection that lasted less than kResponseHeadTimeout. A drain's grace runs from when
+// discovery learns of it, so this stays well under the shortest grace known, 200 ms.
+constexpr auto kMinBackoff = 50ms;
+constexpr auto kMaxBackoff = 100ms;
+
+// Bytes a millisecond of an endpoint list that is being received, at the least.
+constexpr std::size_t kMinListRate = 100;
+
 constexpr std::size_t kInboxCapacity = 16;
-// Of the memory, an object of the list may be one part: read, its rows take some ten times as much.
-// At 192 MB 40,000 rows.
-constexpr std::size_t kObjectShare = 32;
+
+// One part in so many of the process's memory is what an object of the list may take: parsed, it
+// takes about ten times as much. At 192 MB these are 40,000 endpoints.
+constexpr std::size_t kMemoryPartsPerObject = 32;
 
 }  // namespace
 
+/// One connection to discovery.
+struct EndpointWatchActor::Watch {
+  Watch(const sockaddr_in& to, std::size_t max_object_bytes)
+      : address(to), decoder(max_object_bytes) {}
+
+  sockaddr_in address;
+  /// Changes since version 0 were requested: the complete list, which comes at once.
+  bool requested_snapshot = false;
+  TimePoint silence_deadline{};
+  http::Parser head{http::Parser::Kind::kResponseHead};
+  http::ChunkedDecoder chunked;
+  WatchStreamDecoder decoder;
+  std::string buffer;
+  /// Endpoint lists that were posted.
+  std::uint64_t lists = 0;
+};
+
 EndpointWatchActor::EndpointWatchActor(runtime::Scheduler& scheduler, const config::Config& config)
     : scheduler_(scheduler),
       inbox_(kInboxCapacity),
       address_(config.discovery),
-      most_object_(std::size_t{config.memory_mb} * 1024 * 1024 / kObjectShare),
+      max_object_bytes_(std::size_t{config.memory_mb} * 1024 * 1024 / kMemoryPartsPerObject),
       version_(config.cached_endpoints.version),
       random_(config.named_settings.settings.seed) {
 }
 
 Task<> EndpointWatchActor::run(DecisionMailbox& decisions) {
   for (;;) {
-    moved();
-    anew_ = false;  // a new watch is begun at any rate
-    const TimePoint began = Clock::now();
-    End end{.address = address_};
+    process_messages();
+    reconnect_for_resync_ = false;  // a new connection is what comes next
+    const TimePoint started_at = Clock::now();
+    Watch watch(address_, max_object_bytes_);
+    EndReason reason = EndReason::kDiscoveryBad;
     try {
-      co_await watch(decisions, end);
-    } catch (const std::exception& error) {
-      end.reason = EndReason::kDiscoveryBad;  // guards against dying of what discovery sends
+      reason = co_await run_watch(decisions, watch);
+    } catch (const std::exception& error) {  // guards against ending by what discovery sends
       log::fault("discovery_fault", error);
     }
-    log_end("discovery", net::to_string(end.address), end.reason, end.lists);
-    if (end.reason == EndReason::kDiscoveryMoved || end.reason == EndReason::kDiscoveryAnew) {
-      continue;
-    }
-    // What is missed meanwhile counts as told: at once, where that is no busy loop.
-    if (Clock::now() - began >= kFirstWord) {
-      continue;
+    log_end("discovery", net::to_string(watch.address), reason, watch.lists);
+    const bool reconnect_at_once =
+        reason == EndReason::kDiscoveryMoved || reason == EndReason::kDiscoveryAnew;
+    if (!reconnect_at_once && Clock::now() - started_at < kResponseHeadTimeout) {
+      co_await back_off();
     }
-    // Jitter: all proxies lose a discovery that fails at the same moment.
-    std::uniform_int_distribution<std::int64_t> pause(kLeastPause.count(), kMostPause.count());
-    runtime::Wait wait(scheduler_);
-    wait.notified(inbox_.arrived()).until(Clock::now() + std::chrono::milliseconds(pause(random_)));
-    co_await wait;
   }
 }
 
-bool EndpointWatchActor::moved() {
-  bool elsewhere = false;
+// With jitter: all proxies lose a discovery that fails at the same moment.
+Task<> EndpointWatchActor::back_off() {
+  std::uniform_int_distribution<std::int64_t> backoff_ms(kMinBackoff.count(), kMaxBackoff.count());
+  runtime::Wait wait(scheduler_);
+  wait.notified(inbox_.arrived())
+      .until(Clock::now() + std::chrono::milliseconds(backoff_ms(random_)));
+  co_await wait;
+}
+
+// Processes the mailbox. Returns why the current watch is to end, if it is.
+std::optional<EndReason> EndpointWatchActor::process_messages() {
+  bool moved = false;
   while (!inbox_.empty()) {
     const EndpointWatchMessage message = inbox_.take();
-    if (const auto* catch_up = std::get_if<Resync>(&message)) {
-      catching_ = true, anew_ |= catch_up->from_snapshot;
+    if (const auto* resync = std::get_if<Resync>(&message)) {
+      resync_pending_ = true;
+      reconnect_for_resync_ = reconnect_for_resync_ || resync->from_snapshot;
     }
-    const auto* move =
-        std::get_if<RedirectWatch>(&message);  // an order to watch is met by the watch itself
-    if (!move || net::same(move->address, address_)) {
+    // StartWatch needs no more than the wake-up that it is.
+    const auto* redirect = std::get_if<RedirectWatch>(&message);
+    if (!redirect || net::same(redirect->address, address_)) {
       continue;
     }
-    address_ = move->address;
-    elsewhere = true;
-    catching_ =
-        true;  // another discovery may count its versions otherwise: the whole list is asked for
-    mute_ = 0;
+    moved = true;
+    address_ = redirect->address;
+    // Another discovery may count its versions otherwise: the complete list is requested.
+    resync_pending_ = true;
+    unanswered_connections_ = 0;
   }
-  return elsewhere;
+  if (moved) {
+    return EndReason::kDiscoveryMoved;
+  }
+  return reconnect_for_resync_ ? std::optional(EndReason::kDiscoveryAnew) : std::nullopt;
 }
 
-void EndpointWatchActor::caught_up(DecisionMailbox& decisions) {
-  if (!std::exchange(catching_, false)) {
+void EndpointWatchActor::report_resync_complete(DecisionMailbox& decisions) {
+  if (!std::exchange(resync_pending_, false)) {
     return;
   }
-  DecisionMessage word(std::in_place_type<ResyncComplete>);
-  if (!decisions.post(std::move(word))) {
-    log::dropped_message("caught_up");  // its wait ends by itself
+  DecisionMessage message(std::in_place_type<ResyncComplete>);
+  if (!decisions.post(std::move(message))) {
+    log::dropped_message("resync_complete");  // the resync then ends at its deadline
   }
 }
 
-Task<> EndpointWatchActor::watch(DecisionMailbox& decisions, End& end) {
+// Whether to read on without waiting, to the end of what discovery has written: all of it, or where
+// the complete list was requested, all that followed that.
+bool EndpointWatchActor::is_draining_for_resync(const Watch& watch) const {
+  return resync_pending_ && (!watch.requested_snapshot || watch.lists > 0);
+}
+
+TimePoint EndpointWatchActor::read_deadline(const Watch& watch) const {
+  if (is_draining_for_resync(watch)) {
+    return Clock::now();
+  }
+  return watch.silence_deadline +
+         std::chrono::milliseconds(watch.decoder.incomplete_object_bytes() / kMinListRate);
+}
+
+std::string EndpointWatchActor::watch_request(const Watch& watch) const {
+  const std::uint64_t from = watch.requested_snapshot ? 0 : version_;
+  return http::write_request("GET", "/registry/instances?watch=1&from=" + std::to_string(from),
+                             net::to_string(watch.address), "", "");
+}
+
+Task<EndReason> EndpointWatchActor::run_watch(DecisionMailbox& decisions, Watch& watch) {
   const auto stream =
-      co_await net::Stream::connect(scheduler_, address_, Clock::now() + kConnectLimit);
+      co_await net::Stream::connect(scheduler_, watch.address, Clock::now() + kConnectTimeout);
   if (!stream) {
-    end.reason = EndReason::kConnectFailed;
-    co_return;
-  }
-  const auto first_word =
-      std::min<Clock::duration>(kFirstWord * (1 + mute_ / kPatience), kWatchSilenceTimeout);
-  ++mute_;
-  // What changed since version 0 is the whole list, and comes at once: where nothing has changed
-  // nothing would.
-  const bool whole = catching_;
-  const std::string request = http::write_request(
-      "GET", "/registry/instances?watch=1&from=" + std::to_string(whole ? 0 : version_),
-      net::to_string(address_), "", "");
-  TimePoint silent = Clock::now() + first_word;
-  if (co_await stream->write(request, silent) != Io::kOk) {
-    co_return;
-  }
-  http::Parser parser(http::Parser::Kind::kResponseHead);
-  http::ChunkedDecoder chunked;
-  WatchStreamDecoder reader(most_object_);
-  std::string buffer, body;
+    co_return EndReason::kConnectFailed;
+  }
+  const auto head_timeout = std::min<Clock::duration>(
+      kResponseHeadTimeout * (1 + unanswered_connections_ / kUnansweredPerTimeoutStep),
+      kWatchSilenceTimeout);
+  ++unanswered_connections_;
+  watch.requested_snapshot = resync_pending_;
+  watch.silence_deadline = Clock::now() + head_timeout;
+  const std::string request = watch_request(watch);
+  if (co_await stream->write(request, watch.silence_deadline) != Io::kOk) {
+    co_return EndReason::kDiscoveryEnded;
+  }
   for (;;) {
-    // What stands in the socket is read up to its end; where the whole list was asked for, once
-    // that has come.
-    const bool all = catching_ && (!whole || end.lists > 0);
-    const TimePoint until =
-        all ? Clock::now() : silent + std::chrono::milliseconds(reader.unfinished() / kListRate);
-    const Io io = co_await stream->read(buffer, until, all ? nullptr : &inbox_.arrived());
+    const bool draining = is_draining_for_resync(watch);
+    const TimePoint deadline = read_deadline(watch);
+    const Io io =
+        co_await stream->read(watch.buffer, deadline, draining ? nullptr : &inbox_.arrived());
+    std::optional<EndReason> end;
     if (io == Io::kNotified) {
-      const bool elsewhere = moved();
-      if (!elsewhere && !anew_) {
-        continue;
-      }
-      end.reason = elsewhere ? EndReason::kDiscoveryMoved : EndReason::kDiscoveryAnew;
-      co_return;
-    }
-    if (io == Io::kTimeout && all) {
-      caught_up(decisions);
-      continue;
-    }
-    if (io == Io::kTimeout) {
-      end.reason = EndReason::kDiscoverySilent;
-    }
-    if (io != Io::kOk) {
-      co_return;
-    }
-    end.reason = EndReason::kDiscoveryBad;
-    if (!parser.head_done()) {
-      const http::Progress head = parser.feed(buffer);
-      if (head == http::Progress::kMore) {
-        continue;
-      }
-      if (head == http::Progress::kBad || parser.message().status != 200) {
-        co_return;
-      }
-      if (!whole) {
-        silent = Clock::now() + kWatchSilenceTimeout;  // nothing may have changed
-      }
-    }
-    http::Progress progress = http::Progress::kMore;
-    if (parser.chunked()) {
-      progress = chunked.feed(buffer, body);
+      end = process_messages();
+    } else if (io == Io::kTimeout && draining) {
+      report_resync_complete(decisions);
+    } else if (io == Io::kTimeout) {
+      end = EndReason::kDiscoverySilent;
+    } else if (io == Io::kOk) {
+      end = process_bytes(decisions, watch);
     } else {
-      body = std::exchange(buffer, {});
+      end = EndReason::kDiscoveryEnded;
     }
-    reader.feed(std::exchange(body, {}));
-    // Only what is whole shows that the watch lives: bytes that complete nothing may come from one
-    // that is broken.
-    const std::optional<bool> said = take_lists(reader, decisions, end.lists);
-    if (!said || progress == http::Progress::kBad) {
-      co_return;
+    if (end) {
+      co_return *end;
     }
-    if (*said) {
-      silent = Clock::now() + kWatchSilenceTimeout, mute_ = 0;
-    }
-    end.reason = EndReason::kDiscoveryEnded;
-    if (progress == http::Progress::kDone) {
-      co_return;
+  }
+}
+
+// Returns why the watch is to end, if it is.
+std::optional<EndReason> EndpointWatchActor::process_bytes(DecisionMailbox& decisions,
+                                                           Watch& watch) {
+  if (!watch.head.head_done()) {
+    const std::optional<EndReason> end = process_head(watch);
+    if (end || !watch.head.head_done()) {
+      return end;
     }
   }
+  http::Progress progress = http::Progress::kMore;
+  std::string body;
+  if (watch.head.chunked()) {
+    progress = watch.chunked.feed(watch.buffer, body);
+  } else {
+    body = std::exchange(watch.buffer, {});
+  }
+  watch.decoder.feed(body);
+  // Only complete tokens show that the watch is alive: bytes that complete nothing may come from
+  // one that is broken.
+  const std::optional<bool> alive = post_lists(decisions, watch);
+  if (!alive || progress == http::Progress::kBad) {
+    return EndReason::kDiscoveryBad;
+  }
+  if (*alive) {
+    watch.silence_deadline = Clock::now() + kWatchSilenceTimeout;
+    unanswered_connections_ = 0;
+  }
+  return progress == http::Progress::kDone ? std::optional(EndReason::kDiscoveryEnded)
+                                           : std::nullopt;
+}
+
+std::optional<EndReason> EndpointWatchActor::process_head(Watch& watch) {
+  const http::Progress progress = watch.head.feed(watch.buffer);
+  if (progress == http::Progress::kMore) {
+    return std::nullopt;
+  }
+  if (progress == http::Progress::kBad || watch.head.message().status != 200) {
+    return EndReason::kDiscoveryBad;
+  }
+  if (!watch.requested_snapshot) {
+    watch.silence_deadline = Clock::now() + kWatchSilenceTimeout;  // nothing may have changed
+  }
+  return std::nullopt;
 }
 
-// Whether the watch gave a sign of life; nothing where it can't be read on.
-std::optional<bool> EndpointWatchActor::take_lists(WatchStreamDecoder& reader,
-                                                   DecisionMailbox& decisions,
-                                                   std::uint64_t& lists) {
+// Posts each complete list. Returns whether there was any complete token; nothing where the watch
+// cannot be read on.
+std::optional<bool> EndpointWatchActor::post_lists(DecisionMailbox& decisions, Watch& watch) {
   std::string_view object;
-  for (bool said = false;; said = true) {
-    const WatchStreamDecoder::Got got = reader.next(object);
-    if (got == WatchStreamDecoder::Got::kBad) {
+  for (bool alive = false;; alive = true) {
+    const WatchStreamDecoder::Token token = watch.decoder.next(object);
+    if (token == WatchStreamDecoder::Token::kInvalid) {
       return std::nullopt;
     }
-    if (got == WatchStreamDecoder::Got::kMore) {
-      return said;
+    if (token == WatchStreamDecoder::Token::kIncomplete) {
+      return alive;
     }
-    if (got == WatchStreamDecoder::Got::kEmptyLine) {
+    if (token == WatchStreamDecoder::Token::kEmptyLine) {
       continue;
     }
     config::EndpointList list = config::read_endpoint_list(
         config::parse(object.data(), object.data() + object.size(), "server list"));
     const std::uint64_t version = list.version;
     if (!decisions.post(std::move(list))) {
-      return std::nullopt;  // asked for again with the same version
+      return std::nullopt;  // requested again, from the same version
     }
     version_ = version;
-    ++lists;
+    ++watch.lists;
   }
 }
 
--- a/src/proxy/endpoint_watch_actor.h
+++ b/src/proxy/endpoint_watch_actor.h
@@ -1,46 +1,62 @@
-// Watches discovery and posts each server list to the decision actor.
+// The actor that watches discovery and posts each endpoint list to the decision actor.
 #pragma once
 
+#include <netinet/in.h>
+
+#include <chrono>
+#include <cstddef>
+#include <cstdint>
 #include <optional>
 #include <random>
 #include <string>
 
 #include "proxy/connection_log.h"
-#include "proxy/messages.h"
+#include "proxy/decision_messages.h"
+#include "proxy/endpoint_watch_messages.h"
 #include "proxy/watch_stream_decoder.h"
+#include "runtime/scheduler.h"
 
 namespace beechhill::proxy {
 
+/// Holds one watch on discovery at a time and opens another whenever it ends. All members are
+/// called on the scheduler's thread.
 class EndpointWatchActor {
  public:
-  // A watch sends at least an empty line every 2 s; one that says nothing for so long is given up.
+  /// Discovery sends at least an empty line every 2 s; a watch without one for so long is closed.
   static constexpr std::chrono::milliseconds kWatchSilenceTimeout{2500};
 
   EndpointWatchActor(runtime::Scheduler& scheduler, const config::Config& config);
+
   EndpointWatchMailbox& inbox() { return inbox_; }
+
+  /// Watches until its task is cancelled.
   runtime::Task<> run(DecisionMailbox& decisions);
 
  private:
-  struct End {
-    EndReason reason = EndReason::kDiscoveryEnded;
-    std::uint64_t lists = 0;
-    sockaddr_in address{};  // where it was
-  };
-  runtime::Task<> watch(DecisionMailbox& decisions, End& end);
-  bool moved();  // takes what is in the mailbox: whether discovery is elsewhere now
-  void caught_up(DecisionMailbox& decisions);
-  std::optional<bool> take_lists(WatchStreamDecoder& reader, DecisionMailbox& decisions,
-                                 std::uint64_t& lists);
+  struct Watch;
+
+  runtime::Task<EndReason> run_watch(DecisionMailbox& decisions, Watch& watch);
+  runtime::Task<> back_off();
+  std::string watch_request(const Watch& watch) const;
+  runtime::TimePoint read_deadline(const Watch& watch) const;
+  bool is_draining_for_resync(const Watch& watch) const;
+  std::optional<EndReason> process_bytes(DecisionMailbox& decisions, Watch& watch);
+  std::optional<EndReason> process_head(Watch& watch);
+  std::optional<bool> post_lists(DecisionMailbox& decisions, Watch& watch);
+  std::optional<EndReason> process_messages();
+  void report_resync_complete(DecisionMailbox& decisions);
 
   runtime::Scheduler& scheduler_;
   EndpointWatchMailbox inbox_;
   sockaddr_in address_;
-  std::size_t most_object_;  // bytes of one
+  std::size_t max_object_bytes_;
   std::uint64_t version_;
-  int mute_ = 0;  // calls in a row that were not answered
-  // A CaughtUp is owed: at the start too, as what the agent holds is newer than the list last held.
-  bool catching_ = true;
-  bool anew_ = false;  // by asking for the whole list on another connection
+  /// Connections in a row that discovery accepted and did not answer.
+  int unanswered_connections_ = 0;
+  /// ResyncComplete is owed: at the start too, as discovery may hold a newer list than the cached.
+  bool resync_pending_ = true;
+  /// The pending resync is to request the complete list on a new connection.
+  bool reconnect_for_resync_ = false;
   std::mt19937_64 random_;
 };
 
--- /dev/null
+++ b/src/proxy/http_payload.cpp
@@ -0,0 +1,48 @@
+#include "proxy/http_payload.h"
+
+#include <algorithm>
+#include <chrono>
+#include <utility>
+
+namespace beechhill::proxy {
+
+HttpPayload::HttpPayload(http::Message&& request, std::shared_ptr<BodyPipe> remaining_body,
+                         std::optional<std::uint64_t> content_length, Duration client_timeout)
+    : request_(std::move(request)),
+      remaining_body_(std::move(remaining_body)),
+      content_length_(content_length),
+      client_timeout_(client_timeout) {
+}
+
+std::string HttpPayload::encode(const std::string& host, Duration time_left) const {
+  using std::chrono::milliseconds;
+  const Duration expires_in = remaining_body_ ? client_timeout_ : time_left;
+  const auto expires_in_ms =
+      std::max<std::int64_t>(1, std::chrono::floor<milliseconds>(expires_in).count());
+  std::string headers = "X-Expires-In-Ms: " + std::to_string(expires_in_ms) + "\r\n";
+  for (const char* name : {"X-Trace-Id", "Idempotency-Key", "Content-Type"}) {
+    if (const std::string* value = request_.headers.find(name)) {
+      headers.append(name).append(": ").append(*value).append("\r\n");
+    }
+  }
+  if (!remaining_body_) {
+    return http::write_request(request_.method, request_.target, host, headers, request_.body);
+  }
+  return http::write_request_head(request_.method, request_.target, host, headers,
+                                  content_length_) +
+         frame_body(request_.body);
+}
+
+std::string HttpPayload::frame_body(std::string bytes) const {
+  return content_length_ ? bytes : http::write_chunk(bytes);
+}
+
+std::string HttpPayload::frame_body_end() const {
+  return content_length_ ? "" : http::write_chunk({});
+}
+
+std::string_view HttpPayload::trace_id() const {
+  return *request_.headers.find("X-Trace-Id");
+}
+
+}  // namespace beechhill::proxy
--- /dev/null
+++ b/src/proxy/idle_connections.cpp
@@ -0,0 +1,120 @@
+#include "proxy/idle_connections.h"
+
+#include <chrono>
+#include <iterator>
+#include <utility>
+
+namespace beechhill::proxy {
+
+using runtime::Clock;
+using runtime::TimePoint;
+
+namespace {
+
+constexpr std::chrono::milliseconds kSettlingTime{5};
+
+// A connection is kept idle for one part in so many of the backend's own idle timeout.
+constexpr int kIdleTimeoutParts = 2;
+
+}  // namespace
+
+void BackendConnection::on_readable() {
+  owner_->add_readable(*this);
+}
+
+std::unique_ptr<BackendConnection> IdleConnections::take() {
+  close_stale();
+  while (!connections_.empty()) {
+    const auto position = preferred();
+    // Guards against a request on a connection that the backend has closed, or is about to: that is
+    // a reset. epoll may not have reported it yet.
+    if (!(*position)->stream->stale()) {
+      return remove(position);
+    }
+    close(position, EndReason::kPeerClosed);
+  }
+  return nullptr;
+}
+
+// The last that has settled, else the last. The list is ordered by time, so only those of the last
+// few milliseconds are passed over.
+IdleConnections::List::iterator IdleConnections::preferred() {
+  const TimePoint settled = Clock::now() - kSettlingTime;
+  const auto last = std::prev(connections_.end());
+  auto position = last;
+  while (position != connections_.begin() && (*position)->idle_since_ > settled) {
+    --position;
+  }
+  return (*position)->idle_since_ > settled ? last : position;
+}
+
+void IdleConnections::put(std::unique_ptr<BackendConnection> connection) {
+  BackendConnection& idle = *connection;
+  idle.idle_since_ = Clock::now();
+  idle.owner_ = this;
+  idle.stream->watch(&idle);
+  // Its end may have come with the response: epoll does not report it again.
+  if (idle.stream->stale()) {
+    idle.end_reason = EndReason::kPeerClosed;
+    return;
+  }
+  idle.position_ = connections_.insert(connections_.end(), std::move(connection));
+  if (connections_.size() == 1) {
+    changed_.notify();
+  }
+}
+
+std::unique_ptr<BackendConnection> IdleConnections::remove(List::iterator position) {
+  std::unique_ptr<BackendConnection> connection = std::move(*position);
+  connections_.erase(position);
+  connection->stream->watch(nullptr);
+  remove_readable(*connection);
+  connection->owner_ = nullptr;
+  return connection;
+}
+
+void IdleConnections::add_readable(BackendConnection& connection) {
+  if (connection.readable_index_) {
+    return;
+  }
+  connection.readable_index_ = readable_.size();
+  readable_.push_back(&connection);
+  changed_.notify();
+}
+
+void IdleConnections::remove_readable(BackendConnection& connection) {
+  if (!connection.readable_index_) {
+    return;
+  }
+  BackendConnection* const moved = readable_.back();
+  readable_[*connection.readable_index_] = moved;
+  moved->readable_index_ = connection.readable_index_;
+  readable_.pop_back();
+  connection.readable_index_.reset();
+}
+
+void IdleConnections::close_all(EndReason reason) {
+  while (!connections_.empty()) {
+    close(std::prev(connections_.end()), reason);
+  }
+}
+
+TimePoint IdleConnections::next_expiry() const {
+  return oldest_since() + settings_.backend_idle_timeout / kIdleTimeoutParts;
+}
+
+void IdleConnections::close_stale() {
+  while (!readable_.empty()) {
+    BackendConnection& connection = *readable_.back();
+    remove_readable(connection);
+    if (connection.stream->stale()) {
+      close(connection.position_, EndReason::kPeerClosed);
+    }
+  }
+  const TimePoint now = Clock::now();
+  while (!connections_.empty() && next_expiry() <= now) {
+    close_oldest(EndReason::kIdle);
+  }
+}
+
+}  // namespace beechhill::proxy
--- /dev/null
+++ b/src/proxy/payload.h
@@ -0,0 +1,40 @@
+// A request in the form in which a backend is to receive it, independent of the client's protocol.
+#pragma once
+
+#include <memory>
+#include <string>
+#include <string_view>
+
+#include "beechhill/balancer.h"
+#include "proxy/body_pipe.h"
+
+namespace beechhill::proxy {
+
+/// Encodes one request for a backend. Immutable but for the pipe of a streamed body, so that
+/// several attempts of one request may share it.
+class Payload {
+ public:
+  virtual ~Payload() = default;
+
+  /// The request's bytes: all of them, or the head and the first part of a streamed body. `host` is
+  /// the backend's address; `time_left` is how long the proxy will wait for the response.
+  virtual std::string encode(const std::string& host, Duration time_left) const = 0;
+
+  /// The part of a streamed body that follows encode(), for a single reader; null where encode()
+  /// returns the whole request.
+  virtual const std::shared_ptr<BodyPipe>& remaining_body() const {
+    static const std::shared_ptr<BodyPipe> none;
+    return none;
+  }
+
+  /// Applies the transfer encoding to a part of the streamed body.
+  virtual std::string frame_body(std::string bytes) const { return bytes; }
+
+  /// What ends a streamed body in its transfer encoding.
+  virtual std::string frame_body_end() const { return {}; }
+
+  /// The request's trace id, with which a backend may begin its response; empty for a health check.
+  virtual std::string_view trace_id() const { return {}; }
+};
+
+}  // namespace beechhill::proxy
