--- a/src/proxy/backend_actor.cpp
+++ b/src/proxy/backend_actor.cpp
@@ -119,7 +119,7 @@
       !net::same(status.address, status_.address) || status.started_at != status_.started_at;
   status_ = status;
   if (status.status != EndpointStatus::kUp || restarted) {
-    idle_connections_.close_all(EndReason::kPeerDrained);
+    idle_connections_.close_all(EndReason::kBackendDrained);
   }
 }
 
@@ -196,7 +196,7 @@
     // which the backend knows a repeat as one.
     const bool usable = may_send() && is_at_current_address(*connection);
     if (!usable || !is_wanted(attempt) || now() >= write_deadline) {
-      connection->end_reason = usable ? EndReason::kStepCancelled : EndReason::kPeerDrained;
+      connection->end_reason = usable ? EndReason::kAttemptCancelled : EndReason::kBackendDrained;
       unsent.result = unsent_result(attempt);
       if (usable) {
         idle_connections_.put(std::move(connection));
--- a/src/proxy/backend_exchange.cpp
+++ b/src/proxy/backend_exchange.cpp
@@ -23,7 +23,7 @@
 constexpr auto kStreamTimeout = 5000ms;
 
 // Bytes of a response that states a larger length than http::kMaxBody, before its client gets any.
-constexpr std::size_t kFirstPartBytes = 8 * 1024;
+constexpr std::size_t kFirstPartBytes = std::size_t{8} * 1024;
 
 LoadReport load_report_of(const http::Headers& headers) {
   LoadReport report;
@@ -112,7 +112,7 @@
   }
   if (outcome == ReadOutcome::kStreaming) {
     if (!attempt_ || result_.result != Result::kOk) {  // nobody is to have the rest
-      connection_.end_reason = EndReason::kBadReply;
+      connection_.end_reason = EndReason::kMalformedResponse;
       co_return;
     }
     result_.response.content_length = parser_.length();
@@ -121,7 +121,8 @@
     }
   }
   reusable_ = parser_.message().keep_alive() && buffer_.empty();
-  connection_.end_reason = buffer_.empty() ? EndReason::kPeerClosed : EndReason::kBadReply;
+  connection_.end_reason =
+      buffer_.empty() ? EndReason::kBackendClosed : EndReason::kMalformedResponse;
 }
 
 // A complete response, or of one that is streamed its head and first part.
@@ -164,10 +165,10 @@
     connection_.end_reason = EndReason::kReset;
     result_.result = Result::kReset;
   } else if (io == Io::kTimeout && !response_started) {
-    connection_.end_reason = EndReason::kStepTimeout;
+    connection_.end_reason = EndReason::kAttemptTimeout;
     result_.result = Result::kTimeout;
   } else {
-    connection_.end_reason = EndReason::kBadReply;
+    connection_.end_reason = EndReason::kMalformedResponse;
     result_.result = Result::kError;
   }
 }
@@ -180,7 +181,7 @@
   // Guards against passing on what was left over from the response before it on this connection.
   if (message.status == 200 && !echoes_trace_id && connection_.echoes_trace_ids) {
     connection_.echoes_trace_ids = false;
-    connection_.end_reason = EndReason::kBadReply;
+    connection_.end_reason = EndReason::kMalformedResponse;
     result_.result = Result::kError;
     return false;
   }
@@ -210,7 +211,7 @@
   const http::Progress progress = co_await forward_body(*pipe, capacity);
   if (progress != http::Progress::kDone) {
     connection_.end_reason =
-        pipe->reader_closed() ? EndReason::kStepCancelled : EndReason::kBadReply;
+        pipe->reader_closed() ? EndReason::kAttemptCancelled : EndReason::kMalformedResponse;
     co_return false;
   }
   pipe->finish();
--- a/src/proxy/body_pipe.h
+++ b/src/proxy/body_pipe.h
@@ -29,8 +29,8 @@
 class BodyPipe {
  public:
   /// Beyond these the pipe is full; the last part written may exceed them.
-  static constexpr std::size_t kMaxBufferedBytes = 64 * 1024;
-  static constexpr std::size_t kMaxBufferedBytesWhenOverBudget = 16 * 1024;
+  static constexpr std::size_t kMaxBufferedBytes = std::size_t{64} * 1024;
+  static constexpr std::size_t kMaxBufferedBytesWhenOverBudget = std::size_t{16} * 1024;
 
   explicit BodyPipe(BodyBudget& budget) : budget_(budget) {}
   ~BodyPipe() { budget_.used_ -= bytes_.size(); }
--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -299,7 +299,9 @@
   // Answered before its body has arrived: what still comes is no request.
   discard_input_ = upload && !upload->is_complete();
   const bool last = close || discard_input_ || closes_after_response();
-  co_return co_await send_response(*request->response, last, client_decodes_chunks, scope);
+  // NOLINTNEXTLINE(bugprone-unchecked-optional-access): await_response() has waited for it
+  const ClientResponse& response = *request->response;
+  co_return co_await send_response(response, last, client_decodes_chunks, scope);
 }
 
 Task<bool> ClientConnection::answer_health_check(bool close) {
@@ -337,7 +339,7 @@
     } else if (outcome == WaitOutcome::kUploadTooSlow) {
       co_await reject(408, EndReason::kReadTimeout);
     } else {
-      end_reason_ = EndReason::kClientGone;
+      end_reason_ = EndReason::kClientDisconnected;
     }
     co_return false;
   }
@@ -446,7 +448,7 @@
       bytes += http::write_chunk({});
     }
     const Io io = co_await stream_.write(bytes, Clock::now() + kWriteTimeout);
-    end_reason_ = io == Io::kOk ? EndReason::kAnsweredClose : EndReason::kWriteFailed;
+    end_reason_ = io == Io::kOk ? EndReason::kClosedAfterResponse : EndReason::kWriteFailed;
     if (io != Io::kOk || last) {
       co_return io == Io::kOk;
     }
@@ -466,7 +468,7 @@
 // False: the connection is to be closed.
 Task<bool> ClientConnection::write_response(const std::string& bytes, bool close) {
   const Io io = co_await stream_.write(bytes, Clock::now() + kWriteTimeout);
-  end_reason_ = io == Io::kOk ? EndReason::kAnsweredClose : EndReason::kWriteFailed;
+  end_reason_ = io == Io::kOk ? EndReason::kClosedAfterResponse : EndReason::kWriteFailed;
   co_return io == Io::kOk && !close;
 }
 
--- a/src/proxy/connection_log.cpp
+++ b/src/proxy/connection_log.cpp
@@ -8,9 +8,9 @@
   switch (reason) {
     case EndReason::kClientClosed:
       return "client_closed";
-    case EndReason::kClientGone:
+    case EndReason::kClientDisconnected:
       return "client_gone";
-    case EndReason::kAnsweredClose:
+    case EndReason::kClosedAfterResponse:
       return "answered_close";
     case EndReason::kBadRequest:
       return "bad_request";
@@ -24,29 +24,29 @@
       return "evicted";
     case EndReason::kIdle:
       return "idle";
-    case EndReason::kPeerClosed:
+    case EndReason::kBackendClosed:
       return "peer_closed";
-    case EndReason::kPeerDrained:
+    case EndReason::kBackendDrained:
       return "peer_drained";
     case EndReason::kConnectFailed:
       return "connect_failed";
-    case EndReason::kStepCancelled:
+    case EndReason::kAttemptCancelled:
       return "step_cancelled";
-    case EndReason::kStepTimeout:
+    case EndReason::kAttemptTimeout:
       return "step_timeout";
     case EndReason::kReset:
       return "reset";
-    case EndReason::kBadReply:
+    case EndReason::kMalformedResponse:
       return "bad_reply";
     case EndReason::kDiscoveryEnded:
       return "discovery_ended";
     case EndReason::kDiscoverySilent:
       return "discovery_silent";
-    case EndReason::kDiscoveryBad:
+    case EndReason::kDiscoveryMalformed:
       return "discovery_bad";
     case EndReason::kDiscoveryMoved:
       return "discovery_moved";
-    case EndReason::kDiscoveryAnew:
+    case EndReason::kDiscoveryResync:
       return "discovery_anew";
     case EndReason::kFault:
       return "fault";
@@ -55,11 +55,11 @@
 }
 
 void log_end(const char* side, const std::string& remote, EndReason reason,
-             std::uint64_t operations) {
+             std::uint64_t requests) {
   log::info("end", {{"side", std::string_view(side)},
                     {"remote", std::string_view(remote)},
                     {"reason", std::string_view(code(reason))},
-                    {"operations", operations}});
+                    {"operations", requests}});
 }
 
 }  // namespace beechhill::proxy
--- a/src/proxy/departed_backends.h
+++ b/src/proxy/departed_backends.h
@@ -13,7 +13,7 @@
 class DepartedBackends {
  public:
   /// Ids remembered; beyond it the one that was added first is forgotten.
-  static constexpr std::size_t kMaxIds = 16 * 1024;
+  static constexpr std::size_t kMaxIds = std::size_t{16} * 1024;
 
   void add(const std::string& id) {
     if (ids_.insert(id).second) {
--- a/src/proxy/endpoint_watch_actor.cpp
+++ b/src/proxy/endpoint_watch_actor.cpp
@@ -77,7 +77,7 @@
     reconnect_for_resync_ = false;  // a new connection is what comes next
     const TimePoint started_at = Clock::now();
     Watch watch(address_, max_object_bytes_);
-    EndReason reason = EndReason::kDiscoveryBad;
+    EndReason reason = EndReason::kDiscoveryMalformed;
     try {
       reason = co_await run_watch(decisions, watch);
     } catch (const std::exception& error) {  // guards against ending by what discovery sends
@@ -85,7 +85,7 @@
     }
     log_end("discovery", net::to_string(watch.address), reason, watch.lists);
     const bool reconnect_at_once =
-        reason == EndReason::kDiscoveryMoved || reason == EndReason::kDiscoveryAnew;
+        reason == EndReason::kDiscoveryMoved || reason == EndReason::kDiscoveryResync;
     if (!reconnect_at_once && Clock::now() - started_at < kResponseHeadTimeout) {
       co_await back_off();
     }
@@ -124,7 +124,7 @@
   if (moved) {
     return EndReason::kDiscoveryMoved;
   }
-  return reconnect_for_resync_ ? std::optional(EndReason::kDiscoveryAnew) : std::nullopt;
+  return reconnect_for_resync_ ? std::optional(EndReason::kDiscoveryResync) : std::nullopt;
 }
 
 void EndpointWatchActor::report_resync_complete(DecisionMailbox& decisions) {
@@ -217,7 +217,7 @@
   // one that is broken.
   const std::optional<bool> alive = post_lists(decisions, watch);
   if (!alive || progress == http::Progress::kBad) {
-    return EndReason::kDiscoveryBad;
+    return EndReason::kDiscoveryMalformed;
   }
   if (*alive) {
     watch.silence_deadline = Clock::now() + kWatchSilenceTimeout;
@@ -233,7 +233,7 @@
     return std::nullopt;
   }
   if (progress == http::Progress::kBad || watch.head.message().status != 200) {
-    return EndReason::kDiscoveryBad;
+    return EndReason::kDiscoveryMalformed;
   }
   if (!watch.requested_snapshot) {
     watch.silence_deadline = Clock::now() + kWatchSilenceTimeout;  // nothing may have changed
--- a/src/proxy/idle_connections.cpp
+++ b/src/proxy/idle_connections.cpp
@@ -31,7 +31,7 @@
     if (!(*position)->stream->stale()) {
       return remove(position);
     }
-    close(position, EndReason::kPeerClosed);
+    close(position, EndReason::kBackendClosed);
   }
   return nullptr;
 }
@@ -55,7 +55,7 @@
   idle.stream->watch(&idle);
   // Its end may have come with the response: epoll does not report it again.
   if (idle.stream->stale()) {
-    idle.end_reason = EndReason::kPeerClosed;
+    idle.end_reason = EndReason::kBackendClosed;
     return;
   }
   idle.position_ = connections_.insert(connections_.end(), std::move(connection));
@@ -108,7 +108,7 @@
     BackendConnection& connection = *readable_.back();
     remove_readable(connection);
     if (connection.stream->stale()) {
-      close(connection.position_, EndReason::kPeerClosed);
+      close(connection.position_, EndReason::kBackendClosed);
     }
   }
   const TimePoint now = Clock::now();
--- a/src/proxy/idle_connections.h
+++ b/src/proxy/idle_connections.h
@@ -34,7 +34,7 @@
   sockaddr_in address;
   std::unique_ptr<net::Stream> stream;
   /// What is logged if nothing else is known: its attempt was cancelled.
-  EndReason end_reason = EndReason::kStepCancelled;
+  EndReason end_reason = EndReason::kAttemptCancelled;
   std::uint64_t requests = 0;
   /// The latest response began with its request's trace id.
   bool echoes_trace_ids = false;
@@ -57,7 +57,7 @@
   /// `idle_timeout`: after which a connection is closed. `settings` and `changed` outlive this.
   IdleConnections(runtime::Notifier& changed, const Settings& settings)
       : changed_(changed), settings_(settings) {}
-  ~IdleConnections() { close_all(EndReason::kPeerDrained); }
+  ~IdleConnections() { close_all(EndReason::kBackendDrained); }
   IdleConnections(const IdleConnections&) = delete;
   IdleConnections& operator=(const IdleConnections&) = delete;
 
--- a/src/proxy/open_request_ids.h
+++ b/src/proxy/open_request_ids.h
@@ -14,7 +14,7 @@
 class OpenRequestIds {
  public:
   /// Ids held; beyond it the ones that expire first are forgotten early.
-  static constexpr std::size_t kMaxIds = 32 * 1024;
+  static constexpr std::size_t kMaxIds = std::size_t{32} * 1024;
 
   /// Inserts `id` until `expiry`. False where it is a member already.
   bool insert(const std::string& id, Time now, Time expiry);
--- a/src/proxy/payload.h
+++ b/src/proxy/payload.h
@@ -23,8 +23,8 @@
   /// The part of a streamed body that follows encode(), for a single reader; null where encode()
   /// returns the whole request.
   virtual const std::shared_ptr<BodyPipe>& remaining_body() const {
-    static const std::shared_ptr<BodyPipe> none;
-    return none;
+    static const std::shared_ptr<BodyPipe> kNone;
+    return kNone;
   }
 
   /// Applies the transfer encoding to a part of the streamed body.
--- a/src/proxy/telemetry.h
+++ b/src/proxy/telemetry.h
@@ -1,4 +1,4 @@
-// The figures that operators read: plain counters on the one thread, each counted in one place.
+// The counters that operators read.
 #pragma once
 
 #include <cstddef>
@@ -10,39 +10,47 @@
 
 namespace beechhill::proxy {
 
-// How a request ended. One that is answered at the door for what is wrong with it (400, 404, 405,
-// 409, 413...) is no request of a class and is counted nowhere; one that the door refuses as its
-// queue is full is rejected like any other.
+/// How a request ended. A request that is answered for what is wrong with it (400, 404, 405, 409,
+/// 413...) belongs to no class and is not counted; one that is answered as the decision actor's
+/// mailbox is full is rejected like any other.
 enum class RequestOutcome {
   kCompleted,
   kRejected,
   kFailed,
-  kAbandoned
-};  // abandoned: its client left before the answer's end
+  /// Its client disconnected before the response's end.
+  kAbandoned,
+};
 
+/// Plain counters: all members are called on the scheduler's thread.
 class Telemetry {
  public:
+  /// Of one class.
   struct Counts {
-    std::uint64_t completed = 0, rejected = 0, failed = 0, abandoned = 0;
+    std::uint64_t completed = 0;
+    std::uint64_t rejected = 0;
+    std::uint64_t failed = 0;
+    std::uint64_t abandoned = 0;
   };
 
   explicit Telemetry(std::size_t classes) : by_class_(classes) {}
 
-  // One request, from when it was taken to its one end. It ends as abandoned where nothing else was
-  // said.
+  /// Counts one request, from when it was accepted to its one end: as abandoned, unless end() was
+  /// called before this is destroyed.
   class RequestScope {
    public:
     RequestScope(Telemetry& telemetry, ClassId class_id)
         : telemetry_(&telemetry), class_id_(class_id) {
-      ++telemetry.taken_;
+      ++telemetry.accepted_;
     }
     RequestScope(RequestScope&& other) noexcept
         : telemetry_(std::exchange(other.telemetry_, nullptr)), class_id_(other.class_id_) {}
     RequestScope& operator=(RequestScope&&) = delete;
     ~RequestScope() { end(RequestOutcome::kAbandoned); }
-    void end(RequestOutcome how) {  // the first word counts
-      if (Telemetry* t = std::exchange(telemetry_, nullptr)) {
-        t->ended(class_id_, how);
+
+    /// Only the first call counts.
+    void end(RequestOutcome outcome) {
+      if (Telemetry* telemetry = std::exchange(telemetry_, nullptr)) {
+        telemetry->count_end(class_id_, outcome);
       }
     }
 
@@ -51,25 +59,38 @@
     ClassId class_id_;
   };
 
-  void count_upstream_request() { ++upstream_requests_; }  // its last byte has gone to a backend
+  /// The last byte of a request has been written to a backend.
+  void count_upstream_request() { ++upstream_requests_; }
 
   const Counts& of(ClassId class_id) const { return by_class_[class_id]; }
-  std::uint64_t accepted_requests() const { return taken_; }
+  std::uint64_t accepted_requests() const { return accepted_; }
   std::uint64_t upstream_requests() const { return upstream_requests_; }
-  std::uint64_t pending_requests() const { return taken_ - ended_; }
+  std::uint64_t pending_requests() const { return accepted_ - ended_; }
 
  private:
-  void ended(ClassId class_id, RequestOutcome how) {
-    Counts& c = by_class_[class_id];
+  void count_end(ClassId class_id, RequestOutcome outcome) {
     ++ended_;
-    ++(how == RequestOutcome::kCompleted  ? c.completed
-       : how == RequestOutcome::kRejected ? c.rejected
-       : how == RequestOutcome::kFailed   ? c.failed
-                                          : c.abandoned);
+    Counts& counts = by_class_[class_id];
+    switch (outcome) {
+      case RequestOutcome::kCompleted:
+        ++counts.completed;
+        break;
+      case RequestOutcome::kRejected:
+        ++counts.rejected;
+        break;
+      case RequestOutcome::kFailed:
+        ++counts.failed;
+        break;
+      case RequestOutcome::kAbandoned:
+        ++counts.abandoned;
+        break;
+    }
   }
 
   std::vector<Counts> by_class_;
-  std::uint64_t taken_ = 0, ended_ = 0, upstream_requests_ = 0;
+  std::uint64_t accepted_ = 0;
+  std::uint64_t ended_ = 0;
+  std::uint64_t upstream_requests_ = 0;
 };
 
 }  // namespace beechhill::proxy
