--- a/tests/support/proxy_fixture.h
+++ b/tests/support/proxy_fixture.h
@@ -239,6 +239,7 @@
     return wire.answer().status;
   }
   pid_t pid() const { return pid_; }
+  int log_fd() const { return log_.get(); }  // its log from the line "serving" on
   void signal(int number) const { ::kill(pid_, number); }
   int exit_status() {
     int status = 0;
