--- a/tests/bodies_test.cpp
+++ b/tests/bodies_test.cpp
@@ -1,4 +1,4 @@
-// Large bodies, passed on as they come.
+// Bodies that are too large to be buffered, and are passed on as they arrive.
 #include <gtest/gtest.h>
 
 #include <cstring>
@@ -50,13 +50,14 @@
   });
 }
 
-struct Got {
+struct LargeMessage {
   http::Message message;
-  bool whole = false;
+  bool complete = false;
 };
-Got read_large(Wire& wire, http::Parser::Kind kind) {
+
+LargeMessage read_large(Wire& wire, http::Parser::Kind kind) {
   http::Parser parser(kind);
-  Got got;
+  LargeMessage received;
   std::string body;
   http::Progress progress = http::Progress::kMore;
   for (bool open = true; progress == http::Progress::kMore;) {
@@ -76,41 +77,44 @@
       open = wire.fill();
     }
   }
-  got.whole = progress == http::Progress::kDone;
-  got.message = parser.message();
-  got.message.body = std::move(body);
-  return got;
+  received.complete = progress == http::Progress::kDone;
+  received.message = parser.message();
+  received.message.body = std::move(body);
+  return received;
 }
 
-// Both ways, in each framing, twice on the client's connection where that may stay.
+// In each framing, twice on the client's connection where that may stay open.
 TEST(Bodies, StreamsLargeBodiesBothWays) {
   const Door backend;
   const Proxy proxy(one_host(backend));
-  const std::string up = pattern(700'000, "up"), down = pattern(900'000, "a1");
+  const std::string request_body = pattern(700'000, "up");
+  const std::string response_body = pattern(900'000, "a1");
   for (int framing = 0; framing < 3; ++framing) {
     Wire client = proxy.client();
     for (int n = 0; n < 2; ++n) {
       const std::string id = "a" + std::to_string(framing) + std::to_string(n);
-      std::thread sending = sender(client, framing == 0 ? post_head(id, length(up.size())) + up
-                                                        : post_head(id, kChunked) + chunked(up));
+      std::thread sending =
+          sender(client, framing == 0 ? post_head(id, length(request_body.size())) + request_body
+                                      : post_head(id, kChunked) + chunked(request_body));
       Wire server = backend.accept();
-      const Got request = read_large(server, http::Parser::Kind::kRequest);
+      const LargeMessage request = read_large(server, http::Parser::Kind::kRequest);
       sending.join();
-      ASSERT_TRUE(request.whole);
-      ASSERT_EQ(request.message.body, up);
+      ASSERT_TRUE(request.complete);
+      ASSERT_TRUE(request.message.body == request_body);
       ASSERT_EQ(*request.message.headers.find("X-Trace-Id"), id);
       const std::string head = "HTTP/1.1 200 OK\r\nConnection: close\r\n";
       std::thread answering =
-          sender(server, framing == 0   ? head + length(down.size()) + "\r\n" + down
-                         : framing == 1 ? head + kChunked + "\r\n" + chunked(down)
-                                        : head + "\r\n" + down);
+          sender(server, framing == 0 ? head + length(response_body.size()) + "\r\n" + response_body
+                         : framing == 1 ? head + kChunked + "\r\n" + chunked(response_body)
+                                        : head + "\r\n" + response_body);
       if (framing == 2) {
-        answering.join(), ::shutdown(server.fd(), SHUT_WR);  // its end is the body's
+        answering.join();
+        ::shutdown(server.fd(), SHUT_WR);  // the connection's end is the body's
       }
-      const Got answer = read_large(client, http::Parser::Kind::kResponse);
-      ASSERT_TRUE(answer.whole);
+      const LargeMessage answer = read_large(client, http::Parser::Kind::kResponse);
+      ASSERT_TRUE(answer.complete);
       ASSERT_EQ(answer.message.status, 200);
-      ASSERT_EQ(answer.message.body, down);
+      ASSERT_TRUE(answer.message.body == response_body);
       if (answering.joinable()) {
         answering.join();
       }
@@ -118,14 +122,15 @@
   }
 }
 
-// Who writes slowly is waited for, beyond what a head may take; who stops is told so. 100-continue
-// is honoured.
+// A slow upload may take longer than a head; one that stalls gets 408. 100-continue is honoured.
 TEST(Bodies, WaitsForSlowUploadAndTimesOutStalledOne) {
   const Door backend;
   const Proxy proxy(one_host(backend));
-  Wire slow = proxy.client(), stopped = proxy.client(), other = proxy.client();
+  Wire slow = proxy.client();
+  Wire stalled = proxy.client();
+  Wire other = proxy.client();
   const std::string body = pattern(200'000, "s1");
-  stopped.send(post_head("s2", length(body.size())) + body.substr(0, 100'000));
+  stalled.send(post_head("s2", length(body.size())) + body.substr(0, 100'000));
   other.send(post_head("s3", length(4) + "Expect: 200-ok\r\n"));
   expect_status(other, 400);
   slow.send(post_head("s1", length(body.size()) + "Expect: 100-continue\r\n"));
@@ -136,25 +141,27 @@
   slow.buffer.clear();
   std::thread writing([&] {
     for (std::size_t at = 0; at < body.size(); at += 6'000) {
-      slow.send(body.substr(at, 6'000)), ::usleep(100'000);
+      slow.send(body.substr(at, 6'000));
+      ::usleep(100'000);
     }
   });
-  int whole = 0;
-  const auto play = [&](Wire server) {
-    const Got got = read_large(server, http::Parser::Kind::kRequest);
-    if (!got.whole) {
+  int complete = 0;
+  const auto serve = [&](Wire server) {
+    const LargeMessage received = read_large(server, http::Parser::Kind::kRequest);
+    if (!received.complete) {
       return;
     }
-    ASSERT_EQ(got.message.body, body);
-    ASSERT_EQ(++whole, 1);
+    ASSERT_TRUE(received.message.body == body);
+    ASSERT_EQ(++complete, 1);
     server.reply(200, "", "s1");
   };
-  std::thread one(play, backend.accept()), two(play, backend.accept());
+  std::thread first(serve, backend.accept());
+  std::thread second(serve, backend.accept());
   ASSERT_EQ(slow.answer().body, "s1");
-  for (std::thread* thread : {&writing, &one, &two}) {
+  for (std::thread* thread : {&writing, &first, &second}) {
     thread->join();
   }
-  expect_status(stopped, 408);
+  expect_status(stalled, 408);
 }
 
 long peak_kb(pid_t pid) {
@@ -167,8 +174,7 @@
   return -1;
 }
 
-// Many large answers at once to clients that do not read: what is on its way is bounded, whatever
-// its size.
+// Many large responses at once to clients that do not read.
 TEST(Bodies, BoundsMemoryForSlowReaders) {
   constexpr int kClients = 24;
   constexpr std::size_t kSize = 8'000'000;
@@ -176,8 +182,9 @@
   ::setenv("ASAN_OPTIONS", "quarantine_size_mb=1", 1);
   const Proxy proxy(one_host(backend));
   const long before = peak_kb(proxy.pid());
-  const std::string down = pattern(kSize, "x");
-  std::vector<Wire> clients, servers;
+  const std::string body = pattern(kSize, "x");
+  std::vector<Wire> clients;
+  std::vector<Wire> servers;
   std::vector<std::thread> answering;
   for (int n = 0; n < kClients; ++n) {
     clients.push_back(proxy.client());
@@ -185,11 +192,11 @@
     servers.push_back(backend.accept());
     servers.back().request();
     answering.push_back(
-        sender(servers.back(), "HTTP/1.1 200 OK\r\n" + length(kSize) + "\r\n" + down));
+        sender(servers.back(), "HTTP/1.1 200 OK\r\n" + length(kSize) + "\r\n" + body));
   }
-  ::usleep(1'000'000);  // as much is under way as will be
+  ::usleep(1'000'000);  // as much is in flight as will be
   for (Wire& client : clients) {
-    ASSERT_EQ(read_large(client, http::Parser::Kind::kResponse).message.body, down);
+    ASSERT_TRUE(read_large(client, http::Parser::Kind::kResponse).message.body == body);
   }
   for (std::thread& thread : answering) {
     thread.join();
@@ -197,7 +204,7 @@
   ASSERT_LT(peak_kb(proxy.pid()) - before, 64 * 1024);  // of 192 MB that passed
 }
 
-// An answer that its backend does not finish ends so that the client can tell, in either framing.
+// In either framing the client can tell that the body is incomplete.
 TEST(Bodies, CutsClientResponseWhenBackendBreaksOff) {
   const Door backend;
   const Proxy proxy(one_host(backend));
@@ -211,42 +218,42 @@
       server.send("HTTP/1.1 200 OK\r\n" + (stated ? length(500'000) + "\r\n" + part
                                                   : kChunked + "\r\n" + http::write_chunk(part)));
     }
-    const Got got = read_large(client, http::Parser::Kind::kResponse);
-    ASSERT_FALSE(got.whole);
-    ASSERT_EQ(got.message.status, 200);
-    ASSERT_LE(got.message.body.size(), 150'000u);
+    const LargeMessage received = read_large(client, http::Parser::Kind::kResponse);
+    ASSERT_FALSE(received.complete);
+    ASSERT_EQ(received.message.status, 200);
+    ASSERT_LE(received.message.body.size(), 150'000u);
   }
   ASSERT_NE(proxy.call("GET", "/api/telemetry").body.find("\"failed\":{\"ajuste\":0,\"ver\":2}"),
             std::string::npos);
 }
 
-// A client that leaves amid a large body or answer takes its attempt with it.
 TEST(Bodies, CancelsStreamsWhenClientDisconnects) {
   const Door backend;
   const Proxy proxy(one_host(backend));
   auto client = std::make_unique<Wire>(proxy.client());
   client->send(post_head("l1", length(5'000'000)) + std::string(100'000, 'x'));
-  Wire up = backend.accept();
-  ASSERT_TRUE(up.fill());
+  Wire upload = backend.accept();
+  ASSERT_TRUE(upload.fill());
   client.reset();
-  ASSERT_FALSE(read_large(up, http::Parser::Kind::kRequest).whole);
+  ASSERT_FALSE(read_large(upload, http::Parser::Kind::kRequest).complete);
   client = std::make_unique<Wire>(proxy.client());
   client->send(Proxy::get("l2"));
-  Wire down = backend.accept();
-  down.request();
+  Wire download = backend.accept();
+  download.request();
   std::thread answering = sender(
-      down, "HTTP/1.1 200 OK\r\n" + length(30'000'000) + "\r\n" + std::string(30'000'000, 'x'));
+      download, "HTTP/1.1 200 OK\r\n" + length(30'000'000) + "\r\n" + std::string(30'000'000, 'x'));
   ASSERT_TRUE(client->fill());
   client.reset();
-  answering.join();  // it could not write all of it, or could and was closed on
-  ASSERT_FALSE(down.fill());
+  answering.join();  // written or not: its connection is closed
+  ASSERT_FALSE(download.fill());
   ASSERT_NE(proxy.call("GET", "/api/telemetry").body.find("\"pending\":0"), std::string::npos);
 }
 
-// What has gone out in part is not kept: it goes to no other backend, and its client hears that
-// nothing has run.
+// It was not buffered, so no other backend can get it; it was not executed, so the client may
+// retry.
 TEST(Bodies, RejectsPartlySentRequest) {
-  const Door first, second;
+  const Door first;
+  const Door second;
   Proxy proxy("[" + host_json("s-1", first.address()) + "," + host_json("s-2", second.address()) +
               "]");
   Wire client = proxy.client();
@@ -257,7 +264,7 @@
     while (server.buffer.size() < 150'000) {
       ASSERT_TRUE(server.fill());
     }
-  }  // breaks before the last byte: it has not run
+  }  // closes before the last byte: not executed
   const http::Message answer = client.answer();
   ASSERT_EQ(answer.status, 503);
   ASSERT_TRUE(answer.headers.find("Retry-After"));
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -1,4 +1,4 @@
-// Two events that meet, forced by order: what docs/design/crossings.md says of each.
+// Pairs of events that meet, in a forced order: see docs/design/crossings.md.
 #include "support/proxy_fixture.h"
 #include "support/proxy_test_util.h"
 
@@ -9,31 +9,31 @@
 
 class CrossingsOneBackend : public OneBackendTest {};
 
-// A client sends much more than it may have out, and goes: its request's attempt ends, though
-// nobody reads up to its end.
+// A client pipelines more than is buffered and disconnects: its request's attempt is cancelled,
+// though nobody reads up to the end.
 TEST(Crossings, NoticesDisconnectBehindUnreadBytes) {
   const Door backend;
   const Proxy proxy(one_host(backend));
-  std::vector<Wire> held;
+  std::vector<Wire> servers;
   const auto sent = Clock::now();
   {
     Wire client = proxy.client();
     client.send(Proxy::get("a1"));
-    held.push_back(backend.accept());
-    held[0].request();
+    servers.push_back(backend.accept());
+    servers[0].request();
     std::string early;
     for (int i = 0; early.size() < 110'000; ++i) {
       early += Proxy::get("b" + std::to_string(i));
     }
     client.send(early);
   }
-  ASSERT_FALSE(held[0].fill());
+  ASSERT_FALSE(servers[0].fill());
   ASSERT_LT(Clock::now() - sent, 2s);  // its deadline would be after 3 s
   ASSERT_FALSE(backend.pending(50ms));
 }
 
-// A gap in which discovery said nothing is over as soon as the watch has been read to its end, also
-// on the first watch, which asked for the whole list.
+// The resync is complete as soon as the watch has been read to its end, also on the first watch,
+// which requested the complete list.
 TEST(Crossings, ResyncsAfterGapWithoutUpdates) {
   const Door backend;
   Proxy proxy(one_host(backend));
@@ -43,18 +43,16 @@
   Wire client = proxy.client();
   Wire server = exchange(client, backend, Proxy::get("a1"), "1");
   ASSERT_NE(proxy.call("GET", "/api/telemetry").body.find("full"),
-            std::string::npos);  // not on what it held before
+            std::string::npos);  // resynced, and not at the resync's deadline
 }
 
-// All that discovery's agent holds counts as told at a process's start, and another may count its
-// versions otherwise.
+// Discovery may hold a newer list than the cached one, and may count its versions otherwise.
 TEST(Crossings, RequestsCompleteListAtStart) {
   const Proxy proxy("", "[" + host_json("s-1", "127.0.0.1:9") + "]");
   ASSERT_TRUE(proxy.first_call().ends_with("from=0"));
 }
 
-// A list indented over several lines, with an empty one within and what looks like a line's end in
-// a name, is a list.
+// Over several lines, with an empty one within, and a name that looks like the object's end.
 TEST(Crossings, ReadsIndentedEndpointList) {
   const Door backend;
   Proxy proxy("[]");
@@ -64,33 +62,32 @@
   Wire server = exchange(client, backend, Proxy::get("a1"), "");
 }
 
-// Bytes that complete nothing show no life: a list's beginning, and then a byte now and then.
+// A list's beginning, and then a byte now and then.
 TEST(Crossings, LeavesWatchThatCompletesNothing) {
   Proxy proxy("[]");
   proxy.chunk("{\"seq\":5,\"whole\":true,\"hosts\":[");
-  for (int i = 0; i < 40 && !proxy.calls();
-       ++i) {  // 4 s, in which a whole line would have had to come
+  // 4 s, in which a complete line would have had to come.
+  for (int i = 0; i < 40 && !proxy.calls(); ++i) {
     proxy.chunk(" ");
     ::usleep(100'000);
   }
   ASSERT_TRUE(proxy.calls());
 }
 
-// Junk ends a watch at its first byte, though no line ends, and a list cut within a word at its
-// line's end.
+// At the first malformed byte, though no line ends; a list cut within a string at its line's end.
 TEST(Crossings, LeavesMalformedWatchAtOnce) {
   Proxy proxy("[]");
-  const auto began = Clock::now();
-  for (const char* junk : {"xxxx", "{\"seq\":5,\"who\n", "]"}) {
-    proxy.chunk(junk);
+  const auto started_at = Clock::now();
+  for (const char* malformed : {"xxxx", "{\"seq\":5,\"who\n", "]"}) {
+    proxy.chunk(malformed);
     proxy.watch_again();
   }
-  ASSERT_LT(Clock::now() - began, 2s);  // a silent one is left after 2.5 s
+  ASSERT_LT(Clock::now() - started_at, 2s);  // a silent one is left after 2.5 s
 }
 
-// A call that is accepted and never answered is one of several within what a silence may take; the
-// list of the first that is answered is taken, and whoever waits for it gets a backend. Only a gap
-// that the log shows changes what is asked for and when.
+// A connection that is accepted and never answered is one of several within the silence timeout.
+// The first list that arrives serves the requests that wait for it. Only a gap that the log shows
+// changes what is requested and when.
 TEST(Crossings, ReconnectsWhenDiscoveryDoesNotAnswer) {
   const Door backend;
   Proxy proxy("[]");
@@ -98,14 +95,14 @@
   // to its end, so that the start's resync is over.
   ASSERT_EQ(proxy.ready(), 200);
   proxy.list("[]");
-  proxy.say("0\r\n\r\n");  // ends it
-  const auto began = Clock::now();
+  proxy.say("0\r\n\r\n");  // ends the watch
+  const auto started_at = Clock::now();
   for (int i = 0; i < 3; ++i) {
     proxy.leave_mute();
   }
   const std::string target = proxy.watch_again();
-  const auto took = Clock::now() - began;
-  // A process that was starved of its core, and says so, asks for the whole list, and later.
+  const auto took = Clock::now() - started_at;
+  // A process that was starved of its core, and logs that, requests the complete list, and later.
   LogReader log(proxy);
   const bool from_held_version = target.ends_with("from=3");
   ASSERT_TRUE(from_held_version || (target.ends_with("from=0") && log.wait_for_gap(5s) > 0ms))
@@ -137,8 +134,7 @@
   ASSERT_TRUE(target.ends_with("from=0")) << target;
 }
 
-// SIGTERM, and until the last moment in which the machine accepts connections come that nobody has
-// taken: each is answered.
+// SIGTERM: connections that the machine accepts until the listener closes are all answered.
 TEST(Crossings, AnswersBacklogAtShutdown) {
   const Door backend;
   Proxy proxy("[]");
@@ -161,8 +157,7 @@
   ASSERT_EQ(proxy.exit_status(), 0);
 }
 
-// The next request has been read already when its connection's last answer goes out: it is answered
-// too, and first.
+// The next request has been read already when its connection would get its last response.
 TEST(Crossings, AnswersPipelinedRequestAtShutdown) {
   const Door backend;
   Proxy proxy(one_host(backend));
@@ -182,8 +177,8 @@
   }
 }
 
-// A request that comes on a connection whose last answer has gone out is left unread, so that its
-// client can tell: the connection is reset, and never ended in order over it.
+// A request that arrives after its connection's last response is left unread, so that its client
+// can tell: the connection is reset, and never closed in order.
 TEST(Crossings, ResetsConnectionOverUnansweredRequest) {
   const Door backend;
   Proxy proxy(one_host(backend));
@@ -200,7 +195,7 @@
   client.send(Proxy::get("a2"));
   char byte = 0;
   ASSERT_TRUE(client.readable(kPatience));
-  ASSERT_EQ(::recv(client.fd(), &byte, 1, 0), 0);  // it has ended its sending
+  ASSERT_EQ(::recv(client.fd(), &byte, 1, 0), 0);  // the proxy has closed its sending side
   const auto end = Clock::now() + kPatience;
   int error = 0;
   socklen_t size = sizeof error;
@@ -210,11 +205,10 @@
     ::getsockopt(client.fd(), SOL_SOCKET, SO_ERROR, &error, &size);
   }
   ASSERT_TRUE(error == ECONNRESET || error == EPIPE);
-  ASSERT_TRUE(!server.readable(0ms) || !server.fill());  // and nothing of it was sent on
+  ASSERT_TRUE(!server.readable(0ms) || !server.fill());  // and nothing of it was forwarded
 }
 
-// What a backend says on a resting connection, half a line or a second answer, is nobody's answer:
-// the next request goes on another connection.
+// Half a line or a second response: the next request goes on another connection.
 TEST(Crossings, DropsIdleConnectionThatBackendWritesTo) {
   for (const std::string& late :
        {std::string("HTTP/1.1 2"), http::write_response(200, "", "second", false)}) {
@@ -223,12 +217,12 @@
     Wire client = proxy.client();
     Wire server = exchange(client, backend, Proxy::get("a1"), "first");
     server.send(late);
-    ASSERT_FALSE(server.fill());  // it has been left, and so been seen
+    ASSERT_FALSE(server.fill());  // the proxy has closed it, and so has seen it
     Wire other = exchange(client, backend, Proxy::get("a2"), "second's own");
   }
 }
 
-// An answer without a length that is reset has not ended, however much of it came.
+// A response without a length that is reset is incomplete, however much of it came.
 TEST_F(CrossingsOneBackend, TreatsResetAsFailedResponse) {
   client.send(Proxy::post("a1", "x"));
   {
@@ -239,12 +233,12 @@
     const linger reset{1, 0};
     ::setsockopt(server.fd(), SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
   }
-  expect_status(client, 502);  // it may have run
+  expect_status(client, 502);  // it may have been executed
   ASSERT_FALSE(backend.pending(0ms));
 }
 
-// Idle clients hold every descriptor of theirs while discovery is gone: the watch is opened again,
-// its list taken, and a new client gets its answer from a backend.
+// While discovery is gone: the watch is opened again, its list applied, and a new client gets a
+// backend's response.
 TEST(Crossings, ServesWhileIdleClientsHoldAllDescriptors) {
   const Door backend;
   Proxy proxy("[]");
@@ -262,10 +256,11 @@
   Wire server = exchange(client, backend, Proxy::get("a1"), "1");
 }
 
-// The end meets a faulty configuration, a move of discovery that is gone, and the order to end once
-// more: what runs is answered, and the program ends as ordered.
+// A faulty configuration, a move of discovery while it is gone, and a second signal: what is in
+// flight is answered, and the program exits in order.
 TEST(Crossings, HandlesReloadDuringShutdown) {
-  const Door backend, elsewhere;
+  const Door backend;
+  const Door elsewhere;
   Proxy proxy(one_host(backend));
   Wire client = proxy.client();
   client.send(Proxy::get("a1"));
--- a/tests/proxy_rules.cpp
+++ b/tests/proxy_rules.cpp
@@ -19,21 +19,20 @@
       .count();
 }
 
-// What a client asked reaches a backend unchanged, and so does the body on its way back; twice on
-// one connection.
+// Twice on one connection.
 TEST_F(ProxyRulesOneBackend, ForwardsRequestAndResponseUnchanged) {
   client.send(Proxy::post("a1", "body"));
   Wire server = backend.accept();
-  const http::Message got = server.request();
-  ASSERT_EQ(got.method, "POST");
-  ASSERT_EQ(got.target, "/ajuste");
-  ASSERT_EQ(got.body, "body");
-  ASSERT_EQ(*got.headers.find("X-Trace-Id"), "a1");
-  ASSERT_EQ(*got.headers.find("Idempotency-Key"), "ka1");
-  const auto left = http::whole_number(*got.headers.find("X-Expires-In-Ms"));
-  ASSERT_TRUE(left);
-  ASSERT_GT(*left, 0);
-  ASSERT_LE(*left, 2000);
+  const http::Message forwarded = server.request();
+  ASSERT_EQ(forwarded.method, "POST");
+  ASSERT_EQ(forwarded.target, "/ajuste");
+  ASSERT_EQ(forwarded.body, "body");
+  ASSERT_EQ(*forwarded.headers.find("X-Trace-Id"), "a1");
+  ASSERT_EQ(*forwarded.headers.find("Idempotency-Key"), "ka1");
+  const auto expires_in_ms = http::whole_number(*forwarded.headers.find("X-Expires-In-Ms"));
+  ASSERT_TRUE(expires_in_ms);
+  ASSERT_GT(*expires_in_ms, 0);
+  ASSERT_LE(*expires_in_ms, 2000);
   server.reply(200, "Content-Type: text/x\r\n", "answer");
   const http::Message answer = client.answer();
   ASSERT_EQ(answer.status, 200);
@@ -45,20 +44,17 @@
   ASSERT_EQ(client.answer().body, "more");
 }
 
-// Rule 1: a request is answered even where a backend never does, and no later than its deadline and
-// the slack.
+// Rule 1: at its deadline, plus the slack, at the latest.
 TEST_F(ProxyRulesOneBackend, AnswersRequestThatBackendNeverAnswers) {
   client.send(Proxy::get("a1", 200));
   Wire server = backend.accept();
   server.request();
   const int status = client.answer().status;
   ASSERT_TRUE(status == 503 || status == 502);
-  ASSERT_FALSE(
-      server.fill());  // the step's connection is closed: that is how a backend hears of it
+  ASSERT_FALSE(server.fill());  // closed: HTTP/1.1 has no other way to cancel
 }
 
-// Rule 2: a request that may have run is not sent again on the network's own account, nor called
-// refused.
+// Rule 2: nor is it rejected, which would invite a retry.
 TEST(ProxyRules, NeverRepeatsRequestThatMayHaveRun) {
   for (const bool answered : {false, true}) {
     const Door backend;
@@ -69,31 +65,32 @@
       Wire server = backend.accept();
       server.request();
       if (answered) {
-        server.reply(503, "", "");  // without the mark: it may have run
+        server.reply(503, "", "");  // without X-Never-Ran: it may have been executed
       }
-    }  // breaks after the whole request
+    }  // closes after the complete request
     expect_status(client, 502);
     ASSERT_FALSE(backend.pending(0ms));
   }
 }
 
-// Only the mark makes 503 a "full", which frees the request for another backend or a refusal.
+// Only X-Never-Ran proves that a request was not executed, and so may be retried or rejected.
 TEST_F(ProxyRulesOneBackend, RejectsWithRetryAfterWhenBackendIsMarkedFull) {
   client.send(Proxy::post("a1", "x", 250));
   Wire server = backend.accept();
   server.request();
   server.reply(503, "X-Never-Ran: 1\r\n", "");
   const http::Message answer = client.answer();
-  const double advice =
-      std::stod(*answer.headers.find("Retry-After"));  // about a fifth of what clients honour
+  // About a fifth of the longest that clients honour.
+  const double retry_after_s = std::stod(*answer.headers.find("Retry-After"));
   ASSERT_EQ(answer.status, 503);
-  ASSERT_GE(advice, 0.15);
-  ASSERT_LE(advice, 0.45);
+  ASSERT_GE(retry_after_s, 0.15);
+  ASSERT_LE(retry_after_s, 0.45);
 }
 
-// Rule 3: nothing goes to a backend that drains, and its idle connection closes.
+// Rule 3. Its idle connection is closed, too.
 TEST(ProxyRules, SendsNothingToDrainingBackend) {
-  const Door first, second;
+  const Door first;
+  const Door second;
   Proxy proxy("[" + host_json("s-1", first.address()) + "]");
   Wire client = proxy.client();
   Wire server = exchange(client, first, Proxy::get("a1"), "1");
@@ -111,9 +108,10 @@
   ASSERT_FALSE(first.pending(0ms));
 }
 
-// Rule 4: a backend that has just started gets far less than a warm one beside it.
+// Rule 4.
 TEST(ProxyRules, SendsLessToBackendInSlowStart) {
-  const Door warm, cold;
+  const Door warm;
+  const Door cold;
   const Proxy proxy("[" + host_json("s-1", warm.address()) + "," +
                     host_json("s-2", cold.address(), "in_service", unix_ms()) + "]");
   std::vector<Wire> clients;
@@ -121,7 +119,8 @@
     clients.push_back(proxy.client());
     clients.back().send(Proxy::get("a" + std::to_string(i)));
   }
-  int at_warm = 0, at_cold = 0;
+  int at_warm = 0;
+  int at_cold = 0;
   std::vector<Wire> servers;
   while (at_warm + at_cold < 24) {
     ASSERT_TRUE(warm.pending(0ms) || cold.pending(0ms) || warm.pending(kPatience));
@@ -132,21 +131,19 @@
   ASSERT_LT(at_cold * 4, at_warm);
 }
 
-// A client that leaves ends its operation: its attempt's connection closes.
 TEST(ProxyRules, ClosesAttemptWhenClientDisconnects) {
   const Door backend;
   const Proxy proxy(one_host(backend));
-  std::vector<Wire> held;
+  std::vector<Wire> servers;
   {
     Wire client = proxy.client();
     client.send(Proxy::get("a1"));
-    held.push_back(backend.accept());
-    held[0].request();
+    servers.push_back(backend.accept());
+    servers[0].request();
   }
-  ASSERT_FALSE(held[0].fill());
+  ASSERT_FALSE(servers[0].fill());
 }
 
-// The next request may come early; it is answered in its turn.
 TEST_F(ProxyRulesOneBackend, AnswersPipelinedRequestsInOrder) {
   client.send(Proxy::get("a1") + Proxy::get("a2"));
   Wire server = backend.accept();
@@ -158,7 +155,7 @@
   }
 }
 
-// What cannot be understood is answered and the connection closed; the proxy goes on.
+// Each is answered and its connection closed; the proxy goes on.
 TEST(ProxyRules, RejectsMalformedRequests) {
   const Door backend;
   const Proxy proxy(one_host(backend));
@@ -201,8 +198,8 @@
   ASSERT_EQ(proxy.ready(), 200);
 }
 
-// Whoever says nothing, or half of it, hears of it soon; a silent crowd larger than the descriptors
-// does not keep a new client waiting.
+// Also one that stops amid its request; and a crowd of silent clients that is larger than the
+// descriptors does not keep a new client waiting.
 TEST(ProxyRules, TimesOutSilentClients) {
   const Door backend;
   const Proxy proxy(one_host(backend));
@@ -221,16 +218,16 @@
   }
 }
 
-// Clients that ask once and stay for good make room for new ones, also while silent ones keep
-// coming.
+// Also while silent clients keep connecting.
 TEST(ProxyRules, EvictsIdleClientsForNewOnes) {
   const Door backend;
   const Proxy proxy(one_host(backend));
-  std::vector<Wire> kept, silent;
+  std::vector<Wire> idle;
+  std::vector<Wire> silent;
   for (int i = 0; i < 110; ++i) {
-    kept.push_back(proxy.client());
-    kept.back().send("GET /health/ready HTTP/1.1\r\n\r\n");
-    expect_status(kept.back(), 200);
+    idle.push_back(proxy.client());
+    idle.back().send("GET /health/ready HTTP/1.1\r\n\r\n");
+    expect_status(idle.back(), 200);
   }
   ::usleep(300'000);  // past the age up to which they are spared
   for (int i = 0; i < 60; ++i) {
@@ -239,16 +236,17 @@
   Wire usual = proxy.client();
   usual.send("GET /health/ready HTTP/1.1\r\n\r\n");
   expect_status(usual, 200);
-  const auto closed =
-      std::count_if(kept.begin(), kept.end(), [](const Wire& w) { return w.readable(0ms); });
+  const auto closed = std::count_if(idle.begin(), idle.end(),
+                                    [](const Wire& client) { return client.readable(0ms); });
   ASSERT_GE(closed, 10);
 }
 
-// The id of an open request is refused, and the first request goes on.
+// The first request goes on.
 TEST(ProxyRules, RejectsTraceIdOfOpenRequest) {
   const Door backend;
   const Proxy proxy(one_host(backend));
-  Wire client = proxy.client(), other = proxy.client();
+  Wire client = proxy.client();
+  Wire other = proxy.client();
   client.send(Proxy::get("a1"));
   Wire server = backend.accept();
   server.request();
@@ -259,7 +257,7 @@
   ASSERT_FALSE(backend.pending(0ms));
 }
 
-// What follows a request and is no request shows that its length was wrong, also where it comes
+// Bytes that begin no request show that the length before them was wrong, also where they come
 // late.
 TEST_F(ProxyRulesOneBackend, RejectsRequestFollowedByGarbage) {
   client.send(Proxy::post("a1", "x"));
@@ -270,7 +268,7 @@
   ASSERT_FALSE(server.fill());
 }
 
-// A backend's nonsense is a failure of that step alone.
+// The attempt alone fails.
 TEST(ProxyRules, AnswersBadGatewayToMalformedResponses) {
   const Door backend;
   const Proxy proxy(one_host(backend));
@@ -293,7 +291,7 @@
   ASSERT_EQ(proxy.ready(), 200);
 }
 
-// An answer that stops before its stated end is given up long before its request's time is.
+// Long before the request's deadline.
 TEST_F(ProxyRulesOneBackend, GivesUpResponseThatStallsBeforeItsEnd) {
   const auto sent = Clock::now();
   client.send(Proxy::get("a1", 3000));
@@ -305,8 +303,7 @@
   ASSERT_LT(Clock::now() - sent, 2500ms);
 }
 
-// What was left over from one answer is not served as the next, and its connection is not used
-// again.
+// The connection is not used again.
 TEST_F(ProxyRulesOneBackend, RejectsLeftoverOfEarlierResponse) {
   Wire server = exchange(client, backend, Proxy::post("a1", "x"), "a1 first");
   client.send(Proxy::post("a2", "x"));
@@ -316,13 +313,12 @@
   ASSERT_FALSE(server.fill());
 }
 
-// Bad words from discovery end the watch; the proxy comes back for the list and uses it.
 TEST(ProxyRules, ReconnectsAfterMalformedEndpointList) {
   const Door backend;
   Proxy proxy("[]");
-  for (const std::string bad :
+  for (const std::string malformed :
        {"{\n", "[1]\n", "{\"seq\":9,\"whole\":true,\"hosts\":[{\"host\":3}]}\n"}) {
-    proxy.chunk(bad);
+    proxy.chunk(malformed);
     proxy.watch_again();
   }
   proxy.list(one_host(backend));
@@ -330,23 +326,26 @@
   Wire server = exchange(client, backend, Proxy::get("a1", 3000), "");
 }
 
-// A watch that says nothing, not even empty lines, is opened anew.
+// A watch that sends nothing, not even empty lines, is opened again.
 TEST(ProxyRules, ReconnectsToSilentDiscovery) {
   Proxy proxy("[]");
   proxy.watch_again();
   ASSERT_EQ(proxy.ready(), 200);
 }
 
-// SIGHUP: a faulty file changes nothing; a good one moves the watch at once, to the whole list as
-// another discovery may count its versions otherwise, and a planned end goes on working after it.
+// SIGHUP: a faulty file changes nothing. A good one moves the watch at once, and requests the
+// complete list, as another discovery may count its versions otherwise. A shutdown still works
+// after it.
 TEST(ProxyRules, MovesWatchOnReload) {
-  const Door first, second, elsewhere;
+  const Door first;
+  const Door second;
+  const Door elsewhere;
   Proxy proxy(one_host(first));
   proxy.reconfigure("nowhere");
   Wire client = proxy.client();
   Wire server = exchange(client, first, Proxy::get("a1"), "1");
   proxy.list("[" + host_json("s-1", first.address(), "terminating") + "]", false);
-  ASSERT_FALSE(server.fill());  // told
+  ASSERT_FALSE(server.fill());  // the change has arrived
   proxy.reconfigure(elsewhere.address());
   ASSERT_TRUE(proxy.watch_again(elsewhere).ends_with("from=0"));
   proxy.list("[" + host_json("s-2", second.address()) + "]", false);
@@ -356,28 +355,28 @@
   ASSERT_EQ(proxy.exit_status(), 0);
 }
 
-// A new backend at the address of one that is gone shares nothing with it, connections neither.
+// A new backend at the address of a removed one.
 TEST_F(ProxyRulesOneBackend, SharesNoConnectionsAtReusedAddress) {
-  Wire former = exchange(client, backend, Proxy::get("a1"), "");
+  Wire previous = exchange(client, backend, Proxy::get("a1"), "");
   proxy.list("[" + host_json("s-1", backend.address(), "terminated") + "," +
                  host_json("s-2", backend.address()) + "]",
              false);
-  ASSERT_FALSE(former.fill());
+  ASSERT_FALSE(previous.fill());
   Wire server = exchange(client, backend, Proxy::get("a2"), "new");
 }
 
-// A backend that moves, or is started anew, while a call to it is out: its old connections serve no
-// other call.
+// While a request to it is in flight: its old connections carry no other request.
 TEST(ProxyRules, DropsConnectionsOfRestartedOrMovedBackend) {
   for (const bool moves : {true, false}) {
-    const Door first, second;
+    const Door first;
+    const Door second;
     Proxy proxy(one_host(first));
     Wire client = proxy.client();
     client.send(Proxy::get("a1"));
-    Wire former = first.accept();
-    former.request();
-    if (!moves) {  // its connection is idle when the start is told
-      former.reply(200, "", "1");
+    Wire previous = first.accept();
+    previous.request();
+    if (!moves) {  // its connection is idle when the restart becomes known
+      previous.reply(200, "", "1");
       expect_status(client, 200);
     }
     proxy.list("[" +
@@ -385,22 +384,22 @@
                              moves ? 0 : unix_ms() - 60'000) +
                    "]",
                false);
-    if (moves) {  // it is still out
+    if (moves) {  // the request is still in flight
       Wire other = proxy.client();
       other.send(Proxy::get("a2"));
       Wire server = second.accept();
-      server.request();  // so the list is known
+      server.request();  // so the list has arrived
       server.reply(200, "Connection: close\r\n", "2");
       expect_status(other, 200);
-      former.reply(200, "", "1");
+      previous.reply(200, "", "1");
       expect_status(client, 200);
     }
-    ASSERT_FALSE(former.fill());
+    ASSERT_FALSE(previous.fill());
     Wire server = exchange(client, (moves ? second : first), Proxy::get("a3"), "3");
   }
 }
 
-// A list of many thousands of backends, in one line, is a list like any other.
+// Thousands of backends on one line.
 TEST(ProxyRules, AcceptsLongEndpointList) {
   const Door backend;
   Proxy proxy("[]");
@@ -412,8 +411,8 @@
   Wire client = proxy.client();
   client.send(Proxy::get("a1"));
   const auto end = Clock::now() + kPatience;
-  for (int i = 2; !backend.pending(10ms);
-       ++i) {  // on a busy machine the list takes longer than a request is held for it
+  // On a busy machine the list takes longer than a request is queued for it.
+  for (int i = 2; !backend.pending(10ms); ++i) {
     ASSERT_LT(Clock::now(), end);
     if (!client.readable(0ms)) {
       continue;
@@ -427,7 +426,7 @@
   expect_status(client, 200);
 }
 
-// A connection that a backend has closed is not used again: what is written to it would be a reset.
+// A request written to it would be reset.
 TEST_F(ProxyRulesOneBackend, DoesNotReuseConnectionThatBackendClosed) {
   client.send(Proxy::post("a1", "x"));
   {
@@ -439,8 +438,8 @@
   Wire server = exchange(client, backend, Proxy::post("a2", "x"), "fresh");
 }
 
-// SIGTERM: no longer ready, what runs and what still comes is answered, kept connections serve on
-// for a while, then exit 0.
+// SIGTERM: no longer ready; requests in flight and those that still come are answered, kept
+// connections go on for a while, then exit 0.
 TEST(ProxyRules, ShutsDownGracefully) {
   const Door backend;
   Proxy proxy(one_host(backend));
@@ -473,7 +472,7 @@
   ASSERT_EQ(proxy.exit_status(), 0);
 }
 
-// More clients than descriptors: the longest idle make room, and everyone is answered.
+// The client that has been idle longest is evicted.
 TEST(ProxyRules, ServesMoreClientsThanDescriptors) {
   const Door backend;
   const Proxy proxy(one_host(backend));
