--- a/src/proxy/decision_actor.cpp
+++ b/src/proxy/decision_actor.cpp
@@ -7,6 +7,10 @@
 #include "proxy/endpoint_watch_actor.h"
 
 namespace beechhill::proxy {
+
+using runtime::now;
+using runtime::to_point;
+
 namespace {
 
 // Every message but an endpoint list stands for a descriptor's event, so this is not reached.
--- a/src/proxy/decision_actor.h
+++ b/src/proxy/decision_actor.h
@@ -19,12 +19,17 @@
 #include "config/interner.h"
 #include "proxy/active_request.h"
 #include "proxy/backend_exclusions.h"
+#include "proxy/backend_messages.h"
+#include "proxy/decision_messages.h"
 #include "proxy/departed_backends.h"
-#include "proxy/messages.h"
+#include "proxy/endpoint_watch_messages.h"
 #include "proxy/restored_records.h"
 #include "proxy/zone_utilization.h"
 #include "recovery/recovery_tracker.h"
 #include "routing/subset.h"
+#include "runtime/scheduler.h"
+#include "runtime/task.h"
+#include "runtime/time.h"
 #include "snapshot/snapshot.h"
 
 namespace beechhill::proxy {
@@ -54,9 +59,9 @@
   /// Whether the endpoint list may decide where something new goes: false within a gap, until
   /// discovery has resynced this process, and without permission to serve.
   bool endpoints_are_current() const {
-    return recovery_.endpoints_are_current(now()) && serving_permitted();
+    return recovery_.endpoints_are_current(runtime::now()) && serving_permitted();
   }
-  bool serving_permitted() const { return exclusions_.serving_permitted(now()); }
+  bool serving_permitted() const { return exclusions_.serving_permitted(runtime::now()); }
   recovery::Stage stage() const { return recovery_.stage(); }
 
   /// From now on nothing is sent until DispatchPermissions permit it.
@@ -123,7 +128,7 @@
   bool timer_is_due() const;
   void handle_event(const Event& event);
   void perform_actions();
-  Time unix_now() const { return now() + unix_offset_; }
+  Time unix_now() const { return runtime::now() + unix_offset_; }
   void on(ResyncComplete&);
   void on(GetEndpointCounts& query);
   void act(const SetTimer& action);
--- a/src/proxy/decision_actor_endpoints.cpp
+++ b/src/proxy/decision_actor_endpoints.cpp
@@ -6,6 +6,8 @@
 
 namespace beechhill::proxy {
 
+using runtime::now;
+
 // ---- The endpoint list
 
 void DecisionActor::on(config::EndpointList& list) {
--- a/src/proxy/decision_actor_queries.cpp
+++ b/src/proxy/decision_actor_queries.cpp
@@ -5,6 +5,9 @@
 #include "proxy/decision_actor.h"
 
 namespace beechhill::proxy {
+
+using runtime::now;
+
 namespace {
 
 constexpr double kMinRelativeCapacity = 0.1;
--- a/src/proxy/decision_actor_requests.cpp
+++ b/src/proxy/decision_actor_requests.cpp
@@ -5,6 +5,9 @@
 #include "proxy/decision_actor.h"
 
 namespace beechhill::proxy {
+
+using runtime::now;
+
 namespace {
 
 // Of a request's time, what its first connection may take: past half of it a client is better told
