--- /dev/null
+++ b/tests/support/proxy_test_util.h
@@ -0,0 +1,110 @@
+// Shared by the tests of the proxy package, beside proxy_fixture.h.
+#pragma once
+
+#include <gtest/gtest.h>
+#include <poll.h>
+#include <unistd.h>
+
+#include <chrono>
+#include <cstdlib>
+#include <string>
+#include <string_view>
+
+#include "http/message.h"
+#include "proxy/payload.h"
+#include "runtime/scheduler.h"
+#include "runtime/task.h"
+#include "support/proxy_fixture.h"
+
+namespace beechhill::test {
+
+/// A request without a body, for actors that run in the test's own process.
+class TestPayload : public proxy::Payload {
+ public:
+  std::string encode(const std::string& host, Duration) const override {
+    return http::write_request("GET", "/ver", host, "", "");
+  }
+  std::string_view trace_id() const override { return "a1"; }
+};
+
+/// Gives the scheduler's other tasks `rounds` turns; the default is more than the longest chain of
+/// notifications between the actors needs.
+inline runtime::Task<> let_others_run(runtime::Scheduler& scheduler, int rounds = 8) {
+  while (rounds-- > 0) {
+    runtime::Wait turn(scheduler);
+    turn.until(Clock::now());
+    co_await turn;
+  }
+}
+
+/// Sends `request` as `client`, responds to it as `backend` on a new connection with 200 and
+/// `body`, and expects the client to get that. Returns the backend's connection.
+inline Wire exchange(Wire& client, const Door& backend, const std::string& request,
+                     const std::string& body) {
+  client.send(request);
+  Wire server = backend.accept();
+  server.request();
+  server.reply(200, "", body);
+  const http::Message response = client.answer();
+  EXPECT_EQ(response.status, 200);
+  EXPECT_EQ(response.body, body);
+  return server;
+}
+
+/// A proxy that knows one backend, and a client that has connected to it.
+class OneBackendTest : public testing::Test {
+ protected:
+  const Door backend;
+  Proxy proxy{one_host(backend)};
+  Wire client = proxy.client();
+};
+
+/// Reads a proxy's log as it is written.
+class LogReader {
+ public:
+  explicit LogReader(const Proxy& proxy) : fd_(proxy.log_fd()) {}
+
+  /// The sum over the gaps logged so far in which the process did not run ("away ms=N").
+  std::chrono::milliseconds logged_gaps() {
+    while (read_available(0ms)) {}
+    return sum_of_gaps();
+  }
+
+  /// Waits for a gap to be logged: the log's writer is a thread of its own. Zero where there is
+  /// none within `timeout`.
+  std::chrono::milliseconds wait_for_gap(std::chrono::milliseconds timeout) {
+    const auto deadline = Clock::now() + timeout;
+    while (sum_of_gaps() == 0ms && Clock::now() < deadline) {
+      read_available(10ms);
+    }
+    return sum_of_gaps();
+  }
+
+ private:
+  bool read_available(std::chrono::milliseconds timeout) {
+    pollfd p{fd_, POLLIN, 0};
+    if (::poll(&p, 1, static_cast<int>(timeout.count())) <= 0) {
+      return false;
+    }
+    char chunk[4096];
+    const ssize_t n = ::read(fd_, chunk, sizeof chunk);
+    if (n > 0) {
+      text_.append(chunk, static_cast<std::size_t>(n));
+    }
+    return n > 0;
+  }
+
+  std::chrono::milliseconds sum_of_gaps() const {
+    constexpr std::string_view kGap = "away ms=";
+    std::chrono::milliseconds sum{0};
+    for (auto at = text_.find(kGap); at != std::string::npos; at = text_.find(kGap, at + 1)) {
+      sum += std::chrono::milliseconds(std::atoll(text_.c_str() + at + kGap.size()));
+    }
+    return sum;
+  }
+
+  int fd_;
+  std::string text_;
+};
+
+}  // namespace beechhill::test
