--- /dev/null
+++ b/src/testbed/cluster_deployment.h
@@ -0,0 +1,51 @@
+// What proxies that form a cluster (gossip and coordinated maintenance) need in a load test: keys,
+// voters' storage, settings, and a network between them that faults can strike.
+#pragma once
+
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "emulator/scenario.h"
+#include "experiments/temp_folder.h"
+#include "runtime/scheduler.h"
+#include "testbed/fault_injector.h"
+
+namespace beechhill::testbed {
+
+class DatagramFaultProxy;
+
+/// The name of a proxy in its configuration and in the cluster.
+std::string proxy_name(std::size_t proxy);
+
+/// Must outlive the scheduler's run. In a build without BEECHHILL_CLUSTER the constructor throws
+/// std::invalid_argument.
+class ClusterDeployment {
+ public:
+  /// Writes the cluster's key into `directory`, and the voters' first storage into their state
+  /// directories, of which `state_directories` has one for each proxy.
+  ClusterDeployment(runtime::Scheduler& scheduler, const emulator::Scenario& scenario,
+                    const experiments::TempFolder& directory,
+                    std::vector<std::string> state_directories);
+  ~ClusterDeployment();
+  ClusterDeployment(const ClusterDeployment&) = delete;
+  ClusterDeployment& operator=(const ClusterDeployment&) = delete;
+
+  /// The tables [membership] and [maintenance] of a proxy's operator file.
+  std::string operator_file_tables(std::size_t proxy) const;
+  /// A fault of the network between proxies (emulator::strikes_talk). `struck`: for a partition,
+  /// the proxies on one side.
+  void apply(const emulator::FaultSpec& fault, const std::vector<std::uint32_t>& struck,
+             FaultPhase phase);
+
+ private:
+  void set_partitioned(const emulator::FaultSpec& fault, const std::vector<std::uint32_t>& struck,
+                       bool partitioned);
+
+  const emulator::Scenario& scenario_;
+  const std::string key_file_;
+  const std::vector<std::string> state_directories_;
+  std::unique_ptr<DatagramFaultProxy> network_;
+};
+
+}  // namespace beechhill::testbed
--- a/src/testbed/cluster_test/fault_plan.cpp
+++ b/src/testbed/cluster_test/fault_plan.cpp
@@ -3,6 +3,8 @@
 #include <fmt/format.h>
 
 #include <algorithm>
+#include <array>
+#include <iterator>
 
 #include "emulator/random.h"
 
@@ -14,106 +16,124 @@
 
 namespace {
 
-// Not the world's own streams, whose numbers are those of nodes, proxies and faults.
+// Keeps these draws apart from those for backends, proxies and faults.
 constexpr std::uint64_t kPlanStream = 1ULL << 39;
+constexpr std::size_t kMinFaults = 2;
+constexpr std::size_t kMaxFaults = 6;
+
+// What is drawn from, evenly: kinds that stand twice are drawn twice as often.
+constexpr std::array kDrawnKinds{
+    FaultKind::kProxyCrash, FaultKind::kProxyCrash,      FaultKind::kProxyStop,
+    FaultKind::kProxyStop,  FaultKind::kProxyEnd,        FaultKind::kDiscoverySilent,
+    FaultKind::kSilent,     FaultKind::kErrors,          FaultKind::kSlow,
+    FaultKind::kCrash,      FaultKind::kDrain,           FaultKind::kPartition,
+    FaultKind::kStaleList,  FaultKind::kLateReports,     FaultKind::kLinkDelay,
+    FaultKind::kLinkReset,  FaultKind::kDiscoveryRewound};
+// And these, where proxies keep snapshots.
+constexpr std::array kDrawnStateKinds{
+    FaultKind::kStateLost, FaultKind::kStateOld, FaultKind::kStateTorn, FaultKind::kStateFlipped,
+    FaultKind::kStateAged, FaultKind::kDiskFull, FaultKind::kDiskHangs, FaultKind::kDiskGone};
+
+bool strikes_process(const FaultSpec& fault) {
+  return emulator::strikes_proxies(fault.kind) && fault.kind != FaultKind::kDiscoverySilent &&
+         fault.kind != FaultKind::kDiscoveryRewound && !emulator::strikes_talk(fault.kind);
+}
+
+FaultKind draw_kind(const Scenario& scenario, emulator::Stream& random) {
+  const std::size_t state_kinds = scenario.snapshot_every ? kDrawnStateKinds.size() : 0;
+  const std::size_t drawn = random.below(kDrawnKinds.size() + state_kinds);
+  return drawn < kDrawnKinds.size() ? kDrawnKinds[drawn]
+                                    : kDrawnStateKinds[drawn - kDrawnKinds.size()];
+}
+
+FaultSpec draw_fault(const Scenario& scenario, emulator::Stream& random) {
+  const double length_s = emulator::to_s(scenario.length);
+  FaultSpec fault;
+  fault.kind = draw_kind(scenario, random);
+  const bool strikes_proxies = emulator::strikes_proxies(fault.kind);
+  const double at_s = length_s * random.uniform({0.1, 0.5});
+  const double latest_end_s = length_s * 2 / 3;  // so that the recovery can be observed
+  fault.at = emulator::to_span(at_s);
+  fault.length =
+      emulator::to_span(std::min(latest_end_s - at_s, length_s * random.uniform({0.02, 0.3})));
+  fault.part = random.uniform({0.05, strikes_proxies ? 1 : 0.3});
+  if (strikes_proxies) {
+    fault.first = static_cast<std::uint32_t>(random.below(scenario.proxies));
+  }
+  fault.factor =
+      fault.kind == FaultKind::kErrors ? random.uniform({0.2, 1}) : random.uniform({1.5, 6});
+  fault.delay = emulator::to_span(fault.kind == FaultKind::kLinkDelay ? random.uniform({0.005, 0.1})
+                                                                      : random.uniform({0.2, 2}));
+  if (fault.kind == FaultKind::kPartition) {
+    fault.way = static_cast<emulator::Direction>(random.below(3));
+  }
+  return fault;
+}
+
+std::string toml_duration(Duration duration) {
+  return fmt::format("\"{}us\"", duration.count());
+}
 
-bool of_processes(const FaultSpec& f) {
-  return emulator::strikes_proxies(f.kind) && f.kind != FaultKind::kDiscoverySilent &&
-         f.kind != FaultKind::kDiscoveryRewound && !emulator::strikes_talk(f.kind);
+// "key = value" on a line of its own; nothing for a value that says "not given".
+template <typename Number>
+std::string toml_line_if(bool given, const char* key, Number value) {
+  return given ? fmt::format("{} = {}\n", key, value) : "";
 }
 
-std::string span(Duration d) {
-  return fmt::format("\"{}us\"", d.count());
+std::string to_toml(const Scenario& scenario, const FaultSpec& fault) {
+  const std::string& kind = emulator::fault_words()[static_cast<std::size_t>(fault.kind)];
+  std::string text = fmt::format("[[fault]]\nkind = \"{}\"\nat = {}\nfor = {}\n", kind,
+                                 toml_duration(fault.at), toml_duration(fault.length));
+  text += toml_line_if(fault.tier > 0, "tier", fault.tier);
+  text += toml_line_if(fault.part > 0, "part", fault.part);
+  text += toml_line_if(fault.nodes > 0, "nodes", fault.nodes);
+  text += toml_line_if(fault.zone >= 0, "zone", fault.zone);
+  text += toml_line_if(fault.cell >= 0, "cell", fault.cell);
+  text += toml_line_if(fault.proxies > 0, "proxies", fault.proxies);
+  text += toml_line_if(fault.first > 0, "first", fault.first);
+  if (fault.way != emulator::Direction::kBoth) {
+    const bool there = fault.way == emulator::Direction::kThere;
+    text += fmt::format("way = \"{}\"\n", there ? "there" : "back");
+  }
+  text += fmt::format("factor = {}\ndelay = {}\n", fault.factor, toml_duration(fault.delay));
+  if (fault.kind == FaultKind::kTenantBurst) {
+    text += fmt::format("tenant = \"{}\"\n", scenario.tenants[fault.tenant].name);
+  }
+  return text;
 }
 
 }  // namespace
 
-std::vector<FaultSpec> draw_faults(const Scenario& s, std::uint64_t seed) {
-  static constexpr FaultKind kKinds[] = {
-      FaultKind::kProxyCrash, FaultKind::kProxyCrash,      FaultKind::kProxyStop,
-      FaultKind::kProxyStop,  FaultKind::kProxyEnd,        FaultKind::kDiscoverySilent,
-      FaultKind::kSilent,     FaultKind::kErrors,          FaultKind::kSlow,
-      FaultKind::kCrash,      FaultKind::kDrain,           FaultKind::kPartition,
-      FaultKind::kStaleList,  FaultKind::kLateReports,     FaultKind::kLinkDelay,
-      FaultKind::kLinkReset,  FaultKind::kDiscoveryRewound};
-  static constexpr FaultKind kOfState[] = {
-      FaultKind::kStateLost, FaultKind::kStateOld, FaultKind::kStateTorn, FaultKind::kStateFlipped,
-      FaultKind::kStateAged, FaultKind::kDiskFull, FaultKind::kDiskHangs, FaultKind::kDiskGone};
-  emulator::Stream dice(seed, emulator::Actor::kFaults, kPlanStream);
-  const double whole = std::chrono::duration<double>(s.length).count();
-  std::vector<FaultSpec> faults(2 + dice.below(5));
-  for (FaultSpec& f : faults) {
-    const std::size_t drawn =
-        dice.below(std::size(kKinds) + (s.snapshot_every ? std::size(kOfState) : 0));
-    f.kind = drawn < std::size(kKinds) ? kKinds[drawn] : kOfState[drawn - std::size(kKinds)];
-    const double at = whole * dice.uniform({0.1, 0.5}), last = whole * 2 / 3;
-    f.at = emulator::to_span(at);
-    f.length = emulator::to_span(std::min(last - at, whole * dice.uniform({0.02, 0.3})));
-    f.part = dice.uniform({0.05, emulator::strikes_proxies(f.kind) ? 1 : 0.3});
-    if (emulator::strikes_proxies(f.kind)) {
-      f.first = static_cast<std::uint32_t>(dice.below(s.proxies));
-    }
-    f.factor = f.kind == FaultKind::kErrors ? dice.uniform({0.2, 1}) : dice.uniform({1.5, 6});
-    f.delay = emulator::to_span(f.kind == FaultKind::kLinkDelay ? dice.uniform({0.005, 0.1})
-                                                                : dice.uniform({0.2, 2}));
-    if (f.kind == FaultKind::kPartition) {
-      f.way = static_cast<emulator::Direction>(dice.below(3));
-    }
+std::vector<FaultSpec> draw_faults(const Scenario& scenario, std::uint64_t seed) {
+  emulator::Stream random(seed, emulator::Actor::kFaults, kPlanStream);
+  const std::size_t count = kMinFaults + random.below(kMaxFaults - kMinFaults + 1);
+  std::vector<FaultSpec> faults;
+  for (std::size_t i = 0; i < count; ++i) {
+    faults.push_back(draw_fault(scenario, random));
   }
   return faults;
 }
 
-std::string to_toml(const Scenario& s, const std::vector<FaultSpec>& faults) {
+std::string to_toml(const Scenario& scenario, const std::vector<FaultSpec>& faults) {
   std::string text;
-  for (const FaultSpec& f : faults) {
-    text += fmt::format("[[fault]]\nkind = \"{}\"\nat = {}\nfor = {}\n",
-                        emulator::fault_words()[static_cast<std::size_t>(f.kind)], span(f.at),
-                        span(f.length));
-    if (f.tier > 0) {
-      text += fmt::format("tier = {}\n", f.tier);
-    }
-    if (f.part > 0) {
-      text += fmt::format("part = {}\n", f.part);
-    }
-    if (f.nodes > 0) {
-      text += fmt::format("nodes = {}\n", f.nodes);
-    }
-    if (f.zone >= 0) {
-      text += fmt::format("zone = {}\n", f.zone);
-    }
-    if (f.cell >= 0) {
-      text += fmt::format("cell = {}\n", f.cell);
-    }
-    if (f.proxies > 0) {
-      text += fmt::format("proxies = {}\n", f.proxies);
-    }
-    if (f.first > 0) {
-      text += fmt::format("first = {}\n", f.first);
-    }
-    if (f.way != emulator::Direction::kBoth) {
-      text +=
-          fmt::format("way = \"{}\"\n", f.way == emulator::Direction::kThere ? "there" : "back");
-    }
-    text += fmt::format("factor = {}\ndelay = {}\n", f.factor, span(f.delay));
-    if (f.kind == FaultKind::kTenantBurst) {
-      text += fmt::format("tenant = \"{}\"\n", s.tenants[f.tenant].name);
-    }
+  for (const FaultSpec& fault : faults) {
+    text += to_toml(scenario, fault);
   }
   return text;
 }
 
-std::vector<FaultSpec> shrink(std::vector<FaultSpec> faults, std::size_t most_plays,
+std::vector<FaultSpec> shrink(std::vector<FaultSpec> faults, std::size_t max_calls,
                               const std::function<bool(const std::vector<FaultSpec>&)>& fails) {
-  std::size_t plays = 0;
-  for (bool smaller = true; smaller;) {
-    smaller = false;
-    for (std::size_t i = 0; i < faults.size() && faults.size() > 1 && plays < most_plays;) {
-      std::vector<FaultSpec> without = faults;
-      without.erase(without.begin() + static_cast<std::ptrdiff_t>(i));
-      ++plays;
-      if (fails(without)) {
-        faults = std::move(without);
-        smaller = true;
+  std::size_t calls = 0;
+  for (bool shrunk = true; shrunk;) {
+    shrunk = false;
+    for (std::size_t i = 0; i < faults.size() && faults.size() > 1 && calls < max_calls;) {
+      std::vector<FaultSpec> fewer = faults;
+      fewer.erase(fewer.begin() + static_cast<std::ptrdiff_t>(i));
+      ++calls;
+      if (fails(fewer)) {
+        faults = std::move(fewer);
+        shrunk = true;
       } else {
         ++i;
       }
@@ -122,21 +142,21 @@
   return faults;
 }
 
-Scenario control_of(Scenario s) {
-  std::erase_if(s.faults, of_processes);
-  return s;
+Scenario without_process_faults(Scenario scenario) {
+  std::erase_if(scenario.faults, strikes_process);
+  return scenario;
 }
 
-Span processes_struck(const Scenario& s) {
-  Span span;
-  for (const FaultSpec& f : s.faults) {
-    if (!of_processes(f) || emulator::strikes_state(f.kind)) {
+FaultWindow process_fault_window(const Scenario& scenario) {
+  FaultWindow window;
+  for (const FaultSpec& fault : scenario.faults) {
+    if (!strikes_process(fault) || emulator::strikes_state(fault.kind)) {
       continue;
     }
-    span.begun = span.back == Time{0} ? f.at : std::min(span.begun, f.at);
-    span.back = std::max(span.back, f.at + f.length);
+    window.began = window.ended == Time{0} ? fault.at : std::min(window.began, fault.at);
+    window.ended = std::max(window.ended, fault.at + fault.length);
   }
-  return span;
+  return window;
 }
 
 }  // namespace beechhill::testbed
--- a/src/testbed/cluster_test/fault_plan.h
+++ b/src/testbed/cluster_test/fault_plan.h
@@ -1,7 +1,8 @@
-// Fault plans: the faults of a scenario, drawn from a seed, written as TOML, and made smaller while
-// they still show what they showed. One form for the emulator and the rig of real processes.
+// Fault injection plans: the faults of a scenario, drawn from a seed, written as TOML, and shrunk
+// while they still show a failure. The emulator and real processes play the same plans.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <string>
 #include <vector>
@@ -10,28 +11,30 @@
 
 namespace beechhill::testbed {
 
-// Between two and six faults for the scenario in place of its own, all over by two thirds of it.
-// The same for the same scenario and seed. Only kinds that both the emulator and the rig play.
+/// Two to six faults in place of the scenario's own, all over by two thirds of its length. The same
+/// for the same scenario and seed. Only kinds that both the emulator and real processes can play.
 std::vector<emulator::FaultSpec> draw_faults(const emulator::Scenario& scenario,
                                              std::uint64_t seed);
 
-// As `[[fault]]` tables that read_scenario reads back to the same faults.
+/// As `[[fault]]` tables that read_scenario() reads back to the same faults.
 std::string to_toml(const emulator::Scenario& scenario,
                     const std::vector<emulator::FaultSpec>& faults);
 
-// Takes out faults one by one while `fails` still says so of what is left; at most `most_plays`
-// questions. `faults` is known to fail.
+/// Removes faults one by one while `fails` returns true for those that are left, until none can be
+/// removed or `fails` was called `max_calls` times. `faults` is known to fail; one is always left.
 std::vector<emulator::FaultSpec> shrink(
-    std::vector<emulator::FaultSpec> faults, std::size_t most_plays,
+    std::vector<emulator::FaultSpec> faults, std::size_t max_calls,
     const std::function<bool(const std::vector<emulator::FaultSpec>&)>& fails);
 
-// The scenario without the faults that strike processes: what a play with them is held against.
-emulator::Scenario control_of(emulator::Scenario scenario);
-// When the first fault of processes begins and the last one ends; equal and zero where there is
-// none.
-struct Span {
-  Time begun{0}, back{0};
+/// The scenario without the faults of proxy processes: the control of a cluster test.
+emulator::Scenario without_process_faults(emulator::Scenario scenario);
+
+/// From the beginning of the first fault that takes a proxy process away to the end of the last
+/// one; both 0 where there is none.
+struct FaultWindow {
+  Time began{0};
+  Time ended{0};
 };
-Span processes_struck(const emulator::Scenario& scenario);
+FaultWindow process_fault_window(const emulator::Scenario& scenario);
 
 }  // namespace beechhill::testbed
--- a/src/testbed/datagram_fault_proxy.cpp
+++ b/src/testbed/datagram_fault_proxy.cpp
@@ -3,69 +3,106 @@
 #include <fmt/format.h>
 #include <unistd.h>
 
+#include <stdexcept>
+
+#include "testbed/task_helpers.h"
+
 namespace beechhill::testbed {
 namespace {
 
-constexpr std::uint64_t kBoardStream = 1ULL << 35;
+// Keeps these draws apart from those for discovery servers.
+constexpr std::uint64_t kDatagramStream = 1ULL << 35;
 constexpr int kPort = 7946;
+constexpr std::size_t kMaxProcesses = 100;
+// Last bytes of the addresses of the first process.
+constexpr std::size_t kFirstListenHost = 1;
+constexpr std::size_t kFirstAdvertisedHost = kFirstListenHost + kMaxProcesses;
+
+// By the testbed's process id, so that testbeds side by side do not meet.
+std::string loopback_address(std::size_t host) {
+  const auto pid = static_cast<unsigned>(::getpid());
+  return fmt::format("127.{}.{}.{}:{}", 1 + pid / 250 % 250, pid % 250, host, kPort);
+}
 
 }  // namespace
 
 DatagramFaultProxy::DatagramFaultProxy(runtime::Scheduler& scheduler, std::size_t processes,
                                        std::uint64_t seed)
     : scheduler_(scheduler),
-      count_(processes),
-      random_(seed, emulator::Actor::kDiscovery, kBoardStream),
-      cuts_(processes * processes) {
-  if (processes > 100) {
-    throw std::invalid_argument("proxies.count: at most 100 that talk with each other");
+      processes_(processes),
+      random_(seed, emulator::Actor::kDiscovery, kDatagramStream),
+      partitions_(processes * processes) {
+  if (processes > kMaxProcesses) {
+    throw std::invalid_argument("proxies.count: at most 100 that exchange gossip");
   }
   for (std::size_t i = 0; i < processes; ++i) {
-    sockets_.push_back(
-        std::make_unique<net::DatagramSocket>(scheduler_, *net::parse_address(reached(i))));
-    scheduler_.spawn(pass(i));
+    const sockaddr_in address = *net::parse_address(advertised_address(i));
+    sockets_.push_back(std::make_unique<net::DatagramSocket>(scheduler_, address));
+    scheduler_.spawn(forward_to(i));
   }
 }
 
-// By the lab's process id, so that labs side by side do not meet.
-std::string DatagramFaultProxy::address(std::size_t i, std::size_t from) const {
-  const auto pid = static_cast<unsigned>(::getpid());
-  return fmt::format("127.{}.{}.{}:{}", 1 + pid / 250 % 250, pid % 250, from + i, kPort);
+std::string DatagramFaultProxy::listen_address(std::size_t process) const {
+  return loopback_address(kFirstListenHost + process);
+}
+
+std::string DatagramFaultProxy::advertised_address(std::size_t process) const {
+  return loopback_address(kFirstAdvertisedHost + process);
+}
+
+void DatagramFaultProxy::set_partitioned(std::size_t from, std::size_t to, bool partitioned) {
+  partitions_[from * processes_ + to] += partitioned ? 1 : -1;
 }
 
-runtime::Task<> DatagramFaultProxy::pass(std::size_t to) {
+void DatagramFaultProxy::set_impairment(double loss, double duplication,
+                                        runtime::Clock::duration max_delay) {
+  loss_ = loss;
+  duplication_ = duplication;
+  max_delay_ = max_delay;
+}
+
+runtime::Task<> DatagramFaultProxy::forward_to(std::size_t to) {
   for (;;) {
     runtime::Wait wait(scheduler_);
     wait.readable(sockets_[to]->io());
     co_await wait;
     sockaddr_in from{};
-    while (auto bytes = sockets_[to]->take(from)) {  // all: what is left is not told of again
-      const std::string sender = net::to_string(from);
-      for (std::size_t i = 0; i < count_; ++i) {
-        if (sender != listens(i) || cuts_[i * count_ + to] > 0 || random_.uniform() < loss_) {
-          continue;
-        }
-        for (int copies = random_.uniform() < doubled_ ? 2 : 1; copies > 0; --copies) {
-          ++passed_;
-          const auto after =
-              std::chrono::duration_cast<runtime::Clock::duration>(delay_ * random_.uniform());
-          if (after.count() > 0) {
-            scheduler_.spawn(later(i, to, *bytes, after));
-          } else {
-            sockets_[i]->send(*net::parse_address(listens(to)), *bytes);
-          }
-        }
+    // All of them: there is no second wake-up for what is left.
+    while (const auto datagram = sockets_[to]->take(from)) {
+      forward(net::to_string(from), to, *datagram);
+    }
+  }
+}
+
+void DatagramFaultProxy::forward(const std::string& sender, std::size_t to,
+                                 const std::string& datagram) {
+  for (std::size_t from = 0; from < processes_; ++from) {
+    if (sender != listen_address(from) || partitions_[from * processes_ + to] > 0 ||
+        random_.uniform() < loss_) {
+      continue;
+    }
+    const int copies = random_.uniform() < duplication_ ? 2 : 1;
+    for (int copy = 0; copy < copies; ++copy) {
+      const auto delay =
+          std::chrono::duration_cast<runtime::Clock::duration>(max_delay_ * random_.uniform());
+      if (delay.count() > 0) {
+        scheduler_.spawn(send_later(from, to, datagram, delay));
+      } else {
+        send(from, to, datagram);
       }
     }
   }
 }
 
-runtime::Task<> DatagramFaultProxy::later(std::size_t from, std::size_t to, std::string bytes,
-                                          runtime::Clock::duration after) {
-  runtime::Wait wait(scheduler_);
-  wait.until(runtime::Clock::now() + after);
-  co_await wait;
-  sockets_[from]->send(*net::parse_address(listens(to)), bytes);
+runtime::Task<> DatagramFaultProxy::send_later(std::size_t from, std::size_t to,
+                                               std::string datagram,
+                                               runtime::Clock::duration delay) {
+  co_await sleep_for(scheduler_, delay);
+  send(from, to, datagram);
+}
+
+void DatagramFaultProxy::send(std::size_t from, std::size_t to, const std::string& datagram) {
+  sockets_[from]->send(*net::parse_address(listen_address(to)), datagram);
 }
 
 }  // namespace beechhill::testbed
--- a/src/testbed/datagram_fault_proxy.h
+++ b/src/testbed/datagram_fault_proxy.h
@@ -1,8 +1,8 @@
-// Between processes that talk by datagrams: each is reached at an address of the board's, which
-// passes on what comes there as if from the sender's own such address. So what goes from one to
-// another can be lost, doubled, delayed, put out of order and cut, one way or both.
+// Injects network faults between processes that exchange datagrams: loss, duplication, delay,
+// reordering and partitions, in one direction or both.
 #pragma once
 
+#include <cstdint>
 #include <memory>
 #include <string>
 #include <vector>
@@ -12,35 +12,39 @@
 
 namespace beechhill::testbed {
 
+/// Each process is advertised at an address of the proxy's, which forwards what comes there as if
+/// from the sender's own advertised address, so both ends see what they would without it. Must
+/// outlive the scheduler's run.
 class DatagramFaultProxy {
  public:
-  // For so many processes, on addresses of loopback that are this process's own.
+  /// For so many processes, at most 100 (std::invalid_argument beyond), on loopback addresses that
+  /// are this process's own.
   DatagramFaultProxy(runtime::Scheduler& scheduler, std::size_t processes, std::uint64_t seed);
-  std::string listens(std::size_t i) const {
-    return address(i, 1);
-  }  // where the process is to listen
-  std::string reached(std::size_t i) const { return address(i, 101); }  // where the others find it
 
-  void cut(std::size_t from, std::size_t to, bool on) { cuts_[from * count_ + to] += on ? 1 : -1; }
-  void spoil(double loss, double doubled, runtime::Clock::duration delay) {
-    loss_ = loss, doubled_ = doubled, delay_ = delay;
-  }
-  std::uint64_t passed() const { return passed_; }
+  /// Where a process is to listen, and where the others are to send to it.
+  std::string listen_address(std::size_t process) const;
+  std::string advertised_address(std::size_t process) const;
+
+  /// From one process to another; calls nest.
+  void set_partitioned(std::size_t from, std::size_t to, bool partitioned);
+  /// Probabilities from 0 to 1; each datagram is delayed by up to `max_delay`.
+  void set_impairment(double loss, double duplication, runtime::Clock::duration max_delay);
 
  private:
-  std::string address(std::size_t i, std::size_t from) const;
-  runtime::Task<> pass(std::size_t to);
-  runtime::Task<> later(std::size_t from, std::size_t to, std::string bytes,
-                        runtime::Clock::duration after);
+  runtime::Task<> forward_to(std::size_t to);
+  void forward(const std::string& sender, std::size_t to, const std::string& datagram);
+  runtime::Task<> send_later(std::size_t from, std::size_t to, std::string datagram,
+                             runtime::Clock::duration delay);
+  void send(std::size_t from, std::size_t to, const std::string& datagram);
 
   runtime::Scheduler& scheduler_;
-  const std::size_t count_;
+  const std::size_t processes_;
   emulator::Stream random_;
   std::vector<std::unique_ptr<net::DatagramSocket>> sockets_;  // by process
-  std::vector<int> cuts_;
-  double loss_ = 0, doubled_ = 0;
-  runtime::Clock::duration delay_{0};
-  std::uint64_t passed_ = 0;
+  std::vector<int> partitions_;  // nested calls, at [from * processes_ + to]
+  double loss_ = 0;
+  double duplication_ = 0;
+  runtime::Clock::duration max_delay_{0};
 };
 
 }  // namespace beechhill::testbed
--- /dev/null
+++ b/src/testbed/demo_scenario.cpp
@@ -0,0 +1,65 @@
+#include "testbed/demo_scenario.h"
+
+#include "config/toml_reader.h"
+
+namespace beechhill::testbed {
+
+namespace {
+
+// Sixteen small backends, of which two become unresponsive for 6 s and come back with a slow start.
+constexpr const char* kDemo = R"(
+name = "demo"
+length = "20s"
+warm_up = "2s"
+[load]
+utilisation = 0.5
+[clients]
+retries = 2
+[[class]]
+name = "read"
+part = 0.7
+repeat = "repeatable"
+work = "20ms"
+aim = "400ms"
+deadline = "1500ms"
+[[class]]
+name = "write"
+part = 0.3
+repeat = "by_key"
+group = "cell"
+work = "15ms"
+aim = "300ms"
+deadline = "1s"
+worth = 3
+[[tenant]]
+name = "north"
+share = 0.6
+[[tenant]]
+name = "south"
+share = 0.4
+[[tier]]
+name = "front"
+nodes = 16
+cores = 1
+slots = 8
+room = 16
+speed = [0.7, 1.1]
+cold = { from = 0.2, span = "5s" }
+report = { every = "500ms", delay = "100ms", noise = 0.02 }
+[[fault]]
+kind = "silent"
+at = "7s"
+for = "6s"
+nodes = 2
+)";
+
+}  // namespace
+
+emulator::Scenario load_scenario_or_demo(const std::string& file) {
+  if (file.empty()) {
+    return emulator::read_scenario(config::parse_toml(kDemo, "demo"), "demo");
+  }
+  return emulator::read_scenario(emulator::load_scenario(file), file);
+}
+
+}  // namespace beechhill::testbed
--- /dev/null
+++ b/src/testbed/fake_backend.h
@@ -0,0 +1,108 @@
+// A fake backend on loopback: the emulator's node model behind a real HTTP/1.1 server.
+#pragma once
+
+#include <map>
+#include <memory>
+#include <optional>
+#include <queue>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "emulator/node.h"
+#include "net/socket.h"
+#include "runtime/scheduler.h"
+#include "testbed/observation_log.h"
+#include "testbed/reserved_port.h"
+#include "testbed/testbed_clock.h"
+
+namespace beechhill::testbed {
+
+/// A request names its work in core-microseconds as `work_us` in its query; the node model decides
+/// how long that takes and when the backend is overloaded (503). Runs on the scheduler's thread,
+/// and must outlive the scheduler's run.
+class FakeBackend {
+ public:
+  /// kUnresponsive: connections stand and requests are read, but none is answered. kStopped:
+  /// connections are reset, and none is accepted.
+  enum class State { kServing, kUnresponsive, kStopped };
+
+  /// `observations`, if any, must outlive it.
+  FakeBackend(runtime::Scheduler& scheduler, const TestbedClock& clock,
+              const emulator::Scenario& scenario, EndpointId id,
+              ObservationLog* observations = nullptr);
+
+  const sockaddr_in& address() const { return port_.address(); }
+  std::string address_text() const { return net::to_string(address()); }
+  EndpointId id() const { return id_; }
+  std::uint32_t cell() const { return id_ / spec_.cell_size; }
+  std::uint32_t zone() const { return cell() % spec_.zones; }
+  /// As discovery lists it while it is up.
+  Endpoint endpoint() const;
+  /// When it last started; nullopt: before the run.
+  const std::optional<Time>& started_at() const { return model_.born(); }
+
+  /// Leaving kServing loses all work; entering it starts the backend anew, with a slow start.
+  void set_state(State state);
+  /// The part of requests that is answered with 500, from 0 to 1.
+  void set_error_rate(double rate) { error_rate_ = rate; }
+  /// Work takes `factor` times as long; 1: as usual.
+  void set_slowdown(double factor) { model_.slow_down(factor); }
+  /// Load reports are older by `delay` than usual.
+  void set_report_delay(Duration delay) { report_delay_ = delay; }
+
+  /// Complete requests that it has read, and connections it has accepted, over all its starts.
+  std::uint64_t requests_received() const { return requests_received_; }
+  std::uint64_t connections_accepted() const { return connections_accepted_; }
+
+ private:
+  struct Job {
+    runtime::Notifier done;
+  };
+  // A request while it is served.
+  struct Exchange {
+    std::optional<ClientAttemptId> observed_id;  // nullopt: not observed
+    std::uint32_t attempt = 0;                   // its number in the observation log
+    double work = 0;                             // core-seconds on a core of speed 1
+    int status = 200;
+  };
+  struct EndsLater {
+    bool operator()(const emulator::Start& a, const emulator::Start& b) const {
+      return a.until > b.until;
+    }
+  };
+  runtime::Task<> accept();
+  runtime::Task<> serve(std::shared_ptr<net::Stream> stream, std::shared_ptr<runtime::TaskId> self);
+  runtime::Task<> execute(Exchange& exchange);
+  runtime::Task<> run_phase_timer();
+  void listen();
+  void finish_due_phases();
+  void schedule(const std::vector<emulator::Start>& starts);
+  std::string load_report_header(Time now);
+  void observe_arrival(Exchange& exchange);
+  void observe_completion(const Exchange& exchange);
+
+  runtime::Scheduler& scheduler_;
+  const TestbedClock& clock_;
+  const emulator::TierSpec spec_;
+  emulator::Node model_;
+  emulator::Stream random_;
+  EndpointId id_;
+  const ReservedPort port_;  // the same at each start
+  std::unique_ptr<net::Listener> listener_;
+  runtime::TaskId accept_task_ = 0;
+  std::set<runtime::TaskId> connection_tasks_;
+  State state_ = State::kServing;
+  double error_rate_ = 0;
+  Duration report_delay_{0};
+  std::map<emulator::JobId, Job*> jobs_;  // each stands in the frame of its connection's task
+  emulator::JobId next_job_ = 1;
+  std::priority_queue<emulator::Start, std::vector<emulator::Start>, EndsLater> phases_;
+  runtime::Notifier phases_changed_;
+  std::uint64_t requests_received_ = 0;
+  std::uint64_t connections_accepted_ = 0;
+  ObservationLog* observations_;
+  bool in_slow_start_ = false;  // for the observation log
+};
+
+}  // namespace beechhill::testbed
--- /dev/null
+++ b/src/testbed/fault_injector.h
@@ -0,0 +1,50 @@
+// Plays a scenario's faults by the run's clock.
+#pragma once
+
+#include <functional>
+#include <vector>
+
+#include "emulator/scenario.h"
+#include "runtime/scheduler.h"
+#include "testbed/fake_services.h"
+#include "testbed/observation_log.h"
+#include "testbed/testbed_clock.h"
+
+namespace beechhill::testbed {
+
+enum class FaultPhase { kBegins, kEnds };
+
+/// Strikes backends, links and discovery servers itself; faults of proxy processes are given to a
+/// handler. What it borrows must outlive it, and it must outlive the scheduler's run.
+class FaultInjector {
+ public:
+  /// `proxies`: those that the fault strikes.
+  using ProxyFaultHandler = std::function<void(
+      const emulator::FaultSpec& fault, const std::vector<std::uint32_t>& proxies, FaultPhase)>;
+
+  /// `observations` may be null. Without a handler, faults of proxies are left out.
+  FaultInjector(runtime::Scheduler& scheduler, const TestbedClock& clock,
+                const emulator::Scenario& scenario, FakeServices& services,
+                ObservationLog* observations = nullptr, ProxyFaultHandler handler = {});
+  /// Ends with the last fault.
+  runtime::Task<> run();
+
+ private:
+  void begin(std::size_t fault);
+  void end(std::size_t fault);
+  void begin_at_backend(const emulator::FaultSpec& fault, FakeBackend& backend);
+  void end_at_backend(const emulator::FaultSpec& fault, FakeBackend& backend);
+  void apply_to_links(const emulator::FaultSpec& fault, EndpointId backend, FaultPhase phase);
+  void apply_to_proxies(const emulator::FaultSpec& fault, FaultPhase phase);
+  void set_report_delay(Duration delay);
+
+  runtime::Scheduler& scheduler_;
+  const TestbedClock& clock_;
+  const emulator::Scenario& scenario_;
+  FakeServices& services_;
+  ObservationLog* observations_;
+  ProxyFaultHandler handler_;
+  std::vector<std::vector<EndpointId>> struck_backends_;  // by fault
+};
+
+}  // namespace beechhill::testbed
--- a/src/testbed/load_test.h
+++ b/src/testbed/load_test.h
@@ -1,9 +1,10 @@
-// The lab's commands that open sockets, all on loopback.
+// Load tests: a scenario with real proxy processes, fake backends and a generated load, all on
+// loopback.
 #pragma once
 
 #include <json/json.h>
 
-#include <CLI/CLI.hpp>
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <optional>
@@ -13,40 +14,55 @@
 
 namespace beechhill::testbed {
 
-// `nodes`, `sockets`, `cost` and `demo`; `code` becomes the exit code.
-void add_socket_commands(CLI::App& app, int& code);
-
+/// What a load test observed. Rules are judged from the observation log, never from what a proxy
+/// reports about itself.
 struct SocketRun {
-  Json::Value result;  // in the emulator's form, as far as sockets show it
-  std::uint64_t wrong_answers = 0;
-  Duration latest_start{0};  // the furthest that the load was behind its time
-  double proxy_cpu_s = 0;    // of all proxies
-  std::uint64_t asked = 0;
+  Json::Value result;  // in the emulator's form, as far as it can be observed from outside
   std::optional<emulator::Metrics> metrics;  // borrows the scenario
-  std::uint64_t violations = 0,
-                excused = 0;   // of the rules by the books; answers not owed because of a fault
-  std::string violation_text;  // the first few, with their traces
-  // The most in one second at one node from the warm-up's end on, and the most that one proxy asked
-  // of discovery.
-  std::uint32_t most_connections = 0, most_arrivals = 0, most_lists = 0;
-  std::map<std::string, std::size_t> said;  // lines about snapshots in the proxies' logs, by event:
-                                            // whether a fault struck, no verdict
-  std::uint64_t recalled = 0, voided = 0;   // backends of which snapshots were believed, and not
-  std::uint64_t sent_to_out = 0;            // calls that reached a backend while staff had it out
-  std::uint32_t taken_out = 0, most_at_once = 0;  // backends that were worked on, and at a time
-  std::uint32_t open_requests = 0;                // of staff, at the end
-  std::string works_text;                         // what was said of them last
-  Time works_ended{0};                            // when the last request had ended
-  Time last_back{0};  // when the last proxy was ready again; 0: none was away
+  std::uint64_t asked = 0;                   // requests, retries not counted
+  std::uint64_t wrong_answers = 0;  // responses that belong to another request, or have an unknown
+                                    /// status
+  Duration max_send_delay{0};       // the most that the load generator was behind its time
+  double proxy_cpu_s = 0;           // of all proxies together
+
+  std::uint64_t violations = 0;  // of the rules
+  std::string violation_text;    // the first few, with their traces
+  std::uint64_t excused = 0;     // responses that are missing because of a fault of the proxy
+
+  /// The most at one backend in one second, after the warm-up.
+  std::uint32_t max_connections_per_s = 0;
+  std::uint32_t max_attempts_per_s = 0;
+  /// The most lists that one proxy asked discovery for.
+  std::uint32_t max_snapshot_requests = 0;
+  /// When the last proxy that a fault took away was ready again; 0: none was away.
+  Time last_ready_at{0};
+
+  /// Lines of the proxies' logs by event, of those about snapshots: whether a fault took effect, no
+  /// verdict.
+  std::map<std::string, std::size_t> log_events;
+  /// Backends whose state in a snapshot was used, and those whose state was not.
+  std::uint64_t restored_endpoints = 0;
+  std::uint64_t discarded_endpoints = 0;
+
+  /// Maintenance: attempts that reached a backend while it was out, backends that were worked on,
+  /// the most at one time, requests that are open at the end, the last status that a proxy gave,
+  /// and when the last request was completed (0: not).
+  std::uint64_t sent_to_out = 0;
+  std::uint32_t taken_out = 0;
+  std::uint32_t most_at_once = 0;
+  std::uint32_t open_requests = 0;
+  std::string works_text;
+  Time works_ended{0};
 };
-// Plays the scenario, which must outlive the result, with stand-in nodes and `scenario.proxies`
-// real proxies, `program` each, and stops all that it started. Blocks for the scenario's length and
-// a little. Throws std::invalid_argument for what sockets can't play, std::runtime_error where a
-// proxy does not come up. `progress` is called about once a second.
+
+/// Runs the scenario, which must outlive the result, with `scenario.proxies` processes of
+/// `program`, and stops all that it started. Blocks for the scenario's length and a little.
+/// `progress` is called about twice a second with one line. Throws std::invalid_argument for what
+/// real processes can't play, std::runtime_error where a proxy does not come up.
 SocketRun play_on_sockets(const emulator::Scenario& scenario, const std::string& program,
                           const std::function<void(const std::string&)>& progress = {});
 
-// The proxy program that was built with this one.
-std::string program_beside_us();
+/// The path of the proxy program that was built with this one.
+std::string default_proxy_program();
 
 }  // namespace beechhill::testbed
--- a/src/testbed/observation_log.h
+++ b/src/testbed/observation_log.h
@@ -1,6 +1,6 @@
-// The books of a run on sockets: what clients, backends, discovery's agents and the fault plan saw,
-// each by its own eyes. The rules are judged from them by the emulator's checker, never by a
-// proxy's word.
+// The observation log of a run with real proxies: what clients, backends, discovery servers and the
+// fault injection saw, each from its own side. The emulator's rule checker judges the run from it;
+// nothing that a proxy reports about itself goes in.
 #pragma once
 
 #include <deque>
@@ -11,109 +11,124 @@
 #include <string>
 #include <string_view>
 #include <unordered_map>
+#include <utility>
 #include <vector>
 
 #include "emulator/rules.h"
 
 namespace beechhill::testbed {
 
-using CallId = std::uint64_t;  // a client's request and its try
+/// One attempt of a client at one of its requests.
+using ClientAttemptId = std::uint64_t;
 
-// How much later than it happened the lab may read of something, on a crowded machine. The verdict
-// allows for it.
-inline constexpr Duration kBookSlack{500'000};
+/// How late the testbed may notice something on a busy machine. The rules are judged with this
+/// tolerance.
+inline constexpr Duration kObservationTolerance{500'000};
 
+/// What a proxy remembers when a fault of its process is over.
+enum class ProxyMemory { kKept, kLost };
+
+/// For one thread. Times are the run's.
 class ObservationLog {
  public:
-  // Borrows the scenario. `now` is the run's clock.
+  /// Counts of [backend][second].
+  using CountsPerSecond = std::vector<std::vector<std::uint32_t>>;
+
+  /// `now` is the run's clock.
   ObservationLog(const emulator::Scenario& scenario, std::size_t proxies,
                  std::function<Time()> now);
   ObservationLog(const ObservationLog&) = delete;
   ObservationLog& operator=(const ObservationLog&) = delete;
 
-  // "1-2f-3": seed, number and try in hex, as the load writes them; nothing where it is not of that
-  // form.
-  static std::optional<CallId> call_of(std::string_view trace);
-  static CallId call_of(std::uint64_t number, std::uint32_t tries) {
-    return number << kTryBits | tries;
+  /// Of a trace id "1-2f-3" (seed and request in hexadecimal, attempt in decimal) as the load
+  /// generator writes them; nullopt for any other text.
+  static std::optional<ClientAttemptId> parse_trace_id(std::string_view trace_id);
+  static ClientAttemptId client_attempt(std::uint64_t request, std::uint32_t attempt) {
+    return request << kAttemptBits | attempt;
   }
-  static constexpr unsigned kTryBits = 6;
-
-  // The clients'.
-  void asked(CallId call, ClassId c, std::size_t proxy, Time deadline);
-  void answered(CallId call, bool refusal);
-  // Its connection ended without an answer, or the slack after its time is over too.
-  void unanswered(CallId call);
-
-  // The backends'. arrived() returns the attempt's number for ended().
-  void connected(EndpointId node);
-  std::uint32_t arrived(CallId call, const Endpoint& node);
-  void ended(CallId call, std::uint32_t attempt, Result result);
-  // The work of a request reaches a cold backend that started at `born`.
-  void pressed(CallId call, EndpointId node, double work, double capacity, Time born);
-  void warm(EndpointId node) { rules_.node_warm(0, node); }
-
-  // The plan's: the link of the two is cut, and stands again. What comes over it then may have been
-  // sent before.
-  void cut(std::size_t proxy, EndpointId node, bool on);
-
-  // Staff's: a backend is out for work, and is back. Whatever reaches it meanwhile is counted,
-  // however it came there.
-  void out(EndpointId node, bool on) { on ? void(out_.insert(node)) : void(out_.erase(node)); }
-  std::uint64_t sent_to_out() const { return sent_to_out_; }
-
-  // The agents': what was written to a proxy. `whole`: a list, in which whatever it lacks is gone.
-  void told(std::size_t proxy, const std::vector<Endpoint>& rows, bool whole);
-  void asked_whole(std::size_t proxy) { ++lists_[proxy]; }
-
-  // The plan's: from then on its silence is no fault of its own; after it, a new life knows
-  // nothing.
-  void disturbed(std::size_t proxy);
-  void undisturbed(std::size_t proxy, bool new_life);
+
+  /// Clients: an attempt was sent to a proxy, and got its response.
+  void request_sent(ClientAttemptId id, ClassId request_class, std::size_t proxy, Time deadline);
+  void response_received(ClientAttemptId id, bool rejected);
+  /// The connection ended without a response, or none came by the deadline and the tolerance.
+  void no_response(ClientAttemptId id);
+
+  /// Backends: a connection was accepted; a request was read. attempt_received() returns the number
+  /// for attempt_completed().
+  void connection_accepted(EndpointId backend);
+  std::uint32_t attempt_received(ClientAttemptId id, const Endpoint& backend);
+  void attempt_completed(ClientAttemptId id, std::uint32_t attempt, Result result);
+  /// A request with `work` core-seconds reached a backend that is warming up, started at
+  /// `started_at` and does `capacity` core-seconds a second now.
+  void work_received_in_slow_start(ClientAttemptId id, EndpointId backend, double work,
+                                   double capacity, Time started_at);
+  void slow_start_ended(EndpointId backend) { rules_.node_warm(0, backend); }
+
+  /// Discovery servers: a list was asked for, and endpoints were written to a proxy.
+  void snapshot_requested(std::size_t proxy) { ++snapshot_requests_[proxy]; }
+  void endpoints_sent(std::size_t proxy, const std::vector<Endpoint>& endpoints, UpdateKind kind);
+
+  /// Fault injection: the link between the two is partitioned, or healed. Bytes that were sent
+  /// before may arrive once it is healed.
+  void set_partitioned(std::size_t proxy, EndpointId backend, bool partitioned);
+  /// Between the two calls a missing response is no violation by the proxy. Faults may overlap.
+  void proxy_fault_began(std::size_t proxy);
+  void proxy_fault_ended(std::size_t proxy, ProxyMemory memory);
+
+  /// Operators: a backend is out for maintenance, or back. Requests that reach it meanwhile are
+  /// counted.
+  void set_in_maintenance(EndpointId backend, bool in_maintenance);
+  std::uint64_t attempts_during_maintenance() const { return attempts_during_maintenance_; }
 
   const emulator::RuleChecker& rules() const { return rules_; }
+  /// Attempts without a response that a fault of the proxy's process accounts for.
   std::uint64_t excused() const { return excused_; }
-  // Most in one second, and the node and second where: [backend][second].
-  const std::vector<std::vector<std::uint32_t>>& connections() const { return connections_; }
-  const std::vector<std::vector<std::uint32_t>>& arrivals() const { return arrivals_; }
-  const std::vector<std::uint32_t>& lists() const {
-    return lists_;
-  }  // whole lists asked for, by proxy
+  const CountsPerSecond& connections() const { return connections_; }
+  const CountsPerSecond& attempts() const { return attempts_; }
+  /// By proxy.
+  const std::vector<std::uint32_t>& snapshot_requests() const { return snapshot_requests_; }
 
  private:
-  struct Open {
+  // Attempts of one request share the upper bits of the id.
+  static constexpr unsigned kAttemptBits = 6;
+
+  struct OpenRequest {
     std::size_t proxy = 0;
-    Time asked{0};
+    Time sent{0};
     std::uint32_t attempts = 0;
   };
-  struct Told {
+  // What discovery last told a proxy about a backend.
+  struct AdvertisedState {
     bool up = false;
     std::optional<Time> down_since;
     Time up_since{0};
   };
-  struct Cut {
-    Time from{0}, to{0};
+  struct Partition {
+    Time began{0};
+    Time ended{0};
   };
-  struct Life {
-    std::uint32_t troubles = 0;  // faults of the plan that are on
-    Time last{Time::min()};      // when one ended
+  struct ProxyFaults {
+    std::uint32_t active = 0;
+    Time last_ended{Time::min()};
   };
-  void tidy();
+  void forget_expired();
+  void advertise(std::size_t proxy, EndpointId backend, EndpointStatus status);
   static void count(std::vector<std::uint32_t>& by_second, Time now);
 
-  const emulator::Scenario s_;
+  const emulator::Scenario scenario_;
   std::function<Time()> now_;
   emulator::RuleChecker rules_;
-  std::unordered_map<CallId, Open> open_;  // looked up only
-  std::deque<std::pair<Time, CallId>> by_age_;
-  std::vector<std::vector<Told>> told_;  // by proxy and node
-  std::vector<Life> lives_;
-  std::map<std::pair<std::size_t, EndpointId>, Cut> cuts_;  // the latest
-  std::vector<std::vector<std::uint32_t>> connections_, arrivals_;
-  std::vector<std::uint32_t> lists_;
+  std::unordered_map<ClientAttemptId, OpenRequest> open_;  // looked up only, never iterated
+  std::deque<std::pair<Time, ClientAttemptId>> expiries_;  // in the order of sending
+  std::vector<std::vector<AdvertisedState>> advertised_;   // [proxy][backend]
+  std::vector<ProxyFaults> proxy_faults_;
+  std::map<std::pair<std::size_t, EndpointId>, Partition> partitions_;  // the latest of each link
+  CountsPerSecond connections_;
+  CountsPerSecond attempts_;
+  std::vector<std::uint32_t> snapshot_requests_;
   std::uint64_t excused_ = 0;
-  std::set<EndpointId> out_;
-  std::uint64_t sent_to_out_ = 0;
+  std::set<EndpointId> in_maintenance_;
+  std::uint64_t attempts_during_maintenance_ = 0;
 };
 
 }  // namespace beechhill::testbed
--- /dev/null
+++ b/src/testbed/open_loop_load.cpp
@@ -0,0 +1,310 @@
+#include "testbed/open_loop_load.h"
+
+#include <fmt/format.h>
+
+#include <algorithm>
+#include <cmath>
+#include <cstdlib>
+
+#include "http/message.h"
+#include "testbed/task_helpers.h"
+
+namespace beechhill::testbed {
+
+using net::Io;
+using runtime::Task;
+using runtime::TimePoint;
+using runtime::Wait;
+
+namespace {
+
+// Longer Retry-After times are ignored.
+constexpr double kMaxRetryAfterS = 3600;
+// Before another proxy is tried at once where one was unreachable.
+constexpr Duration kMinUnreachableDelay{1000};
+
+Duration retry_after_of(const http::Message& response) {
+  const std::string* text = response.headers.find("Retry-After");
+  if (!text) {
+    return Duration{0};
+  }
+  const double seconds = std::strtod(text->c_str(), nullptr);
+  const bool valid = seconds > 0 && seconds < kMaxRetryAfterS;
+  return valid ? Duration(std::llround(seconds * 1e6)) : Duration{0};
+}
+
+bool is_rejection(const http::Message& response) {
+  return response.status == 429 || response.status == 503;
+}
+
+// Counts a connection for as long as an attempt uses it.
+class ConnectionCount {
+ public:
+  explicit ConnectionCount(std::size_t& count) : count_(count) { ++count_; }
+  ~ConnectionCount() { --count_; }
+  ConnectionCount(const ConnectionCount&) = delete;
+  ConnectionCount& operator=(const ConnectionCount&) = delete;
+
+ private:
+  std::size_t& count_;
+};
+
+}  // namespace
+
+OpenLoopLoad::OpenLoopLoad(runtime::Scheduler& scheduler, const TestbedClock& clock,
+                           const emulator::Scenario& scenario, std::vector<sockaddr_in> proxies,
+                           ObservationLog& observations)
+    : scheduler_(scheduler),
+      clock_(clock),
+      scenario_(scenario),
+      observations_(observations),
+      proxies_(std::move(proxies)),
+      offered_(proxies_.size(), true),
+      idle_(proxies_.size()),
+      metrics_(scenario),
+      random_(scenario.seed, emulator::Actor::kClients, 0),
+      assigned_proxies_(scenario.clients.connections) {
+  for (std::size_t i = 0; i < assigned_proxies_.size(); ++i) {
+    assigned_proxies_[i] = static_cast<std::uint32_t>(i % proxies_.size());
+  }
+  const double length_s = std::chrono::duration<double>(scenario_.length).count();
+  metrics_.seconds.resize(static_cast<std::size_t>(std::ceil(length_s)));
+}
+
+void OpenLoopLoad::set_proxy_offered(std::size_t proxy, bool offered) {
+  offered_[proxy] = offered;
+}
+
+void OpenLoopLoad::rebalance_to(std::size_t proxy) {
+  if (!scenario_.clients.dealt_back) {
+    return;
+  }
+  const auto offered = static_cast<std::size_t>(std::count(offered_.begin(), offered_.end(), true));
+  emulator::deal_back(assigned_proxies_, static_cast<std::uint32_t>(proxy), offered, random_);
+}
+
+// Any proxy, where none is offered.
+std::size_t OpenLoopLoad::draw_offered_proxy() {
+  std::vector<std::size_t> candidates;
+  for (std::size_t i = 0; i < offered_.size(); ++i) {
+    if (offered_[i]) {
+      candidates.push_back(i);
+    }
+  }
+  if (candidates.empty()) {
+    return random_.below(offered_.size());
+  }
+  return candidates[random_.below(candidates.size())];
+}
+
+Task<> OpenLoopLoad::run() {
+  emulator::Arrivals arrivals(scenario_);
+  while (const auto arrival = arrivals.next()) {
+    if (clock_.now() < arrival->at) {
+      co_await sleep_until(scheduler_, clock_.time_point(arrival->at));
+    }
+    max_send_delay_ = std::max(max_send_delay_, clock_.now() - arrival->at);
+    metrics_.asked(arrival->at, arrival->c, arrival->tenant, arrival->worth);
+    ++open_;
+    scheduler_.spawn(run_request(*arrival, requests_++));
+  }
+  all_sent_ = true;
+  while (open_ > 0) {
+    Wait wait(scheduler_);
+    wait.notified(all_ended_);
+    co_await wait;
+  }
+  metrics_.close();
+}
+
+// All attempts at one request.
+Task<> OpenLoopLoad::run_request(emulator::Arrival arrival, std::uint64_t request) {
+  const Time deadline = arrival.at + scenario_.classes[arrival.c].settings.deadline;
+  AttemptResult result;
+  for (std::uint32_t number = 1;; ++number) {
+    count_attempt(arrival);
+    std::uint32_t& proxy = assigned_proxies_[arrival.connection];
+    if (!offered_[proxy]) {
+      proxy = static_cast<std::uint32_t>(draw_offered_proxy());
+    }
+    const Duration patience = emulator::patience_of(scenario_, arrival.c, random_);
+    const Attempt attempt{arrival, request, number, proxy,
+                          std::min(patience, deadline - clock_.now())};
+    result = co_await run_attempt(attempt);
+    if (result.outcome == AttemptResult::Outcome::kServed) {
+      break;
+    }
+    count_unserved_attempt(result);
+    const std::optional<Duration> delay = retry_delay(arrival, number, result);
+    if (!delay || clock_.now() + *delay >= deadline) {
+      break;
+    }
+    co_await sleep_until(scheduler_, clock_.time_point(clock_.now() + *delay));
+  }
+  const bool served = result.outcome == AttemptResult::Outcome::kServed;
+  const bool rejected = result.outcome == AttemptResult::Outcome::kRejected;
+  metrics_.ended(arrival.at, clock_.now() - arrival.at, arrival.c, arrival.tenant, arrival.worth,
+                 served, rejected);
+  if (served) {
+    ++served_;
+  }
+  --open_;
+  if (all_sent_ && open_ == 0) {
+    all_ended_.notify();
+  }
+}
+
+void OpenLoopLoad::count_attempt(const emulator::Arrival& arrival) {
+  if (metrics_.counted(arrival.at)) {
+    ++metrics_.tries;
+  }
+  if (emulator::Second* second = metrics_.second_of(clock_.now())) {
+    ++second->tries;
+  }
+}
+
+void OpenLoopLoad::count_unserved_attempt(const AttemptResult& result) {
+  if (emulator::Second* second = metrics_.second_of(clock_.now())) {
+    const bool rejected = result.outcome == AttemptResult::Outcome::kRejected;
+    ++(rejected ? second->refused : second->failed);
+  }
+  if (result.outcome == AttemptResult::Outcome::kUnreachable) {
+    ++metrics_.unreachable;
+  }
+}
+
+// Until the next attempt, to another proxy where this one was unreachable; nullopt: there is none.
+std::optional<Duration> OpenLoopLoad::retry_delay(const emulator::Arrival& arrival,
+                                                  std::uint32_t attempt,
+                                                  const AttemptResult& result) {
+  const bool rejected = result.outcome == AttemptResult::Outcome::kRejected;
+  const bool unreachable = result.outcome == AttemptResult::Outcome::kUnreachable;
+  if (unreachable) {
+    assigned_proxies_[arrival.connection] = static_cast<std::uint32_t>(draw_offered_proxy());
+  }
+  std::optional<Duration> delay = emulator::wait_before_retry(
+      scenario_, {arrival.c, attempt, rejected, unreachable, result.retry_after}, random_);
+  if (delay && unreachable) {
+    delay = std::max(*delay, kMinUnreachableDelay);
+  }
+  return delay;
+}
+
+std::string OpenLoopLoad::trace_id(const Attempt& attempt) const {
+  return fmt::format("{:x}-{:x}-{}", scenario_.seed, attempt.request, attempt.number);
+}
+
+std::string OpenLoopLoad::request_text(const Attempt& attempt) const {
+  const emulator::Arrival& arrival = attempt.arrival;
+  const emulator::ClassSpec& request_class = scenario_.classes[arrival.c];
+  const auto timeout_ms =
+      std::chrono::duration_cast<std::chrono::milliseconds>(attempt.timeout).count();
+  std::string headers = fmt::format("X-Trace-Id: {}\r\nX-Expires-In-Ms: {}\r\n", trace_id(attempt),
+                                    std::max<std::int64_t>(1, timeout_ms));
+  if (arrival.tenant != kNoTenant) {
+    headers += "X-Customer: " + scenario_.tenants[arrival.tenant].name + "\r\n";
+  }
+  const bool has_effect = request_class.settings.idempotency != Idempotency::kIdempotent;
+  if (has_effect) {
+    headers += fmt::format("Idempotency-Key: {:x}-{:x}\r\n", scenario_.seed, attempt.request);
+  }
+  if (attempt.number > 1) {
+    headers += "X-Second-Try: 1\r\n";
+  }
+  const std::string target =
+      fmt::format("/{}/x?work_us={}", request_class.name, std::llround(arrival.work_s * 1e6));
+  return http::write_request(has_effect ? "POST" : "GET", target, "proxy", headers,
+                             has_effect ? "{}" : "");
+}
+
+std::unique_ptr<net::Stream> OpenLoopLoad::take_idle_connection(std::size_t proxy) {
+  std::unique_ptr<net::Stream> stream;
+  while (!stream && !idle_[proxy].empty()) {
+    stream = std::move(idle_[proxy].back());
+    idle_[proxy].pop_back();
+    --connections_;
+    if (stream->stale()) {
+      stream.reset();
+    }
+  }
+  return stream;
+}
+
+// An idle connection, or a new one.
+Task<OpenLoopLoad::Connection> OpenLoopLoad::connect(std::size_t proxy, TimePoint deadline) {
+  Connection connection;
+  connection.stream = take_idle_connection(proxy);
+  connection.reused = connection.stream != nullptr;
+  if (connection.stream || connections_ >= kMaxConnections) {
+    co_return connection;
+  }
+  const ConnectionCount counted(connections_);
+  std::unique_ptr<net::Stream> stream =
+      co_await net::Stream::connect(scheduler_, proxies_[proxy], deadline);
+  connection.stream = std::move(stream);
+  if (connection.stream) {
+    ++metrics_.connections;
+  }
+  co_return connection;
+}
+
+Task<OpenLoopLoad::AttemptResult> OpenLoopLoad::run_attempt(const Attempt& attempt) {
+  AttemptResult result;
+  const TimePoint deadline = clock_.time_point(clock_.now() + attempt.timeout);
+  // A response is awaited until the rules can be judged; after the deadline it counts as failed.
+  const TimePoint read_deadline = deadline + kObservationTolerance;
+  const ClientAttemptId id = ObservationLog::client_attempt(attempt.request, attempt.number);
+  const std::string request = request_text(attempt);
+  observations_.request_sent(id, attempt.arrival.c, attempt.proxy, clock_.now() + attempt.timeout);
+  for (;;) {
+    Connection connection = co_await connect(attempt.proxy, deadline);
+    if (!connection.stream) {
+      result.outcome = AttemptResult::Outcome::kUnreachable;
+      co_return result;
+    }
+    const ConnectionCount counted(connections_);
+    std::string buffer;
+    const HttpExchange sent =
+        co_await exchange(*connection.stream, request, buffer, deadline, read_deadline);
+    if (sent.complete) {
+      observations_.response_received(id, is_rejection(sent.response));
+      result = judge_response(attempt, sent.response, runtime::Clock::now() <= deadline);
+      if (sent.response.keep_alive()) {
+        idle_[attempt.proxy].push_back(std::move(connection.stream));
+        ++connections_;
+      }
+      co_return result;
+    }
+    // The protocol has a reused connection that the proxy closed without reading replaced by a new
+    // one.
+    const bool closed_unread = connection.reused && !sent.response_started &&
+                               (sent.last_io == Io::kEof || sent.last_io == Io::kError);
+    if (!closed_unread || runtime::Clock::now() >= deadline) {
+      observations_.no_response(id);
+      co_return result;
+    }
+  }
+}
+
+OpenLoopLoad::AttemptResult OpenLoopLoad::judge_response(const Attempt& attempt,
+                                                         const http::Message& response,
+                                                         bool in_time) {
+  AttemptResult result;
+  if (!in_time) {
+    return result;
+  }
+  if (response.status == 200) {
+    result.outcome = AttemptResult::Outcome::kServed;
+    if (response.body != trace_id(attempt) + " served\n") {
+      ++wrong_responses_;
+    }
+  } else if (is_rejection(response)) {
+    result.outcome = AttemptResult::Outcome::kRejected;
+    result.retry_after = retry_after_of(response);
+  } else if (response.status != 502) {
+    ++wrong_responses_;
+  }
+  return result;
+}
+
+}  // namespace beechhill::testbed
--- a/src/testbed/proxy_process.h
+++ b/src/testbed/proxy_process.h
@@ -1,4 +1,4 @@
-// Real proxies as child processes of the lab. None outlives it, however it ends.
+// Real proxies as child processes of the testbed. None outlives it, however it ends.
 #pragma once
 
 #include <json/json.h>
@@ -14,73 +14,64 @@
 
 namespace beechhill::testbed {
 
-// A free port on loopback, kept so while this stands: whoever is told its number may listen on it,
-// also after it was away, and nobody is given it meanwhile. Throws std::runtime_error where there
-// is none.
-class ReservedPort {
- public:
-  ReservedPort();
-  const sockaddr_in& address() const { return address_; }
-
- private:
-  net::Fd fd_;
-  sockaddr_in address_{};
-};
-
+/// One proxy, which may be started, stopped and killed several times. Blocking; for one thread.
 class ProxyProcess {
  public:
-  // Its configuration and log stand in `folder`, which must outlive it.
-  // `operator_file`: the text of its operator file; empty: it has none.
-  ProxyProcess(const experiments::TempFolder& folder, const std::string& program,
+  /// Writes the proxy's configuration into `directory`, which must outlive this and takes its log.
+  /// `operator_file`: the text of the proxy's operator file; where empty, it has none.
+  ProxyProcess(const experiments::TempFolder& directory, const std::string& program,
                Json::Value config, sockaddr_in address, const std::string& operator_file = {});
   ~ProxyProcess() { kill(); }
   ProxyProcess(const ProxyProcess&) = delete;
   ProxyProcess& operator=(const ProxyProcess&) = delete;
 
-  void start();  // throws std::runtime_error where the system has no process left
+  /// Throws std::runtime_error where the system has no process left.
+  void start();
+  /// SIGKILL; waits until the process is gone.
   void kill();
-  void ask_to_end() { signal(SIGTERM); }  // in good order; does not wait for it
-  void stop() { signal(SIGSTOP); }
-  void go_on() { signal(SIGCONT); }
-  // In good order, or by force after 5 s. Blocks.
-  void end();
-  bool ended();                            // it never ran, or has been reaped
-  double cpu_s() const { return cpu_s_; }  // of all lives that have ended
-  double cpu_now_s() const;                // of the one that runs, from /proc
+  /// SIGTERM, for a graceful shutdown; does not wait for it.
+  void request_shutdown() { signal(SIGTERM); }
+  void suspend() { signal(SIGSTOP); }
+  void resume() { signal(SIGCONT); }
+  /// Graceful shutdown; after 5 s by SIGKILL. Blocks.
+  void shut_down();
+  /// Whether no process runs: it was never started, or has exited and was reaped.
+  bool exited();
+
+  /// CPU time of all processes of this proxy that have exited, in seconds.
+  double cpu_s() const { return cpu_s_; }
+  /// CPU time of the running process, from /proc, in seconds.
+  double running_cpu_s() const;
+  /// Resident memory of the running process.
   long rss_kib() const;
   const sockaddr_in& address() const { return address_; }
-  std::string last_words() const;  // the last line of its log
-  std::size_t said(
-      const std::string& event) const;  // lines of its log, over all lives, that tell of it
-  std::uint64_t summed(const std::string& event,
-                       const std::string& key) const;  // of these lines, what stands as key=
+
+  /// The last line of its log, over all its processes.
+  std::string last_log_line() const;
+  /// How many lines of its log record that event.
+  std::size_t count_log_events(const std::string& event) const;
+  /// The sum of the values after `key=` in those lines.
+  std::uint64_t sum_log_field(const std::string& event, const std::string& key) const;
 
  private:
-  std::vector<std::string> lines(const std::string& event) const;
+  [[noreturn]] void execute() const;
+  std::vector<std::string> log_lines(const std::string& event) const;
   void signal(int number) const;
   void reap();
-  void book(const rusage& used);
+  void record_exit(const rusage& used);
 
-  std::string program_, config_, log_, operator_;
+  std::string program_;
+  std::string config_path_;
+  std::string log_path_;
+  std::string operator_file_path_;  // empty: none
   sockaddr_in address_{};
-  pid_t pid_ = 0;
+  pid_t pid_ = 0;  // 0: no process runs
   double cpu_s_ = 0;
 };
 
-// The status and the body of an answer; 0: none came in time.
-struct HttpAnswer {
-  int status = 0;
-  std::string body;
-};
-runtime::Task<HttpAnswer> call_http(runtime::Scheduler& scheduler, sockaddr_in to,
-                                    std::string method, std::string target,
-                                    runtime::Clock::duration within);
-// Whether the proxy there says that it is ready, within 200 ms.
-runtime::Task<bool> ready(runtime::Scheduler& scheduler, sockaddr_in address);
-// Throws std::runtime_error where the proxy ends, or is not ready within 15 s.
-runtime::Task<> until_ready(runtime::Scheduler& scheduler, ProxyProcess& proxy);
-// Runs a task to its end on the scheduler, then stops it; a fault in it comes out of
-// Scheduler::run.
-runtime::Task<> then_stop(runtime::Scheduler& scheduler, runtime::Task<> task);
+/// Whether the proxy at that address reports that it is ready, within 200 ms.
+runtime::Task<bool> is_ready(runtime::Scheduler& scheduler, sockaddr_in address);
+/// Throws std::runtime_error where the proxy exits, or is not ready within 15 s.
+runtime::Task<> wait_until_ready(runtime::Scheduler& scheduler, ProxyProcess& proxy);
 
 }  // namespace beechhill::testbed
--- a/src/testbed/simulation_commands.cpp
+++ b/src/testbed/simulation_commands.cpp
@@ -3,236 +3,345 @@
 #include <fmt/format.h>
 
 #include <algorithm>
+#include <chrono>
+#include <cmath>
+#include <cstdint>
+#include <cstdio>
 #include <memory>
+#include <optional>
+#include <string>
+#include <vector>
 
 #include "emulator/gossip_simulation.h"
 #include "emulator/maintenance_simulation.h"
 #include "emulator/units.h"
+#include "testbed/exit_code.h"
 
 namespace beechhill::testbed {
 
 using emulator::GossipSimulation;
 using emulator::GossipSimulationSpec;
+using emulator::MaintenanceSimulation;
+using emulator::MaintenanceSimulationSpec;
 using emulator::to_s;
 using namespace std::chrono_literals;
 
 namespace {
 
-// Until all that run know of each other and of nobody else; nothing where that lasts over ten
-// minutes.
-std::optional<Duration> until_agreed(GossipSimulation& world) {
-  const Time from = world.now();
-  while (!world.agreed()) {
-    if (world.now() - from > 600s) {
+// ---- simulate-membership
+
+constexpr auto kSimulationStep = 100ms;
+constexpr auto kMaxConvergence = 600s;
+constexpr auto kSteadyState = 300s;  // over which traffic is measured
+constexpr auto kPartition = 120s;
+// One in so many members is suspended.
+constexpr std::size_t kSuspendedPart = 10;
+
+// What one simulation measured; durations are nullopt where members did not converge.
+struct MembershipResult {
+  std::optional<Duration> join;
+  double bytes_per_s = 0;           // of each member, while nothing happens
+  double false_deaths_per_h = 0;    // of each member, while nothing happens
+  std::vector<double> detection_s;  // sorted; by pair of a member and a suspended one
+  std::optional<Duration> death_known_to_all;
+  std::optional<Duration> heal;  // after a partition into halves
+};
+
+// Until each running member knows of each other one, and of nobody else.
+std::optional<Duration> time_to_converge(GossipSimulation& simulation) {
+  const Time began = simulation.now();
+  while (!simulation.agreed()) {
+    if (simulation.now() - began > kMaxConvergence) {
       return std::nullopt;
     }
-    world.run(100ms);
+    simulation.run(kSimulationStep);
   }
-  return world.now() - from;
+  return simulation.now() - began;
 }
 
-std::string text(const std::optional<Duration>& d) {
-  return d ? fmt::format("{:.1f}", to_s(*d)) : std::string("never");
+void measure_steady_state(GossipSimulation& simulation, MembershipResult& result) {
+  const GossipSimulation::TrafficCounts before = simulation.traffic();
+  simulation.run(kSteadyState);
+  const GossipSimulation::TrafficCounts& after = simulation.traffic();
+  const double member_seconds =
+      to_s(Duration(kSteadyState)) * static_cast<double>(simulation.size());
+  result.bytes_per_s = static_cast<double>(after.bytes - before.bytes) / member_seconds;
+  result.false_deaths_per_h =
+      static_cast<double>(after.false_deaths - before.false_deaths) / member_seconds * 3600;
 }
 
-struct Row {
-  std::optional<Duration> joined, told_all, healed;
-  std::vector<double> detected;
-  double bytes = 0, false_deaths = 0;
-};
-
-Row play(const GossipSimulationSpec& spec) {
-  Row row;
-  GossipSimulation world(spec);
-  row.joined = until_agreed(world);
-  const auto before = world.traffic();
-  constexpr auto kCalm = 300s;
-  world.run(kCalm);
-  const double seconds = to_s(Duration(kCalm)) * spec.members;
-  row.bytes = static_cast<double>(world.traffic().bytes - before.bytes) / seconds;
-  row.false_deaths =
-      static_cast<double>(world.traffic().false_deaths - before.false_deaths) / seconds * 3600;
-  // A tenth is stopped where it stands: when does each of the others hold it for dead?
-  std::vector<std::size_t> struck;
-  for (std::size_t i = 0; i < std::max<std::size_t>(1, spec.members / 10); ++i) {
-    struck.push_back(spec.members - 1 - i);
-  }
-  const Time at = world.now();
-  for (const std::size_t i : struck) {
-    world.stop(i);
+// Suspends the last members, measures when the others notice, and resumes them.
+void measure_failure_detection(GossipSimulation& simulation, MembershipResult& result) {
+  const std::size_t count = std::max<std::size_t>(1, simulation.size() / kSuspendedPart);
+  const std::size_t first = simulation.size() - count;
+  const Time suspended_at = simulation.now();
+  for (std::size_t i = first; i < simulation.size(); ++i) {
+    simulation.stop(i);
   }
-  row.told_all = until_agreed(world);
-  for (std::size_t w = 0; w < world.size(); ++w) {
-    for (const std::size_t i : struck) {
-      if (const auto since = world.running(w) ? world.dead_since(w, i) : std::nullopt) {
-        row.detected.push_back(std::max(0.0, to_s(*since - at)));
+  result.death_known_to_all = time_to_converge(simulation);
+  for (std::size_t watcher = 0; watcher < first; ++watcher) {
+    for (std::size_t i = first; i < simulation.size(); ++i) {
+      if (const std::optional<Time> dead_since = simulation.dead_since(watcher, i)) {
+        result.detection_s.push_back(std::max(0.0, to_s(*dead_since - suspended_at)));
       }
     }
   }
-  std::sort(row.detected.begin(), row.detected.end());
-  for (const std::size_t i : struck) {
-    world.go_on(i);
+  std::sort(result.detection_s.begin(), result.detection_s.end());
+  for (std::size_t i = first; i < simulation.size(); ++i) {
+    simulation.go_on(i);
   }
-  until_agreed(world);
-  const std::size_t half = world.size() / 2;
-  world.cut([half](std::size_t a, std::size_t b) { return (a < half) == (b < half); });
-  world.run(120s);
-  world.cut({});
-  row.healed = until_agreed(world);
-  return row;
+  time_to_converge(simulation);
 }
 
-}  // namespace
+void measure_partition(GossipSimulation& simulation, MembershipResult& result) {
+  const std::size_t half = simulation.size() / 2;
+  simulation.cut([half](std::size_t from, std::size_t to) { return (from < half) == (to < half); });
+  simulation.run(kPartition);
+  simulation.cut({});
+  result.heal = time_to_converge(simulation);
+}
 
-void add_membership_command(CLI::App& app, int& code) {
-  struct Options {
-    std::vector<std::uint32_t> members{3, 30, 100};
-    std::vector<double> loss{0, 0.1, 0.3};
-    double interval = 1;
-    std::uint64_t seed = 1;
-  };
-  const auto o = std::make_shared<Options>();
-  CLI::App* c =
-      app.add_subcommand("simulate-membership",
-                         "Play members that join, are stopped, and are split, in simulated time");
-  c->add_option("--members", o->members, "How many, one row each")
-      ->check(CLI::Range(2u, 1'000u))
-      ->capture_default_str();
-  c->add_option("--loss", o->loss, "Part of the datagrams that is lost, one row each")
-      ->check(CLI::Range(0.0, 0.9))
-      ->capture_default_str();
-  c->add_option("--interval", o->interval, "Seconds between a member's probes")
-      ->check(CLI::Range(0.01, 60.0))
-      ->capture_default_str();
-  c->add_option("--seed", o->seed, "")->capture_default_str();
-  c->callback([o, &code] {
-    fmt::print("{:>8} {:>6} {:>9} {:>11} {:>15} {:>16} {:>13} {:>9}\n", "members", "loss",
-               "joined s", "bytes/s each", "false deaths/h", "told dead s", "all agree s",
-               "healed s");
-    for (const std::uint32_t n : o->members) {
-      for (const double loss : o->loss) {
-        GossipSimulationSpec spec;
-        spec.members = n;
-        spec.loss = loss;
-        spec.seed = o->seed;
-        spec.interval = emulator::to_span(o->interval);
-        const Row row = play(spec);
-        const auto at = [&row](double part) {
-          return row.detected.empty() ? 0.0
-                                      : row.detected[static_cast<std::size_t>(
-                                            part * static_cast<double>(row.detected.size() - 1))];
-        };
-        fmt::print("{:>8} {:>6.2f} {:>9} {:>11.0f} {:>15.3f} {:>16} {:>13} {:>9}\n", n, loss,
-                   text(row.joined), row.bytes, row.false_deaths,
-                   fmt::format("{:.1f} ({:.1f})", at(0.5), at(1)), text(row.told_all),
-                   text(row.healed));
-        std::fflush(stdout);
-      }
+MembershipResult simulate_membership(const GossipSimulationSpec& spec) {
+  MembershipResult result;
+  GossipSimulation simulation(spec);
+  result.join = time_to_converge(simulation);
+  measure_steady_state(simulation, result);
+  measure_failure_detection(simulation, result);
+  measure_partition(simulation, result);
+  return result;
+}
+
+std::string seconds_text(const std::optional<Duration>& duration) {
+  return duration ? fmt::format("{:.1f}", to_s(*duration)) : std::string("never");
+}
+
+// 0 where there are no values.
+double quantile(const std::vector<double>& sorted, double q) {
+  if (sorted.empty()) {
+    return 0;
+  }
+  return sorted[static_cast<std::size_t>(q * static_cast<double>(sorted.size() - 1))];
+}
+
+void print_membership_header() {
+  fmt::print("{:>8} {:>6} {:>9} {:>11} {:>15} {:>16} {:>13} {:>9}\n", "members", "loss", "join s",
+             "bytes/s each", "false deaths/h", "detection s", "all agree s", "heal s");
+}
+
+void print_membership_result(const GossipSimulationSpec& spec, const MembershipResult& result) {
+  const std::string detection = fmt::format("{:.1f} ({:.1f})", quantile(result.detection_s, 0.5),
+                                            quantile(result.detection_s, 1));
+  fmt::print("{:>8} {:>6.2f} {:>9} {:>11.0f} {:>15.3f} {:>16} {:>13} {:>9}\n", spec.members,
+             spec.loss, seconds_text(result.join), result.bytes_per_s, result.false_deaths_per_h,
+             detection, seconds_text(result.death_known_to_all), seconds_text(result.heal));
+  std::fflush(stdout);
+}
+
+struct MembershipOptions {
+  std::vector<std::uint32_t> members{3, 30, 100};
+  std::vector<double> loss{0, 0.1, 0.3};
+  double interval_s = 1;
+  std::uint64_t seed = 1;
+};
+
+ExitCode run_membership(const MembershipOptions& options) {
+  print_membership_header();
+  for (const std::uint32_t members : options.members) {
+    for (const double loss : options.loss) {
+      GossipSimulationSpec spec;
+      spec.members = members;
+      spec.loss = loss;
+      spec.seed = options.seed;
+      spec.interval = emulator::to_span(options.interval_s);
+      print_membership_result(spec, simulate_membership(spec));
     }
-    code = 0;
-  });
+  }
+  return kSuccess;
 }
 
-namespace {
+// ---- simulate-maintenance
 
-// All backends once, without a fault but, where asked, the leader's death half way; against the
-// shortest that the bounds allow.
-void play_round(std::uint32_t backends, std::uint32_t followers, std::uint64_t seed,
-                bool leader_dies) {
-  emulator::MaintenanceSimulationSpec s;
-  s.seed = seed, s.backends = backends, s.followers = followers;
-  s.use = 0.7, s.calls_per_s = 5;
-  s.work = 10s, s.warm = 2s;
-  s.bounds.needs_approval = false, s.bounds.capacity_reserve = 0.1, s.bounds.quiet_period = 5;
-  s.bounds.max_out = std::max<std::uint32_t>(1, backends / 10);
-  s.bounds.max_out_per_zone = s.bounds.max_out_per_cell = s.bounds.max_out;
-  emulator::MaintenanceSimulation w(s);
-  w.run(3s);
-  maintenance::Command ask;
-  ask.type = maintenance::CommandType::kSubmitRequest;
-  ask.request = maintenance::Request{};
-  ask.request->id = "all", ask.request->max_concurrent = backends;
-  for (int i = 0; i < 3; ++i) {
-    w.order(0, ask), w.run(300ms);
+constexpr std::size_t kEntryProxy = 0;  // where requests are submitted
+constexpr int kSubmissions = 3;         // one may be lost while a leader is elected
+constexpr auto kSubmissionInterval = 300ms;
+constexpr auto kElection = 3s;
+constexpr auto kLeaderDown = 2s;
+constexpr auto kMaxFailover = 120s;
+constexpr auto kMaxRound = 7200s;
+
+struct RoundOptions {
+  std::uint32_t backends = 0;
+  std::uint32_t followers = 0;
+  std::uint64_t seed = 1;
+  bool leader_dies = false;  // half way through
+};
+
+MaintenanceSimulationSpec round_spec(const RoundOptions& options) {
+  MaintenanceSimulationSpec spec;
+  spec.seed = options.seed;
+  spec.backends = options.backends;
+  spec.followers = options.followers;
+  spec.use = 0.7;
+  spec.calls_per_s = 5;
+  spec.work = 10s;
+  spec.warm = 2s;
+  maintenance::DisruptionBudget& budget = spec.bounds;
+  budget.needs_approval = false;
+  budget.capacity_reserve = 0.1;
+  budget.quiet_period = 5;
+  budget.max_out = std::max<std::uint32_t>(1, options.backends / 10);
+  budget.max_out_per_zone = budget.max_out;
+  budget.max_out_per_cell = budget.max_out;
+  return spec;
+}
+
+void submit_request_for_all(MaintenanceSimulation& simulation, std::uint32_t backends) {
+  maintenance::Command command;
+  command.type = maintenance::CommandType::kSubmitRequest;
+  command.request = maintenance::Request{};
+  command.request->id = "all";
+  command.request->max_concurrent = backends;
+  for (int i = 0; i < kSubmissions; ++i) {
+    simulation.order(kEntryProxy, command);
+    simulation.run(kSubmissionInterval);
+  }
+}
+
+// Kills the leader and restarts it. Returns the time until work that began after its death has
+// ended.
+Duration measure_failover(MaintenanceSimulation& simulation, std::size_t leader,
+                          std::uint32_t max_out) {
+  const std::size_t done_before = simulation.taken_out();
+  const Time died_at = simulation.now();
+  simulation.kill(leader);
+  simulation.run(kLeaderDown);
+  simulation.start(leader);
+  while (simulation.now() - died_at < kMaxFailover &&
+         !(simulation.leader() && simulation.taken_out() > done_before + max_out)) {
+    simulation.run(kSimulationStep);
+  }
+  return simulation.now() - died_at;
+}
+
+// Maintenance of all backends once, with no fault but the leader's death where that is asked for;
+// compared with the shortest time that the disruption budget allows.
+void simulate_round(const RoundOptions& options) {
+  const MaintenanceSimulationSpec spec = round_spec(options);
+  MaintenanceSimulation simulation(spec);
+  simulation.run(kElection);
+  submit_request_for_all(simulation, options.backends);
+  const Time began = simulation.now();
+  std::optional<Duration> failover;
+  while (simulation.now() - began < kMaxRound &&
+         !(simulation.leader() && simulation.open_requests().empty())) {
+    simulation.run(kSimulationStep);
+    const std::optional<std::size_t> leader = simulation.leader();
+    if (options.leader_dies && !failover && leader &&
+        simulation.taken_out() >= options.backends / 2) {
+      failover = measure_failover(simulation, *leader, spec.bounds.max_out);
+    }
   }
-  const Time from = w.now();
-  std::optional<Duration> to_go_on;
-  while (w.now() - from < 7200s && !(w.leader() && w.open_requests().empty())) {
-    w.run(100ms);
-    if (!leader_dies || to_go_on || w.taken_out() < backends / 2 || !w.leader()) {
-      continue;
+  const double took_s = to_s(simulation.now() - began);
+  const double batches = std::ceil(options.backends / static_cast<double>(spec.bounds.max_out));
+  const double shortest_s = batches * to_s(spec.work + spec.warm);
+  const std::string failover_text =
+      failover ? fmt::format("; {:.1f} s from the leader's death until later work had ended",
+                             to_s(*failover))
+               : "";
+  fmt::print(
+      "{} backends, {} at a time, {} proxies: {:.1f} s, {:.2f} times the shortest; held back {} of "
+      "{} calls; {} violations of the disruption budget{}\n",
+      options.backends, spec.bounds.max_out, spec.voters + options.followers, took_s,
+      took_s / shortest_s, simulation.calls_kept_back(),
+      simulation.calls() + simulation.calls_kept_back(), simulation.verdict().all(), failover_text);
+}
+
+struct MaintenanceOptions {
+  std::uint64_t seed = 1;
+  std::uint32_t plans = 100;
+  std::uint32_t followers = 10;
+  std::uint32_t round_backends = 0;  // 0: drawn plans
+  bool leader_dies = false;
+};
+
+// Drawn plans; those that show a violation are printed on standard error.
+ExitCode simulate_plans(const MaintenanceOptions& options) {
+  std::uint64_t violating_plans = 0;
+  std::uint64_t unexplained_requests = 0;
+  std::uint64_t backends_done = 0;
+  std::uint64_t completed_plans = 0;
+  for (std::uint64_t seed = options.seed; seed < options.seed + options.plans; ++seed) {
+    const emulator::MaintenanceRun run = emulator::run_drawn_maintenance(seed, options.followers);
+    const bool violated = run.verdict.all() > 0;
+    backends_done += run.taken_out;
+    unexplained_requests += run.silent.size();
+    if (run.open.empty()) {
+      ++completed_plans;
+    }
+    if (violated) {
+      ++violating_plans;
     }
-    const std::size_t lead = *w.leader();
-    const std::size_t before = w.taken_out();
-    const Time died = w.now();
-    w.kill(lead);
-    w.run(2s);
-    w.start(lead);
-    while (w.now() - died < 120s && !(w.leader() && w.taken_out() > before + s.bounds.max_out)) {
-      w.run(100ms);
+    if (violated || !run.silent.empty()) {
+      fmt::print(stderr, "seed {}\n{}{}", seed, run.plan, run.verdict.text);
+    }
+    for (const std::string& id : run.silent) {
+      fmt::print(stderr, "{}: neither completed nor with a reason for waiting\n", id);
     }
-    to_go_on = w.now() - died;
   }
-  const double took = to_s(w.now() - from),
-               shortest = std::ceil(backends / static_cast<double>(s.bounds.max_out)) *
-                          to_s(s.work + s.warm);
   fmt::print(
-      "{} backends, {} at a time, {} proxies: {:.1f} s, {:.2f} times the shortest; kept back {} of "
-      "{} calls; {} broke a bound{}\n",
-      backends, s.bounds.max_out, s.voters + followers, took, took / shortest, w.calls_kept_back(),
-      w.calls() + w.calls_kept_back(), w.verdict().all(),
-      to_go_on ? fmt::format("; {:.1f} s from the leader's death until later grants had ended",
-                             to_s(*to_go_on))
-               : "");
+      "{} plans: {} backends taken out and back, all requests completed in {}, {} violated the "
+      "disruption budget, {} requests waiting without a reason\n",
+      options.plans, backends_done, completed_plans, violating_plans, unexplained_requests);
+  return violating_plans + unexplained_requests > 0 ? kRuleViolated : kSuccess;
+}
+
+ExitCode run_maintenance(const MaintenanceOptions& options) {
+  if (options.round_backends == 0) {
+    return simulate_plans(options);
+  }
+  simulate_round({options.round_backends, options.followers, options.seed, options.leader_dies});
+  return kSuccess;
 }
 
 }  // namespace
 
-void add_works_command(CLI::App& app, int& code) {
-  struct Options {
-    std::uint64_t seed = 1;
-    std::uint32_t plans = 100, followers = 10, round = 0;
-    bool leader_dies = false;
-  };
-  const auto o = std::make_shared<Options>();
-  CLI::App* c = app.add_subcommand("simulate-maintenance",
-                                   "Play rounds of work over all backends under plans of faults "
-                                   "drawn from seeds, in simulated time");
-  c->add_option("--seed", o->seed, "Of the first plan")->capture_default_str();
-  c->add_option("--plans", o->plans, "How many")
+void add_simulate_membership_command(CLI::App& app, int& exit_code) {
+  const auto options = std::make_shared<MembershipOptions>();
+  CLI::App* command = app.add_subcommand(
+      "simulate-membership",
+      "Simulate gossip members that join, are suspended and are partitioned, in simulated time");
+  command->add_option("--members", options->members, "Cluster sizes, one row each")
+      ->check(CLI::Range(2u, 1'000u))
+      ->capture_default_str();
+  command->add_option("--loss", options->loss, "Parts of the datagrams that are lost, one row each")
+      ->check(CLI::Range(0.0, 0.9))
+      ->capture_default_str();
+  command->add_option("--interval", options->interval_s, "Seconds between a member's probes")
+      ->check(CLI::Range(0.01, 60.0))
+      ->capture_default_str();
+  command->add_option("--seed", options->seed, "Seed of the simulation")->capture_default_str();
+  command->callback([options, &exit_code] { exit_code = run_membership(*options); });
+}
+
+void add_simulate_maintenance_command(CLI::App& app, int& exit_code) {
+  const auto options = std::make_shared<MaintenanceOptions>();
+  CLI::App* command = app.add_subcommand(
+      "simulate-maintenance",
+      "Simulate maintenance of all backends under fault injection plans drawn from seeds, in "
+      "simulated time");
+  command->add_option("--seed", options->seed, "Seed of the first plan")->capture_default_str();
+  command->add_option("--plans", options->plans, "Number of plans")
       ->check(CLI::Range(1u, 100'000u))
       ->capture_default_str();
-  c->add_option("--followers", o->followers, "Proxies beside the voters, at the most")
+  command->add_option("--followers", options->followers, "Maximum of proxies that do not vote")
       ->check(CLI::Range(0u, 200u))
       ->capture_default_str();
-  c->add_option("--round", o->round, "In place of plans: a whole round over so many backends")
+  command
+      ->add_option("--round", options->round_backends,
+                   "In place of plans: one round of maintenance of so many backends")
       ->check(CLI::Range(2u, 2'000u));
-  c->add_flag("--leader-dies", o->leader_dies, "Half way through the round");
-  c->callback([o, &code] {
-    if (o->round > 0) {
-      return play_round(o->round, o->followers, o->seed, o->leader_dies);
-    }
-    std::uint64_t broken = 0, silent = 0, out = 0, whole = 0;
-    for (std::uint64_t seed = o->seed; seed < o->seed + o->plans; ++seed) {
-      const emulator::MaintenanceRun p = emulator::run_drawn_maintenance(seed, o->followers);
-      out += p.taken_out;
-      whole += p.open.empty();
-      silent += p.silent.size();
-      if (p.verdict.all() == 0 && p.silent.empty()) {
-        continue;
-      }
-      broken += p.verdict.all() > 0;
-      fmt::print(stderr, "seed {}\n{}{}", seed, p.plan, p.verdict.text);
-      for (const std::string& id : p.silent) {
-        fmt::print(stderr, "{}: neither ended nor says why\n", id);
-      }
-    }
-    fmt::print(
-        "{} plans: {} machines taken out and back, all requests ended in {}, {} broke a bound, {} "
-        "requests silent\n",
-        o->plans, out, whole, broken, silent);
-    code = broken + silent > 0 ? 3 : 0;
-  });
+  command->add_flag("--leader-dies", options->leader_dies, "The leader dies half way in the round");
+  command->callback([options, &exit_code] { exit_code = run_maintenance(*options); });
 }
 
 }  // namespace beechhill::testbed
--- a/src/testbed/simulation_commands.h
+++ b/src/testbed/simulation_commands.h
@@ -1,12 +1,14 @@
-// In simulated time: `membership`, what the members of a group learn of each other; `works`, rounds
-// of work under drawn faults.
+// The commands that simulate parts of a cluster in simulated time: `simulate-membership`, what
+// gossip members learn of each other, and `simulate-maintenance`, maintenance of all backends under
+// drawn faults.
 #pragma once
 
 #include <CLI/CLI.hpp>
 
 namespace beechhill::testbed {
 
-void add_membership_command(CLI::App& app, int& code);
-void add_works_command(CLI::App& app, int& code);
+/// `exit_code` must outlive the app's parsing, which sets it.
+void add_simulate_membership_command(CLI::App& app, int& exit_code);
+void add_simulate_maintenance_command(CLI::App& app, int& exit_code);
 
 }  // namespace beechhill::testbed
--- a/src/testbed/state_directory_faults.cpp
+++ b/src/testbed/state_directory_faults.cpp
@@ -6,6 +6,7 @@
 
 #include <fstream>
 #include <iterator>
+#include <vector>
 
 #include "snapshot/snapshot.h"
 
@@ -16,140 +17,155 @@
 
 namespace {
 
-constexpr std::uint64_t kStateStream = 1ULL << 38;  // apart from nodes, proxies, faults and plans
+// Keeps these draws apart from those for backends, proxies, faults and fault plans.
+constexpr std::uint64_t kStateStream = 1ULL << 38;
 
-std::string contents(const fs::path& file) {
+std::string read_file(const fs::path& file) {
   std::ifstream in(file, std::ios::binary);
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
-void put(const fs::path& file, const std::string& text) {
+void write_file(const fs::path& file, const std::string& text) {
   std::ofstream(file, std::ios::binary | std::ios::trunc) << text;
 }
 
+// In the directory's own order; taken before any of them is changed.
+std::vector<fs::path> regular_files(const fs::path& directory) {
+  std::vector<fs::path> files;
+  for (const auto& entry : fs::directory_iterator(directory)) {
+    if (entry.is_regular_file()) {
+      files.push_back(entry.path());
+    }
+  }
+  return files;
+}
+
 }  // namespace
 
-StateDirectoryFaults::StateDirectoryFaults(fs::path folder, std::string aside, std::uint64_t seed)
-    : folder_(std::move(folder)),
-      aside_(folder_ / aside),
+StateDirectoryFaults::StateDirectoryFaults(fs::path directory, const std::string& temporary_file,
+                                           std::uint64_t seed)
+    : directory_(std::move(directory)),
+      temporary_file_(directory_ / temporary_file),
       random_(seed, emulator::Actor::kFaults, kStateStream) {
-  fs::create_directories(folder_);
+  fs::create_directories(directory_);
 }
 
 StateDirectoryFaults::~StateDirectoryFaults() {
-  unblock();
+  unblock_writes();
 }
 
-void StateDirectoryFaults::strike(FaultKind kind, bool begins, std::chrono::milliseconds by) {
+void StateDirectoryFaults::apply(FaultKind kind, FaultPhase phase, std::chrono::milliseconds age) {
+  const bool begins = phase == FaultPhase::kBegins;
   switch (kind) {
-    case FaultKind::kStateLost:
+    case FaultKind::kStateOld:
+      begins ? save_copy() : restore_copy();
+      return;
+    case FaultKind::kDiskFull:
+    case FaultKind::kDiskHangs:
+    case FaultKind::kDiskGone:
+      unblock_writes();
       if (begins) {
-        for (const auto& entry : fs::directory_iterator(folder_)) {
-          fs::remove_all(entry.path());
-        }
+        block_writes(kind);
       }
+      return;
+    default:
       break;
-    case FaultKind::kStateOld:
-      begins ? remember() : put_back();
+  }
+  if (!begins) {
+    return;  // the others leave their damage
+  }
+  switch (kind) {
+    case FaultKind::kStateLost:
+      remove_all();
       break;
     case FaultKind::kStateTorn:
+      damage_files(Damage::kTruncate);
+      break;
     case FaultKind::kStateFlipped:
-      if (begins) {
-        damage(kind == FaultKind::kStateTorn);
-      }
+      damage_files(Damage::kFlipBit);
       break;
     case FaultKind::kStateAged:
-      if (begins) {
-        age(by);
-      }
-      break;
-    case FaultKind::kDiskFull:
-    case FaultKind::kDiskHangs:
-    case FaultKind::kDiskGone:
-      unblock();
-      if (begins) {
-        block(kind);
-      }
+      age_snapshots(age);
       break;
     default:
       break;
   }
 }
 
-void StateDirectoryFaults::remember() {
-  copy_.clear();
-  for (const auto& entry : fs::directory_iterator(folder_)) {
-    if (entry.is_regular_file()) {
-      copy_[entry.path().filename().string()] = contents(entry.path());
-    }
+void StateDirectoryFaults::remove_all() {
+  for (const auto& entry : fs::directory_iterator(directory_)) {
+    fs::remove_all(entry.path());
+  }
+}
+
+void StateDirectoryFaults::save_copy() {
+  saved_files_.clear();
+  for (const fs::path& file : regular_files(directory_)) {
+    saved_files_[file.filename().string()] = read_file(file);
   }
 }
 
-void StateDirectoryFaults::put_back() {
-  for (const auto& entry : fs::directory_iterator(folder_)) {
-    if (entry.is_regular_file() && !copy_.contains(entry.path().filename().string())) {
-      fs::remove(entry.path());
+void StateDirectoryFaults::restore_copy() {
+  for (const fs::path& file : regular_files(directory_)) {
+    if (!saved_files_.contains(file.filename().string())) {
+      fs::remove(file);
     }
   }
-  for (const auto& [name, text] : copy_) {
-    put(folder_ / name, text);
+  for (const auto& [name, text] : saved_files_) {
+    write_file(directory_ / name, text);
   }
 }
 
-void StateDirectoryFaults::damage(bool cut) {
-  for (const auto& entry : fs::directory_iterator(folder_)) {
-    if (!entry.is_regular_file()) {
-      continue;
-    }
-    std::string text = contents(entry.path());
+void StateDirectoryFaults::damage_files(Damage damage) {
+  for (const fs::path& file : regular_files(directory_)) {
+    std::string text = read_file(file);
     if (text.empty()) {
       continue;
     }
-    if (cut) {
+    if (damage == Damage::kTruncate) {
       text.resize(text.size() / 2);
     } else {
       char& byte = text[random_.below(text.size())];
       byte = static_cast<char>(byte ^ (1 << random_.below(8)));
     }
-    put(entry.path(), text);
+    write_file(file, text);
   }
 }
 
-void StateDirectoryFaults::age(std::chrono::milliseconds by) {
-  for (const auto& entry : fs::directory_iterator(folder_)) {
-    auto snapshot =
-        entry.is_regular_file() ? snapshot::decode(contents(entry.path())) : std::nullopt;
+void StateDirectoryFaults::age_snapshots(std::chrono::milliseconds age) {
+  for (const fs::path& file : regular_files(directory_)) {
+    auto snapshot = snapshot::decode(read_file(file));
     if (!snapshot) {
       continue;
     }
-    snapshot->written_at -= by;
-    for (snapshot::EndpointRecord& row : snapshot->records) {
-      row.recorded_at -= by;
+    snapshot->written_at -= age;
+    for (snapshot::EndpointRecord& record : snapshot->records) {
+      record.recorded_at -= age;
     }
-    put(entry.path(), snapshot::encode(*snapshot));
+    write_file(file, snapshot::encode(*snapshot));
   }
 }
 
-void StateDirectoryFaults::block(FaultKind kind) {
-  std::error_code none;
-  fs::remove_all(aside_, none);
+void StateDirectoryFaults::block_writes(FaultKind kind) {
+  std::error_code ignored;
+  fs::remove_all(temporary_file_, ignored);
   if (kind == FaultKind::kDiskFull) {
-    fs::create_symlink("/dev/full", aside_, none);
+    fs::create_symlink("/dev/full", temporary_file_, ignored);
   }
   if (kind == FaultKind::kDiskGone) {
-    fs::create_directory(aside_, none);
+    fs::create_directory(temporary_file_, ignored);
   }
   if (kind == FaultKind::kDiskHangs) {
-    ::mkfifo(aside_.c_str(), 0600);  // whoever opens it to write waits for a reader
+    ::mkfifo(temporary_file_.c_str(), 0600);  // opening it to write blocks until it has a reader
   }
 }
 
-void StateDirectoryFaults::unblock() {
-  std::error_code none;
-  if (fs::is_fifo(aside_, none)) {
-    drain_ = net::Fd(::open(aside_.c_str(), O_RDONLY | O_NONBLOCK | O_CLOEXEC));
+void StateDirectoryFaults::unblock_writes() {
+  std::error_code ignored;
+  if (fs::is_fifo(temporary_file_, ignored)) {
+    pipe_reader_ = net::Fd(::open(temporary_file_.c_str(), O_RDONLY | O_NONBLOCK | O_CLOEXEC));
   }
-  fs::remove_all(aside_, none);
+  fs::remove_all(temporary_file_, ignored);
 }
 
 }  // namespace beechhill::testbed
--- a/src/testbed/state_directory_faults.h
+++ b/src/testbed/state_directory_faults.h
@@ -1,6 +1,5 @@
-// The folder in which one process keeps what outlasts it, and what befalls it: lost, put back as it
-// was, torn, damaged, or on a disk that is full, hangs or cannot be written. By means that need no
-// rights: what a process writes aside before it renames it meets something that is no file.
+// Faults of the directory in which one process keeps its durable state: lost, restored from an old
+// copy, truncated or corrupted files, and a disk that is full, hangs or cannot be written.
 #pragma once
 
 #include <chrono>
@@ -11,34 +10,45 @@
 #include "emulator/random.h"
 #include "emulator/scenario.h"
 #include "net/socket.h"
+#include "testbed/fault_injector.h"
 
 namespace beechhill::testbed {
 
+/// Faults of the disk need no privileges: the temporary file that the process writes before it
+/// renames it is replaced by something that is no regular file.
 class StateDirectoryFaults {
  public:
-  // Makes the folder. `aside`: the file in it that the process writes before it renames it.
-  StateDirectoryFaults(std::filesystem::path folder, std::string aside, std::uint64_t seed);
+  /// Makes the directory. `temporary_file`: the name of the file in it that the process writes
+  /// before it renames it.
+  StateDirectoryFaults(std::filesystem::path directory, const std::string& temporary_file,
+                       std::uint64_t seed);
   ~StateDirectoryFaults();
   StateDirectoryFaults(const StateDirectoryFaults&) = delete;
   StateDirectoryFaults& operator=(const StateDirectoryFaults&) = delete;
 
-  std::string path() const { return folder_.string(); }
-  // A fault of state (emulator::strikes_state) begins or ends. Faults of the disk may overlap: the
-  // first to end mends it. `by`: how much older its snapshots become, for kStateAged.
-  void strike(emulator::FaultKind kind, bool begins, std::chrono::milliseconds by);
+  std::string path() const { return directory_.string(); }
+  /// A fault of state (emulator::strikes_state) begins or ends; others are ignored. Faults of the
+  /// disk may overlap: the first to end mends it. `age`: how much older snapshots become, for
+  /// kStateAged.
+  void apply(emulator::FaultKind kind, FaultPhase phase, std::chrono::milliseconds age);
 
  private:
-  void remember();
-  void put_back();
-  void damage(bool cut);
-  void age(std::chrono::milliseconds by);
-  void block(emulator::FaultKind kind);
-  void unblock();
-
-  const std::filesystem::path folder_, aside_;
-  std::map<std::string, std::string> copy_;  // files as they stood
+  enum class Damage { kTruncate, kFlipBit };
+  void remove_all();
+  void save_copy();
+  void restore_copy();
+  void damage_files(Damage damage);
+  void age_snapshots(std::chrono::milliseconds age);
+  void block_writes(emulator::FaultKind kind);
+  void unblock_writes();
+
+  const std::filesystem::path directory_;
+  const std::filesystem::path temporary_file_;
+  std::map<std::string, std::string> saved_files_;  // contents by name
   emulator::Stream random_;
-  net::Fd drain_;  // keeps a pipe's writer from being killed once it is let go
+  // The reading end of the pipe of a disk that hung: its writer, once let go, is not killed by
+  // SIGPIPE.
+  net::Fd pipe_reader_;
 };
 
 }  // namespace beechhill::testbed
--- a/src/testbed/tcp_fault_proxy.cpp
+++ b/src/testbed/tcp_fault_proxy.cpp
@@ -1,110 +1,111 @@
 #include "testbed/tcp_fault_proxy.h"
 
+#include "testbed/server_io.h"
+#include "testbed/task_helpers.h"
+
 namespace beechhill::testbed {
 
-using namespace std::chrono_literals;
 using net::Io;
 using runtime::Clock;
 using runtime::Task;
 using runtime::Wait;
 
-namespace {
-
-constexpr auto kFar = 1h;
-constexpr auto kLookAgain = 5ms;  // whether a cut is over
+struct TcpFaultProxy::Connection {
+  std::unique_ptr<net::Stream> client;
+  std::unique_ptr<net::Stream> backend;
+  // Wake the task that reads from that end.
+  runtime::Notifier client_closed;
+  runtime::Notifier backend_closed;
+  bool closed = false;
 
-}  // namespace
-
-struct TcpFaultProxy::Link {
-  std::unique_ptr<net::Stream> near, far;
-  runtime::Notifier near_over, far_over;  // wake the pump that reads there
-  bool over = false;
-  void end() {
-    over = true;
-    near_over.notify();
-    far_over.notify();
+  void close() {
+    closed = true;
+    client_closed.notify();
+    backend_closed.notify();
   }
 };
 
-TcpFaultProxy::TcpFaultProxy(runtime::Scheduler& scheduler, const sockaddr_in& to)
-    : scheduler_(scheduler), to_(to), listener_(scheduler, *net::parse_address("127.0.0.1:0")) {
+TcpFaultProxy::TcpFaultProxy(runtime::Scheduler& scheduler, const sockaddr_in& backend)
+    : scheduler_(scheduler), backend_(backend), listener_(scheduler, any_loopback_port()) {
   scheduler_.spawn(accept());
 }
 
-void TcpFaultProxy::reset() {
-  for (const auto& link : links_) {
-    link->end();
+void TcpFaultProxy::set_partitioned(bool to_backend, bool from_backend) {
+  to_backend_partitioned_ = to_backend;
+  from_backend_partitioned_ = from_backend;
+}
+
+void TcpFaultProxy::reset_connections() {
+  for (const auto& connection : connections_) {
+    connection->close();
   }
 }
 
 Task<> TcpFaultProxy::accept() {
   for (;;) {
-    net::Fd taken;
+    net::Fd accepted;
     sockaddr_in from{};
-    const Io io = co_await listener_.accept(Clock::now() + kFar, taken, from);
+    const Io io = co_await listener_.accept(Clock::now() + kNoTimeout, accepted, from);
     if (io == Io::kOk) {
-      scheduler_.spawn(join(std::move(taken)));
-      continue;
+      scheduler_.spawn(connect(std::move(accepted)));
+    } else {
+      co_await sleep_for(scheduler_, kFaultPollInterval);
     }
-    Wait wait(scheduler_);
-    wait.until(Clock::now() + kLookAgain);
-    co_await wait;
   }
 }
 
-Task<> TcpFaultProxy::join(net::Fd taken) {
-  const auto link = std::make_shared<Link>();
-  link->near = std::make_unique<net::Stream>(scheduler_, std::move(taken));
-  while (there_) {  // the far end does not hear of it before the cut is over
+Task<> TcpFaultProxy::connect(net::Fd accepted) {
+  const auto connection = std::make_shared<Connection>();
+  connection->client = std::make_unique<net::Stream>(scheduler_, std::move(accepted));
+  while (to_backend_partitioned_) {
+    co_await sleep_for(scheduler_, kFaultPollInterval);
+  }
+  std::unique_ptr<net::Stream> backend =
+      co_await net::Stream::connect(scheduler_, backend_, Clock::now() + kNoTimeout);
+  if (!backend) {
+    co_return;  // refused, as the client would see it without a proxy between
+  }
+  connection->backend = std::move(backend);
+  connections_.insert(connection);
+  scheduler_.spawn(forward(connection, Direction::kFromBackend));
+  co_await forward(connection, Direction::kToBackend);
+}
+
+Task<> TcpFaultProxy::wait_until_forwardable(const Connection& connection, const bool& partitioned,
+                                             runtime::TimePoint due) {
+  while (!connection.closed && (partitioned || Clock::now() < due)) {
     Wait wait(scheduler_);
-    wait.until(Clock::now() + kLookAgain);
+    wait.until(partitioned ? Clock::now() + kFaultPollInterval : due);
     co_await wait;
   }
-  std::unique_ptr<net::Stream> far =
-      co_await net::Stream::connect(scheduler_, to_, Clock::now() + kFar);
-  if (!far) {
-    co_return;  // as the far end has it: nobody there
-  }
-  link->far = std::move(far);
-  links_.insert(link);
-  scheduler_.spawn(pump(link, false));
-  co_await pump(link, true);
 }
 
-Task<> TcpFaultProxy::pump(std::shared_ptr<Link> link, bool there) {
-  net::Stream& from = there ? *link->near : *link->far;
-  net::Stream& to = there ? *link->far : *link->near;
-  runtime::Notifier& over = there ? link->near_over : link->far_over;
-  const bool& cut = there ? there_ : back_;
+Task<> TcpFaultProxy::forward(std::shared_ptr<Connection> connection, Direction direction) {
+  const bool to_backend = direction == Direction::kToBackend;
+  net::Stream& from = to_backend ? *connection->client : *connection->backend;
+  net::Stream& to = to_backend ? *connection->backend : *connection->client;
+  runtime::Notifier& closed = to_backend ? connection->client_closed : connection->backend_closed;
+  const bool& partitioned = to_backend ? to_backend_partitioned_ : from_backend_partitioned_;
   std::string bytes;
-  while (!link->over) {
-    const Io io = co_await from.read(bytes, Clock::now() + kFar, &over);
+  while (!connection->closed) {
+    const Io io = co_await from.read(bytes, Clock::now() + kNoTimeout, &closed);
     if (io != Io::kOk) {
       break;
     }
-    const auto due = Clock::now() + delay_;
-    while (!link->over && (cut || Clock::now() < due)) {
-      Wait wait(scheduler_);
-      wait.until(cut ? Clock::now() + kLookAgain : due);
-      co_await wait;
-    }
-    if (link->over) {
+    co_await wait_until_forwardable(*connection, partitioned, Clock::now() + delay_);
+    if (connection->closed) {
       break;
     }
-    const Io written = co_await to.write(bytes, Clock::now() + kFar);
+    const Io written = co_await to.write(bytes, Clock::now() + kNoTimeout);
     if (written != Io::kOk) {
       break;
     }
     bytes.clear();
   }
-  // An end passes too, but not over a cut.
-  while (!link->over && cut) {
-    Wait wait(scheduler_);
-    wait.until(Clock::now() + kLookAgain);
-    co_await wait;
-  }
-  link->end();
-  links_.erase(link);
+  // A partition holds the end of a connection as well.
+  co_await wait_until_forwardable(*connection, partitioned, Clock::now());
+  connection->close();
+  connections_.erase(connection);
 }
 
 }  // namespace beechhill::testbed
--- a/src/testbed/tcp_fault_proxy.h
+++ b/src/testbed/tcp_fault_proxy.h
@@ -1,5 +1,4 @@
-// A link between two ends on loopback that can be cut: bytes are held while it is, and a reset ends
-// what goes over it.
+// A TCP proxy on loopback that injects network faults: partitions, delays and resets.
 #pragma once
 
 #include <memory>
@@ -11,27 +10,35 @@
 
 namespace beechhill::testbed {
 
+/// Forwards what comes to its own address to one backend. Must outlive the scheduler's run.
 class TcpFaultProxy {
  public:
-  // Listens at an address of its own for what goes to `to`. It must outlive its scheduler's run.
-  TcpFaultProxy(runtime::Scheduler& scheduler, const sockaddr_in& to);
-  std::string address() const { return net::to_string(listener_.address()); }
-  // Each way by itself: `there` from whoever connected to the far end, `back` from it.
-  void cut(bool there, bool back) { there_ = there, back_ = back; }
-  void delay(runtime::Clock::duration by) { delay_ = by; }  // of what is read from now on, each way
-  void reset();                                             // ends what goes over it now
+  TcpFaultProxy(runtime::Scheduler& scheduler, const sockaddr_in& backend);
+  std::string address_text() const { return net::to_string(listener_.address()); }
+
+  /// While a direction is partitioned its bytes and ends of connections are held; they pass once it
+  /// is healed.
+  void set_partitioned(bool to_backend, bool from_backend);
+  /// Of bytes that are read from now on, in each direction.
+  void set_delay(runtime::Clock::duration delay) { delay_ = delay; }
+  /// Ends all present connections.
+  void reset_connections();
 
  private:
-  struct Link;
+  enum class Direction { kToBackend, kFromBackend };
+  struct Connection;
   runtime::Task<> accept();
-  runtime::Task<> join(net::Fd taken);
-  runtime::Task<> pump(std::shared_ptr<Link> link, bool there);
+  runtime::Task<> connect(net::Fd accepted);
+  runtime::Task<> forward(std::shared_ptr<Connection> connection, Direction direction);
+  runtime::Task<> wait_until_forwardable(const Connection& connection, const bool& partitioned,
+                                         runtime::TimePoint due);
 
   runtime::Scheduler& scheduler_;
-  sockaddr_in to_;
+  sockaddr_in backend_;
   net::Listener listener_;
-  std::set<std::shared_ptr<Link>> links_;
-  bool there_ = false, back_ = false;
+  std::set<std::shared_ptr<Connection>> connections_;
+  bool to_backend_partitioned_ = false;
+  bool from_backend_partitioned_ = false;
   runtime::Clock::duration delay_{0};
 };
 
