--- a/src/cluster/disk_raft_storage.h
+++ b/src/cluster/disk_raft_storage.h
@@ -1,50 +1,62 @@
-// A voter's storage on a disk that lasts: one file of records, each with its checksum, written and
-// synced by a thread of its own and made anew where a snapshot replaces what came before. A slow
-// disk holds up the voter's word, never a request.
+// A voter's storage in one file on a durable disk.
 #pragma once
 
 #include <memory>
-#include <optional>
+#include <stdexcept>
 #include <string>
+#include <vector>
 
+#include "cluster/raft_log_writer.h"
 #include "maintenance/raft_node.h"
 #include "maintenance/raft_storage.h"
 #include "net/socket.h"
 
 namespace beechhill::maintenance {
 
+/// The storage cannot be used: its directory, another process that has it, or one that exists
+/// already.
+class RaftStorageError : public std::runtime_error {
+ public:
+  RaftStorageError(const std::string& path, const std::string& reason)
+      : std::runtime_error(path + ": " + reason) {}
+};
+
+/// Locked against other processes as long as it exists. Its records are durable some time after
+/// append(), in their order.
 class DiskRaftStorage : public RaftStorage {
  public:
-  // Null where none was founded there, or where it cannot be read: then it has been set aside, and
-  // said so in the log. Throws std::runtime_error where the folder cannot be used or another
-  // process has it.
-  static std::unique_ptr<DiskRaftStorage> open(const std::string& folder, const std::string& name);
-  // Makes one that begins with these records. Throws as open(), and where there is one already.
-  static std::unique_ptr<DiskRaftStorage> found(const std::string& folder, const Voter& voter,
+  /// The storage of the voter `name`. Null where there is none, or where its file is damaged: that
+  /// is renamed and logged then. Throws RaftStorageError.
+  static std::unique_ptr<DiskRaftStorage> open(const std::string& directory,
+                                               const std::string& name);
+  /// Creates the storage of a voter that has none, with the given records. Throws RaftStorageError.
+  static std::unique_ptr<DiskRaftStorage> found(const std::string& directory, const Voter& voter,
                                                 const std::vector<LogRecord>& records);
+  /// Waits a moment for what is not durable yet.
   ~DiskRaftStorage() override;
-  // For a voter that cannot rely on it any more. Nothing is written after it.
+  DiskRaftStorage(const DiskRaftStorage&) = delete;
+  DiskRaftStorage& operator=(const DiskRaftStorage&) = delete;
+
+  /// Renames the file of a storage that is an older copy. Nothing is written after that.
   void set_aside();
 
   const Voter& voter() const { return voter_; }
-  const DurableState& state() const override { return image_; }
+  const DurableState& state() const override { return state_; }
   std::uint64_t append(LogRecord record) override;
-  std::uint64_t appended_records() const override { return written_; }
-  std::uint64_t durable_records() override;
-  bool failed() override;
+  std::uint64_t appended_records() const override { return appended_records_; }
+  std::uint64_t durable_records() override { return writer_->durable_records(); }
+  bool failed() override { return writer_->failed(); }
 
  private:
-  struct Writer;
-  DiskRaftStorage(std::string path, net::Fd lock, Voter voter, DurableState image,
-                  std::uint64_t written);
-  static net::Fd lock(const std::string& folder, const std::string& name);
+  DiskRaftStorage(std::string path, net::Fd lock, Voter voter, DurableState state,
+                  std::uint64_t appended_records);
 
   const std::string path_;
-  net::Fd lock_;
+  const net::Fd lock_;
   const Voter voter_;
-  DurableState image_;
-  std::uint64_t written_ = 0;
-  std::shared_ptr<Writer> writer_;  // its thread may outlive it by one write to a disk that hangs
+  DurableState state_;
+  std::uint64_t appended_records_ = 0;
+  const std::shared_ptr<RaftLogWriter> writer_;
 };
 
 }  // namespace beechhill::maintenance
--- a/src/cluster/maintenance_actor.cpp
+++ b/src/cluster/maintenance_actor.cpp
@@ -1,8 +1,10 @@
 #include "cluster/maintenance_actor.h"
 
 #include <algorithm>
+#include <utility>
 
 #include "log/log.h"
+#include "maintenance/command_result.h"
 #include "proxy/connection_log.h"
 
 namespace beechhill::maintenance {
@@ -11,10 +13,19 @@
 
 namespace {
 
-constexpr std::size_t kInboxCapacity = 1'024;  // as many as the datagrams of a common fault
-constexpr Duration kLookEvery{200'000};
-constexpr Duration kDiskLook{5'000};  // while something is being written
-constexpr int kAtOnce = 64;
+// As many as the datagrams of a common fault.
+constexpr std::size_t kInboxCapacity = 1'024;
+constexpr int kMaxMessagesPerRound = 64;
+constexpr Duration kObservationInterval{200'000};
+// While something is being written.
+constexpr Duration kDiskPollInterval{5'000};
+constexpr Duration kMinWait{1'000};
+// So that raft's random numbers differ from others that are drawn by the boot id.
+constexpr std::uint64_t kRaftSeedMask = 0x9e3779b97f4a7c15ULL;
+
+constexpr int kOk = 200;
+constexpr int kConflict = 409;
+constexpr int kUnavailable = 503;
 
 Seconds unix_now() {
   return std::chrono::duration_cast<std::chrono::seconds>(
@@ -22,161 +33,189 @@
       .count();
 }
 
-MaintenanceCoordinator::ResponseCallback answer_to(
-    std::shared_ptr<runtime::PendingTextReply> asked) {
-  return [asked](bool done, const std::string& text) {
-    const bool later =
-        text == "no_leader" || text == "no_answer" || text == "lost" || text == "not_leader";
-    asked->text = text;
-    asked->complete(done ? 200 : later ? 503 : 409);
+bool is_named_voter(const CoordinatorSettings& settings) {
+  return std::find(settings.voters.begin(), settings.voters.end(), settings.self) !=
+         settings.voters.end();
+}
+
+ResponseCallback reply_to(std::shared_ptr<runtime::PendingTextReply> reply) {
+  return [reply](const OperatorResponse& response) {
+    reply->text = response.text;
+    if (response.accepted) {
+      reply->complete(kOk);
+    } else {
+      reply->complete(is_retryable(response.text) ? kUnavailable : kConflict);
+    }
   };
 }
 
 }  // namespace
 
 MaintenanceActor::MaintenanceActor(runtime::Scheduler& scheduler, CoordinatorSettings settings,
-                                   std::string folder, std::uint64_t life,
-                                   membership::GossipMailbox& talk,
+                                   std::string storage_directory, std::uint64_t boot_id,
+                                   membership::GossipMailbox& gossip,
                                    proxy::DecisionMailbox& decisions,
-                                   std::function<LocalView()> look, std::function<void(bool)> drain)
+                                   std::function<LocalView()> observe,
+                                   std::function<void(bool)> set_draining)
     : scheduler_(scheduler),
       settings_(std::move(settings)),
-      folder_(std::move(folder)),
-      life_(life),
-      votes_(std::find(settings_.voters.begin(), settings_.voters.end(), settings_.self) !=
-             settings_.voters.end()),
-      talk_(talk),
+      storage_directory_(std::move(storage_directory)),
+      boot_id_(boot_id),
+      is_voter_(is_named_voter(settings_)),
+      gossip_(gossip),
       decisions_(decisions),
-      look_(std::move(look)),
-      drain_(std::move(drain)),
+      observe_(std::move(observe)),
+      set_draining_(std::move(set_draining)),
       inbox_(kInboxCapacity) {
-  if (votes_) {
-    storage_ = DiskRaftStorage::open(folder_, settings_.self);
+  if (is_voter_) {
+    storage_ = DiskRaftStorage::open(storage_directory_, settings_.self);
   }
-  if (votes_ && !storage_) {
+  if (is_voter_ && !storage_) {
     log::warning("voter_without_storage", {});
   }
-  begin();
+  start_coordinator();
 }
 
-void MaintenanceActor::begin() {
-  works_ = std::make_unique<MaintenanceCoordinator>(now(), settings_, storage_.get(),
-                                                    storage_ ? storage_->voter().generation : 0,
-                                                    life_, life_ ^ 0x9e3779b97f4a7c15ULL, unix_now);
+void MaintenanceActor::start_coordinator() {
+  const std::uint32_t generation = storage_ ? storage_->voter().generation : 0;
+  coordinator_ = std::make_unique<MaintenanceCoordinator>(
+      now(), settings_, storage_.get(), generation, boot_id_, boot_id_ ^ kRaftSeedMask, unix_now);
 }
 
 runtime::Task<> MaintenanceActor::run() {
   for (;;) {
-    if (now() >= look_at_) {
-      look_at_ = now() + kLookEvery;
-      works_->update_local_view(look_());
-    }
-    for (int i = 0; i < kAtOnce && !inbox_.empty(); ++i) {
-      MaintenanceMessage message = inbox_.take();
-      std::visit([this](auto& m) { on(m); }, message);
-    }
-    works_->tick(now());
-    mind_storage();
-    pass_on();
-    Time until = std::min(works_->next_tick(), look_at_);
-    for (const auto& [machine, end] : told_) {
-      if (end > now()) {
-        until = std::min(until, end);  // told again the moment a right lapses
-      }
-    }
-    if (storage_ && !storage_->failed() &&
-        storage_->durable_records() < storage_->appended_records()) {
-      until = std::min(until, now() + kDiskLook);
-    }
-    if (!inbox_.empty()) {
-      until = now();
+    if (now() >= next_observation_) {
+      next_observation_ = now() + kObservationInterval;
+      coordinator_->update_local_view(observe_());
     }
+    take_messages();
+    coordinator_->tick(now());
+    check_storage();
+    send_messages();
+    publish_permissions();
+    report_changes();
+    const Time wake_up = std::max(next_wake_up(), now() + kMinWait);
     runtime::Wait wait(scheduler_);
-    wait.notified(inbox_.arrived())
-        .until(runtime::to_point(std::max(until, now() + Duration{1'000})));
+    wait.notified(inbox_.arrived()).until(runtime::to_point(wake_up));
     co_await wait;
   }
 }
 
-void MaintenanceActor::on(const membership::PayloadReceived& heard) {
-  works_->receive(
-      now(), heard.from,
-      heard.channel == membership::Channel::kRaft ? Channel::kRaft : Channel::kCoordination,
-      heard.payload);
+Time MaintenanceActor::next_wake_up() const {
+  if (!inbox_.empty()) {
+    return now();
+  }
+  Time wake_up = std::min(coordinator_->next_tick(), next_observation_);
+  for (const auto& [machine, end] : published_machines_) {
+    if (end > now()) {
+      // A permission that lapses is published at once.
+      wake_up = std::min(wake_up, end);
+    }
+  }
+  const bool writing =
+      storage_ && !storage_->failed() && storage_->durable_records() < storage_->appended_records();
+  return writing ? std::min(wake_up, now() + kDiskPollInterval) : wake_up;
+}
+
+void MaintenanceActor::take_messages() {
+  for (int i = 0; i < kMaxMessagesPerRound && !inbox_.empty(); ++i) {
+    MaintenanceMessage message = inbox_.take();
+    std::visit([this](auto& typed) { on(typed); }, message);
+  }
+}
+
+void MaintenanceActor::on(const membership::PayloadReceived& received) {
+  const bool is_raft = received.channel == membership::Channel::kRaft;
+  coordinator_->receive(now(), received.from, is_raft ? Channel::kRaft : Channel::kCoordination,
+                        received.payload);
 }
 
 void MaintenanceActor::on(const membership::ProcessResumed&) {
-  works_->on_resume(now());
+  coordinator_->on_resume(now());
 }
 
-void MaintenanceActor::on(SubmitCommand& order) {
-  log::info("maintenance_order", {{"request", std::string_view(order.command.id)},
-                                  {"by", std::string_view(order.command.issued_by)}});
-  works_->submit_command(now(), std::move(order.command), answer_to(order.reply));
+void MaintenanceActor::on(SubmitCommand& message) {
+  log::info("maintenance_order", {{"request", std::string_view(message.command.id)},
+                                  {"by", std::string_view(message.command.issued_by)}});
+  coordinator_->submit_command(now(), std::move(message.command), reply_to(message.reply));
 }
 
-void MaintenanceActor::on(QueryStatus& question) {
-  works_->query(now(), question.request, answer_to(question.reply));
+void MaintenanceActor::on(QueryStatus& message) {
+  coordinator_->query(now(), message.request, reply_to(message.reply));
 }
 
-// A voter that cannot rely on its storage goes on without, as any proxy, until the one that leads
-// has let it in as a new voter.
-void MaintenanceActor::mind_storage() {
-  if (!votes_) {
+void MaintenanceActor::check_storage() {
+  if (!is_voter_) {
     return;
   }
-  if (works_->halted() && !std::exchange(halted_said_, true)) {
+  if (coordinator_->halted() && !std::exchange(halt_logged_, true)) {
     log::warning("voter_halted", {});
   }
-  if (works_->rolled_back()) {
+  if (coordinator_->rolled_back()) {
     storage_->set_aside();
-    works_.reset();
+    coordinator_.reset();
     storage_.reset();
-    begin();
-  }
-  if (const auto generation = works_->readmitted(); generation && !storage_) {
-    try {
-      storage_ = DiskRaftStorage::found(folder_, Voter{settings_.self, *generation}, {});
-      log::info("voter_readmitted", {{"generation", static_cast<std::uint64_t>(*generation)}});
-    } catch (const std::exception& error) {
-      log::fault("voter_without_storage", error);
-      return;
-    }
-    halted_said_ = false;
-    begin();
+    start_coordinator();
+  }
+  if (const auto generation = coordinator_->readmitted(); generation && !storage_) {
+    create_storage(*generation);
   }
 }
 
-void MaintenanceActor::pass_on() {
-  for (MaintenanceCoordinator::Outgoing& o : works_->take_outgoing()) {
-    membership::GossipMessage say(membership::SendPayload{
-        o.to,
-        o.line == Channel::kRaft ? membership::Channel::kRaft : membership::Channel::kCoordination,
-        std::move(o.bytes)});
-    if (!talk_.post(std::move(say))) {
-      log::dropped_message("say");  // as on any network
-    }
+void MaintenanceActor::create_storage(std::uint32_t generation) {
+  try {
+    storage_ = DiskRaftStorage::found(storage_directory_, Voter{settings_.self, generation}, {});
+    log::info("voter_readmitted", {{"generation", static_cast<std::uint64_t>(generation)}});
+  } catch (const std::exception& error) {
+    log::fault("voter_without_storage", error);
+    return;
   }
-  std::map<std::string, Time> until;
-  for (const auto& [machine, right] : works_->dispatch_permissions()) {
-    const Time end = works_->dispatch_permitted_until(machine);
-    until[machine] = end <= now() ? Time::min() : end;
-  }
-  const Time serve_until = works_->serving_permitted_until();
-  const bool lapsed = std::any_of(told_.begin(), told_.end(), [](const auto& t) {
-    return t.second > Time::min() && t.second <= now();
-  });
-  if (until != told_ || serve_until != told_serve_until_ || lapsed) {
-    proxy::DecisionMessage message(proxy::DispatchPermissions{until, serve_until});
-    if (decisions_.post(std::move(message))) {
-      told_ = until, told_serve_until_ = serve_until;
+  halt_logged_ = false;
+  start_coordinator();
+}
+
+void MaintenanceActor::send_messages() {
+  for (MaintenanceCoordinator::Outgoing& message : coordinator_->take_outgoing()) {
+    const bool is_raft = message.channel == Channel::kRaft;
+    membership::GossipMessage payload(membership::SendPayload{
+        std::move(message.to),
+        is_raft ? membership::Channel::kRaft : membership::Channel::kCoordination,
+        std::move(message.bytes)});
+    if (!gossip_.post(std::move(payload))) {
+      // Lost as on any network: raft and the lease client send again.
+      log::dropped_message("maintenance_payload");
     }
   }
-  if (std::exchange(told_out_, works_->is_self_out()) != told_out_) {
-    drain_(told_out_);
+}
+
+void MaintenanceActor::publish_permissions() {
+  std::map<std::string, Time> machines;
+  for (const auto& [machine, permission] : coordinator_->dispatch_permissions()) {
+    const Time end = coordinator_->dispatch_permitted_until(machine);
+    machines[machine] = end <= now() ? Time::min() : end;
+  }
+  const Time serving = coordinator_->serving_permitted_until();
+  const bool lapsed = std::any_of(
+      published_machines_.begin(), published_machines_.end(),
+      [](const auto& entry) { return entry.second > Time::min() && entry.second <= now(); });
+  if (machines == published_machines_ && serving == published_serving_ && !lapsed) {
+    return;
+  }
+  proxy::DecisionMessage message(proxy::DispatchPermissions{machines, serving});
+  if (decisions_.post(std::move(message))) {
+    published_machines_ = std::move(machines);
+    published_serving_ = serving;
+  }
+}
+
+void MaintenanceActor::report_changes() {
+  const bool self_out = coordinator_->is_self_out();
+  if (std::exchange(was_self_out_, self_out) != self_out) {
+    set_draining_(self_out);
   }
-  if (std::exchange(led_, works_->is_leader()) != led_) {
-    log::info("maintenance", {{"leads", led_}});
+  const bool leader = coordinator_->is_leader();
+  if (std::exchange(was_leader_, leader) != leader) {
+    log::info("maintenance", {{"leads", leader}});
   }
 }
 
--- a/src/cluster/maintenance_cli.cpp
+++ b/src/cluster/maintenance_cli.cpp
@@ -1,7 +1,14 @@
 #include "cluster/maintenance_cli.h"
 
+#include <algorithm>
+#include <array>
+#include <cstdint>
 #include <cstdio>
 #include <cstdlib>
+#include <functional>
+#include <memory>
+#include <stdexcept>
+#include <string>
 
 #include "cluster/disk_raft_storage.h"
 #include "config/operator_file.h"
@@ -16,41 +23,57 @@
 
 namespace {
 
-constexpr auto kPatience = 5s;
+constexpr auto kCallTimeout = 5s;
 
-std::string escaped(const std::string& text) {
-  std::string out;
-  char hex[4];
+constexpr int kExitDone = 0;
+constexpr int kExitFailed = 1;
+constexpr int kExitUsage = 2;
+
+// ---- Calls to the admin server
+
+bool is_unreserved(char c) {
+  return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-' ||
+         c == '_' || c == '.' || c == ',';
+}
+
+std::string percent_encoded(const std::string& text) {
+  std::string encoded;
+  std::array<char, 4> hex{};
   for (const char c : text) {
-    const bool plain = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
-                       c == '-' || c == '_' || c == '.' || c == ',';
-    if (!plain) {
-      std::snprintf(hex, sizeof hex, "%%%02X", static_cast<unsigned char>(c));
+    if (is_unreserved(c)) {
+      encoded += c;
+      continue;
     }
-    out += plain ? std::string(1, c) : std::string(hex);
+    static_cast<void>(
+        std::snprintf(hex.data(), hex.size(), "%%%02X", static_cast<unsigned char>(c)));
+    encoded += hex.data();
   }
-  return out;
+  return encoded;
 }
 
 struct Reply {
+  /// An HTTP status code; 0: none came.
   int status = 0;
   std::string body;
 };
 
-runtime::Task<> ask(runtime::Scheduler& scheduler, sockaddr_in door, std::string request,
-                    Reply& reply) {
-  const auto until = Clock::now() + kPatience;
-  const std::unique_ptr<net::Stream> stream = co_await net::Stream::connect(scheduler, door, until);
+runtime::Task<> exchange(runtime::Scheduler& scheduler, sockaddr_in server, std::string request,
+                         Reply& reply) {
+  const auto deadline = Clock::now() + kCallTimeout;
+  const std::unique_ptr<net::Stream> stream =
+      co_await net::Stream::connect(scheduler, server, deadline);
   if (stream) {
-    const net::Io written = co_await stream->write(request, until);
+    const net::Io written = co_await stream->write(request, deadline);
     http::Parser parser(http::Parser::Kind::kResponse);
     http::Progress progress = http::Progress::kMore;
     std::string buffer;
     while (written == net::Io::kOk && progress == http::Progress::kMore) {
-      const net::Io io = co_await stream->read(buffer, until);
-      progress = io == net::Io::kOk    ? parser.feed(buffer)
-                 : io == net::Io::kEof ? parser.end()
-                                       : http::Progress::kBad;
+      const net::Io io = co_await stream->read(buffer, deadline);
+      if (io == net::Io::kOk) {
+        progress = parser.feed(buffer);
+      } else {
+        progress = io == net::Io::kEof ? parser.end() : http::Progress::kBad;
+      }
     }
     if (progress == http::Progress::kDone) {
       reply = {parser.message().status, parser.message().body};
@@ -59,145 +82,236 @@
   scheduler.stop();
 }
 
-int call(const std::string& door, const std::string& method, const std::string& target) {
-  const auto address = net::parse_address(door);
+// Prints the answer. Returns the exit code.
+int call(const std::string& server, const std::string& method, const std::string& target) {
+  const auto address = net::parse_address(server);
   if (!address) {
-    return std::fprintf(stderr, "beechhill: --door: not an IPv4 address and a port: %s\n",
-                        door.c_str()),
-           2;
+    std::fprintf(stderr, "beechhill: --door: not an IPv4 address and a port: %s\n", server.c_str());
+    return kExitUsage;
   }
   Reply reply;
   runtime::Scheduler scheduler;
-  scheduler.spawn(ask(scheduler, *address,
-                      http::write_request(method, target, door, "Connection: close\r\n", ""),
-                      reply));
+  scheduler.spawn(exchange(scheduler, *address,
+                           http::write_request(method, target, server, "Connection: close\r\n", ""),
+                           reply));
   scheduler.run();
   if (reply.status == 200) {
-    return std::fwrite(reply.body.data(), 1, reply.body.size(), stdout), 0;
+    std::fwrite(reply.body.data(), 1, reply.body.size(), stdout);
+    return kExitDone;
   }
   if (reply.status == 0) {
-    return std::fprintf(stderr, "beechhill: no answer from %s\n", door.c_str()), 1;
+    std::fprintf(stderr, "beechhill: no answer from %s\n", server.c_str());
+  } else {
+    std::fprintf(stderr, "beechhill: refused (%d): %s\n", reply.status, reply.body.c_str());
+  }
+  return kExitFailed;
+}
+
+// ---- The subcommands
+
+struct Options {
+  /// Address of the admin server.
+  std::string server;
+  std::string id;
+  std::string role = "backend";
+  std::string machines;
+  std::string zone;
+  std::string cell;
+  std::string kind;
+  std::string operator_name;
+  std::string reason;
+  std::string machine;
+  std::string proxy;
+  std::string operator_file;
+  std::string voter;
+  std::uint32_t max_concurrent = 1;
+  std::int64_t work_duration = 0;
+  std::int64_t not_before = 0;
+  std::int64_t not_after = 0;
+  int priority = 0;
+};
+using OptionsPtr = std::shared_ptr<Options>;
+
+void add_parameter(std::string& target, const char* key, const std::string& value) {
+  if (!value.empty()) {
+    target += std::string("&") + key + "=" + percent_encoded(value);
+  }
+}
+
+void add_parameter(std::string& target, const char* key, std::int64_t value) {
+  if (value != 0) {
+    target += std::string("&") + key + "=" + std::to_string(value);
   }
-  std::fprintf(stderr, "beechhill: refused (%d): %s\n", reply.status, reply.body.c_str());
-  return 1;
 }
 
-int found(const std::string& operator_file, const std::string& name) {
+std::string request_target(const Options& options) {
+  std::string target = "/api/maintenance/request?id=" + percent_encoded(options.id) +
+                       "&role=" + options.role +
+                       "&at_once=" + std::to_string(options.max_concurrent);
+  add_parameter(target, "machines", options.machines);
+  add_parameter(target, "zone", options.zone);
+  add_parameter(target, "cell", options.cell);
+  add_parameter(target, "kind", options.kind);
+  add_parameter(target, "by", options.operator_name);
+  add_parameter(target, "why", options.reason);
+  add_parameter(target, "length", options.work_duration);
+  add_parameter(target, "not_before", options.not_before);
+  add_parameter(target, "not_after", options.not_after);
+  add_parameter(target, "priority", options.priority);
+  return target;
+}
+
+// Creates the storage of a voter. Returns the exit code.
+int create_storage(const std::string& operator_file, const std::string& voter) {
   try {
     const config::OperatorSettings settings = config::load_operator(operator_file);
     const auto& voters = settings.maintenance.voters;
-    if (std::find(voters.begin(), voters.end(), name) == voters.end()) {
-      throw std::runtime_error(name + " is none of maintenance.voters");
+    if (std::find(voters.begin(), voters.end(), voter) == voters.end()) {
+      throw std::runtime_error(voter + " is none of maintenance.voters");
     }
-    DiskRaftStorage::found(settings.maintenance.storage_directory, Voter{name, 1},
+    DiskRaftStorage::found(settings.maintenance.storage_directory, Voter{voter, 1},
                            initial_records(voters));
-    std::printf("founded: %s, one of %zu voters\n", name.c_str(), voters.size());
-    return 0;
+    std::printf("founded: %s, one of %zu voters\n", voter.c_str(), voters.size());
+    return kExitDone;
   } catch (const std::exception& error) {
-    return std::fprintf(stderr, "beechhill: %s\n", error.what()), 1;
+    std::fprintf(stderr, "beechhill: %s\n", error.what());
+    return kExitFailed;
   }
 }
 
+/// Adds the subcommands, all of which share one set of options.
+class SubcommandBuilder {
+ public:
+  SubcommandBuilder(CLI::App& parent, OptionsPtr options, int& exit_code)
+      : parent_(parent), options_(std::move(options)), exit_code_(exit_code) {}
+
+  void add_request() {
+    Options& options = *options_;
+    CLI::App& command = add_call("request", "Ask for machines to be taken out, once each");
+    command
+        .add_option("id", options.id, "Of the request: the same one sent again is the same request")
+        ->required();
+    command.add_option("--role", options.role, "Whose machines")
+        ->check(CLI::IsMember({"backend", "proxy"}))
+        ->capture_default_str();
+    command.add_option("--machines", options.machines, "Their ids, with commas between");
+    command.add_option("--zone", options.zone, "Or all of a zone");
+    command.add_option("--cell", options.cell, "Or of a cell");
+    command.add_option("--kind", options.kind, "Or of a kind");
+    command
+        .add_option("--at-once", options.max_concurrent, "So many of them at a time, at the most")
+        ->check(CLI::Range(1u, 10'000u))
+        ->capture_default_str();
+    command.add_option("--length", options.work_duration,
+                       "Seconds that the work on one is expected to take");
+    command.add_option("--not-before", options.not_before, "Unix time");
+    command.add_option("--not-after", options.not_after, "Unix time");
+    command.add_option("--priority", options.priority, "Higher goes first")
+        ->check(CLI::Range(-1'000, 1'000));
+    command.add_option("--by", options.operator_name, "Who asks")->capture_default_str();
+    command.add_option("--why", options.reason, "What for");
+    on_run(command, "PUT", request_target);
+  }
+
+  void add_list() {
+    CLI::App& command = add_call(
+        "list", "All requests, the machines in work, and the proxies that have a part in it");
+    on_run(command, "GET", [](const Options&) { return std::string("/api/maintenance"); });
+  }
+
+  void add_explain() {
+    CLI::App& command = add_call("explain", "Why a request does not go on");
+    command.add_option("id", options_->id, "Of the request")->required();
+    on_run(command, "GET", [](const Options& options) {
+      return "/api/maintenance?id=" + percent_encoded(options.id);
+    });
+  }
+
+  void add_request_change(const std::string& verb, const char* description) {
+    CLI::App& command = add_call(verb, description);
+    command.add_option("id", options_->id, "Of the request")->required();
+    command.add_option("--by", options_->operator_name, "Who says so")->capture_default_str();
+    on_run(command, "PUT", [verb](const Options& options) {
+      return "/api/maintenance/" + verb + "?id=" + percent_encoded(options.id) +
+             "&by=" + percent_encoded(options.operator_name);
+    });
+  }
+
+  void add_done() {
+    CLI::App& command = add_call("done", "The work on a machine is over, and it runs again");
+    command.add_option("id", options_->id, "Of the request")->required();
+    command.add_option("machine", options_->machine, "Its id")->required();
+    on_run(command, "PUT", [](const Options& options) {
+      return "/api/maintenance/done?id=" + percent_encoded(options.id) +
+             "&machine=" + percent_encoded(options.machine);
+    });
+  }
+
+  void add_forget() {
+    CLI::App& command =
+        add_call("forget", "A proxy is off and sends nothing: the others need not wait for it");
+    command.add_option("proxy", options_->proxy, "Its name")->required();
+    on_run(command, "PUT", [](const Options& options) {
+      return "/api/maintenance/forget?proxy=" + percent_encoded(options.proxy);
+    });
+  }
+
+  void add_found() {
+    CLI::App* const command = parent_.add_subcommand(
+        "found", "Make the storage of a voter, once, when the group is founded");
+    command->add_option("--operator", options_->operator_file, "Its operator file")
+        ->required()
+        ->envname("BEECHHILL_OPERATOR");
+    command->add_option("--name", options_->voter, "Its name")->required()->envname("GW_NAME");
+    command->callback([options = options_, &exit_code = exit_code_] {
+      exit_code = create_storage(options->operator_file, options->voter);
+    });
+  }
+
+ private:
+  CLI::App& add_call(const std::string& name, const char* description) {
+    CLI::App* const command = parent_.add_subcommand(name, description);
+    command
+        ->add_option("--door", options_->server,
+                     "The operators' door of any proxy, an address and a port")
+        ->required();
+    return *command;
+  }
+
+  void on_run(CLI::App& command, const char* method,
+              std::function<std::string(const Options&)> target) {
+    command.callback(
+        [options = options_, &exit_code = exit_code_, method, target = std::move(target)] {
+          exit_code = call(options->server, method, target(*options));
+        });
+  }
+
+  CLI::App& parent_;
+  const OptionsPtr options_;
+  int& exit_code_;
+};
+
 }  // namespace
 
-void add_maintenance_command(CLI::App& app, int& code) {
-  struct Options {
-    std::string door, id, role = "backend", machines, zone, cell, kind, by, why, machine, proxy,
-                          operator_file, name;
-    std::uint32_t at_once = 1;
-    std::int64_t length = 0, not_before = 0, not_after = 0;
-    int priority = 0;
-  };
-  const auto o = std::make_shared<Options>();
+void add_maintenance_command(CLI::App& app, int& exit_code) {
+  const auto options = std::make_shared<Options>();
   if (const char* user = std::getenv("USER")) {
-    o->by = user;
+    options->operator_name = user;
   }
-  CLI::App* all = app.add_subcommand(
+  CLI::App* const command = app.add_subcommand(
       "maintenance", "Take machines out for work, in the order that the proxies settle");
-  all->require_subcommand(1);
-  const auto word = [&](const char* name, const char* text) {
-    CLI::App* c = all->add_subcommand(name, text);
-    c->add_option("--door", o->door, "The operators' door of any proxy, an address and a port")
-        ->required();
-    return c;
-  };
-  CLI::App* c = word("request", "Ask for machines to be taken out, once each");
-  c->add_option("id", o->id, "Of the request: the same one sent again is the same request")
-      ->required();
-  c->add_option("--role", o->role, "Whose machines")
-      ->check(CLI::IsMember({"backend", "proxy"}))
-      ->capture_default_str();
-  c->add_option("--machines", o->machines, "Their ids, with commas between");
-  c->add_option("--zone", o->zone, "Or all of a zone");
-  c->add_option("--cell", o->cell, "Or of a cell");
-  c->add_option("--kind", o->kind, "Or of a kind");
-  c->add_option("--at-once", o->at_once, "So many of them at a time, at the most")
-      ->check(CLI::Range(1u, 10'000u))
-      ->capture_default_str();
-  c->add_option("--length", o->length, "Seconds that the work on one is expected to take");
-  c->add_option("--not-before", o->not_before, "Unix time");
-  c->add_option("--not-after", o->not_after, "Unix time");
-  c->add_option("--priority", o->priority, "Higher goes first")->check(CLI::Range(-1'000, 1'000));
-  c->add_option("--by", o->by, "Who asks")->capture_default_str();
-  c->add_option("--why", o->why, "What for");
-  c->callback([o, &code] {
-    std::string target = "/api/maintenance/request?id=" + escaped(o->id) + "&role=" + o->role +
-                         "&at_once=" + std::to_string(o->at_once);
-    for (const auto& [key, text] : {std::pair("machines", o->machines),
-                                    {"zone", o->zone},
-                                    {"cell", o->cell},
-                                    {"kind", o->kind},
-                                    {"by", o->by},
-                                    {"why", o->why}}) {
-      if (!text.empty()) {
-        target += std::string("&") + key + "=" + escaped(text);
-      }
-    }
-    for (const auto& [key, n] : {std::pair("length", o->length),
-                                 {"not_before", o->not_before},
-                                 {"not_after", o->not_after},
-                                 {"priority", std::int64_t{o->priority}}}) {
-      if (n != 0) {
-        target += std::string("&") + key + "=" + std::to_string(n);
-      }
-    }
-    code = call(o->door, "PUT", target);
-  });
-  c = word("list", "All requests, the machines in work, and the proxies that have a part in it");
-  c->callback([o, &code] { code = call(o->door, "GET", "/api/maintenance"); });
-  c = word("explain", "Why a request does not go on");
-  c->add_option("id", o->id, "Of the request")->required();
-  c->callback([o, &code] { code = call(o->door, "GET", "/api/maintenance?id=" + escaped(o->id)); });
-  for (const auto& [name, text] : {std::pair("approve", "Let it begin"),
-                                   {"hold", "Stop it; what is not out yet is called back"},
-                                   {"resume", "Let it go on"},
-                                   {"cancel", "End it; what is not out yet is called back"}}) {
-    c = word(name, text);
-    c->add_option("id", o->id, "Of the request")->required();
-    c->add_option("--by", o->by, "Who says so")->capture_default_str();
-    c->callback([o, &code, verb = std::string(name)] {
-      code = call(o->door, "PUT",
-                  "/api/maintenance/" + verb + "?id=" + escaped(o->id) + "&by=" + escaped(o->by));
-    });
-  }
-  c = word("done", "The work on a machine is over, and it runs again");
-  c->add_option("id", o->id, "Of the request")->required();
-  c->add_option("machine", o->machine, "Its id")->required();
-  c->callback([o, &code] {
-    code = call(o->door, "PUT",
-                "/api/maintenance/done?id=" + escaped(o->id) + "&machine=" + escaped(o->machine));
-  });
-  c = word("forget", "A proxy is off and sends nothing: the others need not wait for it");
-  c->add_option("proxy", o->proxy, "Its name")->required();
-  c->callback([o, &code] {
-    code = call(o->door, "PUT", "/api/maintenance/forget?proxy=" + escaped(o->proxy));
-  });
-  c = all->add_subcommand("found", "Make the storage of a voter, once, when the group is founded");
-  c->add_option("--operator", o->operator_file, "Its operator file")
-      ->required()
-      ->envname("BEECHHILL_OPERATOR");
-  c->add_option("--name", o->name, "Its name")->required()->envname("GW_NAME");
-  c->callback([o, &code] { code = found(o->operator_file, o->name); });
+  command->require_subcommand(1);
+  SubcommandBuilder subcommands(*command, options, exit_code);
+  subcommands.add_request();
+  subcommands.add_list();
+  subcommands.add_explain();
+  subcommands.add_request_change("approve", "Let it begin");
+  subcommands.add_request_change("hold", "Stop it; what is not out yet is called back");
+  subcommands.add_request_change("resume", "Let it go on");
+  subcommands.add_request_change("cancel", "End it; what is not out yet is called back");
+  subcommands.add_done();
+  subcommands.add_forget();
+  subcommands.add_found();
 }
 
 }  // namespace beechhill::maintenance
--- /dev/null
+++ b/src/cluster/raft_log_file.cpp
@@ -0,0 +1,158 @@
+#include "cluster/raft_log_file.h"
+
+#include <fcntl.h>
+#include <unistd.h>
+#include <xxhash.h>
+
+#include <algorithm>
+#include <cerrno>
+#include <cstdio>
+#include <filesystem>
+#include <vector>
+
+#include "base/byte_codec.h"
+#include "net/socket.h"
+
+namespace beechhill::maintenance {
+namespace {
+
+constexpr std::string_view kMagic = "BHAGREE1";
+constexpr std::size_t kFrameHeaderBytes = sizeof(std::uint32_t) + sizeof(std::uint64_t);
+// Payloads that are checked in search of a sound record behind a damaged one.
+constexpr std::size_t kMaxSearchedBytes = 256 * 1024 * 1024;
+
+std::uint64_t checksum(std::string_view payload) {
+  return XXH64(payload.data(), payload.size(), 0);
+}
+
+std::string frame(std::string_view payload) {
+  membership::ByteWriter writer;
+  writer.number(static_cast<std::uint32_t>(payload.size())).number(checksum(payload)).raw(payload);
+  return writer.bytes();
+}
+
+// The payload of the whole frame at `position`, which moves behind it; or nothing.
+std::optional<std::string_view> read_frame(std::string_view file, std::size_t& position) {
+  membership::ByteReader reader(file.substr(position));
+  const auto size = reader.number<std::uint32_t>();
+  const auto expected_checksum = reader.number<std::uint64_t>();
+  const std::string_view rest = reader.rest();
+  if (!reader.ok() || rest.size() < size) {
+    return std::nullopt;
+  }
+  const std::string_view payload = rest.substr(0, size);
+  if (checksum(payload) != expected_checksum) {
+    return std::nullopt;
+  }
+  position += kFrameHeaderBytes + size;
+  return payload;
+}
+
+std::string file_header(const Voter& voter, std::uint64_t earlier_records) {
+  membership::ByteWriter writer;
+  writer.raw(kMagic).text(voter.address()).number(earlier_records);
+  return frame(writer.bytes());
+}
+
+// Fills in the voter and the count of earlier records.
+bool read_file_header(std::string_view payload, const std::string& name, RaftLogFile& file) {
+  if (!payload.starts_with(kMagic)) {
+    return false;
+  }
+  membership::ByteReader reader(payload.substr(kMagic.size()));
+  const auto voter = parse_voter(reader.text(kMaxVoterAddressBytes));
+  file.appended_records = reader.number<std::uint64_t>();
+  if (!reader.done() || !voter || voter->name != name) {
+    return false;
+  }
+  file.voter = *voter;
+  return true;
+}
+
+// Whether there is a whole frame behind `position`, where there is none. Also where the search
+// would take too long to tell.
+bool may_have_later_frame(std::string_view file, std::size_t position) {
+  std::size_t searched = 0;
+  for (std::size_t start = position + 1; start + kFrameHeaderBytes < file.size(); ++start) {
+    membership::ByteReader reader(file.substr(start));
+    const auto size = reader.number<std::uint32_t>();
+    if (size == 0 || size > file.size() - start) {
+      continue;
+    }
+    searched += size;
+    std::size_t end = start;
+    if (searched > kMaxSearchedBytes || read_frame(file, end)) {
+      return true;
+    }
+  }
+  return false;
+}
+
+}  // namespace
+
+std::string encode_frame(const LogRecord& record) {
+  return frame(encode(record));
+}
+
+std::string encode_file(const Voter& voter, const DurableState& state,
+                        std::uint64_t appended_records) {
+  const std::vector<LogRecord> records = state.records();
+  const auto written = std::min<std::uint64_t>(appended_records, records.size());
+  std::string file = file_header(voter, appended_records - written);
+  for (const LogRecord& record : records) {
+    file += encode_frame(record);
+  }
+  return file;
+}
+
+std::optional<RaftLogFile> decode_file(std::string_view bytes, const std::string& name) {
+  RaftLogFile file;
+  const auto header = read_frame(bytes, file.valid_bytes);
+  if (!header || !read_file_header(*header, name, file)) {
+    return std::nullopt;
+  }
+  while (const auto payload = read_frame(bytes, file.valid_bytes)) {
+    const auto record = decode_record(*payload);
+    if (!record) {
+      return std::nullopt;
+    }
+    file.state.apply(*record);
+    ++file.appended_records;
+  }
+  if (may_have_later_frame(bytes, file.valid_bytes)) {
+    return std::nullopt;
+  }
+  return file;
+}
+
+bool write_and_sync(int fd, std::string_view bytes) {
+  while (!bytes.empty()) {
+    const ssize_t written = ::write(fd, bytes.data(), bytes.size());
+    if (written < 0 && errno == EINTR) {
+      continue;
+    }
+    if (written <= 0) {
+      return false;
+    }
+    bytes.remove_prefix(static_cast<std::size_t>(written));
+  }
+  return ::fsync(fd) == 0;
+}
+
+bool replace_file(const std::string& path, std::string_view bytes) {
+  const std::string temporary = path + ".new";
+  {
+    const net::Fd fd(::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
+    if (!fd || !write_and_sync(fd.get(), bytes)) {
+      return false;
+    }
+  }
+  if (std::rename(temporary.c_str(), path.c_str()) < 0) {
+    return false;
+  }
+  const std::filesystem::path directory = std::filesystem::path(path).parent_path();
+  const net::Fd fd(::open(directory.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+  return fd && ::fsync(fd.get()) == 0;
+}
+
+}  // namespace beechhill::maintenance
--- a/src/emulator/maintenance_simulation.cpp
+++ b/src/emulator/maintenance_simulation.cpp
@@ -3,15 +3,15 @@
 #include <fmt/format.h>
 
 #include <algorithm>
+#include <utility>
 
 #include "emulator/units.h"
+#include "maintenance/maintenance_planner.h"
 
 namespace beechhill::emulator {
 
-using maintenance::Channel;
 using maintenance::Command;
 using maintenance::CommandType;
-using maintenance::FencingToken;
 using maintenance::Machine;
 using maintenance::MaintenanceCoordinator;
 using maintenance::WorkflowState;
@@ -19,38 +19,51 @@
 
 namespace {
 
-constexpr std::uint64_t kWorksStream = 1ULL << 36;
+constexpr std::uint64_t kRandomStream = 1ULL << 36;
 constexpr Duration kStep{10'000};
-constexpr std::size_t kSocketHolds = 128, kMostTold = 5;
-constexpr Duration kLease{2'000'000}, kGrace{500'000};
+// Datagrams that a socket holds for a process that does not run.
+constexpr std::size_t kSocketBufferDatagrams = 128;
+constexpr Duration kLeaseDuration{2'000'000};
+constexpr Duration kDrainGrace{500'000};
 constexpr maintenance::Seconds kUnixStart = 1'800'000'000;
+constexpr std::size_t kBackendsPerCell = 4;
+constexpr Duration kDoneCommandInterval = 500ms;
+constexpr std::uint64_t kServedRequestsPerSecond = 100;
+// Of a seeded bug.
+constexpr int kLongLeaseFactor = 4;
 
 }  // namespace
 
+// ---- Set-up
+
 MaintenanceSimulation::MaintenanceSimulation(const MaintenanceSimulationSpec& spec)
     : spec_(spec),
-      random_(spec.seed, Actor::kFaults, kWorksStream),
+      random_(spec.seed, Actor::kFaults, kRandomStream),
       proxies_(spec.voters + spec.followers),
-      backends_(spec.backends) {
+      backends_(spec.backends),
+      invariants_(spec.bounds) {
   for (std::size_t i = 0; i < backends_.size(); ++i) {
-    Machine& m = backends_[i].machine;
-    m.id = backend_name(i), m.instance_type = i % 3 == 0 ? "big" : "small";
-    m.zone = fmt::format("zone-{}", i % spec_.zones), m.cell = fmt::format("cell-{}", i / 4);
-    m.relative_capacity = i % 3 == 0 ? 2 : 1;
+    const bool is_big = i % 3 == 0;
+    Machine& machine = backends_[i].machine;
+    machine.id = backend_name(i);
+    machine.instance_type = is_big ? "big" : "small";
+    machine.relative_capacity = is_big ? 2 : 1;
+    machine.zone = fmt::format("zone-{}", i % spec_.zones);
+    machine.cell = fmt::format("cell-{}", i / kBackendsPerCell);
   }
   std::vector<std::string> voters;
   for (std::size_t i = 0; i < spec_.voters; ++i) {
     voters.push_back(proxy_name(i));
   }
   for (std::size_t i = 0; i < proxies_.size(); ++i) {
-    Proxy& p = proxies_[i];
-    p.votes = i < spec_.voters;
-    if (p.votes) {
-      p.storage = std::make_unique<maintenance::MemoryRaftStorage>();
-      for (maintenance::LogRecord& r : maintenance::initial_records(voters)) {
-        p.storage->append(std::move(r));
+    Proxy& proxy = proxies_[i];
+    proxy.is_voter = i < spec_.voters;
+    if (proxy.is_voter) {
+      proxy.storage = std::make_unique<maintenance::MemoryRaftStorage>();
+      for (maintenance::LogRecord& record : maintenance::initial_records(voters)) {
+        proxy.storage->append(std::move(record));
       }
-      p.storage->lazy = spec_.disk > Duration{0};
+      proxy.storage->lazy = spec_.disk_delay > Duration{0};
     }
     start(i);
   }
@@ -58,136 +71,197 @@
 
 MaintenanceSimulation::~MaintenanceSimulation() = default;
 
-maintenance::CoordinatorSettings MaintenanceSimulation::settings(std::size_t i) const {
-  maintenance::CoordinatorSettings s;
-  s.self = proxy_name(i);
-  s.zone = fmt::format("zone-{}", i % spec_.zones);
-  for (std::size_t v = 0; v < spec_.voters; ++v) {
-    s.voters.push_back(proxy_name(v));
-  }
-  s.lease_duration = kLease, s.drain_grace = kGrace, s.max_request_duration = spec_.call;
-  s.isolation_timeout = spec_.isolated_after;
-  s.disruption_budget = spec_.bounds;
-  return s;
+std::string MaintenanceSimulation::proxy_name(std::size_t proxy) {
+  return fmt::format("proxy-{}", proxy);
+}
+
+std::string MaintenanceSimulation::backend_name(std::size_t backend) {
+  return fmt::format("backend-{:05}", backend);
+}
+
+maintenance::CoordinatorSettings MaintenanceSimulation::settings_of(std::size_t proxy) const {
+  maintenance::CoordinatorSettings settings;
+  settings.self = proxy_name(proxy);
+  settings.zone = fmt::format("zone-{}", proxy % spec_.zones);
+  for (std::size_t voter = 0; voter < spec_.voters; ++voter) {
+    settings.voters.push_back(proxy_name(voter));
+  }
+  settings.lease_duration = kLeaseDuration;
+  settings.drain_grace = kDrainGrace;
+  settings.max_request_duration = spec_.request_duration;
+  settings.isolation_timeout = spec_.isolation_timeout;
+  settings.disruption_budget = spec_.bounds;
+  return settings;
+}
+
+std::unique_ptr<maintenance::MemoryRaftStorage> MaintenanceSimulation::new_storage() const {
+  auto storage = std::make_unique<maintenance::MemoryRaftStorage>();
+  storage->lazy = spec_.disk_delay > Duration{0};
+  return storage;
 }
 
-void MaintenanceSimulation::make(std::size_t i) {
-  Proxy& p = proxies_[i];
-  p.works = std::make_unique<MaintenanceCoordinator>(
-      now_, settings(i), p.storage.get(), p.generation, ++p.life << 8 | i, random_.bits(),
-      [this, i] { return kUnixStart + now_ / 1s + proxies_[i].unix_shift; });
+void MaintenanceSimulation::create_coordinator(std::size_t i) {
+  Proxy& proxy = proxies_[i];
+  const std::uint64_t boot_id = ++proxy.starts << 8 | i;
+  const auto unix_time = [this, i] { return kUnixStart + now_ / 1s + proxies_[i].clock_shift; };
+  proxy.coordinator = std::make_unique<MaintenanceCoordinator>(
+      now_, settings_of(i), proxy.storage.get(), proxy.generation, boot_id, random_.bits(),
+      unix_time);
 }
 
+// ---- Faults
+
 void MaintenanceSimulation::start(std::size_t i) {
-  Proxy& p = proxies_[i];
-  p.stopped = false;
-  p.waiting.clear(), p.barred_since.clear(), p.syncs.clear();
-  if (p.storage) {
-    p.storage->crash();
-  }
-  make(i);
+  Proxy& proxy = proxies_[i];
+  proxy.suspended = false;
+  proxy.socket_buffer.clear();
+  proxy.excluded_since.clear();
+  proxy.syncs.clear();
+  if (proxy.storage) {
+    proxy.storage->crash();
+  }
+  create_coordinator(i);
 }
 
 void MaintenanceSimulation::kill(std::size_t i) {
-  Proxy& p = proxies_[i];
-  p.works.reset();
-  p.open.clear();  // its connections end with it
-  p.stopped = false;
-  if (p.storage) {
-    p.storage->crash();
+  Proxy& proxy = proxies_[i];
+  proxy.coordinator.reset();
+  // Its connections end with it.
+  proxy.in_flight.clear();
+  proxy.suspended = false;
+  if (proxy.storage) {
+    proxy.storage->crash();
   }
 }
 
-void MaintenanceSimulation::stop(std::size_t i) {
-  proxies_[i].stopped = proxies_[i].works != nullptr;
-  proxies_[i].stopped_at = now_;
+void MaintenanceSimulation::suspend(std::size_t i) {
+  proxies_[i].suspended = proxies_[i].coordinator != nullptr;
 }
 
-void MaintenanceSimulation::go_on(std::size_t i) {
-  Proxy& p = proxies_[i];
-  if (!std::exchange(p.stopped, false)) {
+void MaintenanceSimulation::resume(std::size_t i) {
+  Proxy& proxy = proxies_[i];
+  if (!std::exchange(proxy.suspended, false)) {
     return;
   }
-  p.works->on_resume(now_);
-  // What it had decided on before is sent first, if its rights still hold: the worst order.
-  call(i);
-  for (const auto& [from, line, bytes] : std::exchange(p.waiting, {})) {
-    p.works->receive(now_, proxy_name(from), line, bytes);
+  proxy.coordinator->on_resume(now_);
+  // What it had decided on before is sent first, if it still has the permission: the worst order.
+  send_request(i);
+  for (const Datagram& datagram : std::exchange(proxy.socket_buffer, {})) {
+    proxy.coordinator->receive(now_, proxy_name(datagram.from), datagram.channel, datagram.bytes);
   }
 }
 
-void MaintenanceSimulation::wipe(std::size_t i) {
+void MaintenanceSimulation::wipe_storage(std::size_t i) {
   proxies_[i].storage.reset();
 }
-void MaintenanceSimulation::fail_disk(std::size_t i) {
+
+void MaintenanceSimulation::fail_storage(std::size_t i) {
   if (proxies_[i].storage) {
     proxies_[i].storage->fail();
   }
 }
 
-void MaintenanceSimulation::keep_copy(std::size_t i) {
-  Proxy& p = proxies_[i];
-  p.copy = p.storage ? std::make_unique<maintenance::MemoryRaftStorage>(*p.storage) : nullptr;
-  if (p.copy) {
-    p.copy->crash();
+void MaintenanceSimulation::copy_storage(std::size_t i) {
+  Proxy& proxy = proxies_[i];
+  proxy.copy_generation = proxy.generation;
+  proxy.storage_copy.reset();
+  if (proxy.storage) {
+    proxy.storage_copy = std::make_unique<maintenance::MemoryRaftStorage>(*proxy.storage);
+    proxy.storage_copy->crash();
   }
-  p.copy_generation = p.generation;
 }
 
-void MaintenanceSimulation::put_back(std::size_t i) {
-  Proxy& p = proxies_[i];
-  if (!p.copy) {
+void MaintenanceSimulation::restore_storage(std::size_t i) {
+  Proxy& proxy = proxies_[i];
+  if (!proxy.storage_copy) {
     return;
   }
-  p.storage = std::make_unique<maintenance::MemoryRaftStorage>(*p.copy);
-  p.generation = p.copy_generation;
+  proxy.storage = std::make_unique<maintenance::MemoryRaftStorage>(*proxy.storage_copy);
+  proxy.generation = proxy.copy_generation;
 }
 
-void MaintenanceSimulation::backend_down(std::size_t i, bool down) {
-  Backend& b = backends_[i];
-  if (b.in_work || b.down == down) {
+void MaintenanceSimulation::set_backend_down(std::size_t i, bool down) {
+  Backend& backend = backends_[i];
+  if (backend.in_work || backend.down == down) {
     return;
   }
-  b.down = down;
-  b.machine.up = !down;
+  backend.down = down;
+  backend.machine.up = !down;
   if (!down) {
-    b.machine.started_at = now_.count(), b.back = now_, b.machine.warm = false;
+    backend.started_at = now_;
+    backend.machine.started_at = now_.count();
+    backend.machine.warm = false;
   }
 }
 
-void MaintenanceSimulation::order(std::size_t at, Command command) {
-  if (running(at)) {
-    proxies_[at].works->submit_command(now_, std::move(command), [](bool, const std::string&) {});
+// ---- The cluster from outside
+
+void MaintenanceSimulation::order(std::size_t proxy, Command command) {
+  if (running(proxy)) {
+    proxies_[proxy].coordinator->submit_command(now_, std::move(command),
+                                                [](const maintenance::OperatorResponse&) {});
   }
 }
 
 std::optional<std::size_t> MaintenanceSimulation::leader() const {
   std::optional<std::size_t> found;
   for (std::size_t i = 0; i < proxies_.size(); ++i) {
-    if (running(i) && coordinator(i).is_leader() &&
-        (!found || coordinator(i).state_machine().applied_index() >
-                       coordinator(*found).state_machine().applied_index())) {
+    if (!running(i) || !coordinator(i).is_leader()) {
+      continue;
+    }
+    if (!found || coordinator(i).state_machine().applied_index() >
+                      coordinator(*found).state_machine().applied_index()) {
       found = i;
     }
   }
   return found;
 }
 
-bool MaintenanceSimulation::whole() const {
+bool MaintenanceSimulation::has_all_voters() const {
   const auto lead = leader();
   if (!lead) {
     return false;
   }
-  std::size_t known = 0;
-  for (const maintenance::Voter& v : coordinator(*lead).voters()) {
-    for (std::size_t i = 0; i < spec_.voters; ++i) {
-      known += proxy_name(i) == v.name && running(i) && coordinator(i).is_voter() &&
-               proxies_[i].generation == v.generation;
+  const std::vector<maintenance::Voter> voters = coordinator(*lead).voters();
+  std::size_t voting = 0;
+  for (std::size_t i = 0; i < spec_.voters; ++i) {
+    if (!running(i) || !coordinator(i).is_voter()) {
+      continue;
+    }
+    voting += static_cast<std::size_t>(
+        std::count_if(voters.begin(), voters.end(), [&](const maintenance::Voter& voter) {
+          return voter.name == proxy_name(i) && voter.generation == proxies_[i].generation;
+        }));
+  }
+  return voting == spec_.voters && voters.size() == spec_.voters;
+}
+
+std::vector<std::string> MaintenanceSimulation::open_requests() const {
+  std::vector<std::string> open;
+  if (const auto lead = leader()) {
+    for (const auto& [id, request] : coordinator(*lead).state_machine().requests()) {
+      if (request.open()) {
+        open.push_back(id);
+      }
     }
   }
-  return known == spec_.voters && coordinator(*lead).voters().size() == spec_.voters;
+  return open;
 }
 
+std::vector<std::string> MaintenanceSimulation::silent_requests() const {
+  const auto lead = leader();
+  if (!lead) {
+    return {"nobody leads"};
+  }
+  const maintenance::MaintenancePlanner planner(coordinator(*lead).state_machine());
+  std::vector<std::string> silent = open_requests();
+  std::erase_if(silent,
+                [&planner](const std::string& id) { return !planner.explain(id, {}).empty(); });
+  return silent;
+}
+
+// ---- Time
+
 void MaintenanceSimulation::run(Duration length) {
   for (const Time end = now_ + length; now_ < end;) {
     now_ += kStep;
@@ -196,392 +270,260 @@
 }
 
 void MaintenanceSimulation::step() {
-  while (!flying_.empty() && flying_.begin()->first <= now_) {
-    const Flying f = std::move(flying_.begin()->second);
-    flying_.erase(flying_.begin());
-    Proxy& p = proxies_[f.to];
-    if (!p.works) {
+  deliver_datagrams();
+  warm_up_backends();
+  for (std::size_t i = 0; i < proxies_.size(); ++i) {
+    step_proxy(i);
+  }
+  act_as_operators();
+  check_invariants();
+}
+
+void MaintenanceSimulation::deliver_datagrams() {
+  while (!datagrams_.empty() && datagrams_.begin()->first <= now_) {
+    Datagram datagram = std::move(datagrams_.begin()->second);
+    datagrams_.erase(datagrams_.begin());
+    Proxy& receiver = proxies_[datagram.to];
+    if (!receiver.coordinator) {
       continue;
     }
-    if (!p.stopped) {
-      p.works->receive(now_, proxy_name(f.from), f.line, f.bytes);
-    } else if (p.waiting.size() < kSocketHolds) {
-      p.waiting.emplace_back(f.from, f.line, f.bytes);
+    if (!receiver.suspended) {
+      receiver.coordinator->receive(now_, proxy_name(datagram.from), datagram.channel,
+                                    datagram.bytes);
+    } else if (receiver.socket_buffer.size() < kSocketBufferDatagrams) {
+      receiver.socket_buffer.push_back(std::move(datagram));
     }
   }
-  for (Backend& b : backends_) {
-    if (!b.machine.warm && b.machine.up && now_ >= b.back + spec_.warm) {
-      b.machine.warm = true;
+}
+
+void MaintenanceSimulation::warm_up_backends() {
+  for (Backend& backend : backends_) {
+    if (backend.machine.up && now_ >= backend.started_at + spec_.warm) {
+      backend.machine.warm = true;
     }
   }
-  for (std::size_t i = 0; i < proxies_.size(); ++i) {
-    drive(i);
+}
+
+void MaintenanceSimulation::step_proxy(std::size_t i) {
+  Proxy& proxy = proxies_[i];
+  finish_requests(proxy, now_);
+  if (!proxy.coordinator || proxy.suspended) {
+    return;
+  }
+  sync_storage(proxy);
+  proxy.coordinator->update_local_view(local_view(proxy));
+  proxy.coordinator->tick(now_);
+  replace_lost_storage(i);
+  for (const MaintenanceCoordinator::Outgoing& message : proxy.coordinator->take_outgoing()) {
+    send(i, message);
+  }
+  if (to_s(now_) >= proxy.next_request_s) {
+    proxy.next_request_s = to_s(now_) + random_.exponential(1 / spec_.calls_per_s);
+    send_request(i);
   }
-  staff();
-  check();
 }
 
-void MaintenanceSimulation::drive(std::size_t i) {
-  Proxy& p = proxies_[i];
-  for (auto& [machine, ends] : p.open) {
-    while (!ends.empty() && ends.front() <= now_) {
+void MaintenanceSimulation::finish_requests(Proxy& proxy, Time now) {
+  for (auto& [machine, ends] : proxy.in_flight) {
+    while (!ends.empty() && ends.front() <= now) {
       ends.pop_front();
     }
   }
-  if (!p.works || p.stopped) {
+}
+
+void MaintenanceSimulation::sync_storage(Proxy& proxy) {
+  if (!proxy.storage || !proxy.storage->lazy) {
     return;
   }
-  if (p.storage && p.storage->lazy) {
-    if (p.storage->appended_records() > p.storage->durable_records() && p.syncs.empty()) {
-      p.syncs.emplace_back(p.storage->appended_records(), now_ + spec_.disk);
-    }
-    if (!p.syncs.empty() && now_ >= p.syncs.front().second) {
-      p.syncs.pop_front(), p.storage->sync();
-    }
+  maintenance::MemoryRaftStorage& storage = *proxy.storage;
+  if (storage.appended_records() > storage.durable_records() && proxy.syncs.empty()) {
+    proxy.syncs.push_back({storage.appended_records(), now_ + spec_.disk_delay});
   }
-  p.works->update_local_view(view(i));
-  p.works->tick(now_);
-  if (p.votes && (p.works->rolled_back() || !p.storage)) {
-    // As the program does: what cannot be relied on is set aside, and the voter waits to be let in
-    // anew.
-    if (p.storage) {
-      p.works.reset(), p.storage.reset(), make(i);
-    }
-    if (const auto generation = p.works->readmitted()) {
-      p.storage = std::make_unique<maintenance::MemoryRaftStorage>();
-      p.storage->lazy = spec_.disk > Duration{0};
-      p.generation = *generation;
-      make(i);
-    }
+  if (!proxy.syncs.empty() && now_ >= proxy.syncs.front().due) {
+    proxy.syncs.pop_front();
+    storage.sync();
   }
-  for (const MaintenanceCoordinator::Outgoing& o : p.works->take_outgoing()) {
-    send(i, o);
+}
+
+// As MaintenanceActor does: a storage that was rolled back is given up, and the voter waits to be
+// readmitted.
+void MaintenanceSimulation::replace_lost_storage(std::size_t i) {
+  Proxy& proxy = proxies_[i];
+  if (!proxy.is_voter || (proxy.storage && !proxy.coordinator->rolled_back())) {
+    return;
   }
-  if (to_s(now_) >= p.next_call) {
-    p.next_call = to_s(now_) + random_.exponential(1 / spec_.calls_per_s);
-    call(i);
+  if (proxy.storage) {
+    proxy.coordinator.reset();
+    proxy.storage.reset();
+    create_coordinator(i);
+  }
+  if (const auto generation = proxy.coordinator->readmitted()) {
+    proxy.storage = new_storage();
+    proxy.generation = *generation;
+    create_coordinator(i);
   }
 }
 
-void MaintenanceSimulation::call(std::size_t i) {
-  Proxy& p = proxies_[i];
-  std::vector<std::size_t> usable;
+void MaintenanceSimulation::send(std::size_t from,
+                                 const MaintenanceCoordinator::Outgoing& message) {
+  const std::string number = message.to.substr(message.to.find('-') + 1);
+  const auto to = static_cast<std::size_t>(std::stoul(number));
+  if (to >= proxies_.size() || (link_filter_ && !link_filter_(from, to)) ||
+      random_.uniform() < spec_.loss) {
+    return;
+  }
+  for (int copies = random_.uniform() < spec_.duplication ? 2 : 1; copies > 0; --copies) {
+    const Duration extra_delay = to_span(to_s(spec_.delay) * random_.uniform());
+    datagrams_.emplace(now_ + spec_.delay + extra_delay,
+                       Datagram{from, to, message.channel, message.bytes});
+  }
+}
+
+// ---- Requests to backends
+
+bool MaintenanceSimulation::Proxy::has_in_flight(const std::string& machine) const {
+  const auto found = in_flight.find(machine);
+  return found != in_flight.end() && !found->second.empty();
+}
+
+void MaintenanceSimulation::send_request(std::size_t i) {
+  Proxy& proxy = proxies_[i];
+  std::vector<std::size_t> permitted;
   for (std::size_t b = 0; b < backends_.size(); ++b) {
-    if (now_ < right_ends(p, backends_[b].machine.id)) {
-      usable.push_back(b);
+    if (now_ < dispatch_permitted_until(proxy, backends_[b].machine.id)) {
+      permitted.push_back(b);
     }
   }
-  if (usable.empty()) {
-    ++kept_back_;
+  if (permitted.empty()) {
+    ++requests_withheld_;
     return;
   }
-  const Backend& b = backends_[usable[random_.below(usable.size())]];
-  ++calls_made_;
-  if (b.out_since) {
-    tell(verdict_.sent_to_out, fmt::format("{} sent to {}, which was said to be out at {:.2f} s",
-                                           proxy_name(i), b.machine.id, to_s(*b.out_since)));
+  const Backend& backend = backends_[permitted[random_.below(permitted.size())]];
+  ++requests_sent_;
+  if (backend.out_since) {
+    invariants_.report_sent_to_out(
+        now_, fmt::format("{} sent to {}, which was said to be out at {:.2f} s", proxy_name(i),
+                          backend.machine.id, to_s(*backend.out_since)));
   }
-  if (!b.machine.up) {
-    return;  // refused there
+  // A backend that is down refuses it.
+  if (backend.machine.up) {
+    proxy.in_flight[backend.machine.id].push_back(now_ + spec_.request_duration);
   }
-  p.open[b.machine.id].push_back(now_ + spec_.call);
 }
 
-// The program's own rule, or what a bug makes of it.
-Time MaintenanceSimulation::right_ends(const Proxy& p, const std::string& machine) const {
-  const Time until = p.works->dispatch_permitted_until(machine);
-  const auto right = p.works->dispatch_permissions().find(machine);
-  if (right == p.works->dispatch_permissions().end() || !right->second.lease_required) {
-    return until;
+// The program's own rule, or what a seeded bug makes of it.
+Time MaintenanceSimulation::dispatch_permitted_until(const Proxy& proxy,
+                                                     const std::string& machine) const {
+  const Time permitted_until = proxy.coordinator->dispatch_permitted_until(machine);
+  const auto& permissions = proxy.coordinator->dispatch_permissions();
+  const auto permission = permissions.find(machine);
+  if (permission == permissions.end() || !permission->second.lease_required) {
+    return permitted_until;
   }
   if (spec_.bug == SeededBug::kLongLease) {
-    return until + 4 * kLease;
+    return permitted_until + kLongLeaseFactor * kLeaseDuration;
   }
-  return spec_.bug == SeededBug::kNoLease ? Time::max() : until;
+  return spec_.bug == SeededBug::kNoLease ? Time::max() : permitted_until;
 }
 
-maintenance::LocalView MaintenanceSimulation::view(std::size_t i) {
-  Proxy& p = proxies_[i];
-  maintenance::LocalView v;
-  for (const Backend& b : backends_) {
-    v.machines.push_back(b.machine);
+maintenance::LocalView MaintenanceSimulation::local_view(Proxy& proxy) {
+  maintenance::LocalView view;
+  for (const Backend& backend : backends_) {
+    view.machines.push_back(backend.machine);
   }
-  for (std::size_t z = 0; z < spec_.zones; ++z) {
-    v.zone_utilization[fmt::format("zone-{}", z)] = spec_.use;
+  for (std::size_t zone = 0; zone < spec_.zones; ++zone) {
+    view.zone_utilization[fmt::format("zone-{}", zone)] = spec_.use;
   }
-  std::set<std::string> barred;
-  for (const auto& [id, right] : p.works->dispatch_permissions()) {
-    if (right.dispatch_forbidden) {
-      barred.insert(id), p.barred_since.try_emplace(id, now_);
+  track_exclusions(proxy);
+  for (const auto& [machine, since] : proxy.excluded_since) {
+    const bool is_busy = now_ < since + kDrainGrace || proxy.has_in_flight(machine);
+    if (is_busy && spec_.bug != SeededBug::kConfirmsBusy) {
+      view.busy_machines.insert(machine);
     }
   }
-  std::erase_if(p.barred_since, [&](const auto& b) { return !barred.contains(b.first); });
-  for (const auto& [id, since] : p.barred_since) {
-    const auto open = p.open.find(id);
-    if (spec_.bug == SeededBug::kConfirmsBusy) {
-      continue;
-    }
-    if (now_ < since + kGrace || (open != p.open.end() && !open->second.empty())) {
-      v.busy_machines.insert(id);
-    }
-  }
-  v.is_idle = p.works->is_self_out();
-  v.served_requests = 100 * static_cast<std::uint64_t>(now_ / 1s);
-  return v;
+  view.is_idle = proxy.coordinator->is_self_out();
+  view.served_requests = kServedRequestsPerSecond * static_cast<std::uint64_t>(now_ / 1s);
+  return view;
 }
 
-void MaintenanceSimulation::send(std::size_t from, const MaintenanceCoordinator::Outgoing& o) {
-  const auto to = static_cast<std::size_t>(std::stoul(o.to.substr(o.to.find('-') + 1)));
-  if (to >= proxies_.size() || (passes_ && !passes_(from, to)) || random_.uniform() < spec_.loss) {
-    return;
-  }
-  for (int copies = random_.uniform() < spec_.doubled ? 2 : 1; copies > 0; --copies) {
-    flying_.emplace(now_ + spec_.delay + to_span(to_s(spec_.delay) * random_.uniform()),
-                    Flying{to, from, o.line, o.bytes});
+void MaintenanceSimulation::track_exclusions(Proxy& proxy) const {
+  std::set<std::string> excluded;
+  for (const auto& [machine, permission] : proxy.coordinator->dispatch_permissions()) {
+    if (permission.dispatch_forbidden) {
+      excluded.insert(machine);
+      proxy.excluded_since.try_emplace(machine, now_);
+    }
   }
+  std::erase_if(proxy.excluded_since,
+                [&excluded](const auto& entry) { return !excluded.contains(entry.first); });
 }
 
-// Staff look at what the one that leads says, work on what is out, and switch it on again.
-void MaintenanceSimulation::staff() {
+// ---- Operators
+
+// They look at what the leader shows, work on what is out, and start it again.
+void MaintenanceSimulation::act_as_operators() {
   const auto lead = leader();
   if (!lead) {
     return;
   }
-  const auto& courses = coordinator(*lead).state_machine().workflows();
-  for (Backend& b : backends_) {
-    const auto c = courses.find(b.machine.id);
-    const bool out = c != courses.end() && c->second.state == WorkflowState::kOut;
-    if (out && !b.in_work && c->second.fencing_token != b.fence) {
-      b.in_work = true, b.out_since = now_, b.fence = c->second.fencing_token,
-      b.request = c->second.request;
-      b.machine.up = false, b.work_ends = now_ + spec_.work;
-      for (std::size_t i = 0; i < proxies_.size(); ++i) {
-        if (const auto open = proxies_[i].open.find(b.machine.id);
-            open != proxies_[i].open.end() && !open->second.empty()) {
-          tell(verdict_.sent_to_out,
-               fmt::format("{} has a call open at {}, which was said to be out", proxy_name(i),
-                           b.machine.id));
-        }
-      }
+  const auto& workflows = coordinator(*lead).state_machine().workflows();
+  for (Backend& backend : backends_) {
+    const auto workflow = workflows.find(backend.machine.id);
+    const bool out = workflow != workflows.end() && workflow->second.state == WorkflowState::kOut;
+    if (out && !backend.in_work && workflow->second.fencing_token != backend.fencing_token) {
+      begin_work(backend, workflow->second);
     }
-    if (b.in_work && staff_works_ && now_ >= b.work_ends) {
-      b.in_work = false, b.out_since.reset();
-      b.machine.up = true, b.machine.warm = false, b.machine.started_at = now_.count(),
-      b.back = now_;
-      ++taken_out_;
-      b.say_done_at = now_;
+    if (backend.in_work && operators_working_ && now_ >= backend.work_ends_at) {
+      end_work(backend);
     }
-    // Until it is heard.
-    if (out && !b.in_work && now_ >= b.say_done_at) {
-      b.say_done_at = now_ + 500ms;
+    if (out && !backend.in_work && now_ >= backend.next_done_command) {
+      backend.next_done_command = now_ + kDoneCommandInterval;
       Command done;
-      done.type = CommandType::kCompleteWork, done.id = b.request, done.machine = b.machine.id;
+      done.type = CommandType::kCompleteWork;
+      done.id = backend.request;
+      done.machine = backend.machine.id;
       order(*lead, done);
     }
   }
 }
 
-void MaintenanceSimulation::check() {
-  for (std::size_t i = 0; i < spec_.voters; ++i) {
-    if (!proxies_[i].works) {
-      continue;
-    }
-    const maintenance::MaintenanceStateMachine& ledger = coordinator(i).state_machine();
-    if (checked_[i] == ledger.applied_index() || ledger.applied_index() == 0) {
-      continue;
-    }
-    checked_[i] = ledger.applied_index();
-    const std::size_t hash = std::hash<std::string>{}(ledger.snapshot());
-    const auto [state, fresh] = states_.try_emplace(ledger.applied_index(), hash);
-    if (!fresh && state->second != hash) {
-      tell(verdict_.split_minds, fmt::format("two states of index {}", ledger.applied_index()));
-    }
-    std::map<std::string, std::uint32_t> zones;
-    std::uint32_t out = 0;
-    for (const auto& [id, c] : ledger.workflows()) {
-      const auto [whose, first] = fences_.try_emplace(c.fencing_token, id);
-      if (!first && whose->second != id) {
-        tell(verdict_.split_minds,
-             fmt::format("fence {} of {} and of {}", c.fencing_token, id, whose->second));
-      }
-      if (id.starts_with("backend")) {
-        ++out, ++zones[ledger.machines().contains(id) ? ledger.machines().at(id).zone : ""];
-      }
-    }
-    bool over = out > spec_.bounds.max_out;
-    for (const auto& [zone, count] : zones) {
-      over = over || count > spec_.bounds.max_out_per_zone;
-    }
-    if (over) {
-      tell(verdict_.too_many, fmt::format("{} are out", out));
-    }
-  }
-  // By the machines themselves: however many leaders there may be.
-  const auto working = static_cast<std::uint32_t>(std::count_if(
-      backends_.begin(), backends_.end(), [](const Backend& b) { return b.in_work; }));
-  if (working > spec_.bounds.max_out) {
-    tell(verdict_.too_many, fmt::format("{} are worked on", working));
-  }
-}
-
-void MaintenanceSimulation::tell(std::uint64_t& count, const std::string& what) {
-  ++count;
-  if (verdict_.all() <= kMostTold) {
-    verdict_.text += fmt::format("{:.2f} s: {}\n", to_s(now_), what);
-  }
-}
-
-std::vector<std::string> MaintenanceSimulation::open_requests() const {
-  std::vector<std::string> open;
-  if (const auto lead = leader()) {
-    for (const auto& [id, q] : coordinator(*lead).state_machine().requests()) {
-      if (q.open()) {
-        open.push_back(id);
-      }
+void MaintenanceSimulation::begin_work(Backend& backend,
+                                       const maintenance::MaintenanceWorkflow& workflow) {
+  backend.in_work = true;
+  backend.out_since = now_;
+  backend.fencing_token = workflow.fencing_token;
+  backend.request = workflow.request;
+  backend.machine.up = false;
+  backend.work_ends_at = now_ + spec_.work;
+  for (std::size_t i = 0; i < proxies_.size(); ++i) {
+    if (proxies_[i].has_in_flight(backend.machine.id)) {
+      invariants_.report_sent_to_out(
+          now_, fmt::format("{} has a request in flight to {}, which was said to be out",
+                            proxy_name(i), backend.machine.id));
     }
   }
-  return open;
 }
 
-std::vector<std::string> MaintenanceSimulation::silent_requests() const {
-  std::vector<std::string> silent;
-  const auto lead = leader();
-  if (!lead) {
-    return {"nobody leads"};
-  }
-  for (const std::string& id : open_requests()) {
-    if (coordinator(*lead).state_machine().explain(id, {}).empty()) {
-      silent.push_back(id);
-    }
-  }
-  return silent;
+void MaintenanceSimulation::end_work(Backend& backend) {
+  backend.in_work = false;
+  backend.out_since.reset();
+  backend.started_at = now_;
+  backend.machine.up = true;
+  backend.machine.warm = false;
+  backend.machine.started_at = now_.count();
+  backend.next_done_command = now_;
+  ++completed_works_;
 }
 
-MaintenanceRun run_drawn_maintenance(std::uint64_t seed, std::uint32_t most_followers) {
-  Stream dice(seed, Actor::kFaults, kWorksStream + 1);
-  MaintenanceSimulationSpec s;
-  s.seed = seed;
-  s.voters = static_cast<std::uint32_t>(3 + 2 * dice.below(3));
-  s.followers = static_cast<std::uint32_t>(dice.below(most_followers + 1));
-  s.loss = dice.uniform({0, 0.1}), s.doubled = dice.uniform({0, 0.1});
-  s.delay = to_span(dice.uniform({0.0005, 0.03}));
-  s.disk = dice.below(2) ? to_span(dice.uniform({0.001, 0.05})) : Duration{0};
-  s.isolated_after = dice.below(2) ? Duration{4'000'000} : Duration{0};
-  s.bounds.max_out = 1 + static_cast<std::uint32_t>(dice.below(3)), s.bounds.max_out_per_zone = 2,
-  s.bounds.max_out_per_cell = 2;
-  s.bounds.drain_timeout = 30, s.bounds.deferral = 3, s.bounds.quiet_period = 3;
-  s.bounds.needs_approval = false;
-  MaintenanceSimulation w(s);
-  MaintenanceRun play;
-  const auto did = [&](const std::string& what) {
-    play.plan += fmt::format("{:.2f} s: {}\n", to_s(w.now()), what);
-  };
-  w.run(4s);
-  for (const char* zone : {"zone-0", "zone-1"}) {  // two of staff, who do not know of each other
-    Command ask;
-    ask.type = CommandType::kSubmitRequest;
-    ask.request = maintenance::Request{};
-    ask.request->id = std::string("all-of-") + zone, ask.request->requested_by = "staff",
-    ask.request->max_concurrent = 2;
-    ask.request->select.zone = zone;
-    for (int i = 0; i < 3; ++i) {  // till somebody takes it; it counts once
-      w.order(dice.below(w.size()), ask);
-      w.run(1s);
-    }
-  }
-  const std::size_t n = w.size();
-  std::set<std::size_t> down, stopped;
-  for (std::uint64_t turns = 4 + dice.below(8); turns > 0; --turns) {
-    const std::size_t i = dice.below(2) ? dice.below(s.voters) : dice.below(n);
-    const std::size_t half = 1 + dice.below(n - 1);
-    switch (dice.below(10)) {
-      case 0:
-        did(fmt::format("kill {}", i)), w.kill(i), down.insert(i);
-        break;
-      case 1:
-        if (const auto lead = w.leader()) {
-          did(fmt::format("kill {}, which leads", *lead)), w.kill(*lead), down.insert(*lead);
-        }
-        break;
-      case 2:
-        if (!down.contains(i)) {
-          did(fmt::format("stop {}", i)), w.stop(i), stopped.insert(i);
-        }
-        break;
-      case 3:
-        did(fmt::format("split at {}", half)),
-            w.cut([half](std::size_t a, std::size_t b) { return (a < half) == (b < half); });
-        break;
-      case 4:
-        did(fmt::format("nothing passes from below {} up", half)),
-            w.cut([half](std::size_t a, std::size_t b) { return a >= half || b < half; });
-        break;
-      case 5:
-        did(fmt::format("nothing passes to {}", i)),
-            w.cut([i](std::size_t, std::size_t b) { return b != i; });
-        break;
-      case 6:
-        // One at a time: with most disks gone nothing could be known.
-        if (i < s.voters && w.whole()) {
-          did(fmt::format("kill {} and wipe its disk", i)), w.kill(i), w.wipe(i), down.insert(i);
-        }
-        break;
-      case 7:
-        if (i < s.voters && w.whole()) {
-          // It is found out by those who have seen more of it: they run, and hear it.
-          did(fmt::format("all links stand; kill {} and put its disk back by some seconds", i));
-          w.cut({});
-          w.run(2s);
-          w.keep_copy(i);
-          w.run(3s);
-          w.kill(i);
-          w.put_back(i);
-          w.run(500ms);
-          w.start(i);
-          w.run(3s);
-        }
-        break;
-      case 8:
-        did(fmt::format("shift the clock of {}", i)),
-            w.shift_clock(i, static_cast<maintenance::Seconds>(dice.below(2'000)) - 1'000);
-        break;
-      case 9: {
-        const std::size_t b = dice.below(s.backends);
-        did(fmt::format("backend {} goes down", b)), w.backend_down(b, true);
-        w.run(to_span(dice.uniform({0.5, 4})));
-        w.backend_down(b, false);
-        break;
-      }
-    }
-    w.run(to_span(dice.uniform({0.2, 8})));
-    if (dice.below(2)) {
-      did("all links stand, all processes run");
-      w.cut({});
-      for (const std::size_t k : down) {
-        w.start(k);
-      }
-      for (const std::size_t k : stopped) {
-        w.go_on(k);
-      }
-      down.clear(), stopped.clear();
-      w.run(to_span(dice.uniform({1, 6})));
+void MaintenanceSimulation::check_invariants() {
+  for (std::size_t i = 0; i < spec_.voters; ++i) {
+    if (proxies_[i].coordinator) {
+      invariants_.check_replica(now_, i, coordinator(i).state_machine());
     }
   }
-  did("the end of faults");
-  w.cut({});
-  for (const std::size_t k : down) {
-    w.start(k);
-  }
-  for (const std::size_t k : stopped) {
-    w.go_on(k);
-  }
-  for (int i = 0; i < 60 && (i < 10 || !w.open_requests().empty() || !w.leader()); ++i) {
-    w.run(5s);
-  }
-  play.verdict = w.verdict();
-  play.taken_out = w.taken_out(), play.backends = s.backends;
-  play.silent = w.silent_requests(), play.open = w.open_requests();
-  return play;
+  const auto in_work = std::count_if(backends_.begin(), backends_.end(),
+                                     [](const Backend& backend) { return backend.in_work; });
+  invariants_.check_machines_in_work(now_, static_cast<std::uint32_t>(in_work));
 }
 
 }  // namespace beechhill::emulator
--- /dev/null
+++ b/src/maintenance/incident_detector.cpp
@@ -0,0 +1,98 @@
+#include "maintenance/incident_detector.h"
+
+#include <algorithm>
+#include <cstdint>
+#include <map>
+#include <utility>
+
+namespace beechhill::maintenance {
+namespace {
+
+// Half and twice of each paused the same days of the simulation.
+// Of all proxies.
+constexpr double kSilentProxyRatio = 0.25;
+// Of the listed machines, without those that have a workflow.
+constexpr double kDownMachineRatio = 0.1;
+constexpr double kLostZoneRatio = 0.5;
+// Of all requests, below the usual.
+constexpr double kGoodputFall = 0.1;
+// Of the moving average, in seconds.
+constexpr double kAveragingTime = 60;
+// Fewer requests between two looks tell nothing.
+constexpr std::uint64_t kMinRequests = 50;
+
+struct MachineCounts {
+  double down = 0;
+  double all = 0;
+  void add(bool is_down) {
+    down += is_down ? 1 : 0;
+    ++all;
+  }
+};
+
+}  // namespace
+
+void IncidentDetector::reset(Time now) {
+  usual_served_ratio_ = 1;
+  averaged_at_ = now;
+}
+
+std::string IncidentDetector::detect(Time now, const MaintenanceStateMachine& state,
+                                     const LocalView& view, ProxyTracker& proxies) {
+  std::string incident = silent_proxies(now, state, proxies);
+  if (incident.empty()) {
+    incident = machines_down(state, view);
+  }
+  return incident.empty() ? goodput_fall(now, proxies) : incident;
+}
+
+std::string IncidentDetector::silent_proxies(Time now, const MaintenanceStateMachine& state,
+                                             const ProxyTracker& proxies) {
+  const auto& all = state.proxies();
+  const auto silent = std::count_if(all.begin(), all.end(), [&](const std::string& proxy) {
+    return now > proxies.lease_expiry(proxy);
+  });
+  if (static_cast<double>(silent) <= kSilentProxyRatio * static_cast<double>(all.size())) {
+    return {};
+  }
+  return "silent_proxies: " + std::to_string(silent) + " of " + std::to_string(all.size());
+}
+
+std::string IncidentDetector::machines_down(const MaintenanceStateMachine& state,
+                                            const LocalView& view) {
+  MachineCounts total;
+  std::map<std::string, MachineCounts> zones;
+  for (const Machine& machine : view.machines) {
+    const bool is_down = !machine.up && !state.workflows().contains(machine.id);
+    total.add(is_down);
+    zones[machine.zone].add(is_down);
+  }
+  for (const auto& [zone, counts] : zones) {
+    if (counts.down > kLostZoneRatio * counts.all) {
+      return "zone_lost: " + zone;
+    }
+  }
+  if (total.down <= kDownMachineRatio * total.all) {
+    return {};
+  }
+  return "machines_down: " + std::to_string(static_cast<int>(total.down)) + " of " +
+         std::to_string(static_cast<int>(total.all));
+}
+
+std::string IncidentDetector::goodput_fall(Time now, ProxyTracker& proxies) {
+  const auto [served, unserved] = proxies.take_request_counts();
+  const std::uint64_t requests = served + unserved;
+  if (requests < kMinRequests) {
+    return {};
+  }
+  const double served_ratio = static_cast<double>(served) / static_cast<double>(requests);
+  if (served_ratio < usual_served_ratio_ - kGoodputFall) {
+    return "goodput: " + std::to_string(static_cast<int>(100 * served_ratio)) + " of 100 served";
+  }
+  const std::chrono::duration<double> elapsed = now - std::exchange(averaged_at_, now);
+  usual_served_ratio_ +=
+      (served_ratio - usual_served_ratio_) * std::min(1.0, elapsed.count() / kAveragingTime);
+  return {};
+}
+
+}  // namespace beechhill::maintenance
--- a/src/maintenance/operator_commands.cpp
+++ b/src/maintenance/operator_commands.cpp
@@ -1,128 +1,168 @@
 #include "maintenance/operator_commands.h"
 
+#include <algorithm>
 #include <charconv>
 #include <set>
+#include <string_view>
+#include <utility>
 
 namespace beechhill::maintenance {
 namespace {
 
-class Query {
+// Unix time, in the year 5138.
+constexpr Seconds kMaxSeconds = 100'000'000'000;
+constexpr std::int64_t kMaxConcurrent = 10'000;
+constexpr std::int64_t kMaxPriority = 1'000;
+
+/// Takes parameters one by one, keeps the first error, and finds those that nobody took.
+class QueryReader {
  public:
-  Query(const std::map<std::string, std::string>& all, std::string& fault)
-      : all_(all), fault_(fault) {}
-
-  std::string text(const char* key, bool needed = false) {
-    asked_.insert(key);
-    const auto it = all_.find(key);
-    const std::string value = it == all_.end() ? "" : it->second;
-    if (needed && value.empty()) {
-      fail(key, "missing");
-    }
+  QueryReader(const std::map<std::string, std::string>& query, std::string& error)
+      : query_(query), error_(error) {}
+
+  std::string text(const char* key) {
+    std::string value = unbounded_text(key);
     if (value.size() > kMaxTextBytes) {
       fail(key, "too long");
     }
     return value;
   }
-  std::int64_t number(const char* key, std::int64_t otherwise, std::int64_t least,
-                      std::int64_t most) {
+
+  std::string required_text(const char* key) {
+    std::string value = text(key);
+    if (value.empty()) {
+      fail(key, "missing");
+    }
+    return value;
+  }
+
+  std::string unbounded_text(const char* key) {
+    known_keys_.insert(key);
+    const auto found = query_.find(key);
+    return found == query_.end() ? std::string() : found->second;
+  }
+
+  std::int64_t number(const char* key, std::int64_t default_value, std::int64_t min,
+                      std::int64_t max) {
     const std::string value = text(key);
     if (value.empty()) {
-      return otherwise;
+      return default_value;
     }
-    std::int64_t n = 0;
-    const auto [stop, error] = std::from_chars(value.data(), value.data() + value.size(), n);
-    if (error != std::errc{} || stop != value.data() + value.size() || n < least || n > most) {
+    std::int64_t parsed = 0;
+    const char* const end = value.data() + value.size();
+    const auto [stop, status] = std::from_chars(value.data(), end, parsed);
+    if (status != std::errc{} || stop != end || parsed < min || parsed > max) {
       fail(key, "not a number in its bounds");
     }
-    return n;
+    return parsed;
   }
+
   void fail(const std::string& key, const char* what) {
-    if (fault_.empty()) {
-      fault_ = key + ": " + what;
+    if (error_.empty()) {
+      error_ = key + ": " + what;
     }
   }
-  bool good() {
-    for (const auto& [key, value] : all_) {
-      if (!asked_.contains(key)) {
+
+  /// Whether all was well, and nothing is left over.
+  bool finish() {
+    for (const auto& [key, value] : query_) {
+      if (!known_keys_.contains(key)) {
         fail(key, "unknown");
       }
     }
-    return fault_.empty();
+    return error_.empty();
   }
 
  private:
-  const std::map<std::string, std::string>& all_;
-  std::string& fault_;
-  std::set<std::string> asked_;
+  const std::map<std::string, std::string>& query_;
+  std::string& error_;
+  std::set<std::string> known_keys_;
 };
 
-}  // namespace
-
-std::optional<Command> parse_operator_command(const std::string& verb,
-                                              const std::map<std::string, std::string>& query,
-                                              std::string& fault) {
-  static const std::map<std::string, CommandType> kVerbs{
+std::optional<CommandType> command_type(const std::string& verb) {
+  static const std::map<std::string, CommandType> kTypes{
       {"request", CommandType::kSubmitRequest}, {"approve", CommandType::kApproveRequest},
       {"hold", CommandType::kHoldRequest},      {"resume", CommandType::kResumeRequest},
       {"cancel", CommandType::kCancelRequest},  {"done", CommandType::kCompleteWork},
       {"forget", CommandType::kForgetProxy}};
-  const auto it = kVerbs.find(verb);
-  if (it == kVerbs.end()) {
-    return fault = "unknown call", std::nullopt;
+  const auto found = kTypes.find(verb);
+  return found == kTypes.end() ? std::nullopt : std::optional(found->second);
+}
+
+Role read_role(QueryReader& reader) {
+  const std::string role = reader.text("role");
+  if (!role.empty() && role != "backend" && role != "proxy") {
+    reader.fail("role", "backend or proxy");
   }
-  constexpr Seconds kFar = 100'000'000'000;
-  Query q(query, fault);
-  Command c;
-  c.type = it->second;
-  c.issued_by = q.text("by");
-  if (c.type == CommandType::kForgetProxy) {
-    c.proxy = q.text("proxy", true);
-    return q.good() ? std::optional(c) : std::nullopt;
+  return role == "proxy" ? Role::kProxy : Role::kBackend;
+}
+
+// The list as a whole may be longer than any text.
+std::set<std::string> read_machines(QueryReader& reader) {
+  const std::string list = reader.unbounded_text("machines");
+  std::string_view left = list;
+  std::set<std::string> ids;
+  while (!left.empty()) {
+    const std::string_view id = left.substr(0, left.find(','));
+    left.remove_prefix(std::min(left.size(), id.size() + 1));
+    if (id.empty() || id.size() > kMaxTextBytes) {
+      reader.fail("machines", "not ids with commas between");
+    }
+    ids.emplace(id);
   }
-  c.id = q.text("id", true);
-  if (c.type == CommandType::kCompleteWork) {
-    c.machine = q.text("machine", true);
+  return ids;
+}
+
+Request read_request(QueryReader& reader, const Command& command) {
+  Request request;
+  request.id = command.id;
+  request.requested_by = command.issued_by;
+  request.reason = reader.text("why");
+  request.select.role = read_role(reader);
+  request.select.zone = reader.text("zone");
+  request.select.cell = reader.text("cell");
+  request.select.kind = reader.text("kind");
+  request.select.ids = read_machines(reader);
+  request.max_concurrent =
+      static_cast<std::uint32_t>(reader.number("at_once", 1, 1, kMaxConcurrent));
+  request.work_duration = reader.number("length", 0, 0, kMaxSeconds);
+  request.not_before = reader.number("not_before", 0, 0, kMaxSeconds);
+  request.not_after = reader.number("not_after", 0, 0, kMaxSeconds);
+  request.priority =
+      static_cast<std::int32_t>(reader.number("priority", 0, -kMaxPriority, kMaxPriority));
+  if (request.select.ids.empty() && request.select.zone.empty() && request.select.cell.empty() &&
+      request.select.kind.empty()) {
+    reader.fail("machines", "missing, and no zone, cell or kind either");
   }
-  if (c.type == CommandType::kSubmitRequest) {
-    Request r;
-    r.id = c.id, r.requested_by = c.issued_by, r.reason = q.text("why");
-    const std::string role = q.text("role");
-    if (!role.empty() && role != "backend" && role != "proxy") {
-      q.fail("role", "backend or proxy");
-    }
-    r.select.role = role == "proxy" ? Role::kProxy : Role::kBackend;
-    r.select.zone = q.text("zone"), r.select.cell = q.text("cell"), r.select.kind = q.text("kind");
-    // Of many ids the list may be long, though none of them is.
-    const auto ids = query.find("machines");
-    std::string_view left = ids == query.end() ? std::string_view{} : std::string_view(ids->second);
-    while (!left.empty()) {
-      const std::string_view one = left.substr(0, left.find(','));
-      left.remove_prefix(std::min(left.size(), one.size() + 1));
-      if (one.empty() || one.size() > kMaxTextBytes) {
-        q.fail("machines", "not ids with commas between");
-      }
-      r.select.ids.emplace(one);
-    }
-    auto others = query;
-    others.erase("machines");
-    r.max_concurrent = static_cast<std::uint32_t>(q.number("at_once", 1, 1, 10'000));
-    r.work_duration = q.number("length", 0, 0, kFar),
-    r.not_before = q.number("not_before", 0, 0, kFar),
-    r.not_after = q.number("not_after", 0, 0, kFar);
-    r.priority = static_cast<std::int32_t>(q.number("priority", 0, -1'000, 1'000));
-    if (r.select.ids.empty() && r.select.zone.empty() && r.select.cell.empty() &&
-        r.select.kind.empty()) {
-      q.fail("machines", "missing, and no zone, cell or kind either");
-    }
-    c.request = std::move(r);
-    Query rest(others, fault);  // all keys but the long one are known
-    for (const char* key : {"id", "by", "why", "role", "zone", "cell", "kind", "at_once", "length",
-                            "not_before", "not_after", "priority"}) {
-      rest.text(key);
-    }
-    return rest.good() ? std::optional(c) : std::nullopt;
+  return request;
+}
+
+}  // namespace
+
+std::optional<Command> parse_operator_command(const std::string& verb,
+                                              const std::map<std::string, std::string>& query,
+                                              std::string& error) {
+  const auto type = command_type(verb);
+  if (!type) {
+    error = "unknown call";
+    return std::nullopt;
+  }
+  QueryReader reader(query, error);
+  Command command;
+  command.type = *type;
+  command.issued_by = reader.text("by");
+  if (command.type == CommandType::kForgetProxy) {
+    command.proxy = reader.required_text("proxy");
+  } else {
+    command.id = reader.required_text("id");
+  }
+  if (command.type == CommandType::kCompleteWork) {
+    command.machine = reader.required_text("machine");
+  }
+  if (command.type == CommandType::kSubmitRequest) {
+    command.request = read_request(reader, command);
   }
-  return q.good() ? std::optional(c) : std::nullopt;
+  return reader.finish() ? std::optional(std::move(command)) : std::nullopt;
 }
 
 }  // namespace beechhill::maintenance
--- a/src/maintenance/operator_commands.h
+++ b/src/maintenance/operator_commands.h
@@ -1,18 +1,19 @@
-// Staff's words as the operators' door hears them, as commands. No I/O.
+// Operators' calls about maintenance, as the admin server receives them, made into commands. No
+// I/O.
 #pragma once
 
 #include <map>
 #include <optional>
 #include <string>
 
-#include "maintenance/maintenance_state_machine.h"
+#include "maintenance/maintenance_commands.h"
 
 namespace beechhill::maintenance {
 
-// `verb`: request, approve, hold, resume, cancel, done or forget. Nothing, and `fault` says what is
-// wrong, where it makes no sense.
+/// `verb`: request, approve, hold, resume, cancel, done or forget; `query`: the call's decoded
+/// parameters. Where they are wrong, nothing, and `error` says what is, for people.
 std::optional<Command> parse_operator_command(const std::string& verb,
                                               const std::map<std::string, std::string>& query,
-                                              std::string& fault);
+                                              std::string& error);
 
 }  // namespace beechhill::maintenance
--- a/src/maintenance/raft_node.cpp
+++ b/src/maintenance/raft_node.cpp
@@ -1,108 +1,66 @@
 #include "maintenance/raft_node.h"
 
 #include <algorithm>
-#include <cstdlib>
-#include <cstring>
+#include <array>
+#include <charconv>
 #include <deque>
 #include <map>
-#include <set>
+#include <random>
 #include <stdexcept>
 #include <utility>
 
-extern "C" {
-#include <raft.h>
-}
-
 #include "base/byte_codec.h"
+#include "maintenance/libraft_conversions.h"
+#include "maintenance/raft_messages.h"
 
 namespace beechhill::maintenance {
 
-using membership::ByteReader;
-using membership::ByteWriter;
-
 namespace {
 
-constexpr unsigned kSnapshotAfter = 512, kTrailing = 64;  // entries, of some hundred bytes each
-constexpr std::size_t kLongestAddress = 80, kMostEntries = 64;
-constexpr std::size_t kMostProposed = 256;
-constexpr std::size_t kMostOutgoing = 1'024;  // beyond, the oldest are lost, as on any network
-
-raft_id id_of(const std::string& address) {
-  return raft_digest(address.c_str(), 0) >> 1 | 1;
-}
-
-// Of the library's own heap, which it frees.
-raft_buffer buffer(std::string_view text) {
-  raft_buffer b{raft_malloc(std::max<std::size_t>(1, text.size())), text.size()};
-  if (!b.base) {
-    throw std::bad_alloc();
-  }
-  std::memcpy(b.base, text.data(), text.size());
-  return b;
-}
-
-std::string_view text(const raft_buffer& b) {
-  return {static_cast<const char*>(b.base), b.len};
-}
-
-void set_servers(raft_configuration& c, const std::vector<RaftServer>& servers) {
-  raft_configuration_init(&c);
-  for (const RaftServer& s : servers) {
-    raft_configuration_add(&c, id_of(s.address), s.address.c_str(), s.role);
-  }
-}
-
-std::vector<RaftServer> servers_in(const raft_configuration& c) {
-  std::vector<RaftServer> all;
-  for (unsigned i = 0; i < c.n; ++i) {
-    all.push_back({c.servers[i].address, c.servers[i].role});
-  }
-  return all;
-}
-
-raft_entry* entries_from(const std::vector<LogEntry>& entries) {
-  if (entries.empty()) {
-    return nullptr;
-  }
-  std::size_t size = 1;
-  for (const LogEntry& e : entries) {
-    size += e.data.size();
-  }
-  auto* const all = static_cast<raft_entry*>(raft_calloc(entries.size(), sizeof(raft_entry)));
-  char* batch = static_cast<char*>(raft_malloc(size));
-  char* at = batch;
-  for (std::size_t i = 0; i < entries.size(); ++i) {
-    const LogEntry& e = entries[i];
-    std::memcpy(at, e.data.data(), e.data.size());
-    all[i] = {e.term, e.type, {at, e.data.size()}, batch};
-    at += e.data.size();
-  }
-  return all;
+// Entries of some hundred bytes each: a snapshot is taken after so many, and so many of those
+// before it are kept for followers that lag a little.
+constexpr unsigned kSnapshotThreshold = 512;
+constexpr unsigned kSnapshotTrailing = 64;
+constexpr std::size_t kMaxPendingProposals = 256;
+// Beyond that the oldest are dropped, as on any network.
+constexpr std::size_t kMaxOutgoing = 1'024;
+constexpr std::uint32_t kMaxGeneration = 1'000'000'000;
+// Callbacks may queue further ones: a bound on how many run at a time.
+constexpr int kMaxCallbacksPerTick = 1'000;
+constexpr int kMaxCallbacksAtEnd = 10'000;
+// Of the state machine's results, which libraft carries as pointers.
+constexpr std::size_t kCommandResults = 256;
+
+CommandResult* as_pointer(CommandResult result) {
+  static std::array<CommandResult, kCommandResults> values = [] {
+    std::array<CommandResult, kCommandResults> all{};
+    for (std::size_t i = 0; i < all.size(); ++i) {
+      all.at(i) = static_cast<CommandResult>(i);
+    }
+    return all;
+  }();
+  return &values.at(static_cast<std::size_t>(result));
 }
 
-std::vector<LogEntry> entries_in(const raft_entry* entries, unsigned n) {
-  std::vector<LogEntry> all;
-  for (unsigned i = 0; i < n; ++i) {
-    all.push_back({entries[i].term, entries[i].type, std::string(text(entries[i].buf))});
-  }
-  return all;
+unsigned milliseconds(Duration duration) {
+  return static_cast<unsigned>(duration / std::chrono::milliseconds(1));
 }
 
 }  // namespace
 
 std::optional<Voter> parse_voter(std::string_view address) {
-  const auto at = address.rfind('#');
-  if (at == std::string_view::npos || at == 0 || at + 1 == address.size()) {
+  const auto separator = address.rfind('#');
+  if (separator == std::string_view::npos || separator == 0) {
     return std::nullopt;
   }
-  Voter v{std::string(address.substr(0, at)), 0};
-  for (const char c : address.substr(at + 1)) {
-    if (c < '0' || c > '9' || v.generation > 100'000'000) {
-      return std::nullopt;
-    }
-    v.generation = v.generation * 10 + static_cast<std::uint32_t>(c - '0');
+  const std::string_view digits = address.substr(separator + 1);
+  const char* const end = digits.data() + digits.size();
+  Voter voter{std::string(address.substr(0, separator)), 0};
+  const auto [stop, error] = std::from_chars(digits.data(), end, voter.generation);
+  if (error != std::errc{} || stop != end || voter.generation > kMaxGeneration) {
+    return std::nullopt;
   }
-  return v;
+  return voter;
 }
 
 std::vector<LogRecord> initial_records(const std::vector<std::string>& voters) {
@@ -110,608 +68,639 @@
   for (const std::string& name : voters) {
     servers.push_back({Voter{name, 1}.address(), RAFT_VOTER});
   }
-  std::sort(servers.begin(), servers.end(), [](const RaftServer& a, const RaftServer& b) {
-    return a.address < b.address;
-  });  // the same everywhere
-  raft_configuration c;
-  set_servers(c, servers);
+  // The same entry on every voter, whatever the order of their settings.
+  std::sort(servers.begin(), servers.end(),
+            [](const RaftServer& a, const RaftServer& b) { return a.address < b.address; });
+  raft_configuration configuration;
+  make_configuration(configuration, servers);
   raft_buffer encoded{};
-  const int error = raft_configuration_encode(&c, &encoded);
-  raft_configuration_close(&c);
+  const int error = raft_configuration_encode(&configuration, &encoded);
+  raft_configuration_close(&configuration);
   if (error != 0) {
     throw std::runtime_error(raft_strerror(error));
   }
-  LogRecord first{
-      LogRecord::RecordType::kAppend, 1, {{1, RAFT_CHANGE, std::string(text(encoded))}}, {}};
+  const LogEntry entry{1, RAFT_CHANGE, std::string(content_of(encoded))};
   raft_free(encoded.base);
-  return {{LogRecord::RecordType::kTerm, 1, {}, {}}, std::move(first)};
-}
-
-struct RaftNode::Impl {
-  Impl(RaftNode& o, const Voter& s, RaftStorage& st, MaintenanceStateMachine& l, std::uint64_t seed)
-      : owner(o), self(s), storage(st), ledger(l), random(seed) {}
-
-  RaftNode& owner;
-  const Voter self;
-  RaftStorage& storage;
-  MaintenanceStateMachine& ledger;
-  std::mt19937_64 random;
-  Time now{0}, tick_every{100'000}, next_tick{0};
-  raft_io io{};
-  raft_fsm fsm{};
-  raft r{};
-  raft_io_tick_cb on_tick = nullptr;
-  raft_io_recv_cb on_recv = nullptr;
-  raft_io_close_cb on_closed = nullptr;
-
-  struct Said {
-    std::uint64_t after = 0;  // records that must be durable
+  return {LogRecord::set_term(1), LogRecord::append(1, {entry})};
+}
+
+/// Gives libraft its I/O and state machine. Callbacks that libraft waits for are never called from
+/// within one of its own calls: they are queued, and run by run_callbacks().
+class RaftNode::Impl {
+ public:
+  Impl(Time now, const Voter& self, RaftStorage& storage, MaintenanceStateMachine& state_machine,
+       const RaftTiming& timing, std::uint64_t seed)
+      : self_(self),
+        storage_(storage),
+        state_machine_(state_machine),
+        random_(seed),
+        now_(now),
+        next_raft_tick_(now),
+        next_tick_(now) {
+    set_io_callbacks();
+    set_fsm_callbacks();
+    start(timing);
+  }
+  ~Impl() { stop(); }
+  Impl(const Impl&) = delete;
+  Impl& operator=(const Impl&) = delete;
+
+  void tick(Time now);
+  void receive(Time now, std::string_view bytes);
+  std::vector<Outgoing> take_outgoing();
+  void propose(const Command& command, ProposalCallback done);
+  std::uint32_t readmit(const std::string& name);
+
+  bool is_leader() const { return !halted_ && raft_state(&raft_) == RAFT_LEADER; }
+  std::string leader() const;
+  std::uint64_t term() const { return raft_.current_term; }
+  bool halted() const { return halted_; }
+  bool rolled_back() const { return rolled_back_; }
+  Time next_tick() const { return next_tick_; }
+  std::size_t pending_proposals() const { return proposals_.size(); }
+
+  struct ConfiguredVoter {
+    Voter voter;
+    int role = 0;
+  };
+  /// Servers whose address is a voter's, in the order of the configuration.
+  std::vector<ConfiguredVoter> configuration() const;
+
+ private:
+  struct PendingMessage {
+    /// Records that must be durable before it may be sent.
+    std::uint64_t required_records = 0;
     Outgoing message;
   };
-  std::deque<Said> said;
-  struct Written {
-    std::uint64_t after = 0;
-    std::function<void(int)> done;
+  struct PendingWrite {
+    std::uint64_t required_records = 0;
+    std::function<void(int status)> done;
   };
-  std::deque<Written> written;
-  std::deque<std::function<void()>>
-      later;  // what the library wants to be called back, never from within a call of its own
   struct Proposal {
     struct raft_apply request{};
     Impl* impl = nullptr;
-    Done done;
+    ProposalCallback done;
+  };
+  /// The most that was seen of another voter's storage.
+  struct PeerStorage {
+    std::uint32_t generation = 0;
+    std::uint64_t appended_records = 0;
   };
-  std::set<Proposal*> proposals;
-  raft_change change{};
-  std::optional<Voter> joining;  // one change of the voters at a time
-  bool changing = false;
-  std::map<std::string, std::pair<std::uint32_t, std::uint64_t>>
-      seen;  // of other voters' storages: generation, records
-
-  static Impl& of(raft_io* i) { return *static_cast<Impl*>(i->impl); }
-
-  void start(const RaftTiming& timing) {
-    io.version = 2, io.impl = this;
-    io.init = [](raft_io*, raft_id, const char*) { return 0; };
-    io.close = [](raft_io* i, raft_io_close_cb cb) { of(i).on_closed = cb; };
-    io.load = [](raft_io* i, raft_term* term, raft_id* vote, raft_snapshot** snapshot,
-                 raft_index* first, raft_entry** entries, size_t* n) {
-      const DurableState& image = of(i).storage.state();
-      *term = image.term, *vote = image.vote, *first = image.first_index, *n = image.entries.size();
-      *entries = entries_from(image.entries);
-      *snapshot = image.snapshot ? made(*image.snapshot) : nullptr;
-      return 0;
-    };
-    io.start = [](raft_io* i, unsigned ms, raft_io_tick_cb tick, raft_io_recv_cb recv) {
-      of(i).tick_every = std::chrono::milliseconds(ms);
-      of(i).on_tick = tick, of(i).on_recv = recv;
-      return 0;
-    };
-    io.bootstrap = [](raft_io*, const raft_configuration*) { return int{RAFT_CANTBOOTSTRAP}; };
-    io.recover = [](raft_io*, const raft_configuration*) { return int{RAFT_INVALID}; };
-    io.set_term = [](raft_io* i, raft_term term) {
-      return of(i).write({LogRecord::RecordType::kTerm, term, {}, {}}), 0;
-    };
-    io.set_vote = [](raft_io* i, raft_id id) {
-      return of(i).write({LogRecord::RecordType::kVote, id, {}, {}}), 0;
-    };
-    io.send = [](raft_io* i, raft_io_send* request, const raft_message* m, raft_io_send_cb cb) {
-      of(i).say(*m);
-      of(i).later.push_back([request, cb] { cb(request, 0); });
-      return 0;
-    };
-    io.append = [](raft_io* i, raft_io_append* request, const raft_entry entries[], unsigned n,
-                   raft_io_append_cb cb) {
-      const std::uint64_t after =
-          of(i).write({LogRecord::RecordType::kAppend, 0, entries_in(entries, n), {}});
-      of(i).written.push_back({after, [request, cb](int status) { cb(request, status); }});
-      return 0;
-    };
-    io.truncate = [](raft_io* i, raft_index index) {
-      return of(i).write({LogRecord::RecordType::kTruncate, index, {}, {}}), 0;
-    };
-    io.snapshot_put = [](raft_io* i, unsigned trailing, raft_io_snapshot_put* request,
-                         const raft_snapshot* s, raft_io_snapshot_put_cb cb) {
-      RaftSnapshot kept{
-          s->index, s->term, s->configuration_index, servers_in(s->configuration), {}};
-      for (unsigned b = 0; b < s->n_bufs; ++b) {
-        kept.data += text(s->bufs[b]);
-      }
-      const std::uint64_t after =
-          of(i).write({LogRecord::RecordType::kSnapshot, trailing, {}, std::move(kept)});
-      of(i).written.push_back({after, [request, cb](int status) { cb(request, status); }});
-      return 0;
-    };
-    io.snapshot_get = [](raft_io* i, raft_io_snapshot_get* request, raft_io_snapshot_get_cb cb) {
-      Impl& me = of(i);
-      if (!me.storage.state().snapshot) {
-        return int{RAFT_NOTFOUND};
-      }
-      me.later.push_back(
-          [&me, request, cb] { cb(request, made(*me.storage.state().snapshot), 0); });
-      return 0;
-    };
-    io.time = [](raft_io* i) {
-      return static_cast<raft_time>(of(i).now / std::chrono::milliseconds(1));
-    };
-    io.random = [](raft_io* i, int min, int max) {
-      return min +
-             static_cast<int>(of(i).random() % static_cast<std::uint64_t>(std::max(1, max - min)));
-    };
-    io.async_work = [](raft_io* i, raft_io_async_work* request, raft_io_async_work_cb cb) {
-      of(i).later.push_back([request, cb] { cb(request, request->work(request)); });
-      return 0;
-    };
-    fsm.version = 1, fsm.data = this;
-    fsm.apply = [](raft_fsm* f, const raft_buffer* buf, void** result) {
-      Impl& me = *static_cast<Impl*>(f->data);
-      const auto command = decode(text(*buf));
-      const char* reason =
-          command ? me.ledger.apply(raft_last_applied(&me.r) + 1, *command) : "not_read";
-      *result = const_cast<char*>(reason);
-      return 0;
-    };
-    fsm.snapshot = [](raft_fsm* f, raft_buffer* bufs[], unsigned* n) {
-      *bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
-      **bufs = buffer(static_cast<Impl*>(f->data)->ledger.snapshot());
-      *n = 1;
-      return 0;
-    };
-    fsm.restore = [](raft_fsm* f, raft_buffer* buf) {
-      if (!static_cast<Impl*>(f->data)->ledger.restore(text(*buf))) {
-        return int{RAFT_MALFORMED};
-      }
-      raft_free(buf->base);
-      return 0;
-    };
-    const std::string address = self.address();
-    check(raft_init(&r, &io, &fsm, id_of(address), address.c_str()));
-    raft_set_election_timeout(
-        &r, static_cast<unsigned>(timing.election_timeout / std::chrono::milliseconds(1)));
-    raft_set_heartbeat_timeout(
-        &r, static_cast<unsigned>(timing.heartbeat_interval / std::chrono::milliseconds(1)));
-    raft_set_snapshot_threshold(&r, kSnapshotAfter);
-    raft_set_snapshot_trailing(&r, kTrailing);
-    raft_set_pre_vote(&r, true);
-    check(raft_start(&r));
-    next_tick = now;
-  }
-
-  void check(int error) {
-    if (error != 0) {
-      throw std::runtime_error(std::string("agreement: ") + raft_strerror(error) + ": " +
-                               raft_errmsg(&r));
-    }
-  }
 
-  static raft_snapshot* made(const RaftSnapshot& k) {
-    auto* const s = static_cast<raft_snapshot*>(raft_calloc(1, sizeof(raft_snapshot)));
-    s->index = k.index, s->term = k.term, s->configuration_index = k.configuration_index;
-    set_servers(s->configuration, k.servers);
-    s->bufs = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
-    s->bufs[0] = buffer(k.data);
-    s->n_bufs = 1;
-    return s;
-  }
+  static Impl& of(raft_io* io) { return *static_cast<Impl*>(io->impl); }
+  static Impl& of(raft_fsm* fsm) { return *static_cast<Impl*>(fsm->data); }
+
+  void set_io_callbacks();
+  void set_fsm_callbacks();
+  void start(const RaftTiming& timing);
+  void stop();
+  void check(int error);
+
+  // raft_io, in the order of its members.
+  static int load(raft_io* io, raft_term* term, raft_id* vote, raft_snapshot** snapshot,
+                  raft_index* first_index, raft_entry** entries, size_t* count);
+  static int start_io(raft_io* io, unsigned tick_ms, raft_io_tick_cb tick, raft_io_recv_cb recv);
+  static int send(raft_io* io, raft_io_send* request, const raft_message* message,
+                  raft_io_send_cb done);
+  static int append(raft_io* io, raft_io_append* request, const raft_entry entries[],
+                    unsigned count, raft_io_append_cb done);
+  static int put_snapshot(raft_io* io, unsigned trailing, raft_io_snapshot_put* request,
+                          const raft_snapshot* snapshot, raft_io_snapshot_put_cb done);
+  static int get_snapshot(raft_io* io, raft_io_snapshot_get* request, raft_io_snapshot_get_cb done);
+  static int random_between(raft_io* io, int min, int max);
+  static int run_async_work(raft_io* io, raft_io_async_work* request, raft_io_async_work_cb done);
+
+  // raft_fsm.
+  static int apply(raft_fsm* fsm, const raft_buffer* buffer, void** result);
+  static int take_snapshot(raft_fsm* fsm, raft_buffer* buffers[], unsigned* count);
+  static int restore(raft_fsm* fsm, raft_buffer* buffer);
+
+  void queue_message(const raft_message& message);
+  void deliver(std::string_view bytes);
+  void report_rollback(const Voter& peer, std::uint64_t seen_records);
+  void run_callbacks();
+  void run_first_deferred();
+  void run_first_write(int status);
+  void cancel_callbacks();
+  static void finish_proposal(struct raft_apply* request, int status, void* result);
+
+  const Voter self_;
+  RaftStorage& storage_;
+  MaintenanceStateMachine& state_machine_;
+  std::mt19937_64 random_;
+  Time now_;
+  Duration tick_interval_{100'000};
+  Time next_raft_tick_;
+  Time next_tick_;
+  bool halted_ = false;
+  bool rolled_back_ = false;
+
+  raft_io io_{};
+  raft_fsm fsm_{};
+  // Mutable: getters of libraft take it without const.
+  mutable struct raft raft_{};
+  raft_io_tick_cb on_tick_ = nullptr;
+  raft_io_recv_cb on_receive_ = nullptr;
+  raft_io_close_cb on_closed_ = nullptr;
+
+  std::deque<PendingMessage> outgoing_;
+  std::deque<PendingWrite> writes_;
+  std::deque<std::function<void()>> deferred_;
+  std::map<Proposal*, std::unique_ptr<Proposal>> proposals_;
+  raft_change change_{};
+  bool change_in_progress_ = false;
+  std::map<std::string, PeerStorage> peer_storages_;
+};
 
-  std::uint64_t write(LogRecord record) { return storage.append(std::move(record)); }
+// ---- Start and end
+
+void RaftNode::Impl::set_io_callbacks() {
+  io_.version = 2;
+  io_.impl = this;
+  io_.init = [](raft_io*, raft_id, const char*) { return 0; };
+  io_.close = [](raft_io* io, raft_io_close_cb done) { of(io).on_closed_ = done; };
+  io_.load = load;
+  io_.start = start_io;
+  io_.bootstrap = [](raft_io*, const raft_configuration*) { return int{RAFT_CANTBOOTSTRAP}; };
+  io_.recover = [](raft_io*, const raft_configuration*) { return int{RAFT_INVALID}; };
+  io_.set_term = [](raft_io* io, raft_term term) {
+    of(io).storage_.append(LogRecord::set_term(term));
+    return 0;
+  };
+  io_.set_vote = [](raft_io* io, raft_id candidate) {
+    of(io).storage_.append(LogRecord::set_vote(candidate));
+    return 0;
+  };
+  io_.send = send;
+  io_.append = append;
+  io_.truncate = [](raft_io* io, raft_index index) {
+    of(io).storage_.append(LogRecord::truncate(index));
+    return 0;
+  };
+  io_.snapshot_put = put_snapshot;
+  io_.snapshot_get = get_snapshot;
+  io_.time = [](raft_io* io) {
+    return static_cast<raft_time>(of(io).now_ / std::chrono::milliseconds(1));
+  };
+  io_.random = random_between;
+  io_.async_work = run_async_work;
+}
 
-  // ---- Messages
+void RaftNode::Impl::set_fsm_callbacks() {
+  fsm_.version = 1;
+  fsm_.data = this;
+  fsm_.apply = apply;
+  fsm_.snapshot = take_snapshot;
+  fsm_.restore = restore;
+}
 
-  void say(const raft_message& m) {
-    const auto to = parse_voter(m.server_address);
-    if (!to) {
-      return;
-    }
-    ByteWriter w;
-    w.text(self.address())
-        .text(m.server_address)
-        .number(storage.appended_records())
-        .number(static_cast<std::uint8_t>(m.type));
-    switch (m.type) {
-      case RAFT_IO_APPEND_ENTRIES: {
-        const raft_append_entries& a = m.append_entries;
-        // More would not pass at once; what is left out is asked for again.
-        const unsigned n = std::min<unsigned>(a.n_entries, kMostEntries);
-        w.number(a.term)
-            .number(a.prev_log_index)
-            .number(a.prev_log_term)
-            .number(a.leader_commit)
-            .number(static_cast<std::uint16_t>(n));
-        for (const LogEntry& e : entries_in(a.entries, n)) {
-          w.number(e.term).number(e.type).blob(e.data);
-        }
-        break;
-      }
-      case RAFT_IO_APPEND_ENTRIES_RESULT:
-        w.number(m.append_entries_result.term)
-            .number(m.append_entries_result.rejected)
-            .number(m.append_entries_result.last_log_index);
-        break;
-      case RAFT_IO_REQUEST_VOTE: {
-        const raft_request_vote& v = m.request_vote;
-        w.number(v.term)
-            .number(v.candidate_id)
-            .number(v.last_log_index)
-            .number(v.last_log_term)
-            .number(v.disrupt_leader)
-            .number(v.pre_vote);
-        break;
-      }
-      case RAFT_IO_REQUEST_VOTE_RESULT:
-        w.number(m.request_vote_result.term)
-            .number(m.request_vote_result.vote_granted)
-            .number(static_cast<std::uint8_t>(m.request_vote_result.pre_vote));
-        break;
-      case RAFT_IO_INSTALL_SNAPSHOT: {
-        const raft_install_snapshot& s = m.install_snapshot;
-        w.number(s.term)
-            .number(s.last_index)
-            .number(s.last_term)
-            .number(s.conf_index)
-            .number(static_cast<std::uint8_t>(s.conf.n));
-        for (const RaftServer& server : servers_in(s.conf)) {
-          w.text(server.address).number(static_cast<std::uint8_t>(server.role));
-        }
-        w.blob(text(s.data));
-        break;
-      }
-      case RAFT_IO_TIMEOUT_NOW:
-        w.number(m.timeout_now.term)
-            .number(m.timeout_now.last_log_index)
-            .number(m.timeout_now.last_log_term);
-        break;
-      default:
-        return;
-    }
-    said.push_back({storage.appended_records(), {to->name, w.bytes()}});
-    if (said.size() > kMostOutgoing) {
-      said.pop_front();
-    }
+void RaftNode::Impl::start(const RaftTiming& timing) {
+  const std::string address = self_.address();
+  check(raft_init(&raft_, &io_, &fsm_, server_id(address), address.c_str()));
+  raft_set_election_timeout(&raft_, milliseconds(timing.election_timeout));
+  raft_set_heartbeat_timeout(&raft_, milliseconds(timing.heartbeat_interval));
+  raft_set_snapshot_threshold(&raft_, kSnapshotThreshold);
+  raft_set_snapshot_trailing(&raft_, kSnapshotTrailing);
+  raft_set_pre_vote(&raft_, true);
+  check(raft_start(&raft_));
+}
+
+void RaftNode::Impl::check(int error) {
+  if (error != 0) {
+    throw std::runtime_error(std::string("agreement: ") + raft_strerror(error) + ": " +
+                             raft_errmsg(&raft_));
   }
+}
 
-  void hear(std::string_view bytes) {
-    ByteReader in(bytes);
-    const std::string from = in.text(kLongestAddress), to = in.text(kLongestAddress);
-    const auto records = in.number<std::uint64_t>();
-    const auto type = in.number<std::uint8_t>();
-    const auto voter = parse_voter(from);
-    if (!in.ok() || !voter || voter->name == self.name) {
-      return;
-    }
-    if (type == kRolledBack) {
-      if (to == self.address() && records > storage.appended_records()) {
-        owner.rolled_back_ = true;
-      }
-      return;
-    }
-    if (to != self.address() || on_recv == nullptr) {
-      return;
-    }
-    // A storage only grows: one that has become less has been put back, and what its voter says
-    // rests on what it forgot.
-    auto& known = seen[voter->name];
-    if (voter->generation < known.first) {
-      return;
-    }
-    if (voter->generation == known.first && records < known.second) {
-      ByteWriter w;
-      w.text(self.address()).text(from).number(known.second).number(kRolledBack);
-      said.push_back({0, {voter->name, w.bytes()}});
-      return;
-    }
-    raft_message m{};
-    m.type = type, m.server_id = id_of(from), m.server_address = from.c_str();
-    switch (type) {
-      case RAFT_IO_APPEND_ENTRIES: {
-        raft_append_entries& a = m.append_entries;
-        a.term = in.number<std::uint64_t>(), a.prev_log_index = in.number<std::uint64_t>(),
-        a.prev_log_term = in.number<std::uint64_t>();
-        a.leader_commit = in.number<std::uint64_t>();
-        std::vector<LogEntry> entries;
-        for (auto n = in.number<std::uint16_t>(); n > 0 && in.ok(); --n) {
-          LogEntry& e = entries.emplace_back();
-          e.term = in.number<std::uint64_t>(), e.type = in.number<std::uint16_t>();
-          e.data = in.blob();
-        }
-        if (!in.done() || entries.size() > kMostEntries) {
-          return;
-        }
-        a.entries = entries_from(entries), a.n_entries = static_cast<unsigned>(entries.size());
-        break;
-      }
-      case RAFT_IO_APPEND_ENTRIES_RESULT: {
-        raft_append_entries_result& a = m.append_entries_result;
-        a.term = in.number<std::uint64_t>(), a.rejected = in.number<std::uint64_t>(),
-        a.last_log_index = in.number<std::uint64_t>();
-        break;
-      }
-      case RAFT_IO_REQUEST_VOTE: {
-        raft_request_vote& v = m.request_vote;
-        v.term = in.number<std::uint64_t>(), v.candidate_id = in.number<std::uint64_t>(),
-        v.last_log_index = in.number<std::uint64_t>();
-        v.last_log_term = in.number<std::uint64_t>(), v.disrupt_leader = in.number<bool>(),
-        v.pre_vote = in.number<bool>();
-        break;
-      }
-      case RAFT_IO_REQUEST_VOTE_RESULT: {
-        raft_request_vote_result& v = m.request_vote_result;
-        v.term = in.number<std::uint64_t>(), v.vote_granted = in.number<bool>();
-        v.pre_vote = static_cast<raft_tribool>(
-            std::min<std::uint8_t>(in.number<std::uint8_t>(), raft_tribool_false));
-        break;
-      }
-      case RAFT_IO_INSTALL_SNAPSHOT: {
-        raft_install_snapshot& s = m.install_snapshot;
-        s.term = in.number<std::uint64_t>(), s.last_index = in.number<std::uint64_t>(),
-        s.last_term = in.number<std::uint64_t>();
-        s.conf_index = in.number<std::uint64_t>();
-        std::vector<RaftServer> servers;
-        for (auto n = in.number<std::uint8_t>(); n > 0 && in.ok(); --n) {
-          RaftServer& server = servers.emplace_back();
-          server.address = in.text(kLongestAddress), server.role = in.number<std::uint8_t>();
-        }
-        const std::string_view content = in.blob();
-        MaintenanceStateMachine probe;
-        if (!in.done() || !probe.restore(content)) {
-          return;
-        }
-        set_servers(s.conf, servers);
-        s.data = buffer(content);
-        break;
-      }
-      case RAFT_IO_TIMEOUT_NOW:
-        m.timeout_now.term = in.number<std::uint64_t>(),
-        m.timeout_now.last_log_index = in.number<std::uint64_t>();
-        m.timeout_now.last_log_term = in.number<std::uint64_t>();
-        break;
-      default:
-        return;
-    }
-    if (!in.done()) {
-      return;  // what was made for the message is empty here, but for the two above, which are read
-               // whole
+void RaftNode::Impl::stop() {
+  for (auto& [key, proposal] : proposals_) {
+    proposal->done = {};
+  }
+  // Outstanding requests complete while libraft is still running. Nothing of it is sent.
+  for (int i = 0; i < kMaxCallbacksAtEnd && !(deferred_.empty() && writes_.empty()); ++i) {
+    if (!deferred_.empty()) {
+      run_first_deferred();
+    } else {
+      run_first_write(0);
     }
-    known = {voter->generation, records};
-    on_recv(&io, &m);
-  }
-  static constexpr std::uint8_t kRolledBack = 200;
-
-  // ---- The disk, and what waits to be called back
-
-  void settle() {
-    const std::uint64_t durable = storage.durable_records();
-    for (int turns = 0; turns < 1'000;
-         ++turns) {  // each turn may make more; an end of it in any case
-      if (!later.empty()) {
-        const auto call = std::move(later.front());
-        later.pop_front();
-        call();
-      } else if (!written.empty() && written.front().after <= durable) {
-        const auto call = std::move(written.front().done);
-        written.pop_front();
-        call(0);
-      } else {
-        break;
-      }
+  }
+  raft_close(&raft_, [](struct raft*) {});
+  cancel_callbacks();
+  // Only now: until its requests have completed, libraft's log is in use.
+  if (on_closed_) {
+    on_closed_(&io_);
+  }
+}
+
+void RaftNode::Impl::cancel_callbacks() {
+  while (!deferred_.empty() || !writes_.empty()) {
+    for (const auto& callback : std::exchange(deferred_, {})) {
+      callback();
     }
-    if (storage.failed() && !owner.halted_) {
-      halt();
+    for (const PendingWrite& write : std::exchange(writes_, {})) {
+      write.done(RAFT_CANCELED);
     }
   }
+}
+
+// ---- libraft's I/O
+
+int RaftNode::Impl::load(raft_io* io, raft_term* term, raft_id* vote, raft_snapshot** snapshot,
+                         raft_index* first_index, raft_entry** entries, size_t* count) {
+  const DurableState& state = of(io).storage_.state();
+  *term = state.term;
+  *vote = state.vote;
+  *first_index = state.first_index;
+  *count = state.entries.size();
+  *entries = make_entries(state.entries);
+  *snapshot = state.snapshot ? make_snapshot(*state.snapshot) : nullptr;
+  return 0;
+}
+
+int RaftNode::Impl::start_io(raft_io* io, unsigned tick_ms, raft_io_tick_cb tick,
+                             raft_io_recv_cb recv) {
+  Impl& impl = of(io);
+  impl.tick_interval_ = std::chrono::milliseconds(tick_ms);
+  impl.on_tick_ = tick;
+  impl.on_receive_ = recv;
+  return 0;
+}
+
+int RaftNode::Impl::send(raft_io* io, raft_io_send* request, const raft_message* message,
+                         raft_io_send_cb done) {
+  Impl& impl = of(io);
+  impl.queue_message(*message);
+  impl.deferred_.emplace_back([request, done] { done(request, 0); });
+  return 0;
+}
 
-  void halt() {
-    owner.halted_ = true;
-    said.clear();
+int RaftNode::Impl::append(raft_io* io, raft_io_append* request, const raft_entry entries[],
+                           unsigned count, raft_io_append_cb done) {
+  Impl& impl = of(io);
+  const std::uint64_t required =
+      impl.storage_.append(LogRecord::append(0, entries_of(entries, count)));
+  impl.writes_.push_back({required, [request, done](int status) { done(request, status); }});
+  return 0;
+}
+
+int RaftNode::Impl::put_snapshot(raft_io* io, unsigned trailing, raft_io_snapshot_put* request,
+                                 const raft_snapshot* snapshot, raft_io_snapshot_put_cb done) {
+  Impl& impl = of(io);
+  const std::uint64_t required =
+      impl.storage_.append(LogRecord::take_snapshot(trailing, snapshot_of(*snapshot)));
+  impl.writes_.push_back({required, [request, done](int status) { done(request, status); }});
+  return 0;
+}
+
+int RaftNode::Impl::get_snapshot(raft_io* io, raft_io_snapshot_get* request,
+                                 raft_io_snapshot_get_cb done) {
+  Impl& impl = of(io);
+  if (!impl.storage_.state().snapshot) {
+    return RAFT_NOTFOUND;
   }
+  impl.deferred_.emplace_back(
+      [&impl, request, done] { done(request, make_snapshot(*impl.storage_.state().snapshot), 0); });
+  return 0;
+}
 
-  void stop() {
-    for (Proposal* p : proposals) {
-      p->done = {};  // nobody waits any more
-    }
-    // What is out comes back as if it were done, while the library is still in order; nothing of it
-    // is said to anybody.
-    for (int turns = 0; turns < 10'000 && !(later.empty() && written.empty()); ++turns) {
-      if (!later.empty()) {
-        const auto call = std::move(later.front());
-        later.pop_front();
-        call();
-        continue;
-      }
-      const auto call = std::move(written.front().done);
-      written.pop_front();
-      call(0);
-    }
-    raft_close(&r, [](raft*) {});
-    while (!later.empty() || !written.empty()) {
-      for (const auto& call : std::exchange(later, {})) {
-        call();
-      }
-      for (const auto& w : std::exchange(written, {})) {
-        w.done(RAFT_CANCELED);
-      }
-    }
-    // Only now: until its requests have come back, the library's log is in use.
-    if (on_closed) {
-      on_closed(&io);
-    }
-    const std::set<Proposal*> left = std::exchange(proposals, {});
-    for (Proposal* p : left) {
-      delete p;
-    }
+int RaftNode::Impl::random_between(raft_io* io, int min, int max) {
+  const auto range = static_cast<std::uint64_t>(std::max(1, max - min));
+  return min + static_cast<int>(of(io).random_() % range);
+}
+
+int RaftNode::Impl::run_async_work(raft_io* io, raft_io_async_work* request,
+                                   raft_io_async_work_cb done) {
+  of(io).deferred_.emplace_back([request, done] { done(request, request->work(request)); });
+  return 0;
+}
+
+// ---- libraft's state machine
+
+int RaftNode::Impl::apply(raft_fsm* fsm, const raft_buffer* buffer, void** result) {
+  Impl& impl = of(fsm);
+  const auto command = decode(content_of(*buffer));
+  const LogIndex index = raft_last_applied(&impl.raft_) + 1;
+  *result = as_pointer(command ? impl.state_machine_.apply(index, *command)
+                               : CommandResult::kUndecodable);
+  return 0;
+}
+
+int RaftNode::Impl::take_snapshot(raft_fsm* fsm, raft_buffer* buffers[], unsigned* count) {
+  *buffers = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
+  **buffers = make_buffer(of(fsm).state_machine_.snapshot());
+  *count = 1;
+  return 0;
+}
+
+int RaftNode::Impl::restore(raft_fsm* fsm, raft_buffer* buffer) {
+  if (!of(fsm).state_machine_.restore(content_of(*buffer))) {
+    return RAFT_MALFORMED;
   }
+  raft_free(buffer->base);
+  return 0;
+}
 
-  void propose(const Command& command, Done done) {
-    const auto end = [&done](const char* reason) {
-      if (done) {
-        done(reason);
-      }
-    };
-    if (owner.halted_ || raft_state(&r) != RAFT_LEADER || proposals.size() >= kMostProposed) {
-      return end("not_leader");
-    }
-    auto* const p = new Proposal{{}, this, done};
-    p->request.data = p;
-    const raft_buffer buf = buffer(encode(command));
-    proposals.insert(p);
-    const int error = raft_apply(&r, &p->request, &buf, 1,
-                                 [](struct raft_apply* request, int status, void* result) {
-                                   auto* const p = static_cast<Proposal*>(request->data);
-                                   if (p->impl->proposals.erase(p) == 0) {
-                                     return;
-                                   }
-                                   const Done done = std::move(p->done);
-                                   delete p;
-                                   if (done) {
-                                     done(status == 0 ? static_cast<const char*>(result) : "lost");
-                                   }
-                                 });
-    if (error == 0) {
-      return;
-    }
-    raft_free(buf.base);
-    proposals.erase(p);
-    delete p;
-    end("not_leader");
+// ---- Messages
+
+void RaftNode::Impl::queue_message(const raft_message& message) {
+  const auto receiver = parse_voter(message.server_address);
+  const auto body = body_of(message);
+  if (!receiver || !body) {
+    return;
+  }
+  const std::uint64_t records = storage_.appended_records();
+  const RaftMessageHeader header{self_.address(), message.server_address, records, {}};
+  outgoing_.push_back({records, {receiver->name, encode(header, *body)}});
+  if (outgoing_.size() > kMaxOutgoing) {
+    outgoing_.pop_front();
   }
+}
 
-  // Out with the generation that has lost its storage, in with the next, and then it votes.
-  std::uint32_t readmit(const std::string& name) {
-    if (owner.halted_ || changing || raft_state(&r) != RAFT_LEADER || name == self.name) {
-      return 0;
-    }
-    std::vector<std::pair<Voter, int>> of_name;
-    for (const RaftServer& s : servers_in(r.configuration)) {
-      if (const auto v = parse_voter(s.address); v && v->name == name) {
-        of_name.emplace_back(*v, s.role);
-      }
-    }
-    if (of_name.empty()) {
-      return 0;
-    }
-    std::sort(of_name.begin(), of_name.end(),
-              [](const auto& a, const auto& b) { return a.first.generation < b.first.generation; });
-    const auto done = [](raft_change* c, int) { static_cast<Impl*>(c->data)->changing = false; };
-    change.data = this;
-    const auto& [newest, role] = of_name.back();
-    int error = 0;
-    std::uint32_t generation = newest.generation;
-    if (role == RAFT_VOTER) {
-      // The next one is added before the old one goes, so that its name stays known.
-      generation += 1;
-      const Voter next{name, generation};
-      error = raft_add(&r, &change, id_of(next.address()), next.address().c_str(), done);
-    } else if (of_name.size() > 1) {
-      error = raft_remove(&r, &change, id_of(of_name.front().first.address()), done);
-    } else {
-      error = raft_assign(&r, &change, id_of(newest.address()), RAFT_VOTER, done);
-    }
-    changing = error == 0;
-    return error == 0 ? generation : 0;
+void RaftNode::Impl::deliver(std::string_view bytes) {
+  membership::ByteReader reader(bytes);
+  const auto header = decode_raft_header(reader);
+  const auto sender = header ? parse_voter(header->from) : std::nullopt;
+  if (!sender || sender->name == self_.name || header->to != self_.address()) {
+    return;
   }
-};
+  if (header->type == RaftMessageType::kStorageRolledBack) {
+    rolled_back_ = rolled_back_ || header->appended_records > storage_.appended_records();
+    return;
+  }
+  if (on_receive_ == nullptr) {
+    return;
+  }
+  // A storage only grows: one that has fewer records than before was replaced by an older copy, and
+  // its voter may have forgotten a vote.
+  PeerStorage& known = peer_storages_[sender->name];
+  if (sender->generation < known.generation) {
+    return;
+  }
+  if (sender->generation == known.generation && header->appended_records < known.appended_records) {
+    return report_rollback(*sender, known.appended_records);
+  }
+  const auto body = decode_raft_body(header->type, reader);
+  if (!body) {
+    return;
+  }
+  if (const auto* snapshot = std::get_if<InstallSnapshot>(&*body);
+      snapshot != nullptr && !MaintenanceStateMachine().restore(snapshot->data)) {
+    return;
+  }
+  raft_message message{};
+  message.server_id = server_id(header->from);
+  message.server_address = header->from.c_str();
+  make_message(message, *body);
+  known = {sender->generation, header->appended_records};
+  on_receive_(&io_, &message);
+}
 
-RaftNode::RaftNode(Time now, const Voter& self, RaftStorage& storage,
-                   MaintenanceStateMachine& ledger, const RaftTiming& timing, std::uint64_t seed)
-    : impl_(std::make_unique<Impl>(*this, self, storage, ledger, seed)) {
-  impl_->now = now;
-  impl_->start(timing);
-  due_ = now;
+void RaftNode::Impl::report_rollback(const Voter& peer, std::uint64_t seen_records) {
+  const RaftMessageHeader header{self_.address(), peer.address(), seen_records, {}};
+  outgoing_.push_back({0, {peer.name, encode(header, StorageRolledBack{})}});
 }
 
-RaftNode::~RaftNode() {
-  impl_->stop();
+std::vector<RaftNode::Outgoing> RaftNode::Impl::take_outgoing() {
+  std::vector<Outgoing> sendable;
+  const std::uint64_t durable = storage_.durable_records();
+  while (!halted_ && !outgoing_.empty() && outgoing_.front().required_records <= durable) {
+    sendable.push_back(std::move(outgoing_.front().message));
+    outgoing_.pop_front();
+  }
+  return sendable;
 }
 
-void RaftNode::tick(Time now) {
-  impl_->now = now;
+// ---- Time and callbacks
+
+void RaftNode::Impl::tick(Time now) {
+  now_ = now;
   if (halted_) {
     return;
   }
-  impl_->settle();
-  if (now >= impl_->next_tick && !halted_) {
-    impl_->next_tick = now + impl_->tick_every;
-    impl_->on_tick(&impl_->io);
-    impl_->settle();
+  run_callbacks();
+  if (now >= next_raft_tick_ && !halted_) {
+    next_raft_tick_ = now + tick_interval_;
+    on_tick_(&io_);
+    run_callbacks();
   }
-  due_ = impl_->next_tick;
+  next_tick_ = next_raft_tick_;
 }
 
-void RaftNode::receive(Time now, std::string_view bytes) {
-  impl_->now = now;
+void RaftNode::Impl::receive(Time now, std::string_view bytes) {
+  now_ = now;
   if (halted_) {
     return;
   }
-  impl_->hear(bytes);
-  impl_->settle();
+  deliver(bytes);
+  run_callbacks();
 }
 
-std::vector<RaftNode::Outgoing> RaftNode::take_outgoing() {
-  std::vector<Outgoing> out;
-  const std::uint64_t durable = impl_->storage.durable_records();
-  while (!halted_ && !impl_->said.empty() && impl_->said.front().after <= durable) {
-    out.push_back(std::move(impl_->said.front().message));
-    impl_->said.pop_front();
+void RaftNode::Impl::run_callbacks() {
+  const std::uint64_t durable = storage_.durable_records();
+  for (int i = 0; i < kMaxCallbacksPerTick; ++i) {
+    if (!deferred_.empty()) {
+      run_first_deferred();
+    } else if (!writes_.empty() && writes_.front().required_records <= durable) {
+      run_first_write(0);
+    } else {
+      break;
+    }
+  }
+  if (storage_.failed() && !halted_) {
+    halted_ = true;
+    outgoing_.clear();
   }
-  return out;
 }
 
-bool RaftNode::is_leader() const {
-  return !halted_ && raft_state(&impl_->r) == RAFT_LEADER;
+void RaftNode::Impl::run_first_deferred() {
+  const auto callback = std::move(deferred_.front());
+  deferred_.pop_front();
+  callback();
 }
 
-std::string RaftNode::leader() const {
+void RaftNode::Impl::run_first_write(int status) {
+  const auto done = std::move(writes_.front().done);
+  writes_.pop_front();
+  done(status);
+}
+
+// ---- Proposals and the configuration
+
+void RaftNode::Impl::propose(const Command& command, ProposalCallback done) {
+  const auto reject = [&done] {
+    if (done) {
+      done(CommandResult::kNotLeader);
+    }
+  };
+  if (!is_leader() || proposals_.size() >= kMaxPendingProposals) {
+    return reject();
+  }
+  auto owned = std::make_unique<Proposal>();
+  Proposal* const proposal = owned.get();
+  proposal->request.data = proposal;
+  proposal->impl = this;
+  proposal->done = done;
+  proposals_.emplace(proposal, std::move(owned));
+  const raft_buffer buffer = make_buffer(encode(command));
+  if (raft_apply(&raft_, &proposal->request, &buffer, 1, finish_proposal) != 0) {
+    raft_free(buffer.base);
+    proposals_.erase(proposal);
+    reject();
+  }
+}
+
+void RaftNode::Impl::finish_proposal(struct raft_apply* request, int status, void* result) {
+  auto* const key = static_cast<Proposal*>(request->data);
+  const auto finished = key->impl->proposals_.extract(key);
+  if (finished.empty()) {
+    return;
+  }
+  const ProposalCallback done = std::move(finished.mapped()->done);
+  if (done) {
+    done(status == 0 ? *static_cast<CommandResult*>(result) : CommandResult::kLost);
+  }
+}
+
+std::string RaftNode::Impl::leader() const {
   raft_id id = 0;
   const char* address = nullptr;
   if (!halted_) {
-    raft_leader(&impl_->r, &id, &address);
+    raft_leader(&raft_, &id, &address);
   }
   const auto voter = address ? parse_voter(address) : std::nullopt;
   return voter ? voter->name : std::string();
 }
 
+std::vector<RaftNode::Impl::ConfiguredVoter> RaftNode::Impl::configuration() const {
+  std::vector<ConfiguredVoter> configured;
+  for (const RaftServer& server : servers_of(raft_.configuration)) {
+    if (const auto voter = parse_voter(server.address)) {
+      configured.push_back({*voter, server.role});
+    }
+  }
+  return configured;
+}
+
+// In three changes: the next generation is added, so that the name stays known; the one that lost
+// its storage is removed; and then the next one may vote.
+std::uint32_t RaftNode::Impl::readmit(const std::string& name) {
+  if (!is_leader() || change_in_progress_ || name == self_.name) {
+    return 0;
+  }
+  std::vector<ConfiguredVoter> generations = configuration();
+  std::erase_if(generations, [&name](const auto& entry) { return entry.voter.name != name; });
+  if (generations.empty()) {
+    return 0;
+  }
+  std::sort(generations.begin(), generations.end(),
+            [](const auto& a, const auto& b) { return a.voter.generation < b.voter.generation; });
+  const auto done = [](raft_change* change, int) {
+    static_cast<Impl*>(change->data)->change_in_progress_ = false;
+  };
+  change_.data = this;
+  const auto& [newest, newest_role] = generations.back();
+  std::uint32_t generation = newest.generation;
+  int error = 0;
+  if (newest_role == RAFT_VOTER) {
+    ++generation;
+    const std::string next = Voter{name, generation}.address();
+    error = raft_add(&raft_, &change_, server_id(next), next.c_str(), done);
+  } else if (generations.size() > 1) {
+    const std::string oldest = generations.front().voter.address();
+    error = raft_remove(&raft_, &change_, server_id(oldest), done);
+  } else {
+    error = raft_assign(&raft_, &change_, server_id(newest.address()), RAFT_VOTER, done);
+  }
+  change_in_progress_ = error == 0;
+  return error == 0 ? generation : 0;
+}
+
+// ---- RaftNode
+
+RaftNode::RaftNode(Time now, const Voter& self, RaftStorage& storage,
+                   MaintenanceStateMachine& state_machine, const RaftTiming& timing,
+                   std::uint64_t seed)
+    : impl_(std::make_unique<Impl>(now, self, storage, state_machine, timing, seed)) {
+}
+
+RaftNode::~RaftNode() = default;
+
+void RaftNode::tick(Time now) {
+  impl_->tick(now);
+}
+
+Time RaftNode::next_tick() const {
+  return impl_->next_tick();
+}
+
+void RaftNode::receive(Time now, std::string_view bytes) {
+  impl_->receive(now, bytes);
+}
+
+std::vector<RaftNode::Outgoing> RaftNode::take_outgoing() {
+  return impl_->take_outgoing();
+}
+
+bool RaftNode::is_leader() const {
+  return impl_->is_leader();
+}
+
+std::string RaftNode::leader() const {
+  return impl_->leader();
+}
+
 std::uint64_t RaftNode::term() const {
-  return impl_->r.current_term;
+  return impl_->term();
+}
+
+bool RaftNode::halted() const {
+  return impl_->halted();
+}
+
+bool RaftNode::rolled_back() const {
+  return impl_->rolled_back();
 }
 
 std::vector<Voter> RaftNode::voters() const {
-  std::vector<Voter> all;
-  for (const RaftServer& s : servers_in(impl_->r.configuration)) {
-    if (const auto v = parse_voter(s.address); v && s.role == RAFT_VOTER) {
-      all.push_back(*v);
+  std::vector<Voter> voters;
+  for (const auto& [voter, role] : impl_->configuration()) {
+    if (role == RAFT_VOTER) {
+      voters.push_back(voter);
     }
   }
-  return all;
+  return voters;
 }
 
 std::uint32_t RaftNode::joining_generation(const std::string& name) const {
   std::uint32_t newest = 0;
-  for (const RaftServer& s : servers_in(impl_->r.configuration)) {
-    if (const auto v = parse_voter(s.address); v && v->name == name && s.role != RAFT_VOTER) {
-      newest = std::max(newest, v->generation);
+  for (const auto& [voter, role] : impl_->configuration()) {
+    if (voter.name == name && role != RAFT_VOTER) {
+      newest = std::max(newest, voter.generation);
     }
   }
   return newest;
 }
 
 std::vector<std::string> RaftNode::pending_readmissions() const {
-  std::map<std::string, int> counts;
+  std::map<std::string, int> generations;
   std::vector<std::string> names;
-  for (const RaftServer& s : servers_in(impl_->r.configuration)) {
-    if (const auto v = parse_voter(s.address);
-        v && (++counts[v->name] == 2 || s.role != RAFT_VOTER)) {
-      names.push_back(v->name);
+  for (const auto& [voter, role] : impl_->configuration()) {
+    const bool second_generation = ++generations[voter.name] == 2;
+    if (second_generation || role != RAFT_VOTER) {
+      names.push_back(voter.name);
     }
   }
   return names;
 }
 
-void RaftNode::propose(const Command& command, Done done) {
+void RaftNode::propose(const Command& command, ProposalCallback done) {
   impl_->propose(command, std::move(done));
 }
+
 std::size_t RaftNode::pending_proposals() const {
-  return impl_->proposals.size();
+  return impl_->pending_proposals();
 }
+
 std::uint32_t RaftNode::readmit(const std::string& name) {
   return impl_->readmit(name);
 }
--- a/src/maintenance/raft_storage.cpp
+++ b/src/maintenance/raft_storage.cpp
@@ -2,132 +2,141 @@
 
 #include <algorithm>
 
-#include "base/byte_codec.h"
+#include "maintenance/raft_codec.h"
 
 namespace beechhill::maintenance {
 
 using membership::ByteReader;
 using membership::ByteWriter;
+using RecordType = LogRecord::RecordType;
 
 namespace {
 
-constexpr std::size_t kLongestAddress = 80;
+void write_snapshot(ByteWriter& writer, const RaftSnapshot& snapshot) {
+  writer.number(snapshot.index).number(snapshot.term).number(snapshot.configuration_index);
+  write_servers(writer, snapshot.servers);
+  writer.blob(snapshot.data);
+}
+
+RaftSnapshot read_snapshot(ByteReader& reader) {
+  RaftSnapshot snapshot;
+  snapshot.index = reader.number<std::uint64_t>();
+  snapshot.term = reader.number<std::uint64_t>();
+  snapshot.configuration_index = reader.number<std::uint64_t>();
+  snapshot.servers = read_servers(reader);
+  snapshot.data = reader.blob();
+  return snapshot;
+}
 
 }  // namespace
 
 std::string encode(const LogRecord& record) {
-  ByteWriter w;
-  w.number(record.type)
-      .number(record.value)
-      .number(static_cast<std::uint32_t>(record.entries.size()));
-  for (const LogEntry& e : record.entries) {
-    w.number(e.term).number(e.type).blob(e.data);
-  }
-  w.number(record.snapshot.has_value());
+  ByteWriter writer;
+  writer.number(record.type).number(record.value);
+  writer.number(static_cast<std::uint32_t>(record.entries.size()));
+  write_entries(writer, record.entries);
+  writer.number(record.snapshot.has_value());
   if (record.snapshot) {
-    const RaftSnapshot& k = *record.snapshot;
-    w.number(k.index)
-        .number(k.term)
-        .number(k.configuration_index)
-        .number(static_cast<std::uint8_t>(k.servers.size()));
-    for (const RaftServer& s : k.servers) {
-      w.text(s.address).number(static_cast<std::uint8_t>(s.role));
-    }
-    w.blob(k.data);
+    write_snapshot(writer, *record.snapshot);
   }
-  return w.bytes();
+  return writer.bytes();
 }
 
 std::optional<LogRecord> decode_record(std::string_view bytes) {
-  ByteReader r(bytes);
+  ByteReader reader(bytes);
   LogRecord record;
-  record.type = r.number<LogRecord::RecordType>();
-  record.value = r.number<std::uint64_t>();
-  for (auto n = r.number<std::uint32_t>(); n > 0 && r.ok(); --n) {
-    LogEntry& e = record.entries.emplace_back();
-    e.term = r.number<std::uint64_t>(), e.type = r.number<std::uint16_t>();
-    e.data = r.blob();
+  record.type = reader.number<RecordType>();
+  record.value = reader.number<std::uint64_t>();
+  record.entries = read_entries(reader, reader.number<std::uint32_t>());
+  if (reader.number<bool>()) {
+    record.snapshot = read_snapshot(reader);
   }
-  if (r.number<bool>()) {
-    RaftSnapshot& k = record.snapshot.emplace();
-    k.index = r.number<std::uint64_t>(), k.term = r.number<std::uint64_t>(),
-    k.configuration_index = r.number<std::uint64_t>();
-    for (auto n = r.number<std::uint8_t>(); n > 0 && r.ok(); --n) {
-      RaftServer& s = k.servers.emplace_back();
-      s.address = r.text(kLongestAddress);
-      s.role = r.number<std::uint8_t>();
-    }
-    k.data = r.blob();
-  }
-  if (!r.done() || record.type > LogRecord::RecordType::kSnapshot ||
-      (record.type == LogRecord::RecordType::kSnapshot) != record.snapshot.has_value()) {
+  const bool is_snapshot = record.type == RecordType::kSnapshot;
+  if (!reader.done() || record.type > RecordType::kSnapshot ||
+      is_snapshot != record.snapshot.has_value()) {
     return std::nullopt;
   }
   return record;
 }
 
-void DurableState::apply(const LogRecord& r) {
-  switch (r.type) {
-    case LogRecord::RecordType::kTerm:
-      term = r.value, vote = 0;
+void DurableState::apply(const LogRecord& record) {
+  switch (record.type) {
+    case RecordType::kTerm:
+      term = record.value;
+      vote = 0;
       break;
-    case LogRecord::RecordType::kVote:
-      vote = r.value;
+    case RecordType::kVote:
+      vote = record.value;
       break;
-    case LogRecord::RecordType::kAppend:
-      if (entries.empty() && r.value > 0) {
-        first_index = r.value;
+    case RecordType::kAppend:
+      if (entries.empty() && record.value > 0) {
+        first_index = record.value;
       }
-      entries.insert(entries.end(), r.entries.begin(), r.entries.end());
+      entries.insert(entries.end(), record.entries.begin(), record.entries.end());
       break;
-    case LogRecord::RecordType::kTruncate:
-      if (r.value >= first_index && r.value - first_index < entries.size()) {
-        entries.resize(r.value - first_index);
+    case RecordType::kTruncate:
+      if (record.value >= first_index && record.value - first_index < entries.size()) {
+        entries.resize(record.value - first_index);
       }
       break;
-    case LogRecord::RecordType::kSnapshot: {
-      snapshot = r.snapshot;
-      const std::uint64_t last = first_index + entries.size() - 1;
-      // With nothing to trail it replaces the log; else only what is older than so many entries
-      // before it goes.
-      const std::uint64_t keep_from = r.value == 0                 ? last + 1
-                                      : snapshot->index >= r.value ? snapshot->index - r.value + 1
-                                                                   : 1;
-      if (keep_from > first_index) {
-        entries.erase(entries.begin(),
-                      entries.begin() + static_cast<std::ptrdiff_t>(std::min<std::uint64_t>(
-                                            keep_from - first_index, entries.size())));
-        first_index = r.value == 0 ? snapshot->index + 1 : keep_from;
-      } else if (entries.empty()) {
-        first_index = snapshot->index + 1;
-      }
+    case RecordType::kSnapshot:
+      apply_snapshot(record);
       break;
-    }
+  }
+}
+
+void DurableState::apply_snapshot(const LogRecord& record) {
+  snapshot = record.snapshot;
+  const std::uint64_t trailing = record.value;
+  const bool replaces_log = trailing == 0;
+  const std::uint64_t end_index = first_index + entries.size();
+  std::uint64_t keep_from = 1;
+  if (replaces_log) {
+    keep_from = end_index;
+  } else if (snapshot->index >= trailing) {
+    keep_from = snapshot->index - trailing + 1;
+  }
+  if (keep_from > first_index) {
+    const auto removed = std::min<std::uint64_t>(keep_from - first_index, entries.size());
+    entries.erase(entries.begin(), entries.begin() + static_cast<std::ptrdiff_t>(removed));
+    first_index = replaces_log ? snapshot->index + 1 : keep_from;
+  } else if (entries.empty()) {
+    first_index = snapshot->index + 1;
   }
 }
 
 std::vector<LogRecord> DurableState::records() const {
   std::vector<LogRecord> all;
-  all.push_back({LogRecord::RecordType::kTerm, term, {}, {}});
+  all.push_back(LogRecord::set_term(term));
   if (vote != 0) {
-    all.push_back({LogRecord::RecordType::kVote, vote, {}, {}});
+    all.push_back(LogRecord::set_vote(vote));
   }
   if (snapshot) {
-    all.push_back({LogRecord::RecordType::kSnapshot, 0, {}, snapshot});
+    all.push_back(LogRecord::take_snapshot(0, *snapshot));
   }
   if (!entries.empty()) {
-    all.push_back({LogRecord::RecordType::kAppend, first_index, entries, {}});
+    all.push_back(LogRecord::append(first_index, entries));
   }
   return all;
 }
 
 std::uint64_t MemoryRaftStorage::append(LogRecord record) {
-  image_.apply(record);
-  ++written_;
+  state_.apply(record);
+  ++appended_;
   if (!lazy) {
     sync();
   }
-  return written_;
+  return appended_;
+}
+
+void MemoryRaftStorage::sync() {
+  synced_ = state_;
+  durable_ = appended_;
+}
+
+void MemoryRaftStorage::crash() {
+  state_ = synced_;
+  appended_ = durable_;
 }
 
 }  // namespace beechhill::maintenance
--- a/src/maintenance/status_json.cpp
+++ b/src/maintenance/status_json.cpp
@@ -2,88 +2,104 @@
 
 #include <json/json.h>
 
+#include "maintenance/maintenance_planner.h"
+
 namespace beechhill::maintenance {
 namespace {
 
-Json::Value as_json(const std::set<std::string>& texts) {
-  Json::Value all(Json::arrayValue);
-  for (const std::string& t : texts) {
-    all.append(t);
+template <typename Texts>
+Json::Value text_array(const Texts& texts) {
+  Json::Value array(Json::arrayValue);
+  for (const std::string& text : texts) {
+    array.append(text);
   }
-  return all;
-}
-
-const char* stage(const Request& q) {
-  return q.cancelled  ? "cancelled"
-         : q.ended    ? "done"
-         : q.on_hold  ? "held"
-         : q.approved ? "approved"
-                      : "asked";
+  return array;
 }
 
-Json::Value as_json(const Request& q) {
-  Json::Value v;
-  v["id"] = q.id, v["stage"] = stage(q),
-  v["role"] = q.select.role == Role::kProxy ? "proxy" : "backend";
-  if (!q.select.ids.empty()) {
-    v["machines"] = as_json(q.select.ids);
+const char* request_stage(const Request& request) {
+  if (request.cancelled) {
+    return "cancelled";
   }
-  for (const auto& [key, text] : {std::pair("zone", q.select.zone),
-                                  {"cell", q.select.cell},
-                                  {"kind", q.select.kind},
-                                  {"by", q.requested_by},
-                                  {"why", q.reason}}) {
-    if (!text.empty()) {
-      v[key] = text;
-    }
+  if (request.ended) {
+    return "done";
+  }
+  if (request.on_hold) {
+    return "held";
   }
-  v["at_once"] = q.max_concurrent, v["priority"] = q.priority,
-  v["asked"] = Json::Int64(q.requested_at), v["done"] = as_json(q.completed_machines);
-  if (q.work_duration > 0) {
-    v["length_s"] = Json::Int64(q.work_duration);
+  return request.approved ? "approved" : "asked";
+}
+
+void set_unless_empty(Json::Value& object, const char* key, const std::string& text) {
+  if (!text.empty()) {
+    object[key] = text;
   }
-  if (q.not_before > 0) {
-    v["not_before"] = Json::Int64(q.not_before);
+}
+
+void set_if_positive(Json::Value& object, const char* key, Seconds seconds) {
+  if (seconds > 0) {
+    object[key] = Json::Int64(seconds);
   }
-  if (q.not_after > 0) {
-    v["not_after"] = Json::Int64(q.not_after);
+}
+
+Json::Value as_json(const Request& request) {
+  Json::Value object;
+  object["id"] = request.id;
+  object["stage"] = request_stage(request);
+  object["role"] = request.select.role == Role::kProxy ? "proxy" : "backend";
+  if (!request.select.ids.empty()) {
+    object["machines"] = text_array(request.select.ids);
   }
-  return v;
+  set_unless_empty(object, "zone", request.select.zone);
+  set_unless_empty(object, "cell", request.select.cell);
+  set_unless_empty(object, "kind", request.select.kind);
+  set_unless_empty(object, "by", request.requested_by);
+  set_unless_empty(object, "why", request.reason);
+  object["at_once"] = request.max_concurrent;
+  object["priority"] = request.priority;
+  object["asked"] = Json::Int64(request.requested_at);
+  object["done"] = text_array(request.completed_machines);
+  set_if_positive(object, "length_s", request.work_duration);
+  set_if_positive(object, "not_before", request.not_before);
+  set_if_positive(object, "not_after", request.not_after);
+  return object;
 }
 
-Json::Value as_json(const MaintenanceWorkflow& c) {
-  Json::Value v;
-  v["machine"] = c.machine, v["request"] = c.request, v["step"] = name(c.state),
-  v["fence"] = Json::UInt64(c.fencing_token);
-  v["since"] = Json::Int64(c.state_since), v["confirmed"] = as_json(c.confirmed_proxies);
-  return v;
+Json::Value as_json(const MaintenanceWorkflow& workflow) {
+  Json::Value object;
+  object["machine"] = workflow.machine;
+  object["request"] = workflow.request;
+  object["step"] = name(workflow.state);
+  object["fence"] = Json::UInt64(workflow.fencing_token);
+  object["since"] = Json::Int64(workflow.state_since);
+  object["confirmed"] = text_array(workflow.confirmed_proxies);
+  return object;
 }
 
 }  // namespace
 
-std::string status_json(const MaintenanceStateMachine& ledger,
-                        const std::map<std::string, LogIndex>& shown, const std::string& request,
-                        const std::string& trouble) {
+std::string status_json(const MaintenanceStateMachine& state,
+                        const AcknowledgedIndexes& acknowledged, const std::string& request,
+                        const std::string& incident) {
   Json::Value root;
-  root["index"] = Json::UInt64(ledger.applied_index()), root["time"] = Json::Int64(ledger.time()),
-  root["paused"] = ledger.paused();
-  if (!trouble.empty()) {
-    root["trouble"] = trouble;
-  }
-  root["requests"] = root["courses"] = Json::Value(Json::arrayValue);
-  root["proxies"] = as_json(ledger.proxies());
-  for (const auto& [id, q] : ledger.requests()) {
+  root["index"] = Json::UInt64(state.applied_index());
+  root["time"] = Json::Int64(state.time());
+  root["paused"] = state.paused();
+  set_unless_empty(root, "trouble", incident);
+  root["requests"] = Json::Value(Json::arrayValue);
+  root["courses"] = Json::Value(Json::arrayValue);
+  root["proxies"] = text_array(state.proxies());
+  for (const auto& [id, entry] : state.requests()) {
     if (request.empty() || request == id) {
-      root["requests"].append(as_json(q));
+      root["requests"].append(as_json(entry));
     }
   }
-  for (const auto& [id, c] : ledger.workflows()) {
-    if (request.empty() || request == c.request) {
-      root["courses"].append(as_json(c));
+  for (const auto& [machine, workflow] : state.workflows()) {
+    if (request.empty() || request == workflow.request) {
+      root["courses"].append(as_json(workflow));
     }
   }
   if (!request.empty()) {
-    for (const std::string& line : ledger.explain(request, shown)) {
+    for (const std::string& line : MaintenancePlanner(state).explain(request, acknowledged)) {
       root["waits"].append(line);
     }
   }
--- a/src/maintenance/status_json.h
+++ b/src/maintenance/status_json.h
@@ -1,17 +1,17 @@
-// What staff are told of the ledger, as JSON.
+// The state of maintenance for operators, as JSON.
 #pragma once
 
-#include <map>
 #include <string>
 
 #include "maintenance/maintenance_state_machine.h"
 
 namespace beechhill::maintenance {
 
-// All requests and courses; or, where `request` names one, that one and why it does not go on.
-// `trouble`: what the one that leads sees now.
-std::string status_json(const MaintenanceStateMachine& ledger,
-                        const std::map<std::string, LogIndex>& shown, const std::string& request,
-                        const std::string& trouble);
+/// All requests and workflows; or, where `request` is the id of one, that one and why it does not
+/// go on. `incident`: what the leader observes now, which may not be committed yet. Ends with a
+/// newline.
+std::string status_json(const MaintenanceStateMachine& state,
+                        const AcknowledgedIndexes& acknowledged, const std::string& request,
+                        const std::string& incident);
 
 }  // namespace beechhill::maintenance
--- /dev/null
+++ b/tests/cluster_maintenance_test.cpp
@@ -0,0 +1,153 @@
+// Processes of the program that take machines out of service together, before fake backends and
+// with faults between them. Judged by what reached the backends (nothing may reach one that is
+// out), by the clients' answers and by the operators' own count.
+#include <gtest/gtest.h>
+
+#include <cstdio>
+#include <string>
+
+#include "support/fault_plan_text.h"
+#include "support/proxy_fixture.h"
+#include "testbed/load_test.h"
+
+namespace beechhill::test {
+namespace {
+
+// Five processes, three of them voters, before eight backends. To take all of these out once takes
+// some ten seconds.
+constexpr const char* kDay = R"(
+length = "18s"
+warm_up = "1s"
+[load]
+rate = 100.0
+[clients]
+retry = "advised"
+connections = 30
+dealt_back = true
+[proxies]
+count = 5
+notice = "300ms"
+[discovery]
+lag = "100ms"
+spread = "100ms"
+[group]
+voters = 3
+lease = "1500ms"
+[rules]
+drain_grace = "400ms"
+[[class]]
+name = "read"
+part = 0.7
+repeat = "repeatable"
+work = "10ms"
+aim = "600ms"
+deadline = "1500ms"
+[[class]]
+name = "once"
+part = 0.3
+repeat = "once"
+work = "10ms"
+aim = "600ms"
+deadline = "1500ms"
+[[tier]]
+name = "front"
+nodes = 8
+cell_size = 4
+report = { every = "300ms", delay = "100ms" }
+cold = { from = 0.5, span = "400ms" }
+)";
+
+emulator::Scenario scenario_with(const std::string& faults, const std::string& group = "") {
+  std::string text = kDay + faults;
+  text.insert(text.find("voters = 3"), group);
+  return emulator::read_scenario(config::parse_toml(text, "day"), "day");
+}
+
+void print_summary(const testbed::SocketRun& run) {
+  std::fprintf(stderr,
+               "asked %llu goodput %.3f excused %llu out %u at once %u open %u sent to out %llu "
+               "ended %.1f s\n%s%s\n",
+               static_cast<unsigned long long>(run.asked), run.result["goodput"].asDouble(),
+               static_cast<unsigned long long>(run.excused), run.taken_out, run.most_at_once,
+               run.open_requests, static_cast<unsigned long long>(run.sent_to_out),
+               std::chrono::duration<double>(run.works_ended).count(), run.violation_text.c_str(),
+               run.works_text.c_str());
+}
+
+testbed::SocketRun play(const emulator::Scenario& scenario) {
+  testbed::SocketRun run = testbed::play_on_sockets(scenario, PROXY_PROGRAM);
+  print_summary(run);
+  EXPECT_EQ(run.sent_to_out, 0u);
+  EXPECT_LE(run.most_at_once, scenario.group.most_out);
+  EXPECT_EQ(run.violations, 0u);
+  EXPECT_EQ(run.wrong_answers, 0u);
+  EXPECT_EQ(run.result["all"]["unanswered"].asUInt64(), 0u);
+  EXPECT_GT(run.asked, 800u);
+  EXPECT_GT(run.taken_out, 0u);
+  return run;
+}
+
+TEST(ClusterMaintenance, TakesEveryBackendOutOnce) {
+  const emulator::Scenario scenario = scenario_with("");
+  const testbed::SocketRun run = play(scenario);
+  EXPECT_EQ(run.open_requests, 0u);
+  EXPECT_GE(run.taken_out, 8u);
+  EXPECT_GT(run.result["goodput"].asDouble(), 0.95);
+}
+
+// One after another, whichever leads.
+TEST(ClusterMaintenance, StaysSafeWhenVotersCrash) {
+  play(scenario_with(fault("proxy_crash", "3s", "1s", "proxies = 1\nfirst = 0") +
+                         fault("proxy_crash", "5s", "1s", "proxies = 1\nfirst = 1") +
+                         fault("proxy_crash", "7s", "1s", "proxies = 1\nfirst = 2"),
+                     "work = \"300ms\"\n"));
+}
+
+TEST(ClusterMaintenance, StaysSafeWhenAllVotersRestart) {
+  play(scenario_with(fault("proxy_crash", "4s", "300ms", "proxies = 3\nfirst = 0")));
+}
+
+// First a follower, then a voter resumes with permissions of long ago.
+TEST(ClusterMaintenance, StaysSafeWhenAProcessResumes) {
+  play(scenario_with(fault("proxy_stop", "3s", "5s", "proxies = 1\nfirst = 4") +
+                     fault("proxy_stop", "9s", "3s", "proxies = 1\nfirst = 0")));
+}
+
+// Lost, duplicated, late and out of order all the time.
+TEST(ClusterMaintenance, StaysSafeWhenDatagramsAreDisturbed) {
+  play(scenario_with(fault("talk_spoil", "1s", "15s", "factor = 0.15\ndelay = \"40ms\"")));
+}
+
+// One proxy is cut off both ways with its clients' traffic, another receives nothing, and nothing
+// of a third arrives.
+TEST(ClusterMaintenance, StaysSafeInPartitions) {
+  play(scenario_with(fault("talk_cut", "2500ms", "3s", "proxies = 1\nfirst = 4") +
+                     fault("talk_cut", "6s", "2s", "proxies = 1\nfirst = 3\nway = \"back\"") +
+                     fault("talk_cut", "9s", "2s", "proxies = 1\nfirst = 0\nway = \"there\"")));
+}
+
+// An isolated proxy that stops serving is not waited for; it serves again with its next lease.
+TEST(ClusterMaintenance, StaysSafeWithAnIsolationTimeout) {
+  play(scenario_with(fault("talk_cut", "2500ms", "8s", "proxies = 1\nfirst = 4"),
+                     "isolated_after = \"1s\"\n"));
+}
+
+TEST(ClusterMaintenance, StaysSafeWhenAVoterLosesItsStorage) {
+  play(scenario_with(fault("proxy_crash", "3s", "800ms", "proxies = 1\nfirst = 1") +
+                     fault("state_lost", "3400ms", "100ms", "proxies = 1\nfirst = 1")));
+}
+
+TEST(ClusterMaintenance, StaysSafeWhenAVotersStorageIsRolledBack) {
+  play(scenario_with(fault("state_old", "2s", "3400ms", "proxies = 1\nfirst = 2") +
+                     fault("proxy_crash", "5s", "800ms", "proxies = 1\nfirst = 2")));
+}
+
+// A drain, a backend's crash and a proxy's planned end.
+TEST(ClusterMaintenance, StaysSafeBesideOrdinaryFaults) {
+  play(scenario_with(fault("drain", "3s", "2s", "nodes = 1") +
+                     fault("crash", "6s", "1s", "nodes = 1") +
+                     fault("proxy_end", "8s", "1500ms", "proxies = 1\nfirst = 3")));
+}
+
+}  // namespace
+}  // namespace beechhill::test
--- /dev/null
+++ b/tests/maintenance_simulation_test.cpp
@@ -0,0 +1,374 @@
+// Maintenance as a whole, under faults in simulated time: MaintenanceCoordinator with everything
+// below it.
+#include "emulator/maintenance_simulation.h"
+
+#include <gtest/gtest.h>
+
+#include <array>
+#include <string>
+#include <vector>
+
+#include "maintenance/maintenance_planner.h"
+#include "maintenance/status_json.h"
+
+namespace beechhill::test {
+namespace {
+
+using namespace std::chrono_literals;
+using namespace maintenance;
+using emulator::MaintenanceSimulation;
+using emulator::MaintenanceSimulationSpec;
+using emulator::SeededBug;
+
+// A request for all backends.
+Command submit(const std::string& id, std::uint32_t max_concurrent = 1) {
+  Command command;
+  command.type = CommandType::kSubmitRequest;
+  command.request.emplace();
+  command.request->id = id;
+  command.request->requested_by = "ana";
+  command.request->reason = "kernel";
+  command.request->max_concurrent = max_concurrent;
+  return command;
+}
+
+MaintenanceSimulationSpec make_spec(std::uint64_t seed = 1) {
+  MaintenanceSimulationSpec spec;
+  spec.seed = seed;
+  spec.bounds.needs_approval = false;
+  spec.bounds.max_out = 2;
+  spec.bounds.max_out_per_zone = 2;
+  spec.bounds.max_out_per_cell = 2;
+  spec.bounds.drain_timeout = 30;
+  spec.bounds.deferral = 3;
+  spec.bounds.quiet_period = 3;
+  return spec;
+}
+
+// Sent three times, until it is accepted: it counts once.
+void submit_all(MaintenanceSimulation& simulation, std::size_t at) {
+  for (int i = 0; i < 3; ++i) {
+    simulation.order(at, submit("all", 2));
+    simulation.run(500ms);
+  }
+}
+
+// Whether there is a leader, and all requests have ended.
+bool is_done(const MaintenanceSimulation& simulation) {
+  return simulation.leader() && simulation.open_requests().empty();
+}
+
+bool ends_within(MaintenanceSimulation& simulation, Duration timeout) {
+  const Time deadline = simulation.now() + timeout;
+  while (simulation.now() < deadline && !is_done(simulation)) {
+    simulation.run(1s);
+  }
+  return is_done(simulation);
+}
+
+std::vector<std::string> explain_all(const MaintenanceSimulation& simulation) {
+  const auto& state = simulation.coordinator(simulation.leader().value()).state_machine();
+  return MaintenancePlanner(state).explain("all", {});
+}
+
+void expect_no_violation(const MaintenanceSimulation& simulation) {
+  EXPECT_EQ(simulation.verdict().all(), 0u) << simulation.verdict().text;
+}
+
+TEST(MaintenanceCoordinator, TakesEveryMachineOutOnce) {
+  MaintenanceSimulation simulation(make_spec());
+  simulation.run(3s);
+  ASSERT_TRUE(simulation.leader());
+  const std::size_t follower = simulation.size() - 1;
+  submit_all(simulation, follower);
+  EXPECT_TRUE(ends_within(simulation, 120s));
+  EXPECT_EQ(simulation.taken_out(), 12u);
+  expect_no_violation(simulation);
+  EXPECT_GT(simulation.calls(), 3'000u);
+}
+
+TEST(MaintenanceCoordinator, GoesOnAfterTheLeaderCrashes) {
+  MaintenanceSimulation simulation(make_spec());
+  simulation.run(3s);
+  submit_all(simulation, 4);
+  const std::size_t leader = simulation.leader().value();
+  simulation.kill(leader);
+  simulation.run(8s);
+  ASSERT_TRUE(simulation.leader() && *simulation.leader() != leader);
+  simulation.start(leader);
+  EXPECT_TRUE(ends_within(simulation, 180s));
+  expect_no_violation(simulation);
+}
+
+TEST(MaintenanceCoordinator, GoesOnAfterAllVotersRestart) {
+  MaintenanceSimulation simulation(make_spec());
+  simulation.run(3s);
+  submit_all(simulation, 4);
+  simulation.run(2s);
+  for (std::size_t i = 0; i < 3; ++i) {
+    simulation.kill(i);
+    simulation.start(i);
+  }
+  simulation.run(4s);
+  EXPECT_TRUE(simulation.leader());
+  EXPECT_TRUE(ends_within(simulation, 180s));
+  expect_no_violation(simulation);
+}
+
+// By what they last held; machines that were announced to them they leave aside.
+TEST(MaintenanceCoordinator, ServesWithoutAQuorum) {
+  MaintenanceSimulation simulation(make_spec());
+  simulation.run(3s);
+  simulation.kill(0);
+  simulation.kill(1);
+  simulation.run(20s);
+  const std::uint64_t before = simulation.calls();
+  const std::uint64_t withheld = simulation.calls_kept_back();
+  simulation.run(5s);
+  EXPECT_GT(simulation.calls() - before, 300u);
+  EXPECT_EQ(simulation.calls_kept_back(), withheld);
+}
+
+// Nobody could tell it what is out; once there is a leader it serves.
+TEST(MaintenanceCoordinator, SendsNothingAfterAStartWithoutALease) {
+  MaintenanceSimulation simulation(make_spec());
+  simulation.run(3s);
+  for (std::size_t i = 0; i < 3; ++i) {
+    simulation.kill(i);
+  }
+  simulation.kill(5);
+  simulation.start(5);
+  simulation.run(5s);
+  EXPECT_FALSE(simulation.coordinator(5).has_held_lease());
+  EXPECT_EQ(simulation.coordinator(5).dispatch_permitted_until("backend-00001"), Time::min());
+  for (std::size_t i = 0; i < 3; ++i) {
+    simulation.start(i);
+  }
+  simulation.run(10s);
+  EXPECT_TRUE(simulation.coordinator(5).has_held_lease());
+}
+
+// After 30 s it still holds what it held before, and does not act on it.
+TEST(MaintenanceCoordinator, StaysSafeWhenAProxyResumes) {
+  for (std::size_t i : {std::size_t{0}, std::size_t{4}}) {
+    MaintenanceSimulation simulation(make_spec());
+    simulation.run(3s);
+    submit_all(simulation, 3);
+    simulation.suspend(i);
+    simulation.run(30s);
+    simulation.resume(i);
+    EXPECT_TRUE(ends_within(simulation, 180s));
+    expect_no_violation(simulation);
+  }
+}
+
+// One proxy serves on alone. With an isolation timeout work goes on without it; else it waits, and
+// the proxy is named.
+TEST(MaintenanceCoordinator, StaysSafeInAPartition) {
+  for (const bool ends : {false, true}) {
+    MaintenanceSimulationSpec spec = make_spec();
+    if (ends) {
+      spec.isolation_timeout = 4s;
+    }
+    MaintenanceSimulation simulation(spec);
+    simulation.run(3s);
+    simulation.set_link_filter([](std::size_t a, std::size_t b) { return (a == 5) == (b == 5); });
+    simulation.run(500ms);
+    submit_all(simulation, 3);
+    simulation.run(30s);
+    EXPECT_EQ(simulation.taken_out() > 0, ends);
+    if (!ends) {
+      const auto reasons = explain_all(simulation);
+      EXPECT_NE(reasons.front().find("proxy-5"), std::string::npos) << reasons.front();
+    }
+    simulation.set_link_filter({});
+    EXPECT_TRUE(ends_within(simulation, 180s));
+    expect_no_violation(simulation);
+  }
+}
+
+TEST(MaintenanceCoordinator, ReadmitsWipedAndRolledBackVoters) {
+  for (const bool wiped : {true, false}) {
+    MaintenanceSimulation simulation(make_spec());
+    simulation.run(3s);
+    simulation.copy_storage(1);
+    submit_all(simulation, 4);
+    simulation.run(5s);
+    simulation.kill(1);
+    if (wiped) {
+      simulation.wipe_storage(1);
+    } else {
+      simulation.restore_storage(1);
+    }
+    simulation.start(1);
+    simulation.run(15s);
+    EXPECT_TRUE(simulation.coordinator(1).is_voter());
+    const auto leader = simulation.leader();
+    ASSERT_TRUE(leader);
+    EXPECT_GT(simulation.coordinator(1).state_machine().applied_index(), 5u);
+    // The new generation and one other voter are a majority.
+    const std::size_t other = *leader == 2 ? 0 : 2;
+    simulation.kill(other);
+    simulation.run(10s);
+    ASSERT_TRUE(simulation.leader());
+    const LogIndex index =
+        simulation.coordinator(*simulation.leader()).state_machine().applied_index();
+    simulation.run(10s);
+    ASSERT_TRUE(simulation.leader());
+    EXPECT_GT(simulation.coordinator(*simulation.leader()).state_machine().applied_index(), index);
+    simulation.start(other);
+    EXPECT_TRUE(ends_within(simulation, 240s));
+    expect_no_violation(simulation);
+  }
+}
+
+TEST(MaintenanceCoordinator, GoesOnWithoutAVoterWhoseDiskFails) {
+  MaintenanceSimulation simulation(make_spec());
+  simulation.run(3s);
+  submit_all(simulation, 4);
+  simulation.fail_storage(simulation.leader().value());
+  EXPECT_TRUE(ends_within(simulation, 240s));
+  expect_no_violation(simulation);
+}
+
+TEST(MaintenanceCoordinator, NamesAMachineThatStaysOut) {
+  MaintenanceSimulationSpec spec = make_spec();
+  spec.bounds.max_out = 1;
+  MaintenanceSimulation simulation(spec);
+  simulation.run(3s);
+  simulation.pause_operators();
+  submit_all(simulation, 3);
+  simulation.run(60s);
+  const auto& state = simulation.coordinator(simulation.leader().value()).state_machine();
+  ASSERT_EQ(state.workflows().size(), 1u);
+  EXPECT_EQ(state.workflows().begin()->second.state, WorkflowState::kOut);
+  EXPECT_NE(explain_all(simulation).back().find("most_out"), std::string::npos);
+  simulation.resume_operators();
+  EXPECT_TRUE(ends_within(simulation, 240s));
+  expect_no_violation(simulation);
+}
+
+TEST(MaintenanceCoordinator, KeepsTheBudgetWhenClocksStep) {
+  MaintenanceSimulation simulation(make_spec());
+  simulation.run(3s);
+  submit_all(simulation, 3);
+  simulation.shift_clock(simulation.leader().value(), -5'000);
+  simulation.run(5s);
+  simulation.shift_clock(1, 50'000);
+  EXPECT_TRUE(ends_within(simulation, 240s));
+  expect_no_violation(simulation);
+}
+
+// Each request ends, or it is explained why it waits. `beechhill-testbed simulate-maintenance`
+// plays as many plans as are asked for.
+TEST(MaintenanceCoordinator, HoldsItsInvariantsUnderDrawnFaultPlans) {
+  for (std::uint64_t seed = 1; seed <= 12; ++seed) {
+    const emulator::MaintenanceRun run = emulator::run_drawn_maintenance(seed, 4);
+    EXPECT_EQ(run.verdict.all(), 0u) << "seed " << seed << "\n" << run.plan << run.verdict.text;
+    EXPECT_TRUE(run.silent.empty()) << "seed " << seed << ": " << run.silent.front() << "\n"
+                                    << run.plan;
+  }
+}
+
+// The workflows of two machines with three voters: one fault of one of them, at one time.
+enum class VoterFault { kCrash, kSuspend, kPartition, kNothingReceived };
+constexpr std::array kVoterFaults{VoterFault::kCrash, VoterFault::kSuspend, VoterFault::kPartition,
+                                  VoterFault::kNothingReceived};
+
+void begin_fault(MaintenanceSimulation& simulation, VoterFault fault, std::size_t voter) {
+  switch (fault) {
+    case VoterFault::kCrash:
+      return simulation.kill(voter);
+    case VoterFault::kSuspend:
+      return simulation.suspend(voter);
+    case VoterFault::kPartition:
+      return simulation.set_link_filter(
+          [voter](std::size_t from, std::size_t to) { return from != voter && to != voter; });
+    case VoterFault::kNothingReceived:
+      return simulation.set_link_filter(
+          [voter](std::size_t, std::size_t to) { return to != voter; });
+  }
+}
+
+void end_fault(MaintenanceSimulation& simulation, VoterFault fault, std::size_t voter) {
+  if (fault == VoterFault::kCrash) {
+    simulation.start(voter);
+  }
+  if (fault == VoterFault::kSuspend) {
+    simulation.resume(voter);
+  }
+  simulation.set_link_filter({});
+}
+
+MaintenanceSimulationSpec exploration_spec(SeededBug bug) {
+  MaintenanceSimulationSpec spec = make_spec();
+  spec.voters = 3;
+  spec.followers = 0;
+  spec.backends = 2;
+  spec.zones = 1;
+  spec.use = 0.1;
+  spec.isolation_timeout = 3s;
+  spec.bug = bug;
+  spec.request_duration = 1s;
+  spec.work = 2s;
+  spec.bounds.max_out = 1;
+  return spec;
+}
+
+std::string leader_status(const MaintenanceSimulation& simulation) {
+  return simulation.leader()
+             ? status_json(simulation.coordinator(*simulation.leader()).state_machine(), {}, "both",
+                           "")
+             : " nobody leads";
+}
+
+// The violations. Without a bug any of them fails the test, as does a request that does not end.
+std::uint64_t explore_fault(SeededBug bug, Duration at, VoterFault fault, std::size_t voter) {
+  SCOPED_TRACE(testing::Message() << "fault " << static_cast<int>(fault) << " of " << voter
+                                  << " at " << at.count());
+  MaintenanceSimulation simulation(exploration_spec(bug));
+  simulation.run(2s);
+  simulation.order(simulation.leader().value_or(0), submit("both"));
+  simulation.run(at);
+  begin_fault(simulation, fault, voter);
+  simulation.run(13s);
+  end_fault(simulation, fault, voter);
+  if (bug == SeededBug::kNone) {
+    EXPECT_TRUE(ends_within(simulation, 120s)) << "stuck: " << leader_status(simulation);
+    expect_no_violation(simulation);
+  } else {
+    simulation.run(10s);
+  }
+  return simulation.verdict().all();
+}
+
+// Of the first fault that leads to any violation.
+std::uint64_t explore(SeededBug bug, Duration interval) {
+  for (Duration at{0}; at < Duration(9s); at += interval) {
+    for (const VoterFault fault : kVoterFaults) {
+      for (std::size_t voter = 0; voter < 3; ++voter) {
+        const std::uint64_t violations = explore_fault(bug, at, fault, voter);
+        if (violations > 0) {
+          return violations;
+        }
+      }
+    }
+  }
+  return 0;
+}
+
+TEST(MaintenanceCoordinator, SurvivesAFaultAtAnyTimeOfAWorkflow) {
+  EXPECT_EQ(explore(SeededBug::kNone, 400ms), 0u);
+}
+TEST(MaintenanceCoordinator, ExplorationFindsALeaseHeldTooLong) {
+  EXPECT_GT(explore(SeededBug::kLongLease, 100ms), 0u);
+}
+TEST(MaintenanceCoordinator, ExplorationFindsAConfirmationWhileBusy) {
+  EXPECT_GT(explore(SeededBug::kConfirmsBusy, 100ms), 0u);
+}
+TEST(MaintenanceCoordinator, ExplorationFindsUseWithoutALease) {
+  EXPECT_GT(explore(SeededBug::kNoLease, 100ms), 0u);
+}
+
+}  // namespace
+}  // namespace beechhill::test
