--- a/src/base/byte_codec.h
+++ b/src/base/byte_codec.h
@@ -1,83 +1,107 @@
-// Numbers and short texts as bytes, least byte first, and back: for what proxies tell each other
-// and keep. A reader never goes beyond its end; once something did not fit, all that follows is
-// empty and ok() says so.
+// Little-endian encoding of integers and length-prefixed strings, for messages among proxies and
+// for stored records. No I/O.
 #pragma once
 
 #include <cstdint>
 #include <string>
 #include <string_view>
 
-namespace beechhill::membership {
+namespace beechhill::base {
 
+/// Appends values to a byte string. The bytes are the same on every platform.
 class ByteWriter {
  public:
-  template <typename N>
-  ByteWriter& number(N value) {
-    const auto v = static_cast<std::uint64_t>(value);
-    for (std::size_t i = 0; i < sizeof(N); ++i) {
-      text_ += static_cast<char>(v >> (8 * i));
+  /// Appends an integer or enum, least significant byte first, in sizeof(Number) bytes.
+  template <typename Number>
+  ByteWriter& number(Number value) {
+    const auto bits = static_cast<std::uint64_t>(value);
+    for (std::size_t i = 0; i < sizeof(Number); ++i) {
+      bytes_ += static_cast<char>(bits >> (8 * i));
     }
     return *this;
   }
-  ByteWriter& text(std::string_view t) {  // of 65,535 bytes at the most
-    number(static_cast<std::uint16_t>(t.size()));
-    text_ += t.substr(0, 65'535);
+
+  /// Appends a string with a length of 16 bits. `value` has at most 65,535 bytes.
+  ByteWriter& text(std::string_view value) {
+    number(static_cast<std::uint16_t>(value.size()));
+    bytes_ += value.substr(0, kMaxTextBytes);
     return *this;
   }
-  ByteWriter& blob(std::string_view t) {
-    return number(static_cast<std::uint32_t>(t.size())).raw(t);
-  }  // of 4 GiB at the most
-  ByteWriter& raw(std::string_view t) {
-    text_ += t;
+
+  /// Appends bytes with a length of 32 bits. `value` has at most 4 GiB - 1.
+  ByteWriter& blob(std::string_view value) {
+    return number(static_cast<std::uint32_t>(value.size())).raw(value);
+  }
+
+  /// Appends bytes without a length.
+  ByteWriter& raw(std::string_view value) {
+    bytes_ += value;
     return *this;
   }
-  const std::string& bytes() const { return text_; }
+
+  const std::string& bytes() const { return bytes_; }
 
  private:
-  std::string text_;
+  static constexpr std::size_t kMaxTextBytes = 65'535;
+
+  std::string bytes_;
 };
 
+/// Reads what ByteWriter wrote. It never reads beyond the end: once a value does not fit, ok() is
+/// false and all further values are zero or empty. Holds a view: the bytes must outlive it.
 class ByteReader {
  public:
-  explicit ByteReader(std::string_view bytes) : left_(bytes) {}
-  template <typename N>
-  N number() {
-    std::uint64_t v = 0;
-    const std::string_view part = take(sizeof(N));
+  explicit ByteReader(std::string_view bytes) : remaining_(bytes) {}
+
+  /// Reads an integer or enum. The caller checks that an enum's value is a known one.
+  template <typename Number>
+  Number number() {
+    std::uint64_t bits = 0;
+    const std::string_view part = take(sizeof(Number));
     for (std::size_t i = 0; i < part.size(); ++i) {
-      v |= std::uint64_t{static_cast<unsigned char>(part[i])} << (8 * i);
+      bits |= std::uint64_t{static_cast<unsigned char>(part[i])} << (8 * i);
     }
-    return static_cast<N>(v);
+    return static_cast<Number>(bits);
   }
-  std::string text(std::size_t most) {
+
+  /// Reads a string with a length of 16 bits; one longer than `max_size` bytes is an error.
+  std::string text(std::size_t max_size) {
     const std::size_t size = number<std::uint16_t>();
-    if (size > most) {
+    if (size > max_size) {
       ok_ = false;
     }
     return std::string(take(size));
   }
+
+  /// Reads bytes with a length of 32 bits.
   std::string_view blob() {
     const std::size_t size = number<std::uint32_t>();
     return take(size);
   }
-  std::string_view rest() { return take(left_.size()); }
+
+  /// Takes all bytes that remain.
+  std::string_view rest() { return take(remaining_.size()); }
+
+  /// Whether every value so far was complete.
   bool ok() const { return ok_; }
-  bool done() const { return ok_ && left_.empty(); }
+  /// Whether every value was complete and no byte remains.
+  bool done() const { return ok_ && remaining_.empty(); }
 
  private:
   std::string_view take(std::size_t size) {
-    if (size > left_.size()) {
+    if (size > remaining_.size()) {
       ok_ = false;
     }
     if (!ok_) {
       return {};
     }
-    const std::string_view part = left_.substr(0, size);
-    left_.remove_prefix(size);
+    const std::string_view part = remaining_.substr(0, size);
+    remaining_.remove_prefix(size);
     return part;
   }
-  std::string_view left_;
+
+  std::string_view remaining_;
   bool ok_ = true;
 };
 
-}  // namespace beechhill::membership
+}  // namespace beechhill::base
--- a/src/cluster/disk_raft_storage.cpp
+++ b/src/cluster/disk_raft_storage.cpp
@@ -32,7 +32,7 @@
     256 * 1024 * 1024;  // bytes, in search of what follows a damaged record
 
 std::string framed(std::string_view payload) {
-  membership::ByteWriter w;
+  base::ByteWriter w;
   w.number(static_cast<std::uint32_t>(payload.size()))
       .number(static_cast<std::uint64_t>(XXH64(payload.data(), payload.size(), 0)))
       .raw(payload);
@@ -41,7 +41,7 @@
 
 // The next whole record, or nothing; `at` moves beyond it.
 std::optional<std::string_view> next(std::string_view file, std::size_t& at) {
-  membership::ByteReader r(file.substr(at));
+  base::ByteReader r(file.substr(at));
   const auto size = r.number<std::uint32_t>();
   const auto sum = r.number<std::uint64_t>();
   const std::string_view rest = r.rest();
@@ -58,7 +58,7 @@
 
 // What a file begins with: whose it is, and how many records came before those that follow.
 std::string beginning(const Voter& voter, std::uint64_t before) {
-  membership::ByteWriter w;
+  base::ByteWriter w;
   w.raw(kMagic).text(voter.address()).number(before);
   return framed(w.bytes());
 }
@@ -122,7 +122,7 @@
   if (!first || !first->starts_with(kMagic)) {
     return std::nullopt;
   }
-  membership::ByteReader r(first->substr(kMagic.size()));
+  base::ByteReader r(first->substr(kMagic.size()));
   const auto voter = parse_voter(r.text(80));
   out.written = r.number<std::uint64_t>();
   if (!r.done() || !voter || voter->name != name) {
@@ -141,7 +141,7 @@
   // on. So is one too long to tell.
   std::size_t looked = 0;
   for (std::size_t at = out.good + 1; at + 12 < file.size(); ++at) {
-    membership::ByteReader head(file.substr(at));
+    base::ByteReader head(file.substr(at));
     const auto size = head.number<std::uint32_t>();
     if (size == 0 || size > file.size() - at) {
       continue;
--- a/src/cluster/gossip_actor.cpp
+++ b/src/cluster/gossip_actor.cpp
@@ -2,10 +2,12 @@
 
 #include <sodium.h>
 
+#include <stdexcept>
+#include <utility>
+
 #include "log/log.h"
 #include "membership/message_codec.h"
-#include "proxy/connection_log.h"
-#include "proxy/messages.h"
+#include "runtime/time.h"
 
 namespace beechhill::membership {
 
@@ -14,11 +16,14 @@
 namespace {
 
 constexpr std::size_t kInboxCapacity = 1'024;
-constexpr int kAtOnce = 64;  // datagrams before others have their turn
-
-// Not from the configuration's seed: tickets and lives must not be guessed, nor be the same in the
-// next life.
-std::uint64_t drawn() {
+// Datagrams that are received in one turn, so that other actors have theirs.
+constexpr int kDatagramsPerTurn = 64;
+// A process that misses two probes in a row may have been declared suspect.
+constexpr int kResumeGapIntervals = 2;
+
+// From the system, not from the configuration's seed: session nonces must not be predictable, and
+// boot ids must differ between two starts.
+std::uint64_t random_bits() {
   if (sodium_init() < 0) {
     throw std::runtime_error("libsodium cannot be used");
   }
@@ -31,123 +36,148 @@
 
 GossipActor::GossipActor(runtime::Scheduler& scheduler, SwimSettings settings,
                          const sockaddr_in& listen, const std::string& advertise,
-                         const std::string& name, MacKeys keys, GossipHandlers listener)
+                         const std::string& name, MacKeys keys, GossipHandlers handlers)
     : scheduler_(scheduler),
       socket_(scheduler, listen),
-      life_(drawn()),
-      gate_(std::move(keys), name, life_, drawn()),
-      swim_(now(), settings, drawn(), name,
-            advertise.empty() ? net::to_string(socket_.address()) : advertise, life_),
-      gap_(2 * settings.probe_interval),
-      listener_(std::move(listener)),
+      boot_id_(random_bits()),
+      authenticator_(std::move(keys), name, boot_id_, random_bits()),
+      swim_(now(), settings, random_bits(), name,
+            advertise.empty() ? net::to_string(socket_.address()) : advertise, boot_id_),
+      resume_gap_(kResumeGapIntervals * settings.probe_interval),
+      handlers_(std::move(handlers)),
       inbox_(kInboxCapacity),
-      looked_at_(now()) {
+      last_turn_(now()) {
 }
 
 runtime::Task<> GossipActor::run() {
   for (;;) {
-    const Time at = now();
-    std::vector<Outgoing> out;
-    if (at - std::exchange(looked_at_, at) > gap_) {
-      log::info("membership_gap", {});
-      swim_.on_resume(at, out);
-      if (listener_.on_resume && !listener_.on_resume(ProcessResumed{})) {
-        log::dropped_message("woke");
-      }
-    }
-    send(out);
-    const bool more = take_datagrams();
-    take_orders();
+    detect_resume();
+    const bool more_datagrams = receive_datagrams();
+    drain_inbox();
     if (now() >= swim_.next_tick()) {
+      std::vector<Outgoing> out;
       swim_.tick(now(), out);
       send(out);
     }
-    tell_changes();
+    log_changes();
     runtime::Wait wait(scheduler_);
-    // What is left in the socket is not told of again.
-    wait.readable(socket_.io())
-        .notified(inbox_.arrived())
-        .until(runtime::to_point(more ? now() : swim_.next_tick()));
+    wait.readable(socket_.io());
+    wait.notified(inbox_.arrived());
+    // The socket is edge-triggered: it does not report again what is left in it.
+    wait.until(runtime::to_point(more_datagrams ? now() : swim_.next_tick()));
     co_await wait;
   }
 }
 
-bool GossipActor::take_datagrams() {
-  for (int i = 0; i < kAtOnce; ++i) {
+void GossipActor::detect_resume() {
+  const Time turn = now();
+  if (turn - std::exchange(last_turn_, turn) <= resume_gap_) {
+    return;
+  }
+  log::info("membership_gap", {});
+  std::vector<Outgoing> out;
+  swim_.on_resume(turn, out);
+  if (handlers_.on_resume && !handlers_.on_resume(ProcessResumed{})) {
+    log::dropped_message("process_resumed");
+  }
+  send(out);
+}
+
+bool GossipActor::receive_datagrams() {
+  for (int i = 0; i < kDatagramsPerTurn; ++i) {
     sockaddr_in from{};
-    const auto datagram = socket_.take(from);
+    const std::optional<std::string> datagram = socket_.take(from);
     if (!datagram) {
       return false;
     }
-    const std::string address = net::to_string(from);
-    const DatagramAuthenticator::VerifyResult got = gate_.verify(address, *datagram);
-    for (const std::string& reply : got.replies) {
-      socket_.send(from, reply);
-    }
-    refused_ += got.rejection_reason != nullptr;
-    if (!got.verified) {
-      continue;
-    }
-    if (got.verified->channel == Channel::kSwim) {
-      const auto message = decode(got.verified->payload);
+    receive_datagram(from, *datagram);
+  }
+  return true;
+}
+
+void GossipActor::receive_datagram(const sockaddr_in& from, std::string_view datagram) {
+  const std::string address = net::to_string(from);
+  DatagramAuthenticator::VerifyResult result = authenticator_.verify(address, datagram);
+  for (const std::string& reply : result.replies) {
+    socket_.send(from, reply);
+  }
+  if (result.rejection) {
+    ++rejected_datagrams_;
+  }
+  if (result.verified) {
+    receive_payload(address, std::move(*result.verified));
+  }
+}
+
+void GossipActor::receive_payload(const std::string& address,
+                                  DatagramAuthenticator::VerifiedPayload verified) {
+  if (verified.channel == Channel::kSwim) {
+    const std::optional<Message> message = decode(verified.payload);
+    if (message) {
       std::vector<Outgoing> out;
-      if (message) {
-        swim_.receive(now(), got.verified->sender, address, *message, out);
-      }
+      swim_.receive(now(), verified.sender, address, *message, out);
       send(out);
-    } else if (listener_.on_payload) {
-      auto whole = assembler_.add(
-          got.verified->sender + "/" + std::to_string(static_cast<int>(got.verified->channel)),
-          got.verified->payload);
-      if (whole) {
-        listener_.on_payload(
-            PayloadReceived{got.verified->sender, got.verified->channel, std::move(*whole)});
-      }
     }
+    return;
+  }
+  if (!handlers_.on_payload) {
+    return;
+  }
+  const std::string source =
+      verified.sender + "/" + std::to_string(static_cast<int>(verified.channel));
+  std::optional<std::string> payload = assembler_.add(source, verified.payload);
+  if (payload) {
+    // A payload that cannot be taken is lost, as datagrams may be.
+    handlers_.on_payload(
+        PayloadReceived{std::move(verified.sender), verified.channel, std::move(*payload)});
   }
-  return true;
 }
 
-void GossipActor::take_orders() {
+void GossipActor::drain_inbox() {
   while (!inbox_.empty()) {
-    GossipMessage message = inbox_.take();
-    if (auto* keys = std::get_if<ReplaceKeys>(&message)) {
-      gate_.change_keys(std::move(keys->keys));
-      continue;
-    }
-    const SendPayload& say = std::get<SendPayload>(message);
-    const auto member = swim_.members().find(say.to);
-    if (member == swim_.members().end()) {
-      continue;
-    }
-    for (std::string& part : split_payload(next_whole_++, say.payload)) {
-      send_to(member->second.update.address, say.channel, std::move(part));
-    }
+    std::visit([this](auto&& message) { on(std::forward<decltype(message)>(message)); },
+               inbox_.take());
   }
 }
 
-void GossipActor::send(std::vector<Outgoing>& out) {
-  for (const Outgoing& o : std::exchange(out, {})) {
-    send_to(o.to, Channel::kSwim, encode(o.message));
+void GossipActor::on(ReplaceKeys message) {
+  authenticator_.change_keys(std::move(message.keys));
+}
+
+void GossipActor::on(const SendPayload& message) {
+  const auto member = swim_.members().find(message.to);
+  if (member == swim_.members().end()) {
+    return;
+  }
+  for (std::string& fragment : split_payload(next_payload_id_++, message.payload)) {
+    send_to(member->second.update.address, message.channel, std::move(fragment));
+  }
+}
+
+void GossipActor::send(const std::vector<Outgoing>& out) {
+  for (const Outgoing& outgoing : out) {
+    send_to(outgoing.to, Channel::kSwim, encode(outgoing.message));
   }
 }
 
 void GossipActor::send_to(const std::string& address, Channel channel, std::string payload) {
-  const auto to = net::parse_address(address);
+  const std::optional<sockaddr_in> to = net::parse_address(address);
   if (to) {
-    socket_.send(*to, gate_.sign(address, channel, std::move(payload)));
+    socket_.send(*to, authenticator_.sign(address, channel, std::move(payload)));
   }
 }
 
-void GossipActor::tell_changes() {
-  for (const SwimNode::MemberChange& c : swim_.take_changes()) {
-    if (c.to == MemberState::kSuspect ||
-        (c.from == MemberState::kSuspect && c.to == MemberState::kAlive && !c.restarted)) {
-      continue;  // no news for staff
+void GossipActor::log_changes() {
+  for (const MemberChange& change : swim_.take_changes()) {
+    const bool suspicion_refuted = change.from == MemberState::kSuspect &&
+                                   change.to == MemberState::kAlive && !change.restarted;
+    // Suspicions come and go by themselves: nothing for an operator to see.
+    if (change.to == MemberState::kSuspect || suspicion_refuted) {
+      continue;
     }
-    log::info("member", {{"name", std::string_view(c.name)},
-                         {"state", std::string_view(name(c.to))},
-                         {"restarted", c.restarted}});
+    log::info("member", {{"name", std::string_view(change.name)},
+                         {"state", std::string_view(name(change.to))},
+                         {"restarted", change.restarted}});
   }
 }
 
--- a/src/emulator/gossip_simulation.cpp
+++ b/src/emulator/gossip_simulation.cpp
@@ -9,45 +9,64 @@
 
 using membership::MemberState;
 using membership::Message;
+using membership::Outgoing;
 
 namespace {
 
-constexpr std::uint64_t kTalkStream = 1ULL << 37;
-constexpr std::size_t kSocketHolds = 128;  // datagrams for a process that does not read
-constexpr std::size_t kGateAdds =
-    32 + 4 + 2 + 9 + 8 * 3 +
-    1;  // what stands round a payload: MAC, name, life, number, ticket, channel
+constexpr std::uint64_t kGossipStream = 1ULL << 37;
+// Datagrams that the socket of a stopped process holds.
+constexpr std::size_t kSocketBufferDatagrams = 128;
+// What a datagram adds to a payload: MAC, magic number, the name with its length, boot id, counter
+// and session nonce, channel. Names have about 9 bytes here.
+constexpr std::size_t kDatagramOverheadBytes = 32 + 4 + 2 + 9 + 8 * 3 + 1;
+// As in GossipActor: a longer gap than this many probe intervals is a resume.
+constexpr int kResumeGapIntervals = 2;
+constexpr Time kNoTick{-1};
+
+// A member's address is its index.
+std::string address_of(std::size_t i) {
+  return std::to_string(i);
+}
+
+std::size_t index_of_address(const std::string& address) {
+  return static_cast<std::size_t>(std::stoul(address));
+}
+
+std::size_t index_of_name(const std::string& name) {
+  return static_cast<std::size_t>(std::stoul(name.substr(name.find('-') + 1)));
+}
 
 }  // namespace
 
 GossipSimulation::GossipSimulation(const GossipSimulationSpec& spec)
-    : spec_(spec), random_(spec.seed, Actor::kDiscovery, kTalkStream), members_(spec.members) {
+    : spec_(spec), random_(spec.seed, Actor::kDiscovery, kGossipStream), members_(spec.members) {
   for (std::size_t i = 0; i < members_.size(); ++i) {
     start(i);
   }
 }
 
 void GossipSimulation::start(std::size_t i) {
-  Member& m = members_[i];
-  ++m.life;
-  m.stopped = false;
-  m.waiting.clear();
-  m.rate = 1 + spec_.drift * (2 * random_.uniform() - 1);
+  Member& member = members_[i];
+  ++member.generation;
+  member.stopped = false;
+  member.pending_messages.clear();
+  member.clock_rate = 1 + spec_.drift * (2 * random_.uniform() - 1);
   membership::SwimSettings settings;
   settings.probe_interval = spec_.interval;
-  for (std::uint32_t s = 0; s < spec_.seeds; ++s) {
-    settings.seed_addresses.push_back(std::to_string(s));
+  for (std::uint32_t seed = 0; seed < spec_.seeds; ++seed) {
+    settings.seed_addresses.push_back(address_of(seed));
   }
-  m.swim = std::make_unique<membership::SwimNode>(clock(m), settings, random_.bits(), name_of(i),
-                                                  std::to_string(i), random_.bits());
-  m.planned = Time{-1};
-  plan(i);
+  member.swim = std::make_unique<membership::SwimNode>(clock(member), settings, random_.bits(),
+                                                       name_of(i), address_of(i), random_.bits());
+  member.scheduled_tick = kNoTick;
+  schedule_tick(i);
 }
 
 void GossipSimulation::kill(std::size_t i) {
-  ++members_[i].life;
-  members_[i].swim.reset();
-  members_[i].waiting.clear();
+  Member& member = members_[i];
+  ++member.generation;
+  member.swim.reset();
+  member.pending_messages.clear();
 }
 
 void GossipSimulation::stop(std::size_t i) {
@@ -56,140 +75,156 @@
 }
 
 void GossipSimulation::go_on(std::size_t i) {
-  Member& m = members_[i];
-  if (!m.swim || !std::exchange(m.stopped, false)) {
+  Member& member = members_[i];
+  if (!member.swim || !std::exchange(member.stopped, false)) {
     return;
   }
-  std::vector<membership::Outgoing> out;
-  // As the program does: a gap of more than two periods is noticed before anything is read.
-  if (now_ - m.stopped_at > 2 * spec_.interval) {
-    m.swim->on_resume(clock(m), out);
+  std::vector<Outgoing> out;
+  if (now_ - member.stopped_at > kResumeGapIntervals * spec_.interval) {
+    member.swim->on_resume(clock(member), out);
   }
-  carry_out(i, out);
-  for (const auto& [from, message] : std::exchange(m.waiting, {})) {
-    hear(i, from, message);
+  send(i, out);
+  for (const auto& [from, message] : std::exchange(member.pending_messages, {})) {
+    receive(i, from, message);
   }
-  m.planned = Time{-1};
-  plan(i);
+  member.scheduled_tick = kNoTick;
+  schedule_tick(i);
 }
 
 void GossipSimulation::leave(std::size_t i) {
-  std::vector<membership::Outgoing> out;
+  std::vector<Outgoing> out;
   members_[i].swim->leave(clock(members_[i]), out);
-  carry_out(i, out);
+  send(i, out);
   kill(i);
 }
 
 void GossipSimulation::run(Duration length) {
   const Time end = now_ + length;
-  while (!queue_.empty() && queue_.top().at <= end) {
-    const Event h = queue_.top();
-    queue_.pop();
-    now_ = h.at;
-    Member& m = members_[h.to];
-    if (!m.swim || (!h.message && m.life != h.life)) {
-      continue;
-    }
-    if (h.message) {
-      if (!m.stopped) {
-        hear(h.to, h.from, *h.message);
-      } else if (m.waiting.size() < kSocketHolds) {
-        m.waiting.emplace_back(h.from, *h.message);
-      }
-      continue;
-    }
-    if (m.stopped || h.at != m.planned) {
-      continue;
-    }
-    m.planned = Time{-1};
-    std::vector<membership::Outgoing> out;
-    m.swim->tick(clock(m), out);
-    carry_out(h.to, out);
-    plan(h.to);
+  while (!events_.empty() && events_.top().at <= end) {
+    const Event event = events_.top();
+    events_.pop();
+    now_ = event.at;
+    handle(event);
   }
   now_ = end;
 }
 
-void GossipSimulation::hear(std::size_t i, std::size_t from, const Message& message) {
-  std::vector<membership::Outgoing> out;
-  members_[i].swim->receive(clock(members_[i]), name_of(from), std::to_string(from), message, out);
-  carry_out(i, out);
-  plan(i);
+void GossipSimulation::handle(const Event& event) {
+  Member& member = members_[event.to];
+  if (!member.swim) {
+    return;
+  }
+  if (!event.message) {
+    const bool outdated =
+        member.generation != event.generation || event.at != member.scheduled_tick;
+    if (!outdated && !member.stopped) {
+      tick(event.to);
+    }
+    return;
+  }
+  if (!member.stopped) {
+    receive(event.to, event.from, *event.message);
+  } else if (member.pending_messages.size() < kSocketBufferDatagrams) {
+    member.pending_messages.emplace_back(event.from, *event.message);
+  }
+}
+
+void GossipSimulation::tick(std::size_t i) {
+  Member& member = members_[i];
+  member.scheduled_tick = kNoTick;
+  std::vector<Outgoing> out;
+  member.swim->tick(clock(member), out);
+  send(i, out);
+  schedule_tick(i);
 }
 
-void GossipSimulation::carry_out(std::size_t i, std::vector<membership::Outgoing>& out) {
-  for (const membership::Outgoing& o : out) {
-    books_.datagrams += 1;
-    books_.bytes += membership::encode(o.message).size() + kGateAdds;
-    deliver(i, place_of(o.to), o.message);
+void GossipSimulation::receive(std::size_t i, std::size_t from, const Message& message) {
+  Member& member = members_[i];
+  std::vector<Outgoing> out;
+  member.swim->receive(clock(member), name_of(from), address_of(from), message, out);
+  send(i, out);
+  schedule_tick(i);
+}
+
+void GossipSimulation::send(std::size_t i, const std::vector<Outgoing>& out) {
+  for (const Outgoing& outgoing : out) {
+    traffic_.datagrams += 1;
+    traffic_.bytes += membership::encode(outgoing.message).size() + kDatagramOverheadBytes;
+    transmit(i, index_of_address(outgoing.to), outgoing.message);
   }
-  for (const membership::SwimNode::MemberChange& c : members_[i].swim->take_changes()) {
-    const std::size_t other =
-        static_cast<std::size_t>(std::stoul(c.name.substr(c.name.find('-') + 1)));
-    books_.false_deaths +=
-        c.to == MemberState::kDead && !c.joined && c.from != MemberState::kLeft && running(other);
-    books_.restarts_seen += c.restarted;
+  count_changes(i);
+}
+
+void GossipSimulation::count_changes(std::size_t i) {
+  for (const membership::MemberChange& change : members_[i].swim->take_changes()) {
+    const bool died =
+        change.to == MemberState::kDead && !change.joined && change.from != MemberState::kLeft;
+    if (died && running(index_of_name(change.name))) {
+      ++traffic_.false_deaths;
+    }
+    if (change.restarted) {
+      ++traffic_.restarts_seen;
+    }
   }
 }
 
-void GossipSimulation::deliver(std::size_t from, std::size_t to, const Message& message) {
-  if (to >= members_.size() || (passes_ && !passes_(from, to)) || random_.uniform() < spec_.loss) {
+void GossipSimulation::transmit(std::size_t from, std::size_t to, const Message& message) {
+  if (to >= members_.size() || (reaches_ && !reaches_(from, to)) ||
+      random_.uniform() < spec_.loss) {
     return;
   }
   for (int copies = random_.uniform() < spec_.doubled ? 2 : 1; copies > 0; --copies) {
-    const Duration takes = spec_.delay + to_span(to_s(spec_.delay) * random_.uniform());
-    queue_.push({now_ + takes, ++order_, to, from, 0, message});
+    const Duration delay = spec_.delay + to_span(to_s(spec_.delay) * random_.uniform());
+    events_.push({now_ + delay, ++next_order_, to, from, 0, message});
   }
 }
 
-void GossipSimulation::plan(std::size_t i) {
-  Member& m = members_[i];
-  const Time due = std::max(
-      now_,
-      Time(static_cast<std::int64_t>(static_cast<double>(m.swim->next_tick().count()) / m.rate) +
-           1));
-  if (m.planned >= now_ && m.planned <= due) {
+void GossipSimulation::schedule_tick(std::size_t i) {
+  Member& member = members_[i];
+  const auto own_time = static_cast<double>(member.swim->next_tick().count());
+  // One microsecond later, so that rounding never makes the tick early by the member's own clock.
+  const Time simulated_time(static_cast<std::int64_t>(own_time / member.clock_rate) + 1);
+  const Time due = std::max(now_, simulated_time);
+  if (member.scheduled_tick >= now_ && member.scheduled_tick <= due) {
     return;
   }
-  m.planned = due;
-  queue_.push({due, ++order_, i, i, m.life, std::nullopt});
+  member.scheduled_tick = due;
+  events_.push({due, ++next_order_, i, i, member.generation, std::nullopt});
 }
 
 bool GossipSimulation::agreed() const {
   for (std::size_t i = 0; i < members_.size(); ++i) {
-    if (!running(i)) {
-      continue;
-    }
-    std::size_t up = 0;
-    for (const auto& [name, held] : members_[i].swim->members()) {
-      const std::size_t other =
-          static_cast<std::size_t>(std::stoul(name.substr(name.find('-') + 1)));
-      const bool alive =
-          held.update.state == MemberState::kAlive || held.update.state == MemberState::kSuspect;
-      if (alive != running(other)) {
-        return false;
-      }
-      up += alive;
-    }
-    std::size_t others = 0;
-    for (std::size_t j = 0; j < members_.size(); ++j) {
-      others += j != i && running(j);
-    }
-    if (up != others) {
+    if (running(i) && !agrees_with_cluster(i)) {
       return false;
     }
   }
   return true;
 }
 
-std::optional<Time> GossipSimulation::dead_since(std::size_t watcher, std::size_t other) const {
-  const auto it = members_[watcher].swim->members().find(name_of(other));
-  if (it == members_[watcher].swim->members().end() ||
-      it->second.update.state != MemberState::kDead) {
+bool GossipSimulation::agrees_with_cluster(std::size_t i) const {
+  std::size_t active = 0;
+  for (const auto& [name, member] : members_[i].swim->members()) {
+    const bool considered_active = membership::is_active(member.update.state);
+    if (considered_active != running(index_of_name(name))) {
+      return false;
+    }
+    active += considered_active;
+  }
+  std::size_t running_others = 0;
+  for (std::size_t other = 0; other < members_.size(); ++other) {
+    running_others += other != i && running(other);
+  }
+  return active == running_others;
+}
+
+std::optional<Time> GossipSimulation::dead_since(std::size_t observer, std::size_t other) const {
+  const auto& members = members_[observer].swim->members();
+  const auto it = members.find(name_of(other));
+  if (it == members.end() || it->second.update.state != MemberState::kDead) {
     return std::nullopt;
   }
-  return Time(static_cast<std::int64_t>(static_cast<double>(it->second.state_since.count()) /
-                                        members_[watcher].rate));
+  const auto own_time = static_cast<double>(it->second.state_since.count());
+  return Time(static_cast<std::int64_t>(own_time / members_[observer].clock_rate));
 }
 
 }  // namespace beechhill::emulator
--- a/src/maintenance/maintenance_state_machine.cpp
+++ b/src/maintenance/maintenance_state_machine.cpp
@@ -8,8 +8,8 @@
 
 namespace beechhill::maintenance {
 
-using membership::ByteReader;
-using membership::ByteWriter;
+using base::ByteReader;
+using base::ByteWriter;
 
 namespace {
 
--- a/src/maintenance/raft_node.cpp
+++ b/src/maintenance/raft_node.cpp
@@ -17,8 +17,8 @@
 
 namespace beechhill::maintenance {
 
-using membership::ByteReader;
-using membership::ByteWriter;
+using base::ByteReader;
+using base::ByteWriter;
 
 namespace {
 
--- a/src/membership/datagram_authenticator.cpp
+++ b/src/membership/datagram_authenticator.cpp
@@ -1,227 +1,128 @@
 #include "membership/datagram_authenticator.h"
 
-#include <sodium.h>
-
-#include <stdexcept>
 #include <utility>
 
-#include "base/byte_codec.h"
-#include "membership/swim_node.h"
+#include "membership/message.h"
 
 namespace beechhill::membership {
 namespace {
 
-static_assert(crypto_auth_KEYBYTES == sizeof(MacKey));
-constexpr std::string_view kMagic = "BHT1";
-constexpr std::size_t kKept = 2;  // of the latest sent to an address: a probe and what went with it
-constexpr std::size_t kMostKeys = 2;
-constexpr std::size_t kPart = kMaxPayloadBytes - 16;
-constexpr std::size_t kMostParts = 256;  // 300 kB, several times what is ever agreed on at once
+// Payloads kept for each receiver: a probe, and what was sent with it.
+constexpr std::size_t kKeptPayloads = 2;
+// The shortest datagram that is looked at: a magic number of 4 bytes and a MAC.
+constexpr std::size_t kMinDatagramBytes = 4 + kMacBytes;
 
-bool signed_by(const MacKey& key, std::string_view body, std::string_view mac) {
-  return crypto_auth_verify(reinterpret_cast<const unsigned char*>(mac.data()),
-                            reinterpret_cast<const unsigned char*>(body.data()), body.size(),
-                            key.data()) == 0;
+DatagramAuthenticator::VerifyResult rejected(RejectionReason reason) {
+  DatagramAuthenticator::VerifyResult result;
+  result.rejection = reason;
+  return result;
 }
 
 }  // namespace
 
-MacKeys parse_keys(std::string_view text) {
-  MacKeys keys;
-  while (!text.empty()) {
-    std::string_view line = text.substr(0, text.find('\n'));
-    text.remove_prefix(std::min(text.size(), line.size() + 1));
-    while (!line.empty() && (line.back() == '\r' || line.back() == ' ')) {
-      line.remove_suffix(1);
-    }
-    if (line.empty()) {
-      continue;
-    }
-    MacKey& key = keys.emplace_back();
-    std::size_t size = 0;
-    const char* end = nullptr;
-    if (sodium_hex2bin(key.data(), key.size(), line.data(), line.size(), nullptr, &size, &end) !=
-            0 ||
-        size != key.size() || end != line.data() + line.size()) {
-      throw std::invalid_argument("a key is 64 hexadecimal digits on a line of its own");
-    }
-  }
-  if (keys.empty() || keys.size() > kMostKeys) {
-    throw std::invalid_argument("one key, or two while they change");
-  }
-  return keys;
-}
-
-DatagramAuthenticator::DatagramAuthenticator(MacKeys keys, std::string name, std::uint64_t life,
+DatagramAuthenticator::DatagramAuthenticator(MacKeys keys, std::string name, std::uint64_t boot_id,
                                              std::uint64_t seed)
-    : keys_(std::move(keys)), name_(std::move(name)), life_(life), random_(seed) {
-}
-
-std::string DatagramAuthenticator::write(std::uint64_t ticket, Channel channel,
-                                         std::string_view payload) {
-  ByteWriter w;
-  w.raw(kMagic).text(name_).number(life_).number(++number_).number(ticket).number(channel).raw(
-      payload);
-  std::string out = w.bytes();
-  unsigned char mac[crypto_auth_BYTES];
-  crypto_auth(mac, reinterpret_cast<const unsigned char*>(out.data()), out.size(),
-              keys_.front().data());
-  return out.append(reinterpret_cast<const char*>(mac), sizeof mac);
-}
-
-// Addresses come from members alone, and are as many; should they be more, all begin again.
-DatagramAuthenticator::Link& DatagramAuthenticator::link(const std::string& address) {
-  if (links_.size() >= kMaxMembers && !links_.contains(address)) {
-    links_.clear();
-  }
-  return links_[address];
+    : keys_(std::move(keys)), name_(std::move(name)), boot_id_(boot_id), random_(seed) {
 }
 
 std::string DatagramAuthenticator::sign(const std::string& to, Channel channel,
                                         std::string payload) {
-  Link& l = link(to);
-  std::string out = write(l.session_nonce, channel, payload);
-  l.last.emplace_back(channel, std::move(payload));
-  if (l.last.size() > kKept) {
-    l.last.pop_front();
+  OutboundSession& session = outbound_session(to);
+  std::string datagram = sign_with_nonce(session.session_nonce, channel, payload);
+  session.latest_payloads.emplace_back(channel, std::move(payload));
+  if (session.latest_payloads.size() > kKeptPayloads) {
+    session.latest_payloads.pop_front();
   }
-  return out;
+  return datagram;
 }
 
-bool DatagramAuthenticator::fresh(Sender& s, std::uint64_t number) {
-  if (number > s.top) {
-    const std::uint64_t by = number - s.top;
-    s.seen = by < 64 ? s.seen << by : 0;
-    s.seen |= 1;
-    s.top = number;
-    return true;
-  }
-  const std::uint64_t back = s.top - number;
-  if (back >= 64 || (s.seen >> back & 1)) {
-    return false;
+std::string DatagramAuthenticator::sign_with_nonce(std::uint64_t session_nonce, Channel channel,
+                                                   std::string payload) {
+  const Datagram datagram{name_, boot_id_, ++counter_, session_nonce, channel, std::move(payload)};
+  std::string bytes = encode(datagram);
+  bytes += compute_mac(keys_.front(), bytes);
+  return bytes;
+}
+
+// Only members' addresses are used, so there are as many sessions at the most; should there be more
+// addresses, all sessions begin anew.
+DatagramAuthenticator::OutboundSession& DatagramAuthenticator::outbound_session(
+    const std::string& address) {
+  if (outbound_sessions_.size() >= kMaxMembers && !outbound_sessions_.contains(address)) {
+    outbound_sessions_.clear();
   }
-  s.seen |= std::uint64_t{1} << back;
-  return true;
+  return outbound_sessions_[address];
 }
 
 DatagramAuthenticator::VerifyResult DatagramAuthenticator::verify(const std::string& from,
                                                                   std::string_view datagram) {
-  VerifyResult result;
-  const auto refuse = [&result](const char* reason) {
-    return result.rejection_reason = reason, result;
-  };
-  if (datagram.size() < kMagic.size() + crypto_auth_BYTES || datagram.size() > kMaxDatagramBytes) {
-    return refuse("size");
+  if (datagram.size() < kMinDatagramBytes || datagram.size() > kMaxDatagramBytes) {
+    return rejected(RejectionReason::kSize);
   }
-  const std::string_view body = datagram.substr(0, datagram.size() - crypto_auth_BYTES);
+  const std::string_view body = datagram.substr(0, datagram.size() - kMacBytes);
   const std::string_view mac = datagram.substr(body.size());
-  bool known = false;
-  for (const MacKey& key : keys_) {
-    known = known || signed_by(key, body, mac);
+  if (!verify_mac(keys_, body, mac)) {
+    return rejected(RejectionReason::kMac);
   }
-  if (!known) {
-    return refuse("key");
+  std::optional<Datagram> decoded = decode_datagram(body);
+  if (!decoded) {
+    return rejected(RejectionReason::kFormat);
   }
-  ByteReader r(body);
-  const std::uint32_t magic = r.number<std::uint32_t>();
-  const std::string name = r.text(kMaxNameBytes);
-  const auto life = r.number<std::uint64_t>(), number = r.number<std::uint64_t>(),
-             ticket = r.number<std::uint64_t>();
-  const auto channel = r.number<Channel>();
-  if (!r.ok() || ByteReader(kMagic).number<std::uint32_t>() != magic ||
-      channel > Channel::kCoordination) {
-    return refuse("form");
+  if (decoded->sender.empty() || decoded->sender == name_) {
+    return rejected(RejectionReason::kSenderName);
   }
-  if (name.empty() || name == name_) {
-    return refuse("name");
+  if (decoded->channel == Channel::kHello) {
+    return accept_hello(from, decoded->payload);
   }
-  std::string payload(r.rest());
-  if (channel == Channel::kHello) {
-    ByteReader hello(payload);
-    const auto for_life = hello.number<std::uint64_t>(), drawn = hello.number<std::uint64_t>();
-    if (!hello.done() || for_life != life_) {
-      return refuse("hello");
-    }
-    Link& l = link(from);
-    if (std::exchange(l.session_nonce, drawn) == drawn) {
-      return result;
-    }
-    for (const auto& [what, text] : l.last) {
-      result.replies.push_back(write(drawn, what, text));
-    }
-    return result;
-  }
-  if (!senders_.contains(name) && senders_.size() >= kMaxMembers) {
-    return refuse("members");
+  if (!inbound_sessions_.contains(decoded->sender) && inbound_sessions_.size() >= kMaxMembers) {
+    return rejected(RejectionReason::kTooManySenders);
   }
-  Sender& s = senders_[name];
-  if (ticket != 0 && life == s.next_life && ticket == s.next_ticket) {
-    s = {life, ticket, 0, 0, 0, 0};  // it has shown that it lives now: its earlier life is over
+  InboundSession& session = inbound_sessions_[decoded->sender];
+  const std::uint64_t nonce = decoded->session_nonce;
+  if (nonce != 0 && decoded->boot_id == session.pending_boot_id && nonce == session.pending_nonce) {
+    // The process has shown the nonce, so it runs now: its predecessor's session is over.
+    session = InboundSession{decoded->boot_id, nonce, {}, 0, 0};
   }
-  if (ticket == 0 || life != s.boot_id || ticket != s.session_nonce) {
-    if (s.next_life != life || s.next_ticket == 0) {
-      s.next_life = life, s.next_ticket = random_() | 1;
-    }
-    ByteWriter hello;
-    result.replies.push_back(write(
-        0, Channel::kHello,
-        hello.number(life).number(life == s.boot_id ? s.session_nonce : s.next_ticket).bytes()));
-    return refuse("ticket");
+  if (nonce == 0 || decoded->boot_id != session.boot_id || nonce != session.session_nonce) {
+    VerifyResult result = rejected(RejectionReason::kSessionNonce);
+    result.replies.push_back(hello_for(session, decoded->boot_id));
+    return result;
   }
-  if (!fresh(s, number)) {
-    return refuse("again");
+  if (!session.window.accept(decoded->counter)) {
+    return rejected(RejectionReason::kReplay);
   }
-  result.verified = VerifiedPayload{name, channel, std::move(payload)};
+  VerifyResult result;
+  result.verified = VerifiedPayload{decoded->sender, decoded->channel, std::move(decoded->payload)};
   return result;
 }
 
-std::vector<std::string> split_payload(std::uint64_t number, std::string_view whole) {
-  std::vector<std::string> parts;
-  const std::size_t count = std::max<std::size_t>(1, (whole.size() + kPart - 1) / kPart);
-  if (count > kMostParts) {
-    return parts;
+// The receiver at `from` wants a new nonce: the latest payloads are sent again with it.
+DatagramAuthenticator::VerifyResult DatagramAuthenticator::accept_hello(const std::string& from,
+                                                                        std::string_view payload) {
+  const std::optional<SessionHello> hello = decode_hello(payload);
+  if (!hello || hello->boot_id != boot_id_) {
+    return rejected(RejectionReason::kHello);
+  }
+  VerifyResult result;
+  OutboundSession& session = outbound_session(from);
+  if (std::exchange(session.session_nonce, hello->session_nonce) == hello->session_nonce) {
+    return result;
   }
-  for (std::size_t i = 0; i < count; ++i) {
-    ByteWriter w;
-    w.number(number)
-        .number(static_cast<std::uint16_t>(i))
-        .number(static_cast<std::uint16_t>(count))
-        .raw(whole.substr(i * kPart, kPart));
-    parts.push_back(w.bytes());
+  for (const auto& [channel, latest_payload] : session.latest_payloads) {
+    result.replies.push_back(sign_with_nonce(hello->session_nonce, channel, latest_payload));
   }
-  return parts;
+  return result;
 }
 
-std::optional<std::string> PayloadAssembler::add(const std::string& from, std::string_view part) {
-  ByteReader r(part);
-  const auto number = r.number<std::uint64_t>();
-  const std::size_t place = r.number<std::uint16_t>(), count = r.number<std::uint16_t>();
-  if (!r.ok() || place >= count || count > kMostParts) {
-    return std::nullopt;
-  }
-  if (count == 1) {
-    return std::string(r.rest());
-  }
-  if (!open_.contains(from) && open_.size() >= kMaxMembers) {
-    return std::nullopt;
-  }
-  Open& o = open_[from];
-  if (o.number != number || o.parts.size() != count) {
-    o = {number, std::vector<std::optional<std::string>>(count), 0};
-  }
-  if (o.parts[place]) {
-    return std::nullopt;
-  }
-  o.parts[place] = std::string(r.rest());
-  if (++o.there < count) {
-    return std::nullopt;
-  }
-  std::string whole;
-  for (auto& p : o.parts) {
-    whole += *p;
+// A hello that tells the process `boot_id` of a sender its nonce, drawn anew for a new process.
+std::string DatagramAuthenticator::hello_for(InboundSession& session, std::uint64_t boot_id) {
+  if (session.pending_boot_id != boot_id || session.pending_nonce == 0) {
+    session.pending_boot_id = boot_id;
+    session.pending_nonce = random_() | 1;
   }
-  open_.erase(from);
-  return whole;
+  const bool current = boot_id == session.boot_id;
+  const SessionHello hello{boot_id, current ? session.session_nonce : session.pending_nonce};
+  return sign_with_nonce(0, Channel::kHello, encode(hello));
 }
 
 }  // namespace beechhill::membership
--- a/src/membership/datagram_authenticator.h
+++ b/src/membership/datagram_authenticator.h
@@ -1,10 +1,9 @@
-// What proves that a datagram comes from a member, now: a keyed MAC over all of it (libsodium's
-// crypto_auth), a number that counts up, and a ticket that the receiver drew for this life of the
-// sender. A datagram that was caught and sent again is refused, also by a receiver that has started
-// anew, and whatever the clocks say. Free of I/O and clocks.
+// Proves that a datagram was sent by a member and is not a replay: a keyed MAC over all of it, a
+// counter with a replay window, and a session nonce that the receiver draws for each process of a
+// sender. A captured datagram is rejected also by a receiver that has restarted since, and
+// independently of clocks. Sans I/O. docs/design/membership.md compares the alternatives.
 #pragma once
 
-#include <array>
 #include <cstdint>
 #include <deque>
 #include <map>
@@ -12,84 +11,95 @@
 #include <random>
 #include <string>
 #include <string_view>
+#include <utility>
 #include <vector>
 
-namespace beechhill::membership {
-
-using MacKey = std::array<unsigned char, 32>;  // crypto_auth_KEYBYTES
+#include "membership/datagram_codec.h"
+#include "membership/mac_keys.h"
+#include "membership/replay_window.h"
 
-// The first signs; either is believed, so that a key can be changed while all run. Two at the most.
-using MacKeys = std::vector<MacKey>;
-// A key for each line of 64 hexadecimal digits; empty lines are passed over. Throws
-// std::invalid_argument that says what is wrong.
-MacKeys parse_keys(std::string_view text);
-
-enum class Channel : std::uint8_t { kHello, kSwim, kRaft, kCoordination };
+namespace beechhill::membership {
 
-inline constexpr std::size_t kMaxDatagramBytes = 1'400;  // passes any link whole
-inline constexpr std::size_t kMaxPayloadBytes = 1'250;   // of it, whatever the names
+/// Why a datagram was rejected.
+enum class RejectionReason {
+  /// Too short for a datagram, or longer than kMaxDatagramBytes.
+  kSize,
+  /// The MAC was made with none of the keys, or the datagram was altered.
+  kMac,
+  /// Another format or version.
+  kFormat,
+  /// The sender has no name, or this process's own.
+  kSenderName,
+  /// A malformed hello, or one for another process.
+  kHello,
+  /// Datagrams of kMaxMembers senders have been accepted already.
+  kTooManySenders,
+  /// The sender has yet to show the session nonce. A hello with the nonce is among the replies.
+  kSessionNonce,
+  /// The counter has been seen already, or is too old.
+  kReplay,
+};
 
+/// Signs and verifies the datagrams of one process. Not thread-safe.
 class DatagramAuthenticator {
  public:
-  // `life`: this process's, drawn at its start. `seed` draws the tickets: it must not be known to
-  // others.
-  DatagramAuthenticator(MacKeys keys, std::string name, std::uint64_t life, std::uint64_t seed);
+  /// `boot_id`: of this process, drawn at its start. `seed`: of the session nonces; it must not be
+  /// known to others.
+  DatagramAuthenticator(MacKeys keys, std::string name, std::uint64_t boot_id, std::uint64_t seed);
 
+  /// Replaces the keys. Sessions stay.
   void change_keys(MacKeys keys) { keys_ = std::move(keys); }
-  // A datagram for the member at that address. `payload` has kMostPayload bytes at the most.
+
+  /// A datagram for the member at address `to`. `payload` has at most kMaxPayloadBytes. The latest
+  /// payloads to an address are kept, to be sent again where the receiver asks for a new session.
   std::string sign(const std::string& to, Channel channel, std::string payload);
 
   struct VerifiedPayload {
-    std::string sender;  // its name
+    /// The sender's name.
+    std::string sender;
     Channel channel = Channel::kHello;
     std::string payload;
   };
+  /// A hello yields neither a payload nor a rejection.
   struct VerifyResult {
     std::optional<VerifiedPayload> verified;
-    std::vector<std::string> replies;        // to where it came from
-    const char* rejection_reason = nullptr;  // a reason code, where it was
+    /// Datagrams to be sent to where this one came from.
+    std::vector<std::string> replies;
+    std::optional<RejectionReason> rejection;
   };
+  /// Verifies a datagram that came from address `from`.
   VerifyResult verify(const std::string& from, std::string_view datagram);
 
  private:
-  struct Sender {
-    std::uint64_t boot_id = 0, session_nonce = 0, top = 0,
-                  seen = 0;  // `seen`: of the 64 numbers up to `top`, a bit each
-    std::uint64_t next_life = 0,
-                  next_ticket = 0;  // one that has yet to show the ticket drawn for it
+  /// The sessions of a sender, by which this process receives.
+  struct InboundSession {
+    std::uint64_t boot_id = 0;
+    std::uint64_t session_nonce = 0;
+    ReplayWindow window;
+    /// A process that has yet to show the nonce drawn for it; 0: none.
+    std::uint64_t pending_boot_id = 0;
+    std::uint64_t pending_nonce = 0;
   };
-  struct Link {
+  /// The session with a receiver, in which this process sends.
+  struct OutboundSession {
     std::uint64_t session_nonce = 0;
-    std::deque<std::pair<Channel, std::string>>
-        last;  // to be sent again if the receiver wants another ticket
+    std::deque<std::pair<Channel, std::string>> latest_payloads;
   };
-  std::string write(std::uint64_t ticket, Channel channel, std::string_view payload);
-  static bool fresh(Sender& sender, std::uint64_t number);
-  Link& link(const std::string& address);
+
+  std::string sign_with_nonce(std::uint64_t session_nonce, Channel channel, std::string payload);
+  OutboundSession& outbound_session(const std::string& address);
+  VerifyResult accept_hello(const std::string& from, std::string_view payload);
+  std::string hello_for(InboundSession& session, std::uint64_t boot_id);
 
   MacKeys keys_;
   const std::string name_;
-  const std::uint64_t life_;
+  const std::uint64_t boot_id_;
   std::mt19937_64 random_;
-  std::uint64_t number_ = 0;
-  std::map<std::string, Sender> senders_;  // by name
-  std::map<std::string, Link> links_;      // by address
-};
-
-// A payload longer than a datagram, in parts; put together again if all come, whatever their order.
-std::vector<std::string> split_payload(std::uint64_t number, std::string_view whole);
-class PayloadAssembler {
- public:
-  // The whole, where this part was the last that lacked.
-  std::optional<std::string> add(const std::string& from, std::string_view part);
-
- private:
-  struct Open {
-    std::uint64_t number = 0;
-    std::vector<std::optional<std::string>> parts;
-    std::size_t there = 0;
-  };
-  std::map<std::string, Open> open_;  // the latest of each member
+  std::uint64_t counter_ = 0;
+  /// By the sender's name.
+  std::map<std::string, InboundSession> inbound_sessions_;
+  /// By the receiver's address.
+  std::map<std::string, OutboundSession> outbound_sessions_;
 };
 
 }  // namespace beechhill::membership
--- a/src/membership/message_codec.cpp
+++ b/src/membership/message_codec.cpp
@@ -5,55 +5,71 @@
 namespace beechhill::membership {
 namespace {
 
-constexpr std::size_t kLongestAddress = 21;  // of IPv4 and a port
+using base::ByteReader;
+using base::ByteWriter;
+
+// "255.255.255.255:65535"
+constexpr std::size_t kMaxAddressBytes = 21;
+// A sender adds the destination's own state and its own to the piggybacked updates.
+constexpr std::size_t kMaxDecodedUpdates = kMaxUpdatesPerMessage + 2;
+
+void encode_update(ByteWriter& writer, const MemberUpdate& update) {
+  writer.text(update.name);
+  writer.text(update.address);
+  writer.number(update.state);
+  writer.number(update.incarnation);
+  writer.number(update.boot_id);
+  writer.text(update.suspected_by);
+}
+
+MemberUpdate decode_update(ByteReader& reader) {
+  MemberUpdate update;
+  update.name = reader.text(kMaxNameBytes);
+  update.address = reader.text(kMaxAddressBytes);
+  update.state = reader.number<MemberState>();
+  update.incarnation = reader.number<std::uint32_t>();
+  update.boot_id = reader.number<std::uint64_t>();
+  update.suspected_by = reader.text(kMaxNameBytes);
+  return update;
+}
 
 }  // namespace
 
-std::string encode(const Message& m) {
-  ByteWriter w;
-  w.number(m.type)
-      .number(m.sequence_number)
-      .text(m.subject)
-      .number(m.digest)
-      .number(static_cast<std::uint8_t>(m.updates.size()));
-  for (const MemberUpdate& r : m.updates) {
-    w.text(r.name)
-        .text(r.address)
-        .number(r.state)
-        .number(r.incarnation)
-        .number(r.boot_id)
-        .text(r.suspected_by);
+std::string encode(const Message& message) {
+  ByteWriter writer;
+  writer.number(message.type);
+  writer.number(message.sequence_number);
+  writer.text(message.subject);
+  writer.number(message.digest);
+  writer.number(static_cast<std::uint8_t>(message.updates.size()));
+  for (const MemberUpdate& update : message.updates) {
+    encode_update(writer, update);
   }
-  return w.bytes();
+  return writer.bytes();
 }
 
 std::optional<Message> decode(std::string_view bytes) {
-  ByteReader r(bytes);
-  Message m;
-  m.type = r.number<MessageType>();
-  m.sequence_number = r.number<std::uint64_t>();
-  m.subject = r.text(kMaxNameBytes);
-  m.digest = r.number<std::uint64_t>();
-  const std::size_t count = r.number<std::uint8_t>();
-  if (!r.ok() || m.type > MessageType::kSyncResponse || count > kMaxUpdatesPerMessage + 2) {
+  ByteReader reader(bytes);
+  Message message;
+  message.type = reader.number<MessageType>();
+  message.sequence_number = reader.number<std::uint64_t>();
+  message.subject = reader.text(kMaxNameBytes);
+  message.digest = reader.number<std::uint64_t>();
+  const std::size_t update_count = reader.number<std::uint8_t>();
+  if (!reader.ok() || message.type > MessageType::kSyncResponse ||
+      update_count > kMaxDecodedUpdates) {
     return std::nullopt;
   }
-  for (std::size_t i = 0; i < count; ++i) {
-    MemberUpdate& u = m.updates.emplace_back();
-    u.name = r.text(kMaxNameBytes);
-    u.address = r.text(kLongestAddress);
-    u.state = r.number<MemberState>();
-    u.incarnation = r.number<std::uint32_t>();
-    u.boot_id = r.number<std::uint64_t>();
-    u.suspected_by = r.text(kMaxNameBytes);
-    if (u.name.empty() || u.state > MemberState::kLeft) {
+  for (std::size_t i = 0; i < update_count; ++i) {
+    const MemberUpdate& update = message.updates.emplace_back(decode_update(reader));
+    if (update.name.empty() || update.state > MemberState::kLeft) {
       return std::nullopt;
     }
   }
-  if (!r.done()) {
+  if (!reader.done()) {
     return std::nullopt;
   }
-  return m;
+  return message;
 }
 
 }  // namespace beechhill::membership
--- /dev/null
+++ b/src/membership/payload_fragments.cpp
@@ -0,0 +1,74 @@
+#include "membership/payload_fragments.h"
+
+#include <algorithm>
+
+#include "base/byte_codec.h"
+#include "membership/datagram_codec.h"
+#include "membership/message.h"
+
+namespace beechhill::membership {
+namespace {
+
+// A fragment's header: the payload's id, the fragment's index and the number of fragments.
+constexpr std::size_t kHeaderBytes = 8 + 2 + 2;
+// Reserved beside the header.
+constexpr std::size_t kSpareBytes = 4;
+constexpr std::size_t kFragmentBytes = kMaxPayloadBytes - kHeaderBytes - kSpareBytes;
+// About 300 kB, several times the largest payload that is ever sent.
+constexpr std::size_t kMaxFragments = 256;
+
+}  // namespace
+
+std::vector<std::string> split_payload(std::uint64_t payload_id, std::string_view payload) {
+  std::vector<std::string> fragments;
+  const std::size_t count =
+      std::max<std::size_t>(1, (payload.size() + kFragmentBytes - 1) / kFragmentBytes);
+  if (count > kMaxFragments) {
+    return fragments;
+  }
+  for (std::size_t index = 0; index < count; ++index) {
+    base::ByteWriter writer;
+    writer.number(payload_id);
+    writer.number(static_cast<std::uint16_t>(index));
+    writer.number(static_cast<std::uint16_t>(count));
+    writer.raw(payload.substr(index * kFragmentBytes, kFragmentBytes));
+    fragments.push_back(writer.bytes());
+  }
+  return fragments;
+}
+
+std::optional<std::string> PayloadAssembler::add(const std::string& sender,
+                                                 std::string_view fragment) {
+  base::ByteReader reader(fragment);
+  const auto payload_id = reader.number<std::uint64_t>();
+  const std::size_t index = reader.number<std::uint16_t>();
+  const std::size_t count = reader.number<std::uint16_t>();
+  if (!reader.ok() || index >= count || count > kMaxFragments) {
+    return std::nullopt;
+  }
+  if (count == 1) {
+    return std::string(reader.rest());
+  }
+  if (!partial_payloads_.contains(sender) && partial_payloads_.size() >= kMaxMembers) {
+    return std::nullopt;
+  }
+  PartialPayload& partial = partial_payloads_[sender];
+  if (partial.payload_id != payload_id || partial.fragments.size() != count) {
+    partial = {payload_id, std::vector<std::optional<std::string>>(count), 0};
+  }
+  if (partial.fragments[index]) {
+    return std::nullopt;
+  }
+  partial.fragments[index] = std::string(reader.rest());
+  if (++partial.received < count) {
+    return std::nullopt;
+  }
+  std::string payload;
+  for (const std::optional<std::string>& part : partial.fragments) {
+    payload += *part;
+  }
+  partial_payloads_.erase(sender);
+  return payload;
+}
+
+}  // namespace beechhill::membership
