--- a/src/cluster/raft_log_file.cpp
+++ b/src/cluster/raft_log_file.cpp
@@ -26,14 +26,14 @@
 }
 
 std::string frame(std::string_view payload) {
-  membership::ByteWriter writer;
+  base::ByteWriter writer;
   writer.number(static_cast<std::uint32_t>(payload.size())).number(checksum(payload)).raw(payload);
   return writer.bytes();
 }
 
 // The payload of the whole frame at `position`, which moves behind it; or nothing.
 std::optional<std::string_view> read_frame(std::string_view file, std::size_t& position) {
-  membership::ByteReader reader(file.substr(position));
+  base::ByteReader reader(file.substr(position));
   const auto size = reader.number<std::uint32_t>();
   const auto expected_checksum = reader.number<std::uint64_t>();
   const std::string_view rest = reader.rest();
@@ -49,7 +49,7 @@
 }
 
 std::string file_header(const Voter& voter, std::uint64_t earlier_records) {
-  membership::ByteWriter writer;
+  base::ByteWriter writer;
   writer.raw(kMagic).text(voter.address()).number(earlier_records);
   return frame(writer.bytes());
 }
@@ -59,7 +59,7 @@
   if (!payload.starts_with(kMagic)) {
     return false;
   }
-  membership::ByteReader reader(payload.substr(kMagic.size()));
+  base::ByteReader reader(payload.substr(kMagic.size()));
   const auto voter = parse_voter(reader.text(kMaxVoterAddressBytes));
   file.appended_records = reader.number<std::uint64_t>();
   if (!reader.done() || !voter || voter->name != name) {
@@ -74,7 +74,7 @@
 bool may_have_later_frame(std::string_view file, std::size_t position) {
   std::size_t searched = 0;
   for (std::size_t start = position + 1; start + kFrameHeaderBytes < file.size(); ++start) {
-    membership::ByteReader reader(file.substr(start));
+    base::ByteReader reader(file.substr(start));
     const auto size = reader.number<std::uint32_t>();
     if (size == 0 || size > file.size() - start) {
       continue;
--- a/src/maintenance/coordination_messages.cpp
+++ b/src/maintenance/coordination_messages.cpp
@@ -7,8 +7,8 @@
 
 namespace beechhill::maintenance {
 
-using membership::ByteReader;
-using membership::ByteWriter;
+using base::ByteReader;
+using base::ByteWriter;
 using Type = CoordinationMessageType;
 
 namespace {
--- a/src/maintenance/maintenance_commands.cpp
+++ b/src/maintenance/maintenance_commands.cpp
@@ -5,8 +5,8 @@
 
 namespace beechhill::maintenance {
 
-using membership::ByteReader;
-using membership::ByteWriter;
+using base::ByteReader;
+using base::ByteWriter;
 
 std::string encode(const Command& command) {
   ByteWriter writer;
--- a/src/maintenance/raft_codec.cpp
+++ b/src/maintenance/raft_codec.cpp
@@ -2,8 +2,8 @@
 
 namespace beechhill::maintenance {
 
-using membership::ByteReader;
-using membership::ByteWriter;
+using base::ByteReader;
+using base::ByteWriter;
 
 void write_entries(ByteWriter& writer, const std::vector<LogEntry>& entries) {
   for (const LogEntry& entry : entries) {
--- a/src/maintenance/raft_codec.h
+++ b/src/maintenance/raft_codec.h
@@ -11,12 +11,12 @@
 namespace beechhill::maintenance {
 
 /// Without their count, whose size differs between records and messages.
-void write_entries(membership::ByteWriter& writer, const std::vector<LogEntry>& entries);
+void write_entries(base::ByteWriter& writer, const std::vector<LogEntry>& entries);
 /// Reads `count` entries, or as many as there are.
-std::vector<LogEntry> read_entries(membership::ByteReader& reader, std::size_t count);
+std::vector<LogEntry> read_entries(base::ByteReader& reader, std::size_t count);
 
 /// With their count; at most 255.
-void write_servers(membership::ByteWriter& writer, const std::vector<RaftServer>& servers);
-std::vector<RaftServer> read_servers(membership::ByteReader& reader);
+void write_servers(base::ByteWriter& writer, const std::vector<RaftServer>& servers);
+std::vector<RaftServer> read_servers(base::ByteReader& reader);
 
 }  // namespace beechhill::maintenance
--- a/src/maintenance/raft_messages.h
+++ b/src/maintenance/raft_messages.h
@@ -102,9 +102,9 @@
 std::string encode(const RaftMessageHeader& header, const RaftMessageBody& body);
 
 /// Reads the header and leaves `reader` at the body. Nothing where there is no whole header.
-std::optional<RaftMessageHeader> decode_raft_header(membership::ByteReader& reader);
+std::optional<RaftMessageHeader> decode_raft_header(base::ByteReader& reader);
 /// Reads the rest. Nothing where it is not one whole body of that type.
 std::optional<RaftMessageBody> decode_raft_body(RaftMessageType type,
-                                                membership::ByteReader& reader);
+                                                base::ByteReader& reader);
 
 }  // namespace beechhill::maintenance
--- a/src/maintenance/raft_node.cpp
+++ b/src/maintenance/raft_node.cpp
@@ -417,7 +417,7 @@
 }
 
 void RaftNode::Impl::deliver(std::string_view bytes) {
-  membership::ByteReader reader(bytes);
+  base::ByteReader reader(bytes);
   const auto header = decode_raft_header(reader);
   const auto sender = header ? parse_voter(header->from) : std::nullopt;
   if (!sender || sender->name == self_.name || header->to != self_.address()) {
--- a/tests/raft_format_test.cpp
+++ b/tests/raft_format_test.cpp
@@ -143,7 +143,7 @@
   EXPECT_EQ(types_of(messages), types);
   for (const GoldenMessage& message : messages) {
     SCOPED_TRACE(message.type);
-    membership::ByteReader reader(message.bytes);
+    base::ByteReader reader(message.bytes);
     const auto header = decode_raft_header(reader);
     ASSERT_TRUE(header);
     EXPECT_EQ(static_cast<int>(header->type), message.type);
@@ -160,7 +160,7 @@
 TEST(RaftFormat, ReadsTheSnapshotOfAMessageOfTheVersionBefore) {
   std::size_t snapshots = 0;
   for (const GoldenMessage& message : golden_messages("raft")) {
-    membership::ByteReader reader(message.bytes);
+    base::ByteReader reader(message.bytes);
     const auto header = decode_raft_header(reader);
     const auto body = decode_raft_body(header->type, reader);
     const auto* install = std::get_if<InstallSnapshot>(&*body);
