--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -6,6 +6,7 @@
 
 #include "admin/telemetry_json.h"
 #include "http/parser.h"
+#include "http/progress.h"
 #include "http/writer.h"
 #include "log/log.h"
 
--- a/src/bootstrap/server.h
+++ b/src/bootstrap/server.h
@@ -15,7 +15,7 @@
 #include "hot_restart/hot_restart_actor.h"
 #include "net/socket.h"
 #include "proxy/backend_actor.h"
-#include "proxy/client_connection.h"
+#include "proxy/client_listener.h"
 #include "proxy/decision_actor.h"
 #include "proxy/endpoint_watch_actor.h"
 #include "proxy/telemetry.h"
--- a/src/cluster/maintenance_cli.cpp
+++ b/src/cluster/maintenance_cli.cpp
@@ -13,6 +13,7 @@
 #include "cluster/disk_raft_storage.h"
 #include "config/operator_file.h"
 #include "http/parser.h"
+#include "http/progress.h"
 #include "http/writer.h"
 #include "log/log.h"
 #include "net/socket.h"
--- a/src/experiments/experiment.cpp
+++ b/src/experiments/experiment.cpp
@@ -1,3 +1,5 @@
+include "emulator/scenario_reader.h"
+include "emulator/scenario_file.h"
 #include "experiments/experiment.h"
 
 #include <fmt/format.h>
--- a/src/proxy/backend_exchange.cpp
+++ b/src/proxy/backend_exchange.cpp
@@ -6,6 +6,8 @@
 #include <string_view>
 #include <utility>
 
+#include "http/field_values.h"
+#include "http/progress.h"
 #include "runtime/time.h"
 
 namespace beechhill::proxy {
--- a/src/proxy/backend_exchange.h
+++ b/src/proxy/backend_exchange.h
@@ -5,6 +5,8 @@
 #include <string>
 
 #include "http/message.h"
+#include "http/parser.h"
+#include "http/progress.h"
 #include "net/socket.h"
 #include "proxy/backend_messages.h"
 #include "proxy/backend_pool.h"
--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -6,6 +6,8 @@
 #include <variant>
 
 #include "http/field_values.h"
+#include "http/parser.h"
+#include "http/progress.h"
 #include "http/writer.h"
 #include "log/log.h"
 
--- a/src/proxy/client_connection.h
+++ b/src/proxy/client_connection.h
@@ -10,6 +10,7 @@
 
 #include "http/message.h"
 #include "http/parser.h"
+#include "http/progress.h"
 #include "net/socket.h"
 #include "proxy/client_request_parser.h"
 #include "proxy/connection_log.h"
--- a/src/proxy/client_request_parser.cpp
+++ b/src/proxy/client_request_parser.cpp
@@ -4,6 +4,7 @@
 #include <chrono>
 #include <utility>
 
+#include "http/field_values.h"
 #include "proxy/http_payload.h"
 #include "runtime/time.h"
 
--- a/src/proxy/endpoint_watch_actor.cpp
+++ b/src/proxy/endpoint_watch_actor.cpp
@@ -7,6 +7,7 @@
 
 #include "http/chunked_decoder.h"
 #include "http/parser.h"
+#include "http/progress.h"
 #include "http/writer.h"
 #include "log/log.h"
 #include "net/socket.h"
--- a/src/proxy/http_payload.cpp
+++ b/src/proxy/http_payload.cpp
@@ -4,6 +4,8 @@
 #include <chrono>
 #include <utility>
 
+#include "http/writer.h"
+
 namespace beechhill::proxy {
 
 HttpPayload::HttpPayload(http::Message&& request, std::shared_ptr<BodyPipe> remaining_body,
--- a/src/testbed/closed_loop_load.cpp
+++ b/src/testbed/closed_loop_load.cpp
@@ -6,6 +6,7 @@
 #include <cmath>
 
 #include "http/message.h"
+#include "http/writer.h"
 #include "testbed/http_client.h"
 #include "testbed/task_helpers.h"
 
--- a/src/testbed/cluster_test/cluster_test_command.cpp
+++ b/src/testbed/cluster_test/cluster_test_command.cpp
@@ -1,3 +1,5 @@
+include "emulator/scenario_reader.h"
+include "emulator/scenario_file.h"
 #include "testbed/cluster_test/cluster_test_command.h"
 
 #include <fmt/format.h>
--- a/src/testbed/cluster_test/fault_plan.h
+++ b/src/testbed/cluster_test/fault_plan.h
@@ -7,6 +7,7 @@
 #include <string>
 #include <vector>
 
+include "emulator/scenario_reader.h"
 #include "emulator/scenario.h"
 
 namespace beechhill::testbed {
--- a/src/testbed/cost_measurement.cpp
+++ b/src/testbed/cost_measurement.cpp
@@ -1,3 +1,4 @@
+include "emulator/scenario_reader.h"
 #include "testbed/cost_measurement.h"
 
 #include <fmt/format.h>
--- a/src/testbed/demo_scenario.cpp
+++ b/src/testbed/demo_scenario.cpp
@@ -1,3 +1,5 @@
+include "emulator/scenario_reader.h"
+include "emulator/scenario_file.h"
 #include "testbed/demo_scenario.h"
 
 #include "config/toml_reader.h"
--- a/src/testbed/emulator_commands.cpp
+++ b/src/testbed/emulator_commands.cpp
@@ -1,3 +1,5 @@
+include "emulator/scenario_reader.h"
+include "emulator/scenario_file.h"
 #include "testbed/emulator_commands.h"
 
 #include <fmt/format.h>
--- a/src/testbed/fake_backend.cpp
+++ b/src/testbed/fake_backend.cpp
@@ -5,7 +5,9 @@
 #include <algorithm>
 #include <string_view>
 
+#include "http/field_values.h"
 #include "http/message.h"
+#include "http/writer.h"
 #include "testbed/server_io.h"
 #include "testbed/task_helpers.h"
 
--- a/src/testbed/fake_discovery.cpp
+++ b/src/testbed/fake_discovery.cpp
@@ -5,6 +5,7 @@
 #include <algorithm>
 
 #include "http/message.h"
+#include "http/writer.h"
 #include "testbed/server_io.h"
 #include "testbed/task_helpers.h"
 
--- a/src/testbed/http_client.cpp
+++ b/src/testbed/http_client.cpp
@@ -2,6 +2,10 @@
 
 #include <memory>
 
+#include "http/parser.h"
+#include "http/progress.h"
+#include "http/writer.h"
+
 namespace beechhill::testbed {
 
 using net::Io;
--- a/src/testbed/open_loop_load.cpp
+++ b/src/testbed/open_loop_load.cpp
@@ -7,6 +7,7 @@
 #include <cstdlib>
 
 #include "http/message.h"
+#include "http/writer.h"
 #include "testbed/task_helpers.h"
 
 namespace beechhill::testbed {
--- a/src/testbed/open_loop_load.h
+++ b/src/testbed/open_loop_load.h
@@ -9,6 +9,7 @@
 
 #include "emulator/clients.h"
 #include "emulator/metrics.h"
+#include "http/message.h"
 #include "net/socket.h"
 #include "runtime/scheduler.h"
 #include "testbed/http_client.h"
--- a/src/testbed/server_io.cpp
+++ b/src/testbed/server_io.cpp
@@ -1,5 +1,8 @@
 #include "testbed/server_io.h"
 
+#include "http/parser.h"
+#include "http/progress.h"
+
 namespace beechhill::testbed {
 
 using net::Io;
--- a/tests/bodies_test.cpp
+++ b/tests/bodies_test.cpp
@@ -4,6 +4,9 @@
 #include <cstring>
 #include <thread>
 
+#include "http/parser.h"
+#include "http/progress.h"
+#include "http/writer.h"
 #include "support/proxy_fixture.h"
 
 using namespace beechhill;
--- a/tests/cluster_maintenance_test.cpp
+++ b/tests/cluster_maintenance_test.cpp
@@ -6,6 +6,7 @@
 #include <cstdio>
 #include <string>
 
+include "emulator/scenario_reader.h"
 #include "support/fault_plan_text.h"
 #include "support/proxy_fixture.h"
 #include "testbed/load_test.h"
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -1,4 +1,5 @@
 // Pairs of events that meet, in a forced order: see docs/design/crossings.md.
+#include "http/writer.h"
 #include "support/proxy_fixture.h"
 #include "support/proxy_test_util.h"
 
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -11,6 +11,8 @@
 #include <optional>
 #include <thread>
 
+#include "http/parser.h"
+#include "http/progress.h"
 #include "support/proxy_fixture.h"
 
 namespace beechhill::test {
--- a/tests/support/proxy_fixture.h
+++ b/tests/support/proxy_fixture.h
@@ -17,6 +17,7 @@
 #include <string>
 #include <vector>
 
+#include "http/message.h"
 #include "support/deployment_json.h"
 #include "support/fake_listener.h"
 #include "support/require.h"
--- a/tests/support/proxy_test_util.h
+++ b/tests/support/proxy_test_util.h
@@ -11,6 +11,7 @@
 #include <string_view>
 
 #include "http/message.h"
+#include "http/writer.h"
 #include "proxy/payload.h"
 #include "runtime/scheduler.h"
 #include "runtime/task.h"
--- a/tests/support/test_connection.h
+++ b/tests/support/test_connection.h
@@ -8,6 +8,7 @@
 
 #include "http/message.h"
 #include "http/parser.h"
+#include "http/progress.h"
 #include "http/writer.h"
 #include "net/socket.h"
 #include "support/require.h"
--- a/tests/support/testbed_fixture.h
+++ b/tests/support/testbed_fixture.h
@@ -6,6 +6,7 @@
 #include <cstdio>
 #include <string>
 
+include "emulator/scenario_reader.h"
 #include "emulator/scenario.h"
 #include "testbed/load_test.h"
 
