--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -231,7 +231,7 @@
     limit_.adjust(state, result, latency_s, outliers_.latency_penalty(record),
                   static_cast<double>(endpoints_.positive_up_count()));
     if (result == Result::kOverloaded) {
-      record.overloaded_until = now_ + from_seconds(latencies_.typical_s());
+      record.overloaded_until = now_ + retries_.overload_backoff();
     }
   }
 
--- a/src/balancer/policy/retry_policy.h
+++ b/src/balancer/policy/retry_policy.h
@@ -25,6 +25,8 @@
   bool safe_anywhere(const RequestState& state) const;
   /// Whether it is safe on `record`, for an attempt that starts at `now`.
   bool safe_on(const RequestState& state, const EndpointRecord& record, Time now) const;
+  /// How long an endpoint that has refused an attempt as overloaded gets nothing new.
+  Duration overload_backoff() const { return from_seconds(latencies_.typical_s()); }
   /// Rejects where the client may safely retry, else reports failure.
   Action final_answer(const RequestState& state);
 
