--- a/src/balancer/discovery_polling.h
+++ b/src/balancer/discovery_polling.h
@@ -15,19 +15,22 @@
   explicit DiscoveryPolling(const Settings& settings) : settings_(settings) {}
 
   Duration initial_delay(double random) const {
-    return from_seconds(random * seconds(settings_.discovery_poll_interval) / 4);
+    return from_seconds(random * seconds(settings_.discovery_poll_interval) / kInitialDivisor);
   }
 
   /// Backs off, and stays within the poll interval.
   Duration delay_after_failure(double random) {
     failures_ = std::min(failures_ + 1, kMaxBackoffSteps);
-    const double wait_s = seconds(settings_.discovery_poll_interval) / 8 * failures_;
+    const double wait_s = seconds(settings_.discovery_poll_interval) / kBackoffDivisor * failures_;
     return from_seconds((0.5 + random) * wait_s);
   }
 
   void record_success() { failures_ = 0; }
 
  private:
+  // Parts of the poll interval: the latest first subscription, and a step of the backoff.
+  static constexpr double kInitialDivisor = 4;
+  static constexpr double kBackoffDivisor = 8;
   static constexpr int kMaxBackoffSteps = 3;
 
   const Settings& settings_;
--- a/src/balancer/policy/admission.cpp
+++ b/src/balancer/policy/admission.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <cmath>
 #include <functional>
+#include <ratio>
 #include <set>
 
 namespace beechhill {
@@ -10,8 +11,12 @@
 
 // Requests beyond are rejected; the queue deadline mostly acts first.
 constexpr std::size_t kMaxQueueLength = 64;
-// The longest wait at the first tier is this part of the objective.
+// The longest wait at the first tier is this part of the objective, and the shortest at any this
+// one.
 constexpr int kPatienceDivisor = 2;
+constexpr int kMinPatienceDivisor = 10;
+// Of the client's own time, that a request waits at the first tier at most: less than half.
+using MaxWaitShare = std::ratio<9, 20>;
 // Shares of the limit that levels get by weight, of twice as many: the rest stays unassured.
 constexpr double kAssuredShares = 100;
 // Requests that a tenant may send ahead of its quota, at the least.
@@ -79,9 +84,11 @@
   const Time last_step = request.deadline - settings_.time_step;
   const Duration slow = from_seconds(latencies_.slow_s(request.class_id));
   Time deadline = std::min({now + patience, useful_until - slow, last_step});
-  deadline = std::max(deadline, std::min(now + objective / 10, last_step));
+  deadline = std::max(deadline, std::min(now + objective / kMinPatienceDivisor, last_step));
   // A client that is rejected unsent after half of its own time, often less than its class's, pays.
-  return first_tier ? std::min(deadline, now + (request.deadline - now) * 9 / 20) : deadline;
+  return first_tier ? std::min(deadline, now + (request.deadline - now) * MaxWaitShare::num /
+                                                   MaxWaitShare::den)
+                    : deadline;
 }
 
 bool Admission::enqueue(RequestState& state, Time now) {
--- a/src/balancer/policy/concurrency_limit.cpp
+++ b/src/balancer/policy/concurrency_limit.cpp
@@ -1,7 +1,6 @@
 #include "balancer/policy/concurrency_limit.h"
 
 #include <algorithm>
-#include <cmath>
 
 namespace beechhill {
 namespace {
@@ -12,8 +11,6 @@
 // late.
 constexpr double kDecrease = 2;
 constexpr double kIncrease = 0.2;
-// Standard deviations of what runs that an idle limit leaves capacity for.
-constexpr double kHeadroom = 2;
 // Of a class's slow answers, after which a request is silent; see docs/design.md.
 constexpr double kSilentFactor = 1.5;
 // Of the limit, that silent requests may hold.
@@ -51,7 +48,8 @@
 void ConcurrencyLimit::adjust(const RequestState& state, Result result, double latency_s,
                               double latency_penalty, double up_count) {
   const bool ok = result == Result::kOk;
-  const double busy = std::max<double>(in_flight_.running + state.width, usual_widths(state.width));
+  const double busy =
+      std::max<double>(in_flight_.running + state.width, in_flight_.usual_widths(state.width));
   const double late_share = (latency_s / seconds(objective(state)) - kLateShare) / (1 - kLateShare);
   if (result == Result::kOverloaded || result == Result::kTimeout ||
       (settings_.tier == 0 && ok && late_share > 0)) {
@@ -66,12 +64,6 @@
   limit_ = std::max(limit_, kMinWidthsPerEndpoint * up_count / settings_.replicas);
 }
 
-// What runs by chance at the recent mean: one late answer must not close the limit on a lull.
-double ConcurrencyLimit::usual_widths(int width) const {
-  const double mean = in_flight_.mean_running;
-  return mean + kHeadroom * std::sqrt(width * mean) + width;
-}
-
 // Whole widths would swing a small limit between nothing and twice its size.
 double ConcurrencyLimit::step() const {
   return std::min(1.0, limit_ / kSmallLimit);
--- a/src/balancer/policy/concurrency_limit.h
+++ b/src/balancer/policy/concurrency_limit.h
@@ -27,7 +27,6 @@
 
  private:
   double counted_widths() const;
-  double usual_widths(int width) const;
   double step() const;
   Duration objective(const RequestState& state) const {
     return latency_objective(settings_.classes[state.request.class_id], state.request);
--- a/src/balancer/policy/endpoint_selector.cpp
+++ b/src/balancer/policy/endpoint_selector.cpp
@@ -17,6 +17,8 @@
 constexpr double kReplicasPerEndpoint = 20;
 // Requests that an endpoint weighs more for each attempt that it had of the request.
 constexpr double kRepeatLoad = 4;
+// Typical latencies of silence that double an endpoint's load.
+constexpr double kSilentLatencies = 2;
 
 }  // namespace
 
@@ -85,7 +87,7 @@
     load += attempt.endpoint == record.entry.id ? kRepeatLoad : 0;
   }
   const double waited_s = record.in_flight > 0 ? seconds(now - record.waiting_since) : 0;
-  const double silence = waited_s / (2 * in_.latencies.typical_s());
+  const double silence = waited_s / (kSilentLatencies * in_.latencies.typical_s());
   const double latency_penalty = in_.outliers.latency_penalty(record);
   load *= (1 + silence * silence) * latency_penalty * latency_penalty;
   load *= in_.outliers.error_penalty(record, state.request.class_id);
--- a/src/balancer/policy/slow_start.cpp
+++ b/src/balancer/policy/slow_start.cpp
@@ -6,6 +6,8 @@
 // Attempts a second, over all replicas, that an endpoint may get however little is sent: a share of
 // no traffic would be none.
 constexpr double kMinAttemptsPerS = 1;
+// An even part of the load times the collapse ratio over this is allowed: two thirds of the ratio.
+constexpr double kSafetyFactor = 1.5;
 
 }  // namespace
 
@@ -31,7 +33,8 @@
   if (!warming_up(record, now)) {
     return true;
   }
-  const double peers = traffic.up_count * 1.5 / std::max(1.5, settings_.overload_collapse_ratio);
+  const double peers =
+      traffic.up_count * kSafetyFactor / std::max(kSafetyFactor, settings_.overload_collapse_ratio);
   const double share = capacity_share(record, now) * traffic.attempts_per_s /
                        std::max<double>(traffic.warm_count, peers);
   record.slow_start_budget.fill(now, std::max(share, kMinAttemptsPerS / settings_.replicas), 1);
--- a/src/balancer/state/fleet_statistics.cpp
+++ b/src/balancer/state/fleet_statistics.cpp
@@ -25,12 +25,18 @@
 constexpr double kMinWeight = 0.1;
 // Attempts of a class that tell whether an endpoint fails it.
 constexpr double kMinClassAttempts = 4;
+// Standard deviations of errors that count as chance.
+constexpr double kErrorDeviations = 2;
 // Seconds, memory of the own zone's utilization; 1 to 4 alike.
 constexpr double kZoneUtilizationWindowS = 2;
 // Seconds, memory of the rate of own attempts.
 constexpr double kAttemptRateWindowS = 5;
 // Over the endpoints in use, that own attempts are remembered at the least.
 constexpr double kMinRounds = 4;
+// Typical latencies that own attempts are remembered at the least.
+constexpr double kMinLatencies = 4;
+// Attempts a second below which the rate tells nothing.
+constexpr double kMinAttemptsPerS = 0.01;
 // A large fleet is surveyed once in endpoints / this many choices.
 constexpr std::size_t kSurveyShare = 10;
 
@@ -102,8 +108,9 @@
   if (record.decayed_at >= now) {
     return;
   }
-  const double rounds_s = kMinRounds * subset_size_ / std::max(attempts_per_s(now), 0.01);
-  record.decay(now, std::max(4 * latencies_.typical_s(), rounds_s));
+  const double rounds_s =
+      kMinRounds * subset_size_ / std::max(attempts_per_s(now), kMinAttemptsPerS);
+  record.decay(now, std::max(kMinLatencies * latencies_.typical_s(), rounds_s));
 }
 
 bool FleetStatistics::survey_due() {
@@ -176,7 +183,7 @@
   }
   const OutcomeCounts all = sum(record.outcomes);
   const double usual = all.attempts * mean_error_rate_;
-  return std::max(0.0, all.errors - usual - 2 * std::sqrt(usual));
+  return std::max(0.0, all.errors - usual - kErrorDeviations * std::sqrt(usual));
 }
 
 }  // namespace beechhill
--- a/src/balancer/state/in_flight.h
+++ b/src/balancer/state/in_flight.h
@@ -19,8 +19,21 @@
   /// Moves the mean by `elapsed_s` seconds of what ran; its time constant is four typical
   /// latencies.
   void advance(double elapsed_s, double typical_latency_s) {
-    mean_running += (running - mean_running) * (1 - std::exp(-elapsed_s / (4 * typical_latency_s)));
+    const double time_constant_s = kMeanLatencies * typical_latency_s;
+    mean_running += (running - mean_running) * (1 - std::exp(-elapsed_s / time_constant_s));
   }
+
+  /// What may run by chance at the recent mean when a request of that width comes: a lull does not
+  /// make it look small.
+  double usual_widths(int width) const {
+    return mean_running + kDeviations * std::sqrt(width * mean_running) + width;
+  }
+
+ private:
+  // Typical latencies over which the mean is taken.
+  static constexpr double kMeanLatencies = 4;
+  // Standard deviations that count as chance.
+  static constexpr double kDeviations = 2;
 };
 
 /// When to look whether a request has been silent for too long. O(log n) for each operation.
--- a/src/balancer/state/latency_tracker.cpp
+++ b/src/balancer/state/latency_tracker.cpp
@@ -21,7 +21,7 @@
     slow = kFirstSlowFactor * latency_s;
     average += latency_s - average;
   }
-  overall_ += (overall_ > 0 ? kSmoothing / 4 : 1) * (latency_s - overall_);
+  overall_ += (overall_ > 0 ? kOverallSmoothing : 1) * (latency_s - overall_);
 }
 
 }  // namespace beechhill
--- a/src/balancer/state/latency_tracker.h
+++ b/src/balancer/state/latency_tracker.h
@@ -20,7 +20,9 @@
   /// What one answer in ten of a class exceeds; 0 before its first answer.
   double slow_s(ClassId class_id) const { return slow_[class_id]; }
   /// The average over all classes; a quarter of the shortest objective before the first answer.
-  double typical_s() const { return overall_ > 0 ? overall_ : shortest_objective_ / 4; }
+  double typical_s() const {
+    return overall_ > 0 ? overall_ : shortest_objective_ / kFirstTypicalDivisor;
+  }
   /// The shortest latency objective of all classes.
   double shortest_objective_s() const { return shortest_objective_; }
 
@@ -29,7 +31,9 @@
   // Steps of the slow estimate, whose ratio settles it where one answer in ten is slower.
   static constexpr double kSlowRise = 0.9;
   static constexpr double kSlowFall = -0.1;
-  static constexpr double kFirstSlowFactor = 1.5;  // of the first answer
+  static constexpr double kFirstSlowFactor = 1.5;    // of the first answer
+  static constexpr double kFirstTypicalDivisor = 4;  // of the shortest objective
+  static constexpr double kOverallSmoothing = kSmoothing / 4;
 
   double shortest_objective_ = kUnlimited;
   double overall_ = 0;
