--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -5,6 +5,8 @@
 #include <utility>
 #include <variant>
 
+#include "proxy/client_response_encoder.h"
+
 namespace beechhill::proxy {
 
 using namespace std::chrono_literals;
@@ -44,45 +46,6 @@
   return message.method == "GET" && message.target == "/health/ready";
 }
 
-std::string content_type_header(const BackendResponse& response) {
-  return response.content_type.empty() ? "" : "Content-Type: " + response.content_type + "\r\n";
-}
-
-std::string retry_after_header(const Rejection& rejection) {
-  return rejection.retry_after > Duration{0}
-             ? "Retry-After: " + http::retry_after(rejection.retry_after) + "\r\n"
-             : "";
-}
-
-// A response whose body is complete.
-std::string encode_response(const ClientResponse& response, bool close) {
-  if (const auto* completed = std::get_if<BackendResponse>(&response)) {
-    return http::write_response(200, content_type_header(*completed), completed->body, close);
-  }
-  if (const auto* rejection = std::get_if<Rejection>(&response)) {
-    return http::write_response(503, retry_after_header(*rejection), "", close);
-  }
-  return http::write_response(502, "", "", close);
-}
-
-RequestOutcome outcome_of(const ClientResponse& response) {
-  if (std::holds_alternative<BackendResponse>(response)) {
-    return RequestOutcome::kCompleted;
-  }
-  return std::holds_alternative<Rejection>(response) ? RequestOutcome::kRejected
-                                                     : RequestOutcome::kFailed;
-}
-
-// The head of a streamed response: with its length, chunked, or ended by the connection's close.
-std::string encode_stream_head(const BackendResponse& response, bool close,
-                               bool client_decodes_chunks) {
-  const std::string headers = content_type_header(response);
-  if (client_decodes_chunks || response.content_length) {
-    return http::write_response_head(200, headers, response.content_length, close);
-  }
-  return "HTTP/1.1 200 OK\r\n" + headers + "Connection: close\r\n\r\n";
-}
-
 bool is_uploading(const ClientRequest& request) {
   const BodyPipe* upload = request.payload->remaining_body().get();
   return upload && !upload->is_complete();
