--- a/src/testbed/cost_measurement.cpp
+++ b/src/testbed/cost_measurement.cpp
@@ -1,4 +1,4 @@
-include "emulator/scenario_reader.h"
+#include "emulator/scenario_reader.h"
 #include "testbed/cost_measurement.h"
 
 #include <fmt/format.h>
