--- a/src/cluster/raft_log_file.cpp
+++ b/src/cluster/raft_log_file.cpp
@@ -19,7 +19,7 @@
 constexpr std::string_view kMagic = "BHAGREE1";
 constexpr std::size_t kFrameHeaderBytes = sizeof(std::uint32_t) + sizeof(std::uint64_t);
 // Payloads that are checked in search of a sound record behind a damaged one.
-constexpr std::size_t kMaxSearchedBytes = 256 * 1024 * 1024;
+constexpr std::size_t kMaxSearchedBytes = std::size_t{256} * 1024 * 1024;
 
 std::uint64_t checksum(std::string_view payload) {
   return XXH64(payload.data(), payload.size(), 0);
--- a/src/cluster/raft_log_file.h
+++ b/src/cluster/raft_log_file.h
@@ -17,7 +17,7 @@
 namespace beechhill::maintenance {
 
 /// Larger files are not read.
-inline constexpr std::size_t kMaxRaftLogFileBytes = 64 * 1024 * 1024;
+inline constexpr std::size_t kMaxRaftLogFileBytes = std::size_t{64} * 1024 * 1024;
 
 /// A record as it is appended to the file.
 std::string encode_frame(const LogRecord& record);
--- a/src/emulator/maintenance_simulation.cpp
+++ b/src/emulator/maintenance_simulation.cpp
@@ -52,6 +52,7 @@
     machine.cell = fmt::format("cell-{}", i / kBackendsPerCell);
   }
   std::vector<std::string> voters;
+  voters.reserve(spec_.voters);
   for (std::size_t i = 0; i < spec_.voters; ++i) {
     voters.push_back(proxy_name(i));
   }
--- a/src/maintenance/coordination_messages.cpp
+++ b/src/maintenance/coordination_messages.cpp
@@ -233,6 +233,8 @@
 std::optional<CoordinationMessage> decode_coordination_message(std::string_view bytes) {
   ByteReader reader(bytes);
   switch (reader.number<Type>()) {
+    case Type::kNone:
+      break;
     case Type::kLeaseRequest:
       return decode_lease_request(reader);
     case Type::kLeaseGrant:
--- a/src/maintenance/coordination_messages.h
+++ b/src/maintenance/coordination_messages.h
@@ -19,11 +19,13 @@
 inline constexpr std::size_t kMaxReportedZones = 64;
 inline constexpr std::size_t kMaxDrainConfirmations = 1'000;
 /// Of the answer to a query.
-inline constexpr std::size_t kMaxQueryResultBytes = 64 * 1024;
+inline constexpr std::size_t kMaxQueryResultBytes = std::size_t{64} * 1024;
 
 /// On the wire.
 enum class CoordinationMessageType : std::uint8_t {
-  kLeaseRequest = 1,
+  /// Of no message.
+  kNone,
+  kLeaseRequest,
   kLeaseGrant,
   kNotLeader,
   kLeadershipCheck,
--- a/src/maintenance/libraft_conversions.cpp
+++ b/src/maintenance/libraft_conversions.cpp
@@ -141,6 +141,7 @@
 
 std::vector<RaftServer> servers_of(const raft_configuration& configuration) {
   std::vector<RaftServer> servers;
+  servers.reserve(configuration.n);
   for (unsigned i = 0; i < configuration.n; ++i) {
     servers.push_back({configuration.servers[i].address, configuration.servers[i].role});
   }
@@ -160,7 +161,7 @@
   char* position = batch;
   for (std::size_t i = 0; i < entries.size(); ++i) {
     const LogEntry& entry = entries[i];
-    std::memcpy(position, entry.data.data(), entry.data.size());
+    std::copy(entry.data.begin(), entry.data.end(), position);
     made[i] = {entry.term, entry.type, {position, entry.data.size()}, batch};
     position += entry.data.size();
   }
@@ -169,6 +170,7 @@
 
 std::vector<LogEntry> entries_of(const raft_entry* entries, unsigned count) {
   std::vector<LogEntry> copies;
+  copies.reserve(count);
   for (unsigned i = 0; i < count; ++i) {
     copies.push_back({entries[i].term, entries[i].type, std::string(content_of(entries[i].buf))});
   }
--- a/src/maintenance/raft_messages.cpp
+++ b/src/maintenance/raft_messages.cpp
@@ -175,6 +175,8 @@
 
 std::optional<RaftMessageBody> decode_raft_body(RaftMessageType type, ByteReader& reader) {
   switch (type) {
+    case RaftMessageType::kNone:
+      break;
     case RaftMessageType::kAppendEntries:
       return decode_append_entries(reader);
     case RaftMessageType::kAppendEntriesResult:
--- a/src/maintenance/raft_messages.h
+++ b/src/maintenance/raft_messages.h
@@ -20,6 +20,8 @@
 
 /// On the wire; up to kTimeoutNow as libraft numbers them.
 enum class RaftMessageType : std::uint8_t {
+  /// Of no message.
+  kNone = 0,
   kAppendEntries = 1,
   kAppendEntriesResult = 2,
   kRequestVote = 3,
--- a/src/maintenance/raft_node.cpp
+++ b/src/maintenance/raft_node.cpp
@@ -1,17 +1,14 @@
 #include "maintenance/raft_node.h"
 
 #include <algorithm>
-#include <array>
 #include <charconv>
-#include <deque>
 #include <map>
-#include <random>
 #include <stdexcept>
 #include <utility>
 
 #include "base/byte_codec.h"
-#include "maintenance/libraft_conversions.h"
 #include "maintenance/raft_messages.h"
+#include "maintenance/raft_node_impl.h"
 
 namespace beechhill::maintenance {
 
@@ -28,19 +25,6 @@
 // Callbacks may queue further ones: a bound on how many run at a time.
 constexpr int kMaxCallbacksPerTick = 1'000;
 constexpr int kMaxCallbacksAtEnd = 10'000;
-// Of the state machine's results, which libraft carries as pointers.
-constexpr std::size_t kCommandResults = 256;
-
-CommandResult* as_pointer(CommandResult result) {
-  static std::array<CommandResult, kCommandResults> values = [] {
-    std::array<CommandResult, kCommandResults> all{};
-    for (std::size_t i = 0; i < all.size(); ++i) {
-      all.at(i) = static_cast<CommandResult>(i);
-    }
-    return all;
-  }();
-  return &values.at(static_cast<std::size_t>(result));
-}
 
 unsigned milliseconds(Duration duration) {
   return static_cast<unsigned>(duration / std::chrono::milliseconds(1));
@@ -53,7 +37,7 @@
   if (separator == std::string_view::npos || separator == 0) {
     return std::nullopt;
   }
-  const std::string_view digits = address.substr(separator + 1);
+  const std::string digits(address.substr(separator + 1));
   const char* const end = digits.data() + digits.size();
   Voter voter{std::string(address.substr(0, separator)), 0};
   const auto [stop, error] = std::from_chars(digits.data(), end, voter.generation);
@@ -65,6 +49,7 @@
 
 std::vector<LogRecord> initial_records(const std::vector<std::string>& voters) {
   std::vector<RaftServer> servers;
+  servers.reserve(voters.size());
   for (const std::string& name : voters) {
     servers.push_back({Voter{name, 1}.address(), RAFT_VOTER});
   }
@@ -84,176 +69,8 @@
   return {LogRecord::set_term(1), LogRecord::append(1, {entry})};
 }
 
-/// Gives libraft its I/O and state machine. Callbacks that libraft waits for are never called from
-/// within one of its own calls: they are queued, and run by run_callbacks().
-class RaftNode::Impl {
- public:
-  Impl(Time now, const Voter& self, RaftStorage& storage, MaintenanceStateMachine& state_machine,
-       const RaftTiming& timing, std::uint64_t seed)
-      : self_(self),
-        storage_(storage),
-        state_machine_(state_machine),
-        random_(seed),
-        now_(now),
-        next_raft_tick_(now),
-        next_tick_(now) {
-    set_io_callbacks();
-    set_fsm_callbacks();
-    start(timing);
-  }
-  ~Impl() { stop(); }
-  Impl(const Impl&) = delete;
-  Impl& operator=(const Impl&) = delete;
-
-  void tick(Time now);
-  void receive(Time now, std::string_view bytes);
-  std::vector<Outgoing> take_outgoing();
-  void propose(const Command& command, ProposalCallback done);
-  std::uint32_t readmit(const std::string& name);
-
-  bool is_leader() const { return !halted_ && raft_state(&raft_) == RAFT_LEADER; }
-  std::string leader() const;
-  std::uint64_t term() const { return raft_.current_term; }
-  bool halted() const { return halted_; }
-  bool rolled_back() const { return rolled_back_; }
-  Time next_tick() const { return next_tick_; }
-  std::size_t pending_proposals() const { return proposals_.size(); }
-
-  struct ConfiguredVoter {
-    Voter voter;
-    int role = 0;
-  };
-  /// Servers whose address is a voter's, in the order of the configuration.
-  std::vector<ConfiguredVoter> configuration() const;
-
- private:
-  struct PendingMessage {
-    /// Records that must be durable before it may be sent.
-    std::uint64_t required_records = 0;
-    Outgoing message;
-  };
-  struct PendingWrite {
-    std::uint64_t required_records = 0;
-    std::function<void(int status)> done;
-  };
-  struct Proposal {
-    struct raft_apply request{};
-    Impl* impl = nullptr;
-    ProposalCallback done;
-  };
-  /// The most that was seen of another voter's storage.
-  struct PeerStorage {
-    std::uint32_t generation = 0;
-    std::uint64_t appended_records = 0;
-  };
-
-  static Impl& of(raft_io* io) { return *static_cast<Impl*>(io->impl); }
-  static Impl& of(raft_fsm* fsm) { return *static_cast<Impl*>(fsm->data); }
-
-  void set_io_callbacks();
-  void set_fsm_callbacks();
-  void start(const RaftTiming& timing);
-  void stop();
-  void check(int error);
-
-  // raft_io, in the order of its members.
-  static int load(raft_io* io, raft_term* term, raft_id* vote, raft_snapshot** snapshot,
-                  raft_index* first_index, raft_entry** entries, size_t* count);
-  static int start_io(raft_io* io, unsigned tick_ms, raft_io_tick_cb tick, raft_io_recv_cb recv);
-  static int send(raft_io* io, raft_io_send* request, const raft_message* message,
-                  raft_io_send_cb done);
-  static int append(raft_io* io, raft_io_append* request, const raft_entry entries[],
-                    unsigned count, raft_io_append_cb done);
-  static int put_snapshot(raft_io* io, unsigned trailing, raft_io_snapshot_put* request,
-                          const raft_snapshot* snapshot, raft_io_snapshot_put_cb done);
-  static int get_snapshot(raft_io* io, raft_io_snapshot_get* request, raft_io_snapshot_get_cb done);
-  static int random_between(raft_io* io, int min, int max);
-  static int run_async_work(raft_io* io, raft_io_async_work* request, raft_io_async_work_cb done);
-
-  // raft_fsm.
-  static int apply(raft_fsm* fsm, const raft_buffer* buffer, void** result);
-  static int take_snapshot(raft_fsm* fsm, raft_buffer* buffers[], unsigned* count);
-  static int restore(raft_fsm* fsm, raft_buffer* buffer);
-
-  void queue_message(const raft_message& message);
-  void deliver(std::string_view bytes);
-  void report_rollback(const Voter& peer, std::uint64_t seen_records);
-  void run_callbacks();
-  void run_first_deferred();
-  void run_first_write(int status);
-  void cancel_callbacks();
-  static void finish_proposal(struct raft_apply* request, int status, void* result);
-
-  const Voter self_;
-  RaftStorage& storage_;
-  MaintenanceStateMachine& state_machine_;
-  std::mt19937_64 random_;
-  Time now_;
-  Duration tick_interval_{100'000};
-  Time next_raft_tick_;
-  Time next_tick_;
-  bool halted_ = false;
-  bool rolled_back_ = false;
-
-  raft_io io_{};
-  raft_fsm fsm_{};
-  // Mutable: getters of libraft take it without const.
-  mutable struct raft raft_{};
-  raft_io_tick_cb on_tick_ = nullptr;
-  raft_io_recv_cb on_receive_ = nullptr;
-  raft_io_close_cb on_closed_ = nullptr;
-
-  std::deque<PendingMessage> outgoing_;
-  std::deque<PendingWrite> writes_;
-  std::deque<std::function<void()>> deferred_;
-  std::map<Proposal*, std::unique_ptr<Proposal>> proposals_;
-  raft_change change_{};
-  bool change_in_progress_ = false;
-  std::map<std::string, PeerStorage> peer_storages_;
-};
-
 // ---- Start and end
 
-void RaftNode::Impl::set_io_callbacks() {
-  io_.version = 2;
-  io_.impl = this;
-  io_.init = [](raft_io*, raft_id, const char*) { return 0; };
-  io_.close = [](raft_io* io, raft_io_close_cb done) { of(io).on_closed_ = done; };
-  io_.load = load;
-  io_.start = start_io;
-  io_.bootstrap = [](raft_io*, const raft_configuration*) { return int{RAFT_CANTBOOTSTRAP}; };
-  io_.recover = [](raft_io*, const raft_configuration*) { return int{RAFT_INVALID}; };
-  io_.set_term = [](raft_io* io, raft_term term) {
-    of(io).storage_.append(LogRecord::set_term(term));
-    return 0;
-  };
-  io_.set_vote = [](raft_io* io, raft_id candidate) {
-    of(io).storage_.append(LogRecord::set_vote(candidate));
-    return 0;
-  };
-  io_.send = send;
-  io_.append = append;
-  io_.truncate = [](raft_io* io, raft_index index) {
-    of(io).storage_.append(LogRecord::truncate(index));
-    return 0;
-  };
-  io_.snapshot_put = put_snapshot;
-  io_.snapshot_get = get_snapshot;
-  io_.time = [](raft_io* io) {
-    return static_cast<raft_time>(of(io).now_ / std::chrono::milliseconds(1));
-  };
-  io_.random = random_between;
-  io_.async_work = run_async_work;
-}
-
-void RaftNode::Impl::set_fsm_callbacks() {
-  fsm_.version = 1;
-  fsm_.data = this;
-  fsm_.apply = apply;
-  fsm_.snapshot = take_snapshot;
-  fsm_.restore = restore;
-}
-
 void RaftNode::Impl::start(const RaftTiming& timing) {
   const std::string address = self_.address();
   check(raft_init(&raft_, &io_, &fsm_, server_id(address), address.c_str()));
@@ -303,103 +120,6 @@
   }
 }
 
-// ---- libraft's I/O
-
-int RaftNode::Impl::load(raft_io* io, raft_term* term, raft_id* vote, raft_snapshot** snapshot,
-                         raft_index* first_index, raft_entry** entries, size_t* count) {
-  const DurableState& state = of(io).storage_.state();
-  *term = state.term;
-  *vote = state.vote;
-  *first_index = state.first_index;
-  *count = state.entries.size();
-  *entries = make_entries(state.entries);
-  *snapshot = state.snapshot ? make_snapshot(*state.snapshot) : nullptr;
-  return 0;
-}
-
-int RaftNode::Impl::start_io(raft_io* io, unsigned tick_ms, raft_io_tick_cb tick,
-                             raft_io_recv_cb recv) {
-  Impl& impl = of(io);
-  impl.tick_interval_ = std::chrono::milliseconds(tick_ms);
-  impl.on_tick_ = tick;
-  impl.on_receive_ = recv;
-  return 0;
-}
-
-int RaftNode::Impl::send(raft_io* io, raft_io_send* request, const raft_message* message,
-                         raft_io_send_cb done) {
-  Impl& impl = of(io);
-  impl.queue_message(*message);
-  impl.deferred_.emplace_back([request, done] { done(request, 0); });
-  return 0;
-}
-
-int RaftNode::Impl::append(raft_io* io, raft_io_append* request, const raft_entry entries[],
-                           unsigned count, raft_io_append_cb done) {
-  Impl& impl = of(io);
-  const std::uint64_t required =
-      impl.storage_.append(LogRecord::append(0, entries_of(entries, count)));
-  impl.writes_.push_back({required, [request, done](int status) { done(request, status); }});
-  return 0;
-}
-
-int RaftNode::Impl::put_snapshot(raft_io* io, unsigned trailing, raft_io_snapshot_put* request,
-                                 const raft_snapshot* snapshot, raft_io_snapshot_put_cb done) {
-  Impl& impl = of(io);
-  const std::uint64_t required =
-      impl.storage_.append(LogRecord::take_snapshot(trailing, snapshot_of(*snapshot)));
-  impl.writes_.push_back({required, [request, done](int status) { done(request, status); }});
-  return 0;
-}
-
-int RaftNode::Impl::get_snapshot(raft_io* io, raft_io_snapshot_get* request,
-                                 raft_io_snapshot_get_cb done) {
-  Impl& impl = of(io);
-  if (!impl.storage_.state().snapshot) {
-    return RAFT_NOTFOUND;
-  }
-  impl.deferred_.emplace_back(
-      [&impl, request, done] { done(request, make_snapshot(*impl.storage_.state().snapshot), 0); });
-  return 0;
-}
-
-int RaftNode::Impl::random_between(raft_io* io, int min, int max) {
-  const auto range = static_cast<std::uint64_t>(std::max(1, max - min));
-  return min + static_cast<int>(of(io).random_() % range);
-}
-
-int RaftNode::Impl::run_async_work(raft_io* io, raft_io_async_work* request,
-                                   raft_io_async_work_cb done) {
-  of(io).deferred_.emplace_back([request, done] { done(request, request->work(request)); });
-  return 0;
-}
-
-// ---- libraft's state machine
-
-int RaftNode::Impl::apply(raft_fsm* fsm, const raft_buffer* buffer, void** result) {
-  Impl& impl = of(fsm);
-  const auto command = decode(content_of(*buffer));
-  const LogIndex index = raft_last_applied(&impl.raft_) + 1;
-  *result = as_pointer(command ? impl.state_machine_.apply(index, *command)
-                               : CommandResult::kUndecodable);
-  return 0;
-}
-
-int RaftNode::Impl::take_snapshot(raft_fsm* fsm, raft_buffer* buffers[], unsigned* count) {
-  *buffers = static_cast<raft_buffer*>(raft_malloc(sizeof(raft_buffer)));
-  **buffers = make_buffer(of(fsm).state_machine_.snapshot());
-  *count = 1;
-  return 0;
-}
-
-int RaftNode::Impl::restore(raft_fsm* fsm, raft_buffer* buffer) {
-  if (!of(fsm).state_machine_.restore(content_of(*buffer))) {
-    return RAFT_MALFORMED;
-  }
-  raft_free(buffer->base);
-  return 0;
-}
-
 // ---- Messages
 
 void RaftNode::Impl::queue_message(const raft_message& message) {
--- a/src/maintenance/raft_storage.cpp
+++ b/src/maintenance/raft_storage.cpp
@@ -80,28 +80,29 @@
       }
       break;
     case RecordType::kSnapshot:
-      apply_snapshot(record);
+      if (record.snapshot) {
+        apply_snapshot(*record.snapshot, record.value);
+      }
       break;
   }
 }
 
-void DurableState::apply_snapshot(const LogRecord& record) {
-  snapshot = record.snapshot;
-  const std::uint64_t trailing = record.value;
-  const bool replaces_log = trailing == 0;
+void DurableState::apply_snapshot(const RaftSnapshot& taken, std::uint64_t trailing_entries) {
+  snapshot = taken;
+  const bool replaces_log = trailing_entries == 0;
   const std::uint64_t end_index = first_index + entries.size();
   std::uint64_t keep_from = 1;
   if (replaces_log) {
     keep_from = end_index;
-  } else if (snapshot->index >= trailing) {
-    keep_from = snapshot->index - trailing + 1;
+  } else if (taken.index >= trailing_entries) {
+    keep_from = taken.index - trailing_entries + 1;
   }
   if (keep_from > first_index) {
     const auto removed = std::min<std::uint64_t>(keep_from - first_index, entries.size());
     entries.erase(entries.begin(), entries.begin() + static_cast<std::ptrdiff_t>(removed));
-    first_index = replaces_log ? snapshot->index + 1 : keep_from;
+    first_index = replaces_log ? taken.index + 1 : keep_from;
   } else if (entries.empty()) {
-    first_index = snapshot->index + 1;
+    first_index = taken.index + 1;
   }
 }
 
--- a/src/maintenance/raft_storage.h
+++ b/src/maintenance/raft_storage.h
@@ -89,7 +89,7 @@
   std::vector<LogRecord> records() const;
 
  private:
-  void apply_snapshot(const LogRecord& record);
+  void apply_snapshot(const RaftSnapshot& taken, std::uint64_t trailing_entries);
 };
 
 /// Where a voter's records go. Its user calls it from one thread.
