--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,4 @@
-// The adapter: lines in, lines out, and plain words on what is wrong with a line.
+// The simulator's host: replies to batches, and errors that name what is wrong with a line.
 #include "wire.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,9 @@
 namespace beechhill::wire {
 namespace {
 
-std::string begin(const std::string& events = "", const std::string& extra = "") {
+// A batch that begins an instance, and goes on with `events`. `extra`: further members of its
+// class.
+std::string first_batch(const std::string& events = "", const std::string& extra = "") {
   return R"({"moment":1000000,"serial":1,"balancers":[{"balancer-id":"balancer-1","events":[)"
          R"({"event_type":"Begin","prng":5,"env":{"discovery":"push","guarantees":{"cold-from":0.5,"cold":1000},)"
          R"("limits":{"most-tries":2},"something-new":[1],"zone":"z","profiles":[{"name":"k","repeat":"once",)"
@@ -21,7 +23,8 @@
 const std::string kRequest =
     R"(,{"event_type":"Request","id":"req-1","drop-dead":3000000,"kind":"k","retry":false,"write":false})";
 
-std::string one(const std::string& event) {
+// A later batch with one event for the instance of first_batch().
+std::string batch_with(const std::string& event) {
   return R"({"moment":1100000,"serial":2,"balancers":[{"balancer-id":"balancer-1","events":[)" +
          event + "]}]}";
 }
@@ -35,48 +38,48 @@
   EXPECT_EQ(reply.find('\n'), std::string::npos) << "a reply is one line";
 }
 
-TEST(Wire, AnEmptyBatchIsEchoed) {
+TEST(Wire, AnswersAnEmptyBatchWithItsSerial) {
   Host host;
   expect_reply(host.reply_to(R"({"moment":1,"serial":9,"balancers":[]})"),
                R"({"serial":9,"balancers":[]})");
 }
 
-TEST(Wire, ARequestIsRelayedUnderItsOwnNames) {
+TEST(Wire, RelaysARequestUnderItsOwnName) {
   Host host;
   expect_reply(
-      host.reply_to(begin(kList + kRequest)),
+      host.reply_to(first_batch(kList + kRequest)),
       R"({"serial":1,"balancers":[{"balancer-id":"balancer-1","out":[{"event_type":"Relay","id":"req-1",)"
       R"("upstream":"upstream-a"}]}]})");
 }
 
-TEST(Wire, AFailureThatMayHaveRunIsReported) {
+TEST(Wire, ReportsAFailureThatMayHaveRun) {
   Host host;
-  host.reply_to(begin(kList + kRequest));
-  const std::string reply = host.reply_to(one(
+  host.reply_to(first_batch(kList + kRequest));
+  const std::string reply = host.reply_to(batch_with(
       R"({"event_type":"Done","id":"req-1","send-no":0,"upstream":"upstream-a","result":5,"lag":1,"final":false})"));
   EXPECT_EQ(json(reply)["balancers"][0]["out"][0],
             json(R"({"event_type":"ReportFailure","id":"req-1"})"))
       << reply;
 }
 
-TEST(Wire, AClientGoneThatIsAlreadyForgottenIsIgnored) {
+TEST(Wire, IgnoresADisconnectOfAnUnknownRequest) {
   Host host;
-  host.reply_to(begin(kList));
-  expect_reply(host.reply_to(one(R"({"event_type":"CancelledByClient","id":"never-seen"})")),
+  host.reply_to(first_batch(kList));
+  expect_reply(host.reply_to(batch_with(R"({"event_type":"CancelledByClient","id":"never-seen"})")),
                R"({"serial":2,"balancers":[]})");
 }
 
-TEST(Wire, RestartForgetsEverything) {
+TEST(Wire, ForgetsEverythingOnRestart) {
   Host host;
-  host.reply_to(begin(kList + kRequest));
-  host.reply_to(one(R"({"event_type":"PowerOff"})"));
-  const std::string reply = host.reply_to(begin(kList + kRequest));
+  host.reply_to(first_batch(kList + kRequest));
+  host.reply_to(batch_with(R"({"event_type":"PowerOff"})"));
+  const std::string reply = host.reply_to(first_batch(kList + kRequest));
   EXPECT_NE(reply.find("Relay"), std::string::npos) << reply;
 }
 
-void expect_fault(const std::string& line, const std::string& part) {
+void expect_error(const std::string& line, const std::string& part) {
   Host host;
-  host.reply_to(begin(kList));
+  host.reply_to(first_batch(kList));
   try {
     host.reply_to(line);
     FAIL() << "accepted: " << line;
@@ -85,26 +88,27 @@
   }
 }
 
-TEST(Wire, BadLinesAreNamed) {
-  expect_fault("not json", "batch ?: line");
-  expect_fault("[]", "not a JSON object");
-  expect_fault(one(R"({"event_type":"Surprise"})"), "batch 2: event_type: not a known event");
-  expect_fault(one(R"({"event_type":"Wakeup"})"), "tag: missing");
-  expect_fault(one(R"({"event_type":"Wakeup","tag":7})"), "tag: not a string");
-  expect_fault(one(R"({"event_type":"Request","id":"x","kind":"k","drop-dead":"soon"})"),
+TEST(Wire, NamesTheBatchAndTheFieldThatIsWrong) {
+  expect_error("not json", "batch ?: line");
+  expect_error("[]", "not a JSON object");
+  expect_error(batch_with(R"({"event_type":"Surprise"})"),
+               "batch 2: event_type: not a known event");
+  expect_error(batch_with(R"({"event_type":"Wakeup"})"), "tag: missing");
+  expect_error(batch_with(R"({"event_type":"Wakeup","tag":7})"), "tag: not a string");
+  expect_error(batch_with(R"({"event_type":"Request","id":"x","kind":"k","drop-dead":"soon"})"),
                "drop-dead: not an integer");
-  expect_fault(one(R"({"event_type":"Request","id":"x","kind":"other","drop-dead":5})"),
+  expect_error(batch_with(R"({"event_type":"Request","id":"x","kind":"other","drop-dead":5})"),
                "kind: not listed");
-  expect_fault(one(R"({"event_type":"Discovery","mode":"F","serial":1,"slot":16})"),
+  expect_error(batch_with(R"({"event_type":"Discovery","mode":"F","serial":1,"slot":16})"),
                "slot: not in 0 to 15");
-  expect_fault(
+  expect_error(
       R"({"moment":1,"serial":2,"balancers":[{"balancer-id":"balancer-7","events":[{"event_type":"PowerOff"}]}]})",
       "balancer-id: names an instance");
 }
 
-TEST(Wire, SettingsThatMakeNoSenseBecomeAnInternalError) {
+TEST(Wire, ReportsInvalidSettingsAsAnInternalError) {
   Host host;
-  const std::string reply = host.reply_to(begin("", R"(,"worth":-1)"));
+  const std::string reply = host.reply_to(first_batch("", R"(,"worth":-1)"));
   EXPECT_NE(reply.find(R"("event_type":"InternalError")"), std::string::npos) << reply;
   EXPECT_NE(reply.find("classes.worth"), std::string::npos) << reply;
 }
