--- a/src/testbed/cluster_deployment.cpp
+++ b/src/testbed/cluster_deployment.cpp
@@ -23,6 +23,7 @@
 
 std::vector<std::string> voter_names(const emulator::Scenario& scenario) {
   std::vector<std::string> names;
+  names.reserve(scenario.group.voters);
   for (std::uint32_t voter = 0; voter < scenario.group.voters; ++voter) {
     names.push_back(proxy_name(voter));
   }
--- a/src/testbed/cluster_test/cluster_test.cpp
+++ b/src/testbed/cluster_test/cluster_test.cpp
@@ -19,8 +19,8 @@
 
 // The test itself, or its control.
 struct SingleRun {
-  std::unique_ptr<emulator::World> world;  // in the emulator; the metrics refer to it
-  std::optional<emulator::Metrics> metrics;
+  std::unique_ptr<emulator::World> world;            // in the emulator; the metrics refer to it
+  std::shared_ptr<const emulator::Metrics> metrics;  // never null
   Json::Value result;
   BackendPeaks peaks;
   std::uint64_t max_snapshot_requests = 0;
@@ -70,7 +70,7 @@
   SingleRun run;
   run.world = experiments::world_of(scenario, policy);
   run.world->run();
-  run.metrics = run.world->metrics();
+  run.metrics = std::make_shared<const emulator::Metrics>(run.world->metrics());
   run.result = run.metrics->to_json(true);
   run.peaks = {run.metrics->most_connections, run.metrics->most_arrivals};
   run.violations = run.world->rules().all() + run.world->left_over();
--- a/src/testbed/cluster_test/cluster_test_command.cpp
+++ b/src/testbed/cluster_test/cluster_test_command.cpp
@@ -19,6 +19,7 @@
 #include "testbed/console.h"
 #include "testbed/exit_code.h"
 #include "testbed/load_test.h"
+#include "testbed/scenario_options.h"
 
 namespace beechhill::testbed {
 
@@ -30,26 +31,17 @@
 constexpr std::uint32_t kMaxRuns = 10'000;
 
 struct Options {
-  std::string scenario_file;
-  std::string json_file;               // empty: none
-  std::string html_file;               // empty: none
-  std::vector<std::string> overrides;  // "KEY=VALUE"
+  ScenarioOptions scenario;
+  std::string json_file;  // empty: none
+  std::string html_file;  // empty: none
   ClusterTestOptions test;
-  std::int64_t seed = -1;  // negative: the scenario's
   std::uint32_t runs = 1;  // with this seed and the next ones
   bool draw_faults = false;
   bool shrink = false;
 };
 
-Scenario load_scenario(const Options& options, std::uint32_t run) {
-  toml::table root = emulator::load_scenario(options.scenario_file);
-  for (const std::string& change : options.overrides) {
-    emulator::override_from(root, change);
-  }
-  Scenario scenario = emulator::read_scenario(root, options.scenario_file);
-  if (options.seed >= 0) {
-    scenario.seed = static_cast<std::uint64_t>(options.seed);
-  }
+Scenario scenario_of_run(const Options& options, std::uint32_t run) {
+  Scenario scenario = load_scenario(options.scenario);
   scenario.seed += run;
   if (options.draw_faults) {
     scenario.faults = draw_faults(scenario, scenario.seed);
@@ -79,10 +71,6 @@
   return row;
 }
 
-std::string seconds_text(const std::optional<Duration>& duration) {
-  return duration ? fmt::format("{:.1f}", emulator::to_s(*duration)) : std::string("never");
-}
-
 void print_header(const Scenario& scenario, const ClusterTestOptions& options) {
   fmt::print("{}: {} {} and {} backends, {:.0f} requests/s for {:g} s\n", scenario.name,
              scenario.proxies, options.emulated ? "emulated proxies" : "processes",
@@ -152,14 +140,14 @@
 };
 
 ExitCode run(const Options& options) {
-  const Scenario first = load_scenario(options, 0);
+  const Scenario first = scenario_of_run(options, 0);
   print_header(first, options.test);
   const std::string policy = options.test.emulated ? options.test.policy : "real proxies";
   RecoverySummary summary;
   std::vector<Json::Value> rows;
   bool violated = false;
   for (std::uint32_t i = 0; i < options.runs; ++i) {
-    const Scenario scenario = load_scenario(options, i);
+    const Scenario scenario = scenario_of_run(options, i);
     const ClusterTestResult test = run_cluster_test(scenario, options.test);
     summary.add(test.recovery);
     print_result(test, scenario);
@@ -191,7 +179,7 @@
       "Run many proxies under a fault injection plan, against a control without it, and check the "
       "rules");
   command
-      ->add_option("scenario", options->scenario_file,
+      ->add_option("scenario", options->scenario.file,
                    "Scenario file of one tier, with its faults (TOML)")
       ->required();
   command->add_flag("--emulated", options->test.emulated,
@@ -200,8 +188,7 @@
       ->check(CLI::IsMember(emulator::policy_names()))
       ->capture_default_str();
   command->add_option("--proxy", options->test.program, "The proxy program");
-  command->add_option("--seed", options->seed, "In place of the scenario's seed")
-      ->check(CLI::NonNegativeNumber);
+  add_scenario_options(*command, options->scenario);
   command->add_option("--seeds", options->runs, "Number of runs, with this seed and the next ones")
       ->check(CLI::Range(1u, kMaxRuns))
       ->capture_default_str();
@@ -211,8 +198,6 @@
                     "Faults drawn from the seed in place of the scenario's");
   command->add_flag("--shrink", options->shrink,
                     "Remove faults from a plan that violates a rule, while it still does");
-  command->add_option("--set", options->overrides,
-                      "KEY=VALUE in place of the scenario's, such as fault.0.part=0.7");
   command->add_option("--json", options->json_file,
                       "Write the results to this file, as lines that `plot` reads");
   command->add_option("--html", options->html_file, "Plot the results into this file");
--- a/src/testbed/cluster_test/fault_plan.cpp
+++ b/src/testbed/cluster_test/fault_plan.cpp
@@ -108,6 +108,7 @@
   emulator::Stream random(seed, emulator::Actor::kFaults, kPlanStream);
   const std::size_t count = kMinFaults + random.below(kMaxFaults - kMinFaults + 1);
   std::vector<FaultSpec> faults;
+  faults.reserve(count);
   for (std::size_t i = 0; i < count; ++i) {
     faults.push_back(draw_fault(scenario, random));
   }
--- a/src/testbed/console.cpp
+++ b/src/testbed/console.cpp
@@ -7,6 +7,8 @@
 #include <fstream>
 #include <stdexcept>
 
+#include "emulator/units.h"
+
 namespace beechhill::testbed {
 
 namespace {
@@ -60,6 +62,10 @@
   }
 }
 
+std::string seconds_text(const std::optional<Duration>& duration) {
+  return duration ? fmt::format("{:.1f}", emulator::to_s(*duration)) : "never";
+}
+
 void write_text_file(const std::string& path, const std::string& text) {
   std::ofstream out(path);
   out << text;
--- a/src/testbed/console.h
+++ b/src/testbed/console.h
@@ -3,8 +3,11 @@
 
 #include <json/json.h>
 
+#include <optional>
 #include <string>
 
+#include "beechhill/balancer.h"
+
 namespace beechhill::testbed {
 
 /// One line of progress on standard error that is written over; nothing where that is no terminal.
@@ -26,6 +29,9 @@
 /// row for all, one for each class and one for each tenant.
 void print_result_table(const Json::Value& result);
 
+/// With one digit after the point; "never" for nullopt.
+std::string seconds_text(const std::optional<Duration>& duration);
+
 /// Replaces the file. Throws std::runtime_error where it cannot be written.
 void write_text_file(const std::string& path, const std::string& text);
 
--- a/src/testbed/cost_measurement.cpp
+++ b/src/testbed/cost_measurement.cpp
@@ -28,7 +28,6 @@
 
 // More than any number of clients that the command takes.
 constexpr int kMaxProxySockets = 16'384;
-constexpr std::uint64_t kProxySeed = 1000;
 
 // Of a scenario with any number of backends whose work takes no time.
 constexpr const char* kScenario = R"(
@@ -56,7 +55,7 @@
     const sockaddr_in address = port_.address();
     Json::Value config =
         proxy_configuration(scenario_, "proxy-0", net::to_string(address),
-                            services_.discovery(0).address_text(), scenario_.seed * kProxySeed);
+                            services_.discovery(0).address_text(), proxy_seed(scenario_, 0));
     config["limits"]["sockets"] = kMaxProxySockets;
     proxy_ = std::make_unique<ProxyProcess>(directory_, program, std::move(config), address);
   }
--- a/src/testbed/datagram_fault_proxy.cpp
+++ b/src/testbed/datagram_fault_proxy.cpp
@@ -5,6 +5,7 @@
 
 #include <stdexcept>
 
+#include "testbed/server_io.h"
 #include "testbed/task_helpers.h"
 
 namespace beechhill::testbed {
@@ -36,7 +37,7 @@
     throw std::invalid_argument("proxies.count: at most 100 that exchange gossip");
   }
   for (std::size_t i = 0; i < processes; ++i) {
-    const sockaddr_in address = *net::parse_address(advertised_address(i));
+    const sockaddr_in address = parse_own_address(advertised_address(i));
     sockets_.push_back(std::make_unique<net::DatagramSocket>(scheduler_, address));
     scheduler_.spawn(forward_to(i));
   }
@@ -102,7 +103,7 @@
 }
 
 void DatagramFaultProxy::send(std::size_t from, std::size_t to, const std::string& datagram) {
-  sockets_[from]->send(*net::parse_address(listen_address(to)), datagram);
+  sockets_[from]->send(parse_own_address(listen_address(to)), datagram);
 }
 
 }  // namespace beechhill::testbed
--- a/src/testbed/emulator_commands.cpp
+++ b/src/testbed/emulator_commands.cpp
@@ -19,6 +19,7 @@
 #include "experiments/plot.h"
 #include "testbed/console.h"
 #include "testbed/exit_code.h"
+#include "testbed/scenario_options.h"
 
 namespace beechhill::testbed {
 
@@ -60,27 +61,13 @@
 }
 
 struct EmulateOptions {
-  std::string scenario_file;
+  ScenarioOptions scenario;
   std::string policy = "module";
-  std::string json_file;               // empty: none
-  std::vector<std::string> overrides;  // "KEY=VALUE"
-  std::int64_t seed = -1;              // negative: the scenario's
+  std::string json_file;  // empty: none
 };
 
-emulator::Scenario load_scenario(const EmulateOptions& options) {
-  toml::table root = emulator::load_scenario(options.scenario_file);
-  for (const std::string& change : options.overrides) {
-    emulator::override_from(root, change);
-  }
-  emulator::Scenario scenario = emulator::read_scenario(root, options.scenario_file);
-  if (options.seed >= 0) {
-    scenario.seed = static_cast<std::uint64_t>(options.seed);
-  }
-  return scenario;
-}
-
 ExitCode emulate(const EmulateOptions& options) {
-  const emulator::Scenario scenario = load_scenario(options);
+  const emulator::Scenario scenario = load_scenario(options.scenario);
   experiments::RunOutput output;
   {
     ProgressLine progress;
@@ -190,14 +177,11 @@
   const auto options = std::make_shared<EmulateOptions>();
   CLI::App* command =
       app.add_subcommand("emulate", "Run one scenario in simulated time and print the results");
-  command->add_option("scenario", options->scenario_file, "Scenario file (TOML)")->required();
+  command->add_option("scenario", options->scenario.file, "Scenario file (TOML)")->required();
   command->add_option("--policy", options->policy, "The load balancing policy")
       ->check(CLI::IsMember(emulator::policy_names()))
       ->capture_default_str();
-  command->add_option("--seed", options->seed, "In place of the scenario's seed")
-      ->check(CLI::NonNegativeNumber);
-  command->add_option("--set", options->overrides,
-                      "KEY=VALUE in place of the scenario's, such as load.utilisation=1.2");
+  add_scenario_options(*command, options->scenario);
   command->add_option("--json", options->json_file,
                       "Write the whole result to this file, as one line that `plot` reads");
   command->callback([options, &exit_code] { exit_code = emulate(*options); });
--- a/src/testbed/fake_backend.cpp
+++ b/src/testbed/fake_backend.cpp
@@ -243,9 +243,10 @@
     in_slow_start_ = false;
     observations_->slow_start_ended(id_);
   }
-  if (in_slow_start_ && started_at()) {
+  const std::optional<Time> started = started_at();
+  if (in_slow_start_ && started) {
     observations_->work_received_in_slow_start(*exchange.observed_id, id_, exchange.work,
-                                               model_.capacity(now), *started_at());
+                                               model_.capacity(now), *started);
   }
 }
 
--- a/src/testbed/fake_backends_command.cpp
+++ b/src/testbed/fake_backends_command.cpp
@@ -13,11 +13,11 @@
 #include "net/socket.h"
 #include "runtime/scheduler.h"
 #include "testbed/console.h"
-#include "testbed/demo_scenario.h"
 #include "testbed/exit_code.h"
 #include "testbed/fake_services.h"
 #include "testbed/fault_injector.h"
 #include "testbed/proxy_configuration.h"
+#include "testbed/scenario_options.h"
 #include "testbed/task_helpers.h"
 #include "testbed/testbed_clock.h"
 
@@ -29,7 +29,6 @@
 
 namespace {
 
-constexpr std::uint64_t kProxySeed = 1000;
 constexpr double kDayS = 86'400;
 
 struct Options {
@@ -62,7 +61,7 @@
                                const std::string& discovery) {
   std::ostringstream text;
   text << proxy_configuration(scenario, "proxy-0", options.listen, discovery,
-                              scenario.seed * kProxySeed)
+                              proxy_seed(scenario, 0))
        << "\n";
   write_text_file(options.config_file, text.str());
 }
--- a/src/testbed/fake_discovery.cpp
+++ b/src/testbed/fake_discovery.cpp
@@ -127,6 +127,7 @@
     return;
   }
   std::vector<Endpoint> endpoints;
+  endpoints.reserve(endpoints_.size());
   for (const auto& [host, endpoint] : endpoints_) {
     endpoints.push_back(endpoint);
   }
@@ -138,6 +139,7 @@
     return;
   }
   std::vector<Endpoint> endpoints;
+  endpoints.reserve(to - from);
   for (std::size_t i = from; i < to; ++i) {
     endpoints.push_back(changes_[i].endpoint);
   }
--- a/src/testbed/fake_services.cpp
+++ b/src/testbed/fake_services.cpp
@@ -4,6 +4,7 @@
 
 #include <chrono>
 #include <cmath>
+#include <optional>
 #include <stdexcept>
 
 namespace beechhill::testbed {
@@ -85,6 +86,7 @@
 
 std::vector<Endpoint> FakeServices::endpoints() const {
   std::vector<Endpoint> all;
+  all.reserve(backends_.size());
   for (const auto& backend : backends_) {
     all.push_back(backend->endpoint());
   }
@@ -106,9 +108,10 @@
 Json::Value FakeServices::list_row(const FakeBackend& backend, EndpointStatus status,
                                    const std::string& address) const {
   std::int64_t started_at_unix_ms = 0;
-  if (backend.started_at()) {
-    const auto started = std::chrono::system_clock::now().time_since_epoch() -
-                         (clock_.now() - *backend.started_at());
+  const std::optional<Time> started_at = backend.started_at();
+  if (started_at) {
+    const auto started =
+        std::chrono::system_clock::now().time_since_epoch() - (clock_.now() - *started_at);
     started_at_unix_ms = std::chrono::duration_cast<std::chrono::milliseconds>(started).count();
   }
   Json::Value row;
--- a/src/testbed/load_test.cpp
+++ b/src/testbed/load_test.cpp
@@ -113,7 +113,7 @@
   }
 
   void collect_load(SocketRun& run) const {
-    run.metrics = load_->metrics();
+    run.metrics = std::make_shared<const emulator::Metrics>(load_->metrics());
     run.result = load_->metrics().to_json(true);
     run.asked = load_->requests();
     run.wrong_answers = load_->wrong_responses();
--- a/src/testbed/load_test.h
+++ b/src/testbed/load_test.h
@@ -7,7 +7,7 @@
 #include <cstdint>
 #include <functional>
 #include <map>
-#include <optional>
+#include <memory>
 #include <string>
 
 #include "emulator/metrics.h"
@@ -18,8 +18,8 @@
 /// reports about itself.
 struct SocketRun {
   Json::Value result;  // in the emulator's form, as far as it can be observed from outside
-  std::optional<emulator::Metrics> metrics;  // borrows the scenario
-  std::uint64_t asked = 0;                   // requests, retries not counted
+  std::shared_ptr<const emulator::Metrics> metrics;  // never null; borrows the scenario
+  std::uint64_t asked = 0;                           // requests, retries not counted
   std::uint64_t wrong_answers = 0;  // responses that belong to another request, or have an unknown
                                     /// status
   Duration max_send_delay{0};       // the most that the load generator was behind its time
--- a/src/testbed/load_test_commands.cpp
+++ b/src/testbed/load_test_commands.cpp
@@ -15,10 +15,10 @@
 #include "experiments/plot.h"
 #include "testbed/console.h"
 #include "testbed/cost_measurement.h"
-#include "testbed/demo_scenario.h"
 #include "testbed/exit_code.h"
 #include "testbed/fake_backends_command.h"
 #include "testbed/load_test.h"
+#include "testbed/scenario_options.h"
 
 namespace beechhill::testbed {
 
@@ -54,9 +54,7 @@
 void write_results(const Json::Value& row, const emulator::Scenario& scenario,
                    const LoadTestOptions& options) {
   if (!options.json_file.empty()) {
-    Json::StreamWriterBuilder builder;
-    builder["indentation"] = "";
-    write_text_file(options.json_file, Json::writeString(builder, row) + "\n");
+    experiments::write_lines(options.json_file, {row});
   }
   if (!options.html_file.empty()) {
     const std::string title = scenario.name + ": the real proxy with fake backends";
--- a/src/testbed/observation_log.h
+++ b/src/testbed/observation_log.h
@@ -97,7 +97,7 @@
     Time sent{0};
     std::uint32_t attempts = 0;
   };
-  // What discovery last told a proxy about a backend.
+  // What discovery last sent a proxy about a backend.
   struct AdvertisedState {
     bool up = false;
     std::optional<Time> down_since;
--- a/src/testbed/proxy_configuration.cpp
+++ b/src/testbed/proxy_configuration.cpp
@@ -11,6 +11,9 @@
 // Enough for any scenario's clients and backends.
 constexpr int kMaxSockets = 4096;
 
+// Seeds of one scenario's proxies are this far from those of the next scenario seed.
+constexpr std::uint64_t kSeedStride = 1000;
+
 Json::Int64 microseconds(Duration duration) {
   return static_cast<Json::Int64>(duration.count());
 }
@@ -63,6 +66,10 @@
 
 }  // namespace
 
+std::uint64_t proxy_seed(const emulator::Scenario& scenario, std::size_t proxy) {
+  return scenario.seed * kSeedStride + proxy;
+}
+
 Json::Value proxy_configuration(const emulator::Scenario& scenario, const std::string& name,
                                 const std::string& listen, const std::string& discovery,
                                 std::uint64_t seed) {
--- a/src/testbed/proxy_fault_injector.cpp
+++ b/src/testbed/proxy_fault_injector.cpp
@@ -81,7 +81,7 @@
   Duration notice = scenario_.proxy_notice;
   if (kind == FaultKind::kProxyEnd) {
     proxies_.process(proxy).request_shutdown();
-    notice = Duration{0};  // it tells the load balancer itself
+    notice = Duration{0};  // the load balancer learns of a graceful shutdown at once
   } else {
     proxies_.process(proxy).kill();
   }
--- a/src/testbed/proxy_group.cpp
+++ b/src/testbed/proxy_group.cpp
@@ -13,11 +13,9 @@
 
 namespace {
 
-// Each proxy's seed is this many times the scenario's, plus its number.
-constexpr std::uint64_t kSeedStride = 1000;
-
 std::vector<sockaddr_in> addresses_of(const std::vector<ReservedPort>& ports) {
   std::vector<sockaddr_in> addresses;
+  addresses.reserve(ports.size());
   for (const ReservedPort& port : ports) {
     addresses.push_back(port.address());
   }
@@ -47,9 +45,9 @@
   }
   for (std::size_t proxy = 0; proxy < scenario_.proxies; ++proxy) {
     const sockaddr_in address = ports_.emplace_back().address();
-    Json::Value config = proxy_configuration(scenario_, proxy_name(proxy), net::to_string(address),
-                                             services.discovery(proxy).address_text(),
-                                             scenario_.seed * kSeedStride + proxy);
+    Json::Value config =
+        proxy_configuration(scenario_, proxy_name(proxy), net::to_string(address),
+                            services.discovery(proxy).address_text(), proxy_seed(scenario_, proxy));
     if (has_cluster) {
       config["admin_addr"] = net::to_string(admin_ports_.emplace_back().address());
     }
--- a/src/testbed/demo_scenario.cpp
+++ b/src/testbed/scenario_options.cpp
@@ -1,4 +1,4 @@
-#include "testbed/demo_scenario.h"
+#include "testbed/scenario_options.h"
 
 #include "config/toml_reader.h"
 
@@ -55,6 +55,26 @@
 
 }  // namespace
 
+void add_scenario_options(CLI::App& command, ScenarioOptions& options) {
+  command.add_option("--seed", options.seed, "In place of the scenario's seed")
+      ->check(CLI::NonNegativeNumber);
+  command.add_option("--set", options.overrides,
+                     "KEY=VALUE in place of the scenario's, such as load.utilisation=1.2 or "
+                     "fault.0.part=0.7");
+}
+
+emulator::Scenario load_scenario(const ScenarioOptions& options) {
+  toml::table root = emulator::load_scenario(options.file);
+  for (const std::string& change : options.overrides) {
+    emulator::override_from(root, change);
+  }
+  emulator::Scenario scenario = emulator::read_scenario(root, options.file);
+  if (options.seed >= 0) {
+    scenario.seed = static_cast<std::uint64_t>(options.seed);
+  }
+  return scenario;
+}
+
 emulator::Scenario load_scenario_or_demo(const std::string& file) {
   if (file.empty()) {
     return emulator::read_scenario(config::parse_toml(kDemo, "demo"), "demo");
--- a/src/testbed/server_io.cpp
+++ b/src/testbed/server_io.cpp
@@ -1,13 +1,24 @@
 #include "testbed/server_io.h"
 
+#include <optional>
+#include <stdexcept>
+
 namespace beechhill::testbed {
 
 using net::Io;
 using runtime::Clock;
 using runtime::Task;
 
+sockaddr_in parse_own_address(const std::string& text) {
+  const std::optional<sockaddr_in> address = net::parse_address(text);
+  if (!address) {
+    throw std::invalid_argument(text + ": no address");
+  }
+  return *address;
+}
+
 sockaddr_in any_loopback_port() {
-  return *net::parse_address("127.0.0.1:0");
+  return parse_own_address("127.0.0.1:0");
 }
 
 Task<bool> read_request(net::Stream& stream, std::string& buffer, http::Message& request) {
--- a/src/testbed/server_io.h
+++ b/src/testbed/server_io.h
@@ -15,6 +15,10 @@
 /// How often a server that a fault holds back looks whether the fault is over.
 inline constexpr std::chrono::milliseconds kFaultPollInterval{5};
 
+/// The address in a text of this program's own, "host:port". Throws std::invalid_argument where it
+/// is none.
+sockaddr_in parse_own_address(const std::string& text);
+
 /// 127.0.0.1 with a port that the system picks.
 sockaddr_in any_loopback_port();
 
--- a/src/testbed/simulation_commands.cpp
+++ b/src/testbed/simulation_commands.cpp
@@ -15,6 +15,7 @@
 #include "emulator/gossip_simulation.h"
 #include "emulator/maintenance_simulation.h"
 #include "emulator/units.h"
+#include "testbed/console.h"
 #include "testbed/exit_code.h"
 
 namespace beechhill::testbed {
@@ -111,10 +112,6 @@
   return result;
 }
 
-std::string seconds_text(const std::optional<Duration>& duration) {
-  return duration ? fmt::format("{:.1f}", to_s(*duration)) : std::string("never");
-}
-
 // 0 where there are no values.
 double quantile(const std::vector<double>& sorted, double q) {
   if (sorted.empty()) {
