--- a/src/proxy/client_response_encoder.cpp
+++ b/src/proxy/client_response_encoder.cpp
@@ -2,7 +2,9 @@
 
 #include <variant>
 
+#include "http/field_values.h"
 #include "http/message.h"
+#include "http/writer.h"
 
 namespace beechhill::proxy {
 namespace {
