--- a/tests/module_limits.sh
+++ b/tests/module_limits.sh
@@ -10,6 +10,9 @@
 mapfile -t listed < <(sed -n 's/^policy *= *\[\(.*\)\] *$/\1/p' deploy/balancer.toml |
   tr ',' '\n' | sed 's/^ *"//; s/" *$//' | sed '/^$/d')
 [ "${#listed[@]}" -gt 0 ] || { echo "deploy/balancer.toml lists no policy"; exit 1; }
+for entry in "${listed[@]}"; do
+  [ -e "$entry" ] || { echo "deploy/balancer.toml lists $entry, which does not exist"; exit 1; }
+done
 mapfile -t files < <(find "${listed[@]}" -type f | sort)
 [ "${#files[@]}" -gt 0 ] || { echo "no files below ${listed[*]}"; exit 1; }
 
