--- a/src/routing/subset.cpp
+++ b/src/routing/subset.cpp
@@ -9,156 +9,188 @@
 namespace beechhill::routing {
 namespace {
 
+// Widths of arcs are powers of two and their halves in between.
 constexpr double kStepsPerOctave = 2;
-constexpr double kFewest =
-    0.5;  // of the up nodes that its width stands for, under which an arc is widened
-
-double fraction(std::uint64_t hash) {
+// An arc is widened while it holds less than this part of the endpoints that its width stands for,
+// counting those that are up.
+constexpr double kMinUpFraction = 0.5;
+// Seeds the hash of units, so that it is independent of the hashes it is made of.
+constexpr std::uint64_t kUnitHashSeed = 1;
+
+// A hash as a number from 0 to 1, of the 53 bits that a double holds.
+double to_fraction(std::uint64_t hash) {
   return static_cast<double>(hash >> 11) * 0x1.0p-53;
 }
-std::uint64_t hash_of(std::uint64_t value, std::uint64_t seed) {
-  return XXH3_64bits_withSeed(&value, sizeof value, seed);
+
+std::uint64_t hash_of_unit(std::uint64_t unit) {
+  return XXH3_64bits_withSeed(&unit, sizeof unit, kUnitHashSeed);
 }
 
-double stepped(double width) {  // up to the next step
+double round_up_to_step(double width) {
   if (width >= 1) {
     return 1;
   }
   return std::min(1.0, std::exp2(std::ceil(std::log2(width) * kStepsPerOctave) / kStepsPerOctave));
 }
 
+// Van der Corput's sequence in base 2: the bits of `index`, mirrored at the binary point.
+double van_der_corput(std::uint32_t index) {
+  double value = 0;
+  double bit_value = 0.5;
+  for (; index > 0; index >>= 1) {
+    value += (index & 1) * bit_value;
+    bit_value /= 2;
+  }
+  return value;
+}
+
 }  // namespace
 
 std::uint64_t hash_of_name(const std::string& name) {
   return XXH3_64bits(name.data(), name.size());
 }
 
-Unit subset_unit_for(const std::vector<ClassSettings>& classes) {
-  Unit unit = Unit::kEndpoint;
-  for (const ClassSettings& c : classes) {
-    if (c.idempotency != Idempotency::kIdempotencyKey ||
-        c.deduplication_scope == DeduplicationScope::kAll) {
+SubsetUnit subset_unit_for(const std::vector<ClassSettings>& classes) {
+  SubsetUnit unit = SubsetUnit::kEndpoint;
+  for (const ClassSettings& settings : classes) {
+    if (settings.idempotency != Idempotency::kIdempotencyKey ||
+        settings.deduplication_scope == DeduplicationScope::kAll) {
       continue;
     }
-    unit = std::max(unit,
-                    c.deduplication_scope == DeduplicationScope::kZone ? Unit::kZone : Unit::kCell);
+    const bool within_zone = settings.deduplication_scope == DeduplicationScope::kZone;
+    unit = std::max(unit, within_zone ? SubsetUnit::kZone : SubsetUnit::kCell);
   }
   return unit;
 }
 
-double arc_width(const SubsetSettings& s, std::size_t fleet) {
-  if (s.min_endpoints == 0 || fleet <= s.min_endpoints) {
+double arc_width(const SubsetSettings& settings, std::size_t endpoint_count) {
+  if (settings.min_endpoints == 0 || endpoint_count <= settings.min_endpoints) {
     return 1;
   }
-  double width = static_cast<double>(s.min_endpoints) / static_cast<double>(fleet);
-  if (s.proxies > 0) {
-    width = std::max(width, static_cast<double>(s.coverage) / s.proxies);
+  double width = static_cast<double>(settings.min_endpoints) / static_cast<double>(endpoint_count);
+  if (settings.proxies > 0) {
+    width = std::max(width, static_cast<double>(settings.coverage) / settings.proxies);
   }
-  return stepped(width);
+  return round_up_to_step(width);
 }
 
-double arc_start(const SubsetSettings& s, const std::string& name) {
-  if (!s.proxy_index) {
-    return fraction(hash_of_name(name));
+double arc_start(const SubsetSettings& settings, const std::string& proxy_name) {
+  if (!settings.proxy_index) {
+    return to_fraction(hash_of_name(proxy_name));
   }
-  double at = 0, half = 0.5;  // its bits, reversed behind the point
-  for (std::uint32_t left = *s.proxy_index; left > 0; left >>= 1, half /= 2) {
-    at += (left & 1) * half;
-  }
-  return at;
-}
-
-SubsetView::SubsetView(SubsetSettings settings, Unit unit, std::string name)
-    : settings_(settings), unit_(unit), start_(arc_start(settings, name)) {
+  return van_der_corput(*settings.proxy_index);
 }
 
-bool SubsetView::uses(EndpointId server) const {
-  return server < nodes_.size() && nodes_[server].used;
+SubsetView::SubsetView(SubsetSettings settings, SubsetUnit unit, std::string proxy_name)
+    : settings_(settings), unit_(unit), start_(arc_start(settings, proxy_name)) {
 }
 
-double SubsetView::turned(const Node& n) const {
-  const std::uint64_t unit = unit_ == Unit::kEndpoint ? n.hash
-                             : unit_ == Unit::kCell   ? n.entry.cell
-                                                      : n.entry.zone;
-  const double at = fraction(hash_of(unit, 1)) - start_;
-  return at - std::floor(at);
+bool SubsetView::uses(EndpointId id) const {
+  return id < endpoints_.size() && endpoints_[id].used;
 }
 
-void SubsetView::review(EndpointId id, bool mentioned, std::vector<Endpoint>& out) {
-  Node& n = nodes_[id];
-  const bool used = n.listed && in_arc(n);
-  const bool was = std::exchange(n.used, used);
-  used_ += used, used_ -= was;
-  if (used && (mentioned || !was)) {
-    out.push_back(n.entry);
-  }
-  if (was && !used) {
-    out.push_back(n.entry);
-    out.back().status = EndpointStatus::kRemoved;
+double SubsetView::ring_position(const EndpointState& state) const {
+  std::uint64_t unit = state.hash;
+  if (unit_ == SubsetUnit::kCell) {
+    unit = state.endpoint.cell;
+  } else if (unit_ == SubsetUnit::kZone) {
+    unit = state.endpoint.zone;
   }
+  const double distance = to_fraction(hash_of_unit(unit)) - start_;
+  return distance - std::floor(distance);
 }
 
-EndpointUpdate SubsetView::apply(const EndpointUpdate& told,
-                                 const std::vector<std::uint64_t>& node_hashes) {
-  if (told.kind == UpdateKind::kFailed) {
-    return told;
+EndpointUpdate SubsetView::apply(const EndpointUpdate& update,
+                                 const std::vector<std::uint64_t>& endpoint_hashes) {
+  if (update.kind == UpdateKind::kFailed) {
+    return update;
   }
-  const bool whole = told.kind != UpdateKind::kDelta;
-  if (whole) {
-    for (Node& n : nodes_) {
-      n.listed = false;
+  const bool complete_list = update.kind != UpdateKind::kDelta;
+  if (complete_list) {
+    for (EndpointState& state : endpoints_) {
+      state.listed = false;
     }
   }
-  std::vector<EndpointId> mentioned;
-  for (std::size_t i = 0; i < told.endpoints.size(); ++i) {
-    const Endpoint& e = told.endpoints[i];
-    if (e.id >= nodes_.size()) {
-      nodes_.resize(e.id + 1);
+  const std::vector<EndpointId> updated_ids = store(update, endpoint_hashes);
+  const double previous_width = width_;
+  update_arc_width();
+  EndpointUpdate result{update.kind, {}};
+  if (!complete_list && previous_width == width_) {
+    for (const EndpointId id : updated_ids) {
+      update_membership(id, true, result.endpoints);
     }
-    Node& n = nodes_[e.id];
-    if (!n.listed) {
-      n.hash = node_hashes[i];
+    return result;
+  }
+  std::vector<bool> updated(endpoints_.size(), false);
+  for (const EndpointId id : updated_ids) {
+    updated[id] = true;
+  }
+  for (EndpointId id = 0; id < endpoints_.size(); ++id) {
+    update_membership(id, complete_list || updated[id], result.endpoints);
+  }
+  if (complete_list) {
+    // A complete list removes whatever it does not name.
+    std::erase_if(result.endpoints, [](const Endpoint& endpoint) {
+      return endpoint.status == EndpointStatus::kRemoved;
+    });
+  }
+  return result;
+}
+
+// Stores the endpoints of an update. Returns their ids.
+std::vector<EndpointId> SubsetView::store(const EndpointUpdate& update,
+                                          const std::vector<std::uint64_t>& endpoint_hashes) {
+  std::vector<EndpointId> ids;
+  for (std::size_t i = 0; i < update.endpoints.size(); ++i) {
+    const Endpoint& endpoint = update.endpoints[i];
+    if (endpoint.id >= endpoints_.size()) {
+      endpoints_.resize(endpoint.id + 1);
     }
-    n.entry = e;
-    n.listed = e.status != EndpointStatus::kRemoved;
-    n.turned = turned(n);
-    mentioned.push_back(e.id);
-  }
-  listed_ = static_cast<std::size_t>(
-      std::count_if(nodes_.begin(), nodes_.end(), [](const Node& n) { return n.listed; }));
-  EndpointUpdate out{told.kind, {}};
-  const double width = width_;
-  widen();
-  if (!whole && width == width_) {
-    for (const EndpointId id : mentioned) {
-      review(id, true, out.endpoints);
+    EndpointState& state = endpoints_[endpoint.id];
+    if (!state.listed) {
+      state.hash = endpoint_hashes[i];
     }
-    return out;
-  }
-  std::vector<bool> said(nodes_.size(), false);
-  for (const EndpointId id : mentioned) {
-    said[id] = true;
+    state.endpoint = endpoint;
+    state.listed = endpoint.status != EndpointStatus::kRemoved;
+    state.ring_position = ring_position(state);
+    ids.push_back(endpoint.id);
+  }
+  listed_count_ = static_cast<std::size_t>(
+      std::count_if(endpoints_.begin(), endpoints_.end(),
+                    [](const EndpointState& state) { return state.listed; }));
+  return ids;
+}
+
+// Decides whether an endpoint is in the subset, and appends what that changes. `updated`: its state
+// is to be reported even where it stays in the subset.
+void SubsetView::update_membership(EndpointId id, bool updated, std::vector<Endpoint>& changes) {
+  EndpointState& state = endpoints_[id];
+  const bool was_used = state.used;
+  state.used = state.listed && in_arc(state);
+  if (state.used && !was_used) {
+    ++used_count_;
   }
-  for (EndpointId id = 0; id < nodes_.size(); ++id) {
-    review(id, whole || said[id], out.endpoints);
+  if (was_used && !state.used) {
+    --used_count_;
+    changes.push_back(state.endpoint);
+    changes.back().status = EndpointStatus::kRemoved;
   }
-  if (whole) {
-    std::erase_if(out.endpoints,
-                  [](const Endpoint& e) { return e.status == EndpointStatus::kRemoved; });
+  if (state.used && (updated || !was_used)) {
+    changes.push_back(state.endpoint);
   }
-  return out;
 }
 
-// The width that the fleet's size asks for; twice as wide, and again, while the arc holds too few
-// nodes that are up: a subset of which all nodes fail must not stay one.
-void SubsetView::widen() {
-  width_ = arc_width(settings_, listed_);
+// The width for the number of endpoints, doubled while the arc holds too few endpoints that are up:
+// a proxy whose endpoints all fail must not be left without any.
+void SubsetView::update_arc_width() {
+  width_ = arc_width(settings_, listed_count_);
   while (width_ < 1) {
-    std::size_t in = 0;
-    for (const Node& n : nodes_) {
-      in += n.listed && n.entry.status == EndpointStatus::kUp && in_arc(n);
-    }
-    if (static_cast<double>(in) >= kFewest * width_ * static_cast<double>(listed_)) {
+    const auto up_in_arc =
+        std::count_if(endpoints_.begin(), endpoints_.end(), [this](const EndpointState& state) {
+          return state.listed && state.endpoint.status == EndpointStatus::kUp && in_arc(state);
+        });
+    const double expected = width_ * static_cast<double>(listed_count_);
+    if (static_cast<double>(up_in_arc) >= kMinUpFraction * expected) {
       return;
     }
     width_ = std::min(1.0, 2 * width_);
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -1,6 +1,8 @@
-// Properties of subsets over random fleets, and the ranked set that choices are sampled from.
+// Properties of subsets over random sets of endpoints, and the ranked set that choices are sampled
+// from.
 #include <gtest/gtest.h>
 
+#include <algorithm>
 #include <cmath>
 #include <random>
 #include <set>
@@ -11,214 +13,235 @@
 namespace beechhill::routing {
 namespace {
 
-constexpr std::uint32_t kCell = 8;
+constexpr std::uint32_t kEndpointsPerCell = 8;
+constexpr std::uint32_t kZones = 4;
 
-Endpoint entry(EndpointId id) {
-  Endpoint e;
-  e.id = id;
-  e.cell = id / kCell;
-  e.zone = e.cell % 4;
-  return e;
+Endpoint endpoint(EndpointId id) {
+  Endpoint endpoint;
+  endpoint.id = id;
+  endpoint.cell = id / kEndpointsPerCell;
+  endpoint.zone = endpoint.cell % kZones;
+  return endpoint;
 }
-struct Fleet {
-  explicit Fleet(EndpointId nodes, std::uint64_t seed = 0) : salt(seed << 32) {
-    for (EndpointId id = 0; id < nodes; ++id) {
-      list.endpoints.push_back(entry(id));
+
+// A complete list of endpoints, with hashes that differ between seeds.
+struct EndpointList {
+  explicit EndpointList(EndpointId count, std::uint64_t seed = 0) : hash_salt(seed << 32) {
+    snapshot.endpoints.reserve(count);
+    for (EndpointId id = 0; id < count; ++id) {
+      snapshot.endpoints.push_back(endpoint(id));
     }
   }
-  std::vector<std::uint64_t> hashes(const EndpointUpdate& d) const {
-    std::vector<std::uint64_t> all;
-    for (const Endpoint& e : d.endpoints) {
-      all.push_back(salt + e.id + 1);
+
+  std::vector<std::uint64_t> hashes(const EndpointUpdate& update) const {
+    std::vector<std::uint64_t> hashes;
+    hashes.reserve(update.endpoints.size());
+    for (const Endpoint& endpoint : update.endpoints) {
+      hashes.push_back(hash_salt + endpoint.id + 1);
     }
-    return all;
+    return hashes;
+  }
+
+  EndpointUpdate apply_to(SubsetView& view) const { return apply_to(view, snapshot); }
+  EndpointUpdate apply_to(SubsetView& view, const EndpointUpdate& update) const {
+    return view.apply(update, hashes(update));
   }
-  EndpointUpdate list{UpdateKind::kSnapshot, {}};
-  std::uint64_t salt;
+
+  EndpointUpdate snapshot{UpdateKind::kSnapshot, {}};
+  std::uint64_t hash_salt;
 };
 
-std::vector<SubsetView> proxies_of(std::uint32_t count, SubsetSettings s, const Fleet& fleet,
-                                   Unit unit = Unit::kEndpoint) {
-  std::vector<SubsetView> all;
+std::vector<SubsetView> make_proxies(std::uint32_t count, SubsetSettings settings,
+                                     const EndpointList& list,
+                                     SubsetUnit unit = SubsetUnit::kEndpoint) {
+  std::vector<SubsetView> proxies;
+  proxies.reserve(count);
   for (std::uint32_t i = 0; i < count; ++i) {
-    s.proxy_index = i;
-    all.emplace_back(s, unit, "proxy-" + std::to_string(i));
-    all.back().apply(fleet.list, fleet.hashes(fleet.list));
+    settings.proxy_index = i;
+    proxies.emplace_back(settings, unit, "proxy-" + std::to_string(i));
+    list.apply_to(proxies.back());
   }
-  return all;
+  return proxies;
 }
-std::vector<int> users_of(const std::vector<SubsetView>& proxies, EndpointId nodes) {
-  std::vector<int> users(nodes, 0);
-  for (const SubsetView& p : proxies) {
-    for (EndpointId id = 0; id < nodes; ++id) {
-      users[id] += p.uses(id);
+
+// The number of proxies that use each endpoint.
+std::vector<int> users_of(const std::vector<SubsetView>& proxies, EndpointId endpoint_count) {
+  std::vector<int> users(endpoint_count, 0);
+  for (const SubsetView& proxy : proxies) {
+    for (EndpointId id = 0; id < endpoint_count; ++id) {
+      users[id] += proxy.uses(id);
     }
   }
   return users;
 }
 
-TEST(Subset, SmallFleetsAreUsedWhole) {
-  const Fleet fleet(60);
-  for (const std::uint32_t nodes : {0u, 60u, 100u}) {
-    SubsetView view({nodes, 8, 10, 3u}, Unit::kCell, "p");
-    const EndpointUpdate out = view.apply(fleet.list, fleet.hashes(fleet.list));
-    ASSERT_EQ(out.endpoints.size(), 60u);
+TEST(Subset, UsesAllEndpointsOfASmallList) {
+  const EndpointList list(60);
+  for (const std::uint32_t min_endpoints : {0u, 60u, 100u}) {
+    SubsetView view({min_endpoints, 8, 10, 3u}, SubsetUnit::kCell, "p");
+    const EndpointUpdate result = list.apply_to(view);
+    ASSERT_EQ(result.endpoints.size(), 60u);
     for (std::size_t i = 0; i < 60; ++i) {
-      EXPECT_EQ(out.endpoints[i].id, i);
+      EXPECT_EQ(result.endpoints[i].id, i);
     }
   }
 }
 
-// Every node has nearly as many proxies as any other, even where the number of proxies is told
-// wrong by two.
-TEST(Subset, IsBalanced) {
-  for (const auto& [nodes, count, told] : {std::tuple{1000u, 50u, 50u},
-                                           {1000u, 50u, 25u},
-                                           {1000u, 50u, 100u},
-                                           {10'000u, 100u, 100u}}) {
+// Also where the configured number of proxies is wrong by a factor of two.
+TEST(Subset, EveryEndpointIsUsedByNearlyAsManyProxies) {
+  for (const auto& [endpoints, proxy_count, configured_proxies] : {std::tuple{1000u, 50u, 50u},
+                                                                   {1000u, 50u, 25u},
+                                                                   {1000u, 50u, 100u},
+                                                                   {10'000u, 100u, 100u}}) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-      const Fleet fleet(nodes, seed);
-      SubsetSettings s{100, 8, told, std::nullopt};
-      const auto proxies = proxies_of(count, s, fleet);
-      const auto users = users_of(proxies, nodes);
-      const auto [least, most] = std::minmax_element(users.begin(), users.end());
-      const double mean = arc_width(s, nodes) * count;
-      EXPECT_GE(*least, mean - 3) << nodes << " told " << told;
-      EXPECT_LE(*most, mean + 3) << nodes << " told " << told;
-      EXPECT_GE(*least, 1);
-      for (const SubsetView& p : proxies) {
-        EXPECT_GE(p.used_endpoints(), 60u);
+      const EndpointList list(endpoints, seed);
+      const SubsetSettings settings{100, 8, configured_proxies, std::nullopt};
+      const auto proxies = make_proxies(proxy_count, settings, list);
+      const auto users = users_of(proxies, endpoints);
+      const auto [fewest, most] = std::minmax_element(users.begin(), users.end());
+      const double mean = arc_width(settings, endpoints) * proxy_count;
+      EXPECT_GE(*fewest, mean - 3) << endpoints << " configured " << configured_proxies;
+      EXPECT_LE(*most, mean + 3) << endpoints << " configured " << configured_proxies;
+      EXPECT_GE(*fewest, 1);
+      for (const SubsetView& proxy : proxies) {
+        EXPECT_GE(proxy.used_endpoints(), 60u);
       }
     }
   }
 }
 
-// A node that comes or goes changes only the proxies that use it; a proxy that comes changes no
-// other.
-TEST(Subset, OneChangeMovesLittle) {
+TEST(Subset, OneChangedEndpointConcernsOnlyTheProxiesThatUseIt) {
   std::mt19937_64 random(3);
   for (int round = 0; round < 20; ++round) {
-    const EndpointId nodes = 500 + static_cast<EndpointId>(random() % 2000);
-    Fleet fleet(nodes, random() % 1000);
-    auto proxies = proxies_of(40, {100, 8, 40, std::nullopt}, fleet);
-    const auto before = users_of(proxies, nodes + 1);
-    EndpointUpdate change{UpdateKind::kDelta, {entry(nodes)}};
+    const EndpointId count = 500 + static_cast<EndpointId>(random() % 2000);
+    const EndpointList list(count, random() % 1000);
+    auto proxies = make_proxies(40, {100, 8, 40, std::nullopt}, list);
+    const auto before = users_of(proxies, count + 1);
+    EndpointUpdate update{UpdateKind::kDelta, {endpoint(count)}};
     if (round % 2) {
-      change.endpoints[0] = entry(static_cast<EndpointId>(random() % nodes));
-      change.endpoints[0].status = EndpointStatus::kRemoved;
+      update.endpoints[0] = endpoint(static_cast<EndpointId>(random() % count));
+      update.endpoints[0].status = EndpointStatus::kRemoved;
     }
-    std::size_t told = 0;
-    for (SubsetView& p : proxies) {
-      told += p.apply(change, fleet.hashes(change)).endpoints.size();
+    std::size_t reported = 0;
+    for (SubsetView& proxy : proxies) {
+      reported += list.apply_to(proxy, update).endpoints.size();
     }
-    const auto after = users_of(proxies, nodes + 1);
-    const EndpointId touched = change.endpoints[0].id;
-    for (EndpointId id = 0; id <= nodes; ++id) {
-      EXPECT_TRUE(id == touched || before[id] == after[id]) << id;
+    const auto after = users_of(proxies, count + 1);
+    const EndpointId changed = update.endpoints[0].id;
+    for (EndpointId id = 0; id <= count; ++id) {
+      EXPECT_TRUE(id == changed || before[id] == after[id]) << id;
     }
-    EXPECT_EQ(told, static_cast<std::size_t>(std::abs(after[touched] - before[touched])));
+    EXPECT_EQ(reported, static_cast<std::size_t>(std::abs(after[changed] - before[changed])));
   }
 }
 
-TEST(Subset, KeepsGroupsWholeAndLosesItsShareWithAZone) {
-  const Fleet fleet(4000);
-  for (const SubsetView& p : proxies_of(30, {300, 8, 30, std::nullopt}, fleet, Unit::kCell)) {
-    std::vector<int> by_zone(4, 0);
+TEST(Subset, KeepsCellsTogetherAndMixesZones) {
+  const EndpointList list(4000);
+  for (const SubsetView& proxy :
+       make_proxies(30, {300, 8, 30, std::nullopt}, list, SubsetUnit::kCell)) {
+    std::vector<int> used_by_zone(kZones, 0);
     for (EndpointId id = 0; id < 4000; ++id) {
-      EXPECT_EQ(p.uses(id), p.uses(id / kCell * kCell)) << "cell " << id / kCell;
-      by_zone[entry(id).zone] += p.uses(id);
+      const EndpointId first_of_cell = id / kEndpointsPerCell * kEndpointsPerCell;
+      EXPECT_EQ(proxy.uses(id), proxy.uses(first_of_cell)) << "cell " << id / kEndpointsPerCell;
+      used_by_zone[endpoint(id).zone] += proxy.uses(id);
     }
-    for (const int n : by_zone) {
-      EXPECT_NEAR(static_cast<double>(n) / static_cast<double>(p.used_endpoints()), 0.25, 0.12);
+    for (const int used : used_by_zone) {
+      EXPECT_NEAR(static_cast<double>(used) / static_cast<double>(proxy.used_endpoints()), 0.25,
+                  0.12);
     }
   }
 }
 
-TEST(Subset, TellsTheModuleOfItsPartAlone) {
-  const Fleet fleet(1000);
-  SubsetView view({100, 8, 0, std::nullopt}, Unit::kEndpoint, "proxy-a"),
-      twin({100, 8, 0, std::nullopt}, Unit::kEndpoint, "proxy-a");
-  const EndpointUpdate out = view.apply(fleet.list, fleet.hashes(fleet.list));
-  twin.apply(fleet.list, fleet.hashes(fleet.list));
-  EXPECT_EQ(out.endpoints.size(), view.used_endpoints());
+TEST(Subset, ReportsOnlyItsOwnEndpoints) {
+  const EndpointList list(1000);
+  const SubsetSettings settings{100, 8, 0, std::nullopt};
+  SubsetView view(settings, SubsetUnit::kEndpoint, "proxy-a");
+  SubsetView same_name(settings, SubsetUnit::kEndpoint, "proxy-a");
+  const EndpointUpdate subset = list.apply_to(view);
+  list.apply_to(same_name);
+  EXPECT_EQ(subset.endpoints.size(), view.used_endpoints());
   for (EndpointId id = 0; id < 1000; ++id) {
-    EXPECT_EQ(view.uses(id), twin.uses(id));  // two of one name: the same part
+    EXPECT_EQ(view.uses(id), same_name.uses(id)) << id;
   }
-  const EndpointId mine = out.endpoints[0].id;
-  EndpointId other = 0;
-  while (view.uses(other)) {
-    ++other;
+  const EndpointId used = subset.endpoints[0].id;
+  EndpointId unused = 0;
+  while (view.uses(unused)) {
+    ++unused;
   }
-  EndpointUpdate drain{UpdateKind::kDelta, {entry(mine), entry(other)}};
-  for (Endpoint& e : drain.endpoints) {
-    e.status = EndpointStatus::kDraining;
+  EndpointUpdate draining{UpdateKind::kDelta, {endpoint(used), endpoint(unused)}};
+  for (Endpoint& endpoint : draining.endpoints) {
+    endpoint.status = EndpointStatus::kDraining;
   }
-  const EndpointUpdate told = view.apply(drain, fleet.hashes(drain));
-  ASSERT_EQ(told.endpoints.size(), 1u);
-  EXPECT_EQ(told.endpoints[0].id, mine);
-  EXPECT_EQ(told.endpoints[0].status, EndpointStatus::kDraining);
+  const EndpointUpdate reported = list.apply_to(view, draining);
+  ASSERT_EQ(reported.endpoints.size(), 1u);
+  EXPECT_EQ(reported.endpoints[0].id, used);
+  EXPECT_EQ(reported.endpoints[0].status, EndpointStatus::kDraining);
   EXPECT_EQ(view.apply(EndpointUpdate{UpdateKind::kFailed, {}}, {}).kind, UpdateKind::kFailed);
 }
 
-// A subset whose nodes all go is widened; and it is what it was when they are back.
-TEST(Subset, WidensWhereItsNodesAreGone) {
-  const Fleet fleet(1000);
-  SubsetView view({60, 8, 0, std::nullopt}, Unit::kEndpoint, "p");
-  view.apply(fleet.list, fleet.hashes(fleet.list));
-  std::vector<EndpointId> mine;
-  EndpointUpdate down{UpdateKind::kDelta, {}}, back{UpdateKind::kDelta, {}};
+TEST(Subset, WidensWhileItsEndpointsAreNotUp) {
+  const EndpointList list(1000);
+  SubsetView view({60, 8, 0, std::nullopt}, SubsetUnit::kEndpoint, "p");
+  list.apply_to(view);
+  std::vector<EndpointId> used;
+  EndpointUpdate draining{UpdateKind::kDelta, {}};
+  EndpointUpdate recovered{UpdateKind::kDelta, {}};
   for (EndpointId id = 0; id < 1000; ++id) {
     if (view.uses(id)) {
-      mine.push_back(id);
-      down.endpoints.push_back(entry(id));
-      back.endpoints.push_back(entry(id));
-      down.endpoints.back().status = EndpointStatus::kDraining;
+      used.push_back(id);
+      draining.endpoints.push_back(endpoint(id));
+      recovered.endpoints.push_back(endpoint(id));
+      draining.endpoints.back().status = EndpointStatus::kDraining;
     }
   }
-  const EndpointUpdate told = view.apply(down, fleet.hashes(down));
+  const EndpointUpdate reported = list.apply_to(view, draining);
   std::size_t up = 0;
-  for (const Endpoint& e : told.endpoints) {
-    up += e.status == EndpointStatus::kUp;
+  for (const Endpoint& endpoint : reported.endpoints) {
+    up += endpoint.status == EndpointStatus::kUp;
   }
-  EXPECT_GE(up, mine.size() / 2);
-  view.apply(back, fleet.hashes(back));
-  EXPECT_EQ(view.used_endpoints(), mine.size());
-  for (const EndpointId id : mine) {
-    EXPECT_TRUE(view.uses(id));
+  EXPECT_GE(up, used.size() / 2);
+  list.apply_to(view, recovered);
+  EXPECT_EQ(view.used_endpoints(), used.size());
+  for (const EndpointId id : used) {
+    EXPECT_TRUE(view.uses(id)) << id;
   }
 }
 
-// Half of the fleet is replaced, node by node: what the module was told, all in all, is what the
-// view says.
-TEST(Subset, WhatIsToldAddsUp) {
+// Half of the endpoints are replaced one by one. All reported updates together give the subset.
+TEST(Subset, ReportedUpdatesAddUpToTheSubset) {
   std::mt19937_64 random(11);
-  Fleet fleet(800);
-  SubsetView view({120, 8, 20, 7u}, Unit::kEndpoint, "p");
-  std::set<EndpointId> known;
-  const auto take = [&](const EndpointUpdate& told) {
-    if (told.kind == UpdateKind::kSnapshot) {
-      known.clear();
+  const EndpointList list(800);
+  SubsetView view({120, 8, 20, 7u}, SubsetUnit::kEndpoint, "p");
+  std::set<EndpointId> reported;
+  const auto collect = [&reported](const EndpointUpdate& update) {
+    if (update.kind == UpdateKind::kSnapshot) {
+      reported.clear();
     }
-    for (const Endpoint& e : told.endpoints) {
-      e.status == EndpointStatus::kRemoved ? known.erase(e.id) : known.insert(e.id).second;
+    for (const Endpoint& endpoint : update.endpoints) {
+      if (endpoint.status == EndpointStatus::kRemoved) {
+        reported.erase(endpoint.id);
+      } else {
+        reported.insert(endpoint.id);
+      }
     }
   };
-  take(view.apply(fleet.list, fleet.hashes(fleet.list)));
+  collect(list.apply_to(view));
   for (EndpointId i = 0; i < 400; ++i) {
-    EndpointUpdate change{UpdateKind::kDelta,
-                          {entry(800 + i), entry(static_cast<EndpointId>(random() % 800))}};
-    change.endpoints[1].status = EndpointStatus::kRemoved;
-    take(view.apply(change, fleet.hashes(change)));
+    const auto removed = static_cast<EndpointId>(random() % 800);
+    EndpointUpdate update{UpdateKind::kDelta, {endpoint(800 + i), endpoint(removed)}};
+    update.endpoints[1].status = EndpointStatus::kRemoved;
+    collect(list.apply_to(view, update));
     for (EndpointId id = 0; i % 40 == 0 && id < 1200; ++id) {
-      ASSERT_EQ(known.count(id) > 0, view.uses(id)) << id;
+      ASSERT_EQ(reported.count(id) > 0, view.uses(id)) << id;
     }
   }
 }
 
-TEST(RankedSet, KeepsTheOrderOfRanksWhileOthersComeAndGo) {
+TEST(RankedSet, KeepsItsOrderThroughInsertionsAndErasures) {
   std::mt19937_64 random(5);
   std::uniform_real_distribution<double> rank;
   std::vector<std::pair<double, EndpointId>> all;
+  all.reserve(300);
   for (EndpointId id = 0; id < 300; ++id) {
     all.emplace_back(rank(random), id);
   }
@@ -227,7 +250,8 @@
   std::set<std::pair<double, EndpointId>> model(all.begin(), all.end());
   for (int i = 0; i < 2000; ++i) {
     const auto& e = all[random() % all.size()];
-    if (random() % 2) {  // both may find it done already
+    // Either may find it done already.
+    if (random() % 2) {
       set.insert(e.first, e.second);
       model.insert(e);
     } else {
