--- a/src/membership/payload_fragments.cpp
+++ b/src/membership/payload_fragments.cpp
@@ -53,19 +53,16 @@
     return std::nullopt;
   }
   PartialPayload& partial = partial_payloads_[sender];
-  if (partial.payload_id != payload_id || partial.fragments.size() != count) {
-    partial = {payload_id, std::vector<std::optional<std::string>>(count), 0};
+  if (partial.payload_id != payload_id || partial.count != count) {
+    partial = {payload_id, count, {}};
   }
-  if (partial.fragments[index]) {
-    return std::nullopt;
-  }
-  partial.fragments[index] = std::string(reader.rest());
-  if (++partial.received < count) {
+  const bool duplicate = !partial.fragments.try_emplace(index, reader.rest()).second;
+  if (duplicate || partial.fragments.size() < count) {
     return std::nullopt;
   }
   std::string payload;
-  for (const std::optional<std::string>& part : partial.fragments) {
-    payload += *part;
+  for (const auto& [position, bytes] : partial.fragments) {
+    payload += bytes;
   }
   partial_payloads_.erase(sender);
   return payload;
--- a/src/membership/payload_fragments.h
+++ b/src/membership/payload_fragments.h
@@ -24,8 +24,9 @@
  private:
   struct PartialPayload {
     std::uint64_t payload_id = 0;
-    std::vector<std::optional<std::string>> fragments;
-    std::size_t received = 0;
+    std::size_t count = 0;
+    /// Those received so far, by index.
+    std::map<std::size_t, std::string> fragments;
   };
 
   std::map<std::string, PartialPayload> partial_payloads_;
--- a/src/membership/swim_node.cpp
+++ b/src/membership/swim_node.cpp
@@ -276,7 +276,7 @@
   table_.forget_inactive(now, settings_.forget_after);
   send_nacks(now, out);
   if (probe_ && probe_->awaits_direct_ack() && now >= probe_->direct_deadline) {
-    start_indirect_probes(out);
+    start_indirect_probes(*probe_, out);
   }
   if (now >= next_probe_) {
     finish_probe(now);
@@ -335,16 +335,16 @@
   send(table_.update_of(*member).address, ping(probe.sequence_number), *member, out);
 }
 
-void SwimNode::start_indirect_probes(std::vector<Outgoing>& out) {
-  probe_->indirect_started = true;
-  const std::string subject = probe_->member;
+void SwimNode::start_indirect_probes(Probe& probe, std::vector<Outgoing>& out) {
+  probe.indirect_started = true;
+  const std::string& subject = probe.member;
   const auto can_help = [&subject](const Member& member) {
     return member.update.name != subject && member.update.state == MemberState::kAlive;
   };
   for (const std::string& helper : sample(kIndirectProbes, can_help)) {
-    ++probe_->helpers;
+    ++probe.helpers;
     send(table_.update_of(helper).address,
-         Message{MessageType::kPingRequest, probe_->sequence_number, subject, 0, {}}, helper, out);
+         Message{MessageType::kPingRequest, probe.sequence_number, subject, 0, {}}, helper, out);
   }
 }
 
@@ -352,7 +352,8 @@
   if (!probe_) {
     return;
   }
-  const Probe probe = *std::exchange(probe_, std::nullopt);
+  const Probe probe = std::move(*probe_);
+  probe_.reset();
   if (probe.acked) {
     local_health_.adjust(-1);
     return;
--- a/src/membership/swim_node.h
+++ b/src/membership/swim_node.h
@@ -107,7 +107,7 @@
 
   // Probes.
   void start_probe(Time now, std::vector<Outgoing>& out);
-  void start_indirect_probes(std::vector<Outgoing>& out);
+  void start_indirect_probes(Probe& probe, std::vector<Outgoing>& out);
   void finish_probe(Time now);
   void notify_suspects(std::vector<Outgoing>& out);
   void probe_inactive_or_seed(std::vector<Outgoing>& out);
