--- a/src/cluster/gossip_actor.cpp
+++ b/src/cluster/gossip_actor.cpp
@@ -7,6 +7,7 @@
 
 #include "log/log.h"
 #include "membership/message_codec.h"
+#include "net/address.h"
 #include "runtime/time.h"
 
 namespace beechhill::membership {
--- a/src/net/datagram.cpp
+++ b/src/net/datagram.cpp
@@ -2,13 +2,16 @@
 
 #include <sys/socket.h>
 
+#include <array>
 #include <cerrno>
 #include <system_error>
 
 namespace beechhill::net {
 namespace {
 
-Fd bound(const sockaddr_in& address) {
+constexpr std::size_t kMaxReceivedBytes = 2048;
+
+Fd bind_to(const sockaddr_in& address) {
   Fd fd(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!fd || ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) < 0) {
     throw std::system_error(errno, std::generic_category(),
@@ -20,22 +23,19 @@
 }  // namespace
 
 DatagramSocket::DatagramSocket(runtime::Scheduler& scheduler, const sockaddr_in& address)
-    : fd_(bound(address)), io_(scheduler, fd_.get()) {
+    : fd_(bind_to(address)), io_(scheduler, fd_.get()) {
 }
 
 std::optional<std::string> DatagramSocket::take(sockaddr_in& from) {
-  char chunk[2048];
+  std::array<char, kMaxReceivedBytes> buffer;
   for (;;) {
-    socklen_t size = sizeof from;
-    const ssize_t n =
-        ::recvfrom(fd_.get(), chunk, sizeof chunk, 0, reinterpret_cast<sockaddr*>(&from), &size);
-    if (n >= 0) {
-      return std::string(chunk, static_cast<std::size_t>(n));
-    }
-    if (errno == EAGAIN || errno == EWOULDBLOCK) {
-      return std::nullopt;
+    socklen_t from_size = sizeof from;
+    const ssize_t size = ::recvfrom(fd_.get(), buffer.data(), buffer.size(), 0,
+                                    reinterpret_cast<sockaddr*>(&from), &from_size);
+    if (size >= 0) {
+      return std::string(buffer.data(), static_cast<std::size_t>(size));
     }
-    // Else a refusal that an earlier datagram met: it says nothing of the next.
+    // ECONNREFUSED belongs to a datagram that was sent earlier, not to the next one.
     if (errno != EINTR && errno != ECONNREFUSED) {
       return std::nullopt;
     }
@@ -48,10 +48,10 @@
 }
 
 sockaddr_in DatagramSocket::address() const {
-  sockaddr_in at{};
-  socklen_t size = sizeof at;
-  ::getsockname(fd_.get(), reinterpret_cast<sockaddr*>(&at), &size);
-  return at;
+  sockaddr_in address{};
+  socklen_t size = sizeof address;
+  ::getsockname(fd_.get(), reinterpret_cast<sockaddr*>(&address), &size);
+  return address;
 }
 
 }  // namespace beechhill::net
--- a/src/net/datagram.h
+++ b/src/net/datagram.h
@@ -1,4 +1,4 @@
-// A UDP socket on one address, for talk among proxies.
+// UDP sockets.
 #pragma once
 
 #include <netinet/in.h>
@@ -7,19 +7,24 @@
 #include <string>
 #include <string_view>
 
-#include "net/socket.h"
+#include "net/address.h"
+#include "net/file_descriptor.h"
 #include "runtime/scheduler.h"
 
 namespace beechhill::net {
 
+/// A non-blocking UDP socket that is bound to one address. Used on the event loop thread.
 class DatagramSocket {
  public:
-  // Throws std::system_error where the address cannot be bound.
+  /// Throws std::system_error where the address cannot be bound.
   DatagramSocket(runtime::Scheduler& scheduler, const sockaddr_in& address);
-  // The next that has come, of 2 KB at the most; nothing where none has. Does not wait.
+
+  /// The next datagram, cut off after 2,048 bytes, and its sender. Empty where none is pending;
+  /// io() reports the next one.
   std::optional<std::string> take(sockaddr_in& from);
-  // Lost where the system has no room: it is a datagram.
+  /// Sends a datagram. Best effort: where the system does not take it, it is lost.
   void send(const sockaddr_in& to, std::string_view bytes);
+  /// The bound address, with the port that the system has chosen where 0 was asked for.
   sockaddr_in address() const;
   runtime::IoSource& io() { return io_; }
 
--- /dev/null
+++ b/src/net/stream.cpp
@@ -0,0 +1,201 @@
+#include "net/stream.h"
+
+#include <netinet/tcp.h>
+#include <sys/socket.h>
+
+#include <array>
+#include <cerrno>
+#include <utility>
+
+#include "net/socket_internal.h"
+
+namespace beechhill::net {
+
+using runtime::Clock;
+using runtime::Task;
+using runtime::TimePoint;
+using runtime::Wait;
+using runtime::Wake;
+
+namespace {
+
+// The buffer on the stack during a read.
+constexpr std::size_t kReadBytes = 16'384;
+constexpr std::size_t kDiscardBytes = 1'048'576;
+// What one stream may read before the other coroutines have their turn.
+constexpr std::size_t kMaxBytesPerTurn = 65'536;
+
+}  // namespace
+
+Stream::Stream(runtime::Scheduler& scheduler, Fd fd)
+    : scheduler_(scheduler), fd_(std::move(fd)), io_(scheduler, fd_.get()) {
+  const int on = 1;
+  ::setsockopt(fd_.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+}
+
+Task<std::unique_ptr<Stream>> Stream::connect(runtime::Scheduler& scheduler, sockaddr_in to,
+                                              TimePoint deadline) {
+  Fd fd = new_tcp_socket();
+  if (!fd) {
+    co_return nullptr;
+  }
+  const int raw_fd = fd.get();
+  const int connected = ::connect(raw_fd, reinterpret_cast<const sockaddr*>(&to), sizeof to);
+  if (connected < 0 && errno != EINPROGRESS) {
+    co_return nullptr;
+  }
+  auto stream = std::make_unique<Stream>(scheduler, std::move(fd));
+  if (connected < 0) {
+    Wait wait(scheduler);
+    wait.writable(stream->io_).until(deadline);
+    if (co_await wait != Wake::kWritable) {
+      co_return nullptr;
+    }
+    int error = 0;
+    socklen_t size = sizeof error;
+    if (::getsockopt(raw_fd, SOL_SOCKET, SO_ERROR, &error, &size) < 0 || error != 0) {
+      co_return nullptr;
+    }
+  }
+  co_return stream;
+}
+
+// Reads what is available; empty where one must wait. Apart from read(), whose every coroutine
+// frame would hold the array.
+std::optional<Io> Stream::read_now(std::string& buffer) {
+  std::array<char, kReadBytes> chunk;
+  for (;;) {
+    const ssize_t size = ::recv(fd_.get(), chunk.data(), chunk.size(), 0);
+    if (size > 0) {
+      buffer.append(chunk.data(), static_cast<std::size_t>(size));
+      bytes_this_turn_ += static_cast<std::size_t>(size);
+      return Io::kOk;
+    }
+    if (size == 0) {
+      return Io::kEof;
+    }
+    if (errno == EINTR) {
+      continue;
+    }
+    return would_block() ? std::nullopt : std::optional(Io::kError);
+  }
+}
+
+std::optional<Io> Stream::discard_now() {
+  for (;;) {
+    // With MSG_TRUNC, TCP drops the bytes without copying them.
+    const ssize_t size = ::recv(fd_.get(), nullptr, kDiscardBytes, MSG_TRUNC);
+    if (size >= 0) {
+      return size > 0 ? Io::kOk : Io::kEof;
+    }
+    if (errno == EINTR) {
+      continue;
+    }
+    return would_block() ? std::nullopt : std::optional(Io::kError);
+  }
+}
+
+Task<Io> Stream::read(std::string& buffer, TimePoint deadline, runtime::Notifier* notifier) {
+  if (bytes_this_turn_ >= kMaxBytesPerTurn) {
+    bytes_this_turn_ = 0;
+    Wait yield(scheduler_);
+    yield.until(Clock::now());
+    co_await yield;
+  }
+  bool timed_out = false;
+  for (;;) {
+    if (const auto result = read_now(buffer)) {
+      co_return *result;
+    }
+    if (timed_out) {
+      co_return Io::kTimeout;
+    }
+    bytes_this_turn_ = 0;
+    Wait wait(scheduler_);
+    wait.readable(io_).until(deadline);
+    if (notifier) {
+      wait.notified(*notifier);
+    }
+    const Wake wake = co_await wait;
+    if (wake == Wake::kNotified) {
+      co_return Io::kNotified;
+    }
+    // Reads once more: where this process was slow, bytes may have come before the deadline.
+    timed_out = wake == Wake::kTime;
+  }
+}
+
+Task<Io> Stream::await_end(TimePoint deadline, runtime::Notifier& notifier) {
+  while (!io_.ended()) {
+    Wait wait(scheduler_);
+    wait.readable(io_).until(deadline).notified(notifier);
+    const Wake wake = co_await wait;
+    if (wake == Wake::kNotified) {
+      co_return Io::kNotified;
+    }
+    if (wake == Wake::kTime && !io_.ended()) {
+      co_return Io::kTimeout;
+    }
+  }
+  co_return Io::kEof;
+}
+
+Task<Io> Stream::write(std::string_view bytes, TimePoint deadline) {
+  while (!bytes.empty()) {
+    const ssize_t size = ::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
+    if (size >= 0) {
+      bytes.remove_prefix(static_cast<std::size_t>(size));
+      continue;
+    }
+    if (errno == EINTR) {
+      continue;
+    }
+    if (!would_block()) {
+      co_return Io::kError;
+    }
+    Wait wait(scheduler_);
+    wait.writable(io_).until(deadline);
+    if (co_await wait == Wake::kTime) {
+      co_return Io::kTimeout;
+    }
+  }
+  co_return Io::kOk;
+}
+
+bool Stream::stale() {
+  char byte = 0;
+  return ::recv(fd_.get(), &byte, 1, MSG_PEEK) >= 0 || !would_block();
+}
+
+void Stream::end_sending() {
+  ::shutdown(fd_.get(), SHUT_WR);
+}
+
+Task<> Stream::linger(TimePoint deadline, runtime::Notifier& notifier) {
+  end_sending();
+  for (;;) {
+    const auto result = discard_now();
+    if (result && *result != Io::kOk) {
+      co_return;
+    }
+    Wait wait(scheduler_);
+    wait.notified(notifier);
+    if (result) {
+      // More may be available; other coroutines have their turn first.
+      wait.until(Clock::now());
+    } else {
+      wait.until(deadline).readable(io_);
+    }
+    const Wake wake = co_await wait;
+    if (wake == Wake::kNotified || Clock::now() >= deadline) {
+      co_return;
+    }
+  }
+}
+
+Task<> Stream::linger_unread(TimePoint deadline, runtime::Notifier& notifier) {
+  end_sending();
+  co_await await_end(deadline, notifier);
+}
+
+}  // namespace beechhill::net
--- a/src/runtime/pending_reply.h
+++ b/src/runtime/pending_reply.h
@@ -21,20 +21,26 @@
   std::size_t avoided_endpoint_count = 0;
   /// Of GetEndpointCounts: the recovery stage, a string literal.
   const char* recovery_stage = "";
+  /// Notified by complete().
   Notifier completed;
 
-  void complete(int with) {
-    status = with;
+  /// Sets the status, which must not be 0, and wakes the requester.
+  void complete(int http_status) {
+    status = http_status;
     completed.notify();
   }
 };
 
+/// The status of a reply that did not come in time: Service Unavailable.
+inline constexpr int kReplyTimeoutStatus = 503;
+
 /// A reply with a body.
 struct PendingTextReply : PendingReply {
   std::string text;
 };
 
-/// Waits for `reply`. Returns its status, or 503 where it was not complete within `timeout`.
+/// Waits for `reply`. Returns its status, or kReplyTimeoutStatus where it was not complete within
+/// `timeout`.
 inline Task<int> await_reply(Scheduler& scheduler, std::shared_ptr<PendingReply> reply,
                              std::chrono::milliseconds timeout) {
   const TimePoint deadline = Clock::now() + timeout;
@@ -42,7 +48,7 @@
     Wait wait(scheduler);
     wait.notified(reply->completed).until(deadline);
     if (co_await wait == Wake::kTime) {
-      co_return 503;
+      co_return kReplyTimeoutStatus;
     }
   }
   co_return reply->status;
--- a/src/runtime/task.h
+++ b/src/runtime/task.h
@@ -1,4 +1,4 @@
-// A lazily started coroutine that one owner holds. Destroying the Task cancels what it waits for.
+// The coroutine type of the event loop.
 #pragma once
 
 #include <coroutine>
@@ -9,13 +9,20 @@
 
 namespace beechhill::runtime {
 
+template <typename T>
+class Task;
+
 namespace detail {
 
 struct PromiseBase {
+  /// The coroutine that awaits this one; null for a spawned task.
   std::coroutine_handle<> continuation;
-  std::function<void()> on_end;  // set for tasks that the scheduler owns
+  /// Set by the scheduler for spawned tasks.
+  std::function<void()> on_end;
+  /// The exception that ended the coroutine.
   std::exception_ptr error;
 
+  /// Resumes the awaiting coroutine by symmetric transfer.
   struct FinalAwaiter {
     bool await_ready() noexcept { return false; }
     template <typename Promise>
@@ -37,31 +44,34 @@
 template <typename T>
 struct Promise : PromiseBase {
   std::optional<T> value;
-  std::coroutine_handle<Promise> get_return_object() {
-    return std::coroutine_handle<Promise>::from_promise(*this);
-  }
-  void return_value(T v) { value = std::move(v); }
-  T take() { return std::move(*value); }
+
+  Task<T> get_return_object();
+  void return_value(T result) { value = std::move(result); }
+  /// The coroutine must have ended without an exception.
+  // NOLINTNEXTLINE(bugprone-unchecked-optional-access): return_value() has set it by then.
+  T take_result() { return std::move(*value); }
 };
 
 template <>
 struct Promise<void> : PromiseBase {
-  std::coroutine_handle<Promise> get_return_object() {
-    return std::coroutine_handle<Promise>::from_promise(*this);
-  }
+  Task<void> get_return_object();
   void return_void() {}
-  void take() {}
+  void take_result() {}
 };
 
 }  // namespace detail
 
+/// A lazily started coroutine with a result of type T. It starts when it is awaited or spawned.
+/// The Task owns the coroutine frame: destroying it cancels whatever the coroutine waits for. An
+/// exception of the coroutine is thrown by co_await, or by Scheduler::run() where it was spawned.
+/// May be awaited once.
 template <typename T = void>
 class [[nodiscard]] Task {
  public:
   using promise_type = detail::Promise<T>;
   using Handle = std::coroutine_handle<promise_type>;
 
-  Task(Handle handle) : handle_(handle) {}
+  explicit Task(Handle handle) : handle_(handle) {}
   Task(Task&& other) noexcept : handle_(std::exchange(other.handle_, {})) {}
   Task& operator=(Task&& other) noexcept {
     std::swap(handle_, other.handle_);
@@ -84,11 +94,24 @@
     if (handle_.promise().error) {
       std::rethrow_exception(handle_.promise().error);
     }
-    return handle_.promise().take();
+    return handle_.promise().take_result();
   }
 
  private:
   Handle handle_;
 };
 
+namespace detail {
+
+template <typename T>
+Task<T> Promise<T>::get_return_object() {
+  return Task<T>(std::coroutine_handle<Promise>::from_promise(*this));
+}
+
+inline Task<void> Promise<void>::get_return_object() {
+  return Task<void>(std::coroutine_handle<Promise>::from_promise(*this));
+}
+
+}  // namespace detail
+
 }  // namespace beechhill::runtime
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -167,7 +167,7 @@
       simulation.cut(
           [split](std::size_t from, std::size_t to) { return (from < split) == (to < split); });
       break;
-    case 4:
+    default:
       // In one direction.
       simulation.cut(
           [split](std::size_t from, std::size_t to) { return from < split || to >= split; });
