--- a/src/cluster/raft_log_file.h
+++ b/src/cluster/raft_log_file.h
@@ -28,7 +28,7 @@
 struct RaftLogFile {
   Voter voter;
   DurableState state;
-  /// Over the file's life, those that snapshots replaced included.
+  /// Since the storage was created, those that snapshots replaced included.
   std::uint64_t appended_records = 0;
   /// What follows them was being written at a crash.
   std::size_t valid_bytes = 0;
--- a/src/emulator/maintenance_fault_plan.cpp
+++ b/src/emulator/maintenance_fault_plan.cpp
@@ -130,7 +130,7 @@
     command.request->id = std::string("all-of-") + zone;
     command.request->requested_by = "staff";
     command.request->max_concurrent = 2;
-    command.request->select.zone = zone;
+    command.request->selector.zone = zone;
     for (int i = 0; i < 3; ++i) {
       simulation_.order(random_.below(simulation_.size()), command);
       simulation_.run(1s);
@@ -249,8 +249,8 @@
 
 void FaultPlan::settle() {
   for (int round = 0; round < kMaxSettlingRounds; ++round) {
-    const bool settled = simulation_.leader() && simulation_.open_requests().empty();
-    if (settled && round >= kMinSettlingRounds) {
+    const bool done = simulation_.leader() && simulation_.open_requests().empty();
+    if (done && round >= kMinSettlingRounds) {
       return;
     }
     simulation_.run(kSettlingRound);
--- a/src/emulator/maintenance_simulation.cpp
+++ b/src/emulator/maintenance_simulation.cpp
@@ -403,7 +403,7 @@
   ++requests_sent_;
   if (backend.out_since) {
     invariants_.report_sent_to_out(
-        now_, fmt::format("{} sent to {}, which was said to be out at {:.2f} s", proxy_name(i),
+        now_, fmt::format("{} sent to {}, which is out since {:.2f} s", proxy_name(i),
                           backend.machine.id, to_s(*backend.out_since)));
   }
   // A backend that is down refuses it.
@@ -499,8 +499,8 @@
   for (std::size_t i = 0; i < proxies_.size(); ++i) {
     if (proxies_[i].has_in_flight(backend.machine.id)) {
       invariants_.report_sent_to_out(
-          now_, fmt::format("{} has a request in flight to {}, which was said to be out",
-                            proxy_name(i), backend.machine.id));
+          now_, fmt::format("{} has a request in flight to {}, which is out", proxy_name(i),
+                            backend.machine.id));
     }
   }
 }
--- a/src/emulator/maintenance_simulation.h
+++ b/src/emulator/maintenance_simulation.h
@@ -1,5 +1,5 @@
 // Proxies that take machines out of service, in simulated time: the program's own coordinator over
-// a network, disks and processes that fail as they are told to, with requests to backends that its
+// a network, disks and processes that fail on command, with requests to backends that its
 // permissions are checked against. Equal seeds give equal runs.
 #pragma once
 
--- a/src/maintenance/coordinator_settings.h
+++ b/src/maintenance/coordinator_settings.h
@@ -1,4 +1,4 @@
-// Settings of the maintenance coordinator, and what it is told of its own proxy.
+// Settings of the maintenance coordinator, and what its own proxy observes.
 #pragma once
 
 #include <cstdint>
--- a/src/maintenance/maintenance_codec.cpp
+++ b/src/maintenance/maintenance_codec.cpp
@@ -65,11 +65,11 @@
 
 void write_request(ByteWriter& writer, const Request& request) {
   writer.text(request.id)
-      .number(request.select.role)
-      .text(request.select.zone)
-      .text(request.select.cell)
-      .text(request.select.kind);
-  write_texts(writer, request.select.ids);
+      .number(request.selector.role)
+      .text(request.selector.zone)
+      .text(request.selector.cell)
+      .text(request.selector.instance_type);
+  write_texts(writer, request.selector.ids);
   writer.number(request.max_concurrent)
       .number(request.work_duration)
       .number(request.not_before)
@@ -92,11 +92,11 @@
 Request read_request(ByteReader& reader) {
   Request request;
   request.id = reader.text(kMaxTextBytes);
-  request.select.role = reader.number<Role>();
-  request.select.zone = reader.text(kMaxTextBytes);
-  request.select.cell = reader.text(kMaxTextBytes);
-  request.select.kind = reader.text(kMaxTextBytes);
-  request.select.ids = read_texts(reader);
+  request.selector.role = reader.number<Role>();
+  request.selector.zone = reader.text(kMaxTextBytes);
+  request.selector.cell = reader.text(kMaxTextBytes);
+  request.selector.instance_type = reader.text(kMaxTextBytes);
+  request.selector.ids = read_texts(reader);
   request.max_concurrent = reader.number<std::uint32_t>();
   request.work_duration = reader.number<Seconds>();
   request.not_before = reader.number<Seconds>();
--- a/src/maintenance/maintenance_model.cpp
+++ b/src/maintenance/maintenance_model.cpp
@@ -13,7 +13,7 @@
 bool MachineSelector::matches(const Machine& machine) const {
   return machine.role == role && (ids.empty() || ids.contains(machine.id)) &&
          (zone.empty() || zone == machine.zone) && (cell.empty() || cell == machine.cell) &&
-         (kind.empty() || kind == machine.instance_type);
+         (instance_type.empty() || instance_type == machine.instance_type);
 }
 
 }  // namespace beechhill::maintenance
--- a/src/maintenance/maintenance_model.h
+++ b/src/maintenance/maintenance_model.h
@@ -51,14 +51,14 @@
   std::set<std::string> ids;
   std::string zone;
   std::string cell;
-  std::string kind;
+  std::string instance_type;
   bool matches(const Machine& machine) const;
 };
 
 /// An operator's request to take the selected machines out of service, each of them once.
 struct Request {
   std::string id;
-  MachineSelector select;
+  MachineSelector selector;
   std::uint32_t max_concurrent = 1;
   /// Expected, of the work on one machine; 0: unknown.
   Seconds work_duration = 0;
--- a/src/maintenance/maintenance_planner.cpp
+++ b/src/maintenance/maintenance_planner.cpp
@@ -141,7 +141,7 @@
 
 std::string MaintenancePlanner::machine_blocking_reason(const Request& request,
                                                         const Machine& machine) const {
-  if (!request.select.matches(machine) || request.completed_machines.contains(machine.id)) {
+  if (!request.selector.matches(machine) || request.completed_machines.contains(machine.id)) {
     return "not of this request";
   }
   const auto deferred = request.deferred_until.find(machine.id);
@@ -208,7 +208,7 @@
 
 void MaintenancePlanner::explain_waiting_machines(const Request& request,
                                                   std::vector<std::string>& lines) const {
-  const DisruptionBudgetCheck check = budget_check(request.select.role);
+  const DisruptionBudgetCheck check = budget_check(request.selector.role);
   std::set<std::string> reasons;
   bool any_candidate = false;
   bool any_unblocked = false;
@@ -248,7 +248,7 @@
 }
 
 bool MaintenancePlanner::is_candidate(const Request& request, const Machine& machine) const {
-  return request.select.matches(machine) && !request.completed_machines.contains(machine.id) &&
+  return request.selector.matches(machine) && !request.completed_machines.contains(machine.id) &&
          !state_.workflows().contains(machine.id);
 }
 
--- a/src/maintenance/maintenance_state_machine.cpp
+++ b/src/maintenance/maintenance_state_machine.cpp
@@ -65,7 +65,7 @@
   }
   const auto existing = requests_.find(command.request->id);
   if (existing != requests_.end()) {
-    const bool same = existing->second.select.ids == command.request->select.ids &&
+    const bool same = existing->second.selector.ids == command.request->selector.ids &&
                       existing->second.requested_by == command.request->requested_by;
     return same ? CommandResult::kNothingToChange : CommandResult::kIdIsTaken;
   }
@@ -151,7 +151,7 @@
   }
   const bool machine_left =
       std::any_of(machines_.begin(), machines_.end(), [&request](const auto& entry) {
-        return request.select.matches(entry.second) &&
+        return request.selector.matches(entry.second) &&
                !request.completed_machines.contains(entry.first);
       });
   return machine_left ||
@@ -178,7 +178,7 @@
 
 Role MaintenanceStateMachine::role_of(const MaintenanceWorkflow& workflow) const {
   const auto request = requests_.find(workflow.request);
-  return request == requests_.end() ? Role::kBackend : request->second.select.role;
+  return request == requests_.end() ? Role::kBackend : request->second.selector.role;
 }
 
 std::vector<std::string> MaintenanceStateMachine::awaited_proxies(
--- a/src/maintenance/maintenance_state_machine.h
+++ b/src/maintenance/maintenance_state_machine.h
@@ -16,7 +16,7 @@
 
 namespace beechhill::maintenance {
 
-/// For each proxy, the log index that it has shown to hold. One that is missing has shown none.
+/// For each proxy, the log index that it has acknowledged; 0 for one that is missing.
 using AcknowledgedIndexes = std::map<std::string, LogIndex>;
 
 /// Not thread-safe. Every operation is a pure function of the state and its arguments.
--- a/src/maintenance/operator_commands.cpp
+++ b/src/maintenance/operator_commands.cpp
@@ -118,11 +118,11 @@
   request.id = command.id;
   request.requested_by = command.issued_by;
   request.reason = reader.text("why");
-  request.select.role = read_role(reader);
-  request.select.zone = reader.text("zone");
-  request.select.cell = reader.text("cell");
-  request.select.kind = reader.text("kind");
-  request.select.ids = read_machines(reader);
+  request.selector.role = read_role(reader);
+  request.selector.zone = reader.text("zone");
+  request.selector.cell = reader.text("cell");
+  request.selector.instance_type = reader.text("kind");
+  request.selector.ids = read_machines(reader);
   request.max_concurrent =
       static_cast<std::uint32_t>(reader.number("at_once", 1, 1, kMaxConcurrent));
   request.work_duration = reader.number("length", 0, 0, kMaxSeconds);
@@ -130,8 +130,8 @@
   request.not_after = reader.number("not_after", 0, 0, kMaxSeconds);
   request.priority =
       static_cast<std::int32_t>(reader.number("priority", 0, -kMaxPriority, kMaxPriority));
-  if (request.select.ids.empty() && request.select.zone.empty() && request.select.cell.empty() &&
-      request.select.kind.empty()) {
+  if (request.selector.ids.empty() && request.selector.zone.empty() &&
+      request.selector.cell.empty() && request.selector.instance_type.empty()) {
     reader.fail("machines", "missing, and no zone, cell or kind either");
   }
   return request;
--- a/src/maintenance/operator_commands.h
+++ b/src/maintenance/operator_commands.h
@@ -11,7 +11,7 @@
 namespace beechhill::maintenance {
 
 /// `verb`: request, approve, hold, resume, cancel, done or forget; `query`: the call's decoded
-/// parameters. Where they are wrong, nothing, and `error` says what is, for people.
+/// parameters. Where they are wrong, nothing, and `error` names what is, for people.
 std::optional<Command> parse_operator_command(const std::string& verb,
                                               const std::map<std::string, std::string>& query,
                                               std::string& error);
--- a/src/maintenance/status_json.cpp
+++ b/src/maintenance/status_json.cpp
@@ -45,13 +45,13 @@
   Json::Value object;
   object["id"] = request.id;
   object["stage"] = request_stage(request);
-  object["role"] = request.select.role == Role::kProxy ? "proxy" : "backend";
-  if (!request.select.ids.empty()) {
-    object["machines"] = text_array(request.select.ids);
+  object["role"] = request.selector.role == Role::kProxy ? "proxy" : "backend";
+  if (!request.selector.ids.empty()) {
+    object["machines"] = text_array(request.selector.ids);
   }
-  set_unless_empty(object, "zone", request.select.zone);
-  set_unless_empty(object, "cell", request.select.cell);
-  set_unless_empty(object, "kind", request.select.kind);
+  set_unless_empty(object, "zone", request.selector.zone);
+  set_unless_empty(object, "cell", request.selector.cell);
+  set_unless_empty(object, "kind", request.selector.instance_type);
   set_unless_empty(object, "by", request.requested_by);
   set_unless_empty(object, "why", request.reason);
   object["at_once"] = request.max_concurrent;
--- a/src/maintenance/workflow_transitions.cpp
+++ b/src/maintenance/workflow_transitions.cpp
@@ -27,7 +27,7 @@
   return CommandResult::kApplied;
 }
 
-// Commands of an earlier workflow of the machine are told by their fencing token and change
+// Commands of an earlier workflow of the machine have another fencing token and change
 // nothing. Token 0, as in operators' commands, is of any.
 CommandResult MaintenanceStateMachine::advance_workflow(const Command& command) {
   const auto found = workflows_.find(command.machine);
--- a/tests/disk_raft_storage_test.cpp
+++ b/tests/disk_raft_storage_test.cpp
@@ -112,7 +112,7 @@
 
 TEST_F(DamagedRaftStorageTest, CutsATornEnd) {
   EXPECT_EQ(entries_with(good_), 3);
-  // Nobody was told of what was being written.
+  // No message rests on what was being written.
   EXPECT_EQ(entries_with(good_.substr(0, good_.size() - 5)), 2);
 }
 
--- a/tests/maintenance_state_machine_test.cpp
+++ b/tests/maintenance_state_machine_test.cpp
@@ -22,7 +22,7 @@
   c.request->id = id;
   c.request->requested_by = "ana";
   c.request->reason = "kernel";
-  c.request->select.ids = std::move(machines);
+  c.request->selector.ids = std::move(machines);
   c.request->max_concurrent = max_concurrent;
   c.request->priority = priority;
   return c;
@@ -332,7 +332,7 @@
   }
   replica.apply(c);
   Command submission = submit("r", {"p-1", "p-2"}, 2);
-  submission.request->select.role = Role::kProxy;
+  submission.request->selector.role = Role::kProxy;
   replica.apply(submission);
   EXPECT_EQ(replica.apply_next()->machine, "p-1");
   // The workflow of a proxy waits for that proxy alone.
--- a/tests/operator_commands_test.cpp
+++ b/tests/operator_commands_test.cpp
@@ -30,7 +30,7 @@
       {{"id", "r"}, {"machines", "a,b"}, {"at_once", "2"}, {"priority", "-3"}, {"by", "ana"}},
       error);
   ASSERT_TRUE(command) << error;
-  EXPECT_EQ(command->request->select.ids.size(), 2u);
+  EXPECT_EQ(command->request->selector.ids.size(), 2u);
   EXPECT_EQ(command->request->max_concurrent, 2u);
   EXPECT_EQ(command->request->priority, -3);
 }
--- a/tests/raft_format_test.cpp
+++ b/tests/raft_format_test.cpp
@@ -100,8 +100,9 @@
     commands[command.type] = command;
   }
   const maintenance::Request& request = commands.at(CommandType::kSubmitRequest).request.value();
-  EXPECT_EQ(request.select.ids, (std::set<std::string>{"m-1", "m-2"}));
-  EXPECT_EQ(request.select.zone + request.select.cell + request.select.kind, "acbig");
+  EXPECT_EQ(request.selector.ids, (std::set<std::string>{"m-1", "m-2"}));
+  EXPECT_EQ(request.selector.zone + request.selector.cell + request.selector.instance_type,
+            "acbig");
   EXPECT_EQ(request.max_concurrent, 3u);
   EXPECT_EQ(request.work_duration, 900);
   EXPECT_EQ(request.not_before, 5);
