--- a/tests/disk_raft_storage_test.cpp
+++ b/tests/disk_raft_storage_test.cpp
@@ -33,6 +33,7 @@
 
 LogRecord entries(std::uint64_t first_index, int count) {
   std::vector<LogEntry> entries;
+  entries.reserve(static_cast<std::size_t>(count));
   for (int i = 0; i < count; ++i) {
     entries.push_back({1, 1, "entry " + std::to_string(i)});
   }
