--- a/tests/disk_raft_storage_test.cpp
+++ b/tests/disk_raft_storage_test.cpp
@@ -33,6 +33,7 @@
 
 LogRecord entries(std::uint64_t first_index, int count) {
   std::vector<LogEntry> entries;
+  entries.reserve(static_cast<std::size_t>(count));
   for (int i = 0; i < count; ++i) {
     entries.push_back({1, 1, "entry " + std::to_string(i)});
   }
@@ -112,7 +113,7 @@
 
 TEST_F(DamagedRaftStorageTest, CutsATornEnd) {
   EXPECT_EQ(entries_with(good_), 3);
-  // Nobody was told of what was being written.
+  // No message rests on what was being written.
   EXPECT_EQ(entries_with(good_.substr(0, good_.size() - 5)), 2);
 }
 
