--- a/src/emulator/backend_fleet.cpp
+++ b/src/emulator/backend_fleet.cpp
@@ -342,7 +342,7 @@
     jobs_.remove(id);
     ProxyState& proxy = sim_.proxies[response.proxy];
     const Duration transit = sim_.network.one_way_delay(proxy, backend.endpoint.zone);
-    const JobId response_id = jobs_.add(std::move(response));
+    const JobId response_id = jobs_.add(response);
     sim_.events.schedule(sim_.now + transit, AttemptResponse{response_id});
   }
 }
--- a/src/emulator/backend_fleet.h
+++ b/src/emulator/backend_fleet.h
@@ -104,7 +104,7 @@
 
   /// The job of an attempt that its proxy is about to send; draws its calls to the next tier.
   BackendJob make_job(const ProxyState& proxy, const ProxyRequest& request, const AttemptId& id);
-  JobId add_job(BackendJob job) { return jobs_.add(std::move(job)); }
+  JobId add_job(const BackendJob& job) { return jobs_.add(job); }
   /// Null where the job is over. Valid until the next add_job().
   BackendJob* find_job(JobId id) { return jobs_.find(id); }
   void remove_job(JobId id) { jobs_.remove(id); }
--- a/src/emulator/client_population.cpp
+++ b/src/emulator/client_population.cpp
@@ -43,6 +43,9 @@
 }
 
 void ClientPopulation::on_arrival() {
+  if (!next_arrival_) {
+    return;
+  }
   const Arrival arrival = *next_arrival_;
   ClientOperation operation;
   operation.arrived_at = sim_.now;
--- a/src/emulator/fault_spec.h
+++ b/src/emulator/fault_spec.h
@@ -62,8 +62,8 @@
 /// Of a partition: what does not pass. kThere: requests; kBack: answers.
 enum class Direction { kBoth, kThere, kBack };
 
-/// One planned fault. Where a fault affects backends, exactly one of `part`, `nodes`, `zone` and
-/// `cell` chooses them.
+/// One planned fault. Where a fault affects backends, `part` or `nodes` of those in `zone` and
+/// `cell`, or all of these, are drawn as it begins.
 struct FaultSpec {
   FaultKind kind = FaultKind::kSilent;
   Duration at{0};
--- a/src/emulator/proxy_requests.cpp
+++ b/src/emulator/proxy_requests.cpp
@@ -116,7 +116,7 @@
   if (connect_times_out) {
     job.result = Result::kConnectFailed;
   }
-  const JobId job_id = sim_.backends.add_job(std::move(job));
+  const JobId job_id = sim_.backends.add_job(job);
   request.attempts[id.attempt].job = job_id;
   if (connect_times_out) {
     sim_.events.schedule(sim_.now + sim_.scenario.connect_timeout, AttemptResponse{job_id});
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -5,6 +5,7 @@
 #include <cassert>
 #include <cstdio>
 
+#include "emulator/scenario_reader.h"
 #include "support/fault_plan_text.h"
 #include "support/proxy_fixture.h"
 #include "testbed/cluster_test/cluster_test.h"
--- a/tests/group_test.cpp
+++ b/tests/group_test.cpp
@@ -6,6 +6,7 @@
 #include <cstdio>
 
 #include "cluster/disk_raft_storage.h"
+#include "emulator/scenario_reader.h"
 #include "maintenance/operator_commands.h"
 #include "support/fault_plan_text.h"
 #include "support/proxy_fixture.h"
