--- a/src/emulator/policies.cpp
+++ b/src/emulator/policies.cpp
@@ -126,7 +126,7 @@
 
   // Whether a cold backend's credit covers one more attempt.
   bool has_credit(KnownBackend& backend) {
-    const double age = to_s(now_ - *backend.endpoint.started_at);
+    const double age = to_s(now_ - backend.endpoint.started_at.value_or(now_));
     const double window = to_s(settings_.slow_start_window);
     const double initial = settings_.slow_start_initial_weight;
     const double warmth = initial + (1 - initial) * std::max(0.0, age) / window;
@@ -410,9 +410,9 @@
 }  // namespace
 
 const std::vector<std::string>& policy_names() {
-  static const std::vector<std::string> names{
+  static const std::vector<std::string> kNames{
       "module", "random", "round_robin", "two_choices", "least_outstanding", "weighted", "oracle"};
-  return names;
+  return kNames;
 }
 
 std::unique_ptr<Policy> make_policy(const std::string& name, Time now, const Settings& settings,
--- a/src/emulator/proxy_fleet.cpp
+++ b/src/emulator/proxy_fleet.cpp
@@ -143,14 +143,15 @@
 
 void ProxyFleet::resume(std::uint32_t index) {
   ProxyState& proxy = proxies_[index];
-  if (!proxy.alive || !proxy.paused) {
+  if (!proxy.alive || !proxy.paused || !proxy.recovery) {
     return;
   }
-  const bool after_gap = proxy.recovery->observe_clock(sim_.now);
-  if (!after_gap || !proxy.recovery->needs_snapshot()) {
+  recovery::RecoveryTracker& recovery = *proxy.recovery;
+  const bool after_gap = recovery.observe_clock(sim_.now);
+  if (!after_gap || !recovery.needs_snapshot()) {
     return finish_resume(index, false);
   }
-  const Time deadline = proxy.recovery->resync_deadline();
+  const Time deadline = recovery.resync_deadline();
   const bool discovery_answers = proxy.discovery_faults == 0;
   const Time resynced_at =
       discovery_answers ? sim_.now + std::min(kListFetchTime, deadline - sim_.now) : deadline;
@@ -286,6 +287,7 @@
     return sim_.requests.notify(index, update);
   }
   std::vector<std::uint64_t> hashes;
+  hashes.reserve(update.endpoints.size());
   for (const Endpoint& endpoint : update.endpoints) {
     hashes.push_back(endpoint.id + 1);
   }
--- a/src/experiments/experiment.cpp
+++ b/src/experiments/experiment.cpp
@@ -17,17 +17,17 @@
 
 Json::Value json_of(const toml::node& node, const config::TomlReader& reader,
                     const std::string& key) {
-  if (node.is_integer()) {
-    return Json::Value(static_cast<Json::Int64>(*node.value<std::int64_t>()));
+  if (const auto* integer = node.as_integer()) {
+    return Json::Value(static_cast<Json::Int64>(integer->get()));
   }
-  if (node.is_floating_point()) {
-    return Json::Value(*node.value<double>());
+  if (const auto* number = node.as_floating_point()) {
+    return Json::Value(number->get());
   }
-  if (node.is_boolean()) {
-    return Json::Value(*node.value<bool>());
+  if (const auto* flag = node.as_boolean()) {
+    return Json::Value(flag->get());
   }
-  if (node.is_string()) {
-    return Json::Value(*node.value<std::string>());
+  if (const auto* text = node.as_string()) {
+    return Json::Value(text->get());
   }
   reader.fault(key, "only numbers, texts and booleans can vary");
 }
@@ -92,11 +92,12 @@
     reader.fault("seeds", "not an array of whole numbers");
   }
   std::vector<std::uint64_t> seeds;
-  for (const toml::node& seed : *list) {
-    if (!seed.is_integer() || *seed.value<std::int64_t>() < 0) {
+  for (const toml::node& element : *list) {
+    const auto* seed = element.as_integer();
+    if (!seed || seed->get() < 0) {
       reader.fault("seeds", "not an array of whole numbers");
     }
-    seeds.push_back(static_cast<std::uint64_t>(*seed.value<std::int64_t>()));
+    seeds.push_back(static_cast<std::uint64_t>(seed->get()));
   }
   return seeds;
 }
--- a/src/experiments/experiment_runner.cpp
+++ b/src/experiments/experiment_runner.cpp
@@ -6,8 +6,8 @@
 #include <exception>
 #include <filesystem>
 #include <map>
+#include <memory>
 #include <mutex>
-#include <optional>
 #include <thread>
 
 #include "experiments/experiment.h"
@@ -16,7 +16,7 @@
 namespace {
 
 // Bytes of violations after which no more are collected.
-constexpr std::size_t kMaxViolationText = 64 * 1024;
+constexpr std::size_t kMaxViolationText = std::size_t{64} * 1024;
 
 std::string timing_line(const Cell& cell, const RunOutput& out) {
   const double events = out.result["events"].asDouble();
@@ -72,13 +72,13 @@
 
   // The partial file begins with what was complete: a torn line is not appended to.
   void open_files() {
-    partial_.emplace(partial_path_, "wb");
+    partial_ = std::make_unique<LineWriter>(partial_path_, "wb");
     for (const Cell& cell : cells_) {
       if (const auto it = finished_.find(cell.key); it != finished_.end()) {
         partial_->write(it->second);
       }
     }
-    timing_.emplace(out_path_ + ".timing", "ab");
+    timing_ = std::make_unique<LineWriter>(out_path_ + ".timing", "ab");
   }
 
   void run_pool(unsigned threads) {
@@ -164,8 +164,8 @@
   std::mutex mutex_;
   // By the cell's key: its line.
   std::map<std::string, std::string> finished_;
-  std::optional<LineWriter> partial_;
-  std::optional<LineWriter> timing_;
+  std::unique_ptr<LineWriter> partial_;
+  std::unique_ptr<LineWriter> timing_;
   Summary summary_;
   std::exception_ptr error_;
 };
--- a/src/experiments/plot.cpp
+++ b/src/experiments/plot.cpp
@@ -213,6 +213,7 @@
     return plots;
   }
   std::vector<LinePlot> chosen;
+  chosen.reserve(kMaxPlotsOfAKind);
   for (std::size_t i = 0; i < kMaxPlotsOfAKind; ++i) {
     chosen.push_back(plots[i * (plots.size() - 1) / (kMaxPlotsOfAKind - 1)]);
   }
