--- a/src/testbed/proxy_group.cpp
+++ b/src/testbed/proxy_group.cpp
@@ -37,6 +37,7 @@
   }
   if (has_cluster) {
     std::vector<std::string> paths;
+    paths.reserve(state_directories_.size());
     for (const auto& state_directory : state_directories_) {
       paths.push_back(state_directory->path());
     }
--- a/src/testbed/proxy_process.cpp
+++ b/src/testbed/proxy_process.cpp
@@ -62,6 +62,9 @@
 void ProxyProcess::execute() const {
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // it never outlives the testbed
   const int log = ::open(log_path_.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
+  if (log < 0) {
+    ::_exit(kExecFailed);
+  }
   ::dup2(log, STDOUT_FILENO);
   ::dup2(log, STDERR_FILENO);
   for (const char* name : {"GW_NAME", "GW_LISTEN", "GW_DISCOVERY"}) {
