--- a/src/experiments/experiment.cpp
+++ b/src/experiments/experiment.cpp
@@ -1,5 +1,3 @@
-#include "emulator/scenario_reader.h"
-#include "emulator/scenario_file.h"
 #include "experiments/experiment.h"
 
 #include <fmt/format.h>
@@ -10,6 +8,9 @@
 #include <filesystem>
 #include <sstream>
 
+#include "emulator/scenario_file.h"
+#include "emulator/scenario_reader.h"
+
 namespace beechhill::experiments {
 namespace {
 
--- a/src/maintenance/maintenance_codec.h
+++ b/src/maintenance/maintenance_codec.h
@@ -27,8 +27,7 @@
 MaintenanceWorkflow read_workflow(base::ByteReader& reader);
 
 /// Machines, in the order of their ids, and utilization by zone.
-void write_observations(base::ByteWriter& writer,
-                        const std::map<std::string, Machine>& machines,
+void write_observations(base::ByteWriter& writer, const std::map<std::string, Machine>& machines,
                         const std::map<std::string, double>& zone_utilization);
 void read_observations(base::ByteReader& reader, std::vector<Machine>& machines,
                        std::map<std::string, double>& zone_utilization);
--- a/src/maintenance/raft_messages.h
+++ b/src/maintenance/raft_messages.h
@@ -106,7 +106,6 @@
 /// Reads the header and leaves `reader` at the body. Nothing where there is no whole header.
 std::optional<RaftMessageHeader> decode_raft_header(base::ByteReader& reader);
 /// Reads the rest. Nothing where it is not one whole body of that type.
-std::optional<RaftMessageBody> decode_raft_body(RaftMessageType type,
-                                                base::ByteReader& reader);
+std::optional<RaftMessageBody> decode_raft_body(RaftMessageType type, base::ByteReader& reader);
 
 }  // namespace beechhill::maintenance
--- a/src/testbed/cluster_test/cluster_test_command.cpp
+++ b/src/testbed/cluster_test/cluster_test_command.cpp
@@ -1,5 +1,3 @@
-#include "emulator/scenario_reader.h"
-#include "emulator/scenario_file.h"
 #include "testbed/cluster_test/cluster_test_command.h"
 
 #include <fmt/format.h>
@@ -12,6 +10,8 @@
 #include <string>
 #include <vector>
 
+#include "emulator/scenario_file.h"
+#include "emulator/scenario_reader.h"
 #include "emulator/units.h"
 #include "emulator/world.h"
 #include "experiments/experiment.h"
--- a/src/testbed/cluster_test/fault_plan.h
+++ b/src/testbed/cluster_test/fault_plan.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "emulator/scenario_reader.h"
 #include "emulator/scenario.h"
+#include "emulator/scenario_reader.h"
 
 namespace beechhill::testbed {
 
--- a/src/testbed/cost_measurement.cpp
+++ b/src/testbed/cost_measurement.cpp
@@ -1,4 +1,3 @@
-#include "emulator/scenario_reader.h"
 #include "testbed/cost_measurement.h"
 
 #include <fmt/format.h>
@@ -11,6 +10,7 @@
 
 #include "config/toml_reader.h"
 #include "emulator/scenario.h"
+#include "emulator/scenario_reader.h"
 #include "experiments/temp_folder.h"
 #include "testbed/closed_loop_load.h"
 #include "testbed/fake_services.h"
--- a/src/testbed/emulator_commands.cpp
+++ b/src/testbed/emulator_commands.cpp
@@ -1,5 +1,3 @@
-#include "emulator/scenario_reader.h"
-#include "emulator/scenario_file.h"
 #include "testbed/emulator_commands.h"
 
 #include <fmt/format.h>
@@ -16,6 +14,8 @@
 #include <thread>
 #include <vector>
 
+#include "emulator/scenario_file.h"
+#include "emulator/scenario_reader.h"
 #include "emulator/units.h"
 #include "experiments/experiment.h"
 #include "experiments/plot.h"
--- a/tests/support/testbed_fixture.h
+++ b/tests/support/testbed_fixture.h
@@ -6,8 +6,8 @@
 #include <cstdio>
 #include <string>
 
-#include "emulator/scenario_reader.h"
 #include "emulator/scenario.h"
+#include "emulator/scenario_reader.h"
 #include "testbed/load_test.h"
 
 namespace beechhill::test {
