--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -9,11 +9,11 @@
 namespace beechhill::test {
 namespace {
 
-std::string hosts_json(const Door& a, const Door& b) {
+std::string hosts_json(const FakeListener& a, const FakeListener& b) {
   return "[" + host_json("s-1", a.address()) + "," + host_json("s-2", b.address()) + "]";
 }
 
-Json::Value telemetry(const Proxy& proxy) {
+Json::Value telemetry(const ProxyUnderTest& proxy) {
   const http::Message answer = proxy.call("GET", "/api/telemetry");
   Json::Value root;
   std::string errors;
@@ -28,9 +28,9 @@
 // Silent callers, and callers that have sent half a call, hold all connections; a complete call is
 // answered meanwhile, also while clients hold all of theirs.
 TEST(OperatorCalls, AreAnsweredWhileSilentCallersAndClientsHoldAllConnections) {
-  const Door a, b;
-  const Proxy proxy(hosts_json(a, b));
-  std::vector<Wire> silent, half, clients;
+  const FakeListener a, b;
+  const ProxyUnderTest proxy(hosts_json(a, b));
+  std::vector<TestConnection> silent, half, clients;
   for (int i = 0; i < 250; ++i) {
     clients.push_back(proxy.client());
   }
@@ -42,7 +42,7 @@
   const auto sent = Clock::now();
   EXPECT_EQ(proxy.call("GET", "/api/ready").status, 200);
   EXPECT_LT(Clock::now() - sent, 5s);
-  for (Wire& caller : silent) {
+  for (TestConnection& caller : silent) {
     EXPECT_FALSE(caller.fill());
   }
   EXPECT_EQ(proxy.call("DELETE", "/api/ready").status, 405);
@@ -52,33 +52,33 @@
 // An accepted request is pending, completed, rejected, failed or abandoned; every class is listed
 // from the start.
 TEST(OperatorTelemetry, CountsEachRequestOnce) {
-  const Door backend;
-  const Proxy proxy("[" + host_json("s-1", backend.address()) + "]");
+  const FakeListener backend;
+  const ProxyUnderTest proxy("[" + host_json("s-1", backend.address()) + "]");
   Json::Value counters = telemetry(proxy);
   EXPECT_EQ(counters["completed"]["ver"], 0);
   EXPECT_EQ(counters["failed"]["ajuste"], 0);
   EXPECT_EQ(counters["pending"], 0);
   EXPECT_EQ(counters["members"], 1);
-  Wire client = proxy.client();
-  client.send(Proxy::get("a1"));
-  Wire server = backend.accept();
+  TestConnection client = proxy.client();
+  client.send(ProxyUnderTest::get("a1"));
+  TestConnection server = backend.accept();
   server.request();
   counters = telemetry(proxy);
   EXPECT_EQ(counters["pending"], 1);
   EXPECT_EQ(counters["upstream_requests"], 1);
   server.reply(200, "", "x");
   expect_status(client, 200);
-  client.send(Proxy::post("a2", "b"));
+  client.send(ProxyUnderTest::post("a2", "b"));
   server.request();
   server.reply(500, "", "");
   expect_status(client, 502);
-  client.send(Proxy::post("a3", "b", 250));
+  client.send(ProxyUnderTest::post("a3", "b", 250));
   server.request();
   server.reply(503, "X-Never-Ran: 1\r\n", "");
   expect_status(client, 503);
   {
-    Wire leaver = proxy.client();
-    leaver.send(Proxy::get("a4"));
+    TestConnection leaver = proxy.client();
+    leaver.send(ProxyUnderTest::get("a4"));
     server.request();
   }
   EXPECT_FALSE(server.fill());
@@ -95,8 +95,8 @@
   EXPECT_EQ(counters["upstream_requests"], 4);
 }
 
-void answer_next(const Door& backend, Wire& client) {
-  Wire server = backend.accept();
+void answer_next(const FakeListener& backend, TestConnection& client) {
+  TestConnection server = backend.accept();
   server.request();
   server.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
   expect_status(client, 200);
@@ -104,9 +104,9 @@
 
 // An included backend begins its slow start: a client may get a Retry-After before the backend gets
 // its first request.
-void answer_soon(const Door& backend, Wire& client, const std::string& id) {
+void answer_soon(const FakeListener& backend, TestConnection& client, const std::string& id) {
   for (int n = 0;; ++n) {
-    client.send(Proxy::get(id + std::to_string(n)));
+    client.send(ProxyUnderTest::get(id + std::to_string(n)));
     while (!client.readable(5ms) && !backend.pending(0ms)) {}
     if (backend.pending(0ms)) {
       return answer_next(backend, client);
@@ -119,8 +119,8 @@
 // An excluded backend gets nothing new, whatever the endpoint list states meanwhile, until it is
 // included again.
 TEST(OperatorExclusion, OutlastsWhatTheEndpointListStates) {
-  const Door first, second;
-  Proxy proxy(hosts_json(first, second));
+  const FakeListener first, second;
+  ProxyUnderTest proxy(hosts_json(first, second));
   EXPECT_EQ(proxy.call("PUT", "/api/exclude?target=nobody").status, 404);
   EXPECT_EQ(proxy.call("PUT", "/api/include?target=nobody").status, 404);
   for (int i = 0; i < 2; ++i) {
@@ -129,11 +129,11 @@
   const Json::Value counters = telemetry(proxy);
   EXPECT_EQ(counters["members"], 2);
   EXPECT_EQ(counters["members_unavailable"], 1);
-  Wire client = proxy.client();
+  TestConnection client = proxy.client();
   int n = 0;
-  const auto all_go_to = [&](const Door& only, const Door& other) {
+  const auto all_go_to = [&](const FakeListener& only, const FakeListener& other) {
     for (int i = 0; i < 4; ++i) {
-      client.send(Proxy::get("b" + std::to_string(++n)));
+      client.send(ProxyUnderTest::get("b" + std::to_string(++n)));
       answer_next(only, client);
     }
     EXPECT_FALSE(other.pending(0ms));
@@ -156,17 +156,18 @@
 // An exclusion closes idle connections. With all backends excluded, a client gets a Retry-After at
 // once.
 TEST(OperatorExclusion, OfAllBackendsRejectsRequestsAtOnce) {
-  const Door backend;
-  const Proxy proxy("[" + host_json("s-1", backend.address()) + "]");
-  Wire client = proxy.client();
-  client.send(Proxy::get("a1"));
-  Wire server = backend.accept();
+  const FakeListener backend;
+  const ProxyUnderTest proxy("[" + host_json("s-1", backend.address()) + "]");
+  TestConnection client = proxy.client();
+  client.send(ProxyUnderTest::get("a1"));
+  TestConnection server = backend.accept();
   server.request();
   server.reply(200, "", "1");
   expect_status(client, 200);
   EXPECT_EQ(proxy.call("PUT", "/api/exclude?target=s-1").status, 200);
   EXPECT_FALSE(server.fill());
-  client.send(Proxy::get("a2", 60000));  // queued, it would wait for half of its latency objective
+  client.send(
+      ProxyUnderTest::get("a2", 60000));  // queued, it would wait for half of its latency objective
   const http::Message answer = client.answer();
   EXPECT_EQ(answer.status, 503);
   EXPECT_TRUE(answer.headers.find("Retry-After"));
@@ -177,15 +178,15 @@
 // Drained: not ready, new clients are still served, responses close their connections, idle
 // connections are closed; the process runs on and can be resumed.
 TEST(OperatorDrain, SendsClientsAwayUntilResumed) {
-  const Door backend;
-  Proxy proxy("[" + host_json("s-1", backend.address()) + "]");
-  Wire busy = proxy.client(), idle = proxy.client(), asker = proxy.client();
-  for (Wire* wire : {&idle, &asker}) {
-    wire->send(Proxy::get(wire == &idle ? "i" : "k"));
+  const FakeListener backend;
+  ProxyUnderTest proxy("[" + host_json("s-1", backend.address()) + "]");
+  TestConnection busy = proxy.client(), idle = proxy.client(), asker = proxy.client();
+  for (TestConnection* wire : {&idle, &asker}) {
+    wire->send(ProxyUnderTest::get(wire == &idle ? "i" : "k"));
     answer_next(backend, *wire);
   }
-  busy.send(Proxy::get("a1"));
-  Wire server = backend.accept();
+  busy.send(ProxyUnderTest::get("a1"));
+  TestConnection server = backend.accept();
   server.request();
   for (int i = 0; i < 2; ++i) {
     EXPECT_EQ(proxy.call("PUT", "/api/evacuate").status, 200);
@@ -193,10 +194,10 @@
   EXPECT_EQ(proxy.ready(), 503);
   EXPECT_EQ(proxy.call("GET", "/api/ready").status, 200);
   ::usleep(350'000);
-  asker.send(
-      Proxy::get("a2") +
-      Proxy::get("a3"));  // the second has been read when the close comes: it is answered first
-  Wire other = backend.accept();
+  asker.send(ProxyUnderTest::get("a2") +
+             ProxyUnderTest::get(
+                 "a3"));  // the second has been read when the close comes: it is answered first
+  TestConnection other = backend.accept();
   other.request();
   other.reply(200, "", "2");
   http::Message answer = asker.answer();
@@ -209,8 +210,8 @@
   EXPECT_FALSE(answer.keep_alive());
   EXPECT_FALSE(asker.fill());
   EXPECT_FALSE(other.readable(0ms));
-  Wire fresh = proxy.client();
-  fresh.send(Proxy::get("a4"));
+  TestConnection fresh = proxy.client();
+  fresh.send(ProxyUnderTest::get("a4"));
   other.request();
   other.reply(200, "", "4");
   EXPECT_EQ(fresh.answer().body, "4");
@@ -222,9 +223,9 @@
   EXPECT_EQ(proxy.call("PUT", "/api/rejoin").status, 200);
   EXPECT_EQ(proxy.call("PUT", "/api/rejoin").status, 200);
   EXPECT_EQ(proxy.ready(), 200);
-  Wire back = proxy.client();
-  back.send(Proxy::get("a5"));
-  Wire* const free = server.readable(200ms) ? &server : &other;
+  TestConnection back = proxy.client();
+  back.send(ProxyUnderTest::get("a5"));
+  TestConnection* const free = server.readable(200ms) ? &server : &other;
   free->request();
   free->reply(200, "", "5");
   answer = back.answer();
--- a/tests/properties_test.cpp
+++ b/tests/properties_test.cpp
@@ -18,8 +18,8 @@
 using emulator::Actor;
 using emulator::Scenario;
 using emulator::Stream;
+using emulator::to_duration;
 using emulator::to_s;
-using emulator::to_span;
 
 constexpr std::size_t kLoggedEvents = 24;  // that a failing run prints
 constexpr EndpointId kLastEndpoints = 5;   // that are left in the last phase of a run
@@ -38,9 +38,9 @@
   ClassSettings& k = c.settings;
   k.idempotency = static_cast<Idempotency>(random.below(3));
   k.deduplication_scope = static_cast<DeduplicationScope>(random.below(3));
-  k.latency_objective = to_span(log_uniform(random, 0.02, 30));
-  k.deadline = k.latency_objective + to_span(3 * random.uniform() * to_s(k.latency_objective));
-  k.deduplication_window = to_span(log_uniform(random, 0.2, 3) * to_s(k.deadline));
+  k.latency_objective = to_duration(log_uniform(random, 0.02, 30));
+  k.deadline = k.latency_objective + to_duration(3 * random.uniform() * to_s(k.latency_objective));
+  k.deduplication_window = to_duration(log_uniform(random, 0.2, 3) * to_s(k.deadline));
   k.priority_weight = one_of(random, {0.0, 1.0, 1.0, 3.0, 10.0});
   k.late_priority_factor = one_of(random, {0.0, 0.0, 0.3});
   k.latency_objective_work_factor = one_of(random, {0.0, 2.0});
@@ -73,7 +73,7 @@
     const Duration longest = emulator::longest_deadline(deployment_);
     const double gap = to_s(longest) / log_uniform(random_, 20, 400);
     for (int i = 0; i < 400; ++i) {
-      advance(driver_.now + to_span(random_.exponential(gap)));
+      advance(driver_.now + to_duration(random_.exponential(gap)));
       send_request();
       if (random_.below(8) == 0) {
         draw_disturbance();
@@ -130,7 +130,7 @@
     }
     s.drain_grace = Duration{-1};  // the module itself sends nothing new from that event on
     s.answer_grace = Duration{0};
-    s.parallel_tries = random_.below(2) == 0;
+    s.hedging_allowed = random_.below(2) == 0;
     return s;
   }
 
@@ -151,7 +151,7 @@
     s.time_step = one_of(random_, {milliseconds(1), milliseconds(4)});
     s.discovery_polling_required = random_.below(4) == 0;
     s.discovery_poll_interval = milliseconds(10000);
-    s.slow_start_window = to_span(one_of(random_, {0.0, 2.0, 30.0}));
+    s.slow_start_window = to_duration(one_of(random_, {0.0, 2.0, 30.0}));
     s.slow_start_initial_weight = log_uniform(random_, 0.05, 1);
     s.overload_collapse_ratio = 1 + 3 * random_.uniform();
     s.overload_collapse_delay = milliseconds(3000);
@@ -159,7 +159,7 @@
     s.health_checks_allowed = random_.below(2) == 0;
     s.health_check_cost = one_of(random_, {0.0, 0.01, 1.0});
     s.cancellation_allowed = random_.below(2) == 0;
-    s.hedging_allowed = deployment_.parallel_tries;
+    s.hedging_allowed = deployment_.hedging_allowed;
     s.max_attempts = 1 + static_cast<std::uint32_t>(random_.below(6));
     s.max_retry_after = milliseconds(1500);
     s.connect_timeout = one_of(random_, {milliseconds(5), milliseconds(100)});
@@ -174,7 +174,7 @@
     e.instance_type = static_cast<std::uint32_t>(random_.below(3));
     e.started_at.reset();
     if (random_.below(2) == 0) {
-      e.started_at = driver_.now - to_span(20 * random_.uniform());
+      e.started_at = driver_.now - to_duration(20 * random_.uniform());
     }
     e.status = EndpointStatus::kUp;
   }
@@ -228,7 +228,7 @@
     open.class_id = static_cast<ClassId>(random_.below(deployment_.classes.size()));
     const Duration all = deployment_.classes[open.class_id].settings.deadline;
     open.arrived_at = driver_.now;
-    open.deadline = driver_.now + to_span(to_s(all) * one_of(random_, {1.0, 1.0, 0.4, 0.01}));
+    open.deadline = driver_.now + to_duration(to_s(all) * one_of(random_, {1.0, 1.0, 0.4, 0.01}));
     open.streams_body = random_.below(20) == 0;
     Request r;
     r.id = id;
@@ -239,12 +239,12 @@
     r.deadline = open.deadline;
     r.streams_body = open.streams_body;
     if (random_.below(2) == 0) {
-      r.work_hint = to_span(to_s(all) / 20);
+      r.work_hint = to_duration(to_s(all) / 20);
     }
     rules_.taken(driver_.now, id, r.class_id, r.deadline);
     at(r.deadline, [this, id] { expire(id); });
     if (random_.below(12) == 0) {
-      at(driver_.now + to_span(to_s(all) * random_.uniform()), [this, id] { disconnect(id); });
+      at(driver_.now + to_duration(to_s(all) * random_.uniform()), [this, id] { disconnect(id); });
     }
     handle(r, "request " + std::to_string(id) + " class " + std::to_string(r.class_id));
   }
@@ -335,7 +335,7 @@
     } else if (random_.below(25) == 0) {
       result = static_cast<Result>(random_.below(8));
     }
-    const Duration after = to_span(random_.exponential(
+    const Duration after = to_duration(random_.exponential(
         latency * to_s(deployment_.classes[open.class_id].settings.latency_objective)));
     const RequestId id = a.id;
     if (driver_.now + after < open.deadline) {
@@ -451,7 +451,7 @@
           break;
         default:
           s.entry.status = EndpointStatus::kUp;
-          s.entry.started_at = driver_.now - to_span(2 * random_.uniform());
+          s.entry.started_at = driver_.now - to_duration(2 * random_.uniform());
       }
       track_availability(s);
       d.endpoints.push_back(s.entry);
@@ -491,8 +491,9 @@
         }
         return;
       default:
-        return advance(driver_.now +
-                       to_span(one_of(random_, {0.001, 1.0, 100.0})));  // no requests; time passes
+        return advance(
+            driver_.now +
+            to_duration(one_of(random_, {0.001, 1.0, 100.0})));  // no requests; time passes
     }
   }
 
@@ -661,8 +662,8 @@
   tier.zones = 1 + static_cast<std::uint32_t>(random.below(3));
   tier.speed = {0.7, 1.1};
   tier.cold_from = log_uniform(random, 0.1, 0.5);
-  tier.cold_span = to_span(log_uniform(random, 5, 25));
-  tier.choke_crowd = 6;
+  tier.cold_span = to_duration(log_uniform(random, 5, 25));
+  tier.collapse_queue_per_core = 6;
   s.tiers.push_back(tier);
   s.proxies = one_of<std::uint32_t>(random, {1, 4, 30});
   s.load.utilisation = 0.3 + 0.6 * random.uniform();
@@ -674,9 +675,9 @@
   for (std::size_t i = 0; i < classes; ++i) {
     emulator::ClassSpec c = drawn_class(random, i);
     c.work_s = work * log_uniform(random, 0.7, 1.4);
-    c.settings.latency_objective = to_span(c.work_s * log_uniform(random, 6, 30));
+    c.settings.latency_objective = to_duration(c.work_s * log_uniform(random, 6, 30));
     c.settings.deadline =
-        to_span(to_s(c.settings.latency_objective) * (1.5 + 2 * random.uniform()));
+        to_duration(to_s(c.settings.latency_objective) * (1.5 + 2 * random.uniform()));
     c.settings.deduplication_window = c.settings.deadline;
     c.settings.latency_objective_work_factor = 0;
     c.settings.streaming = false;
@@ -689,8 +690,8 @@
     f.kind = one_of(random, {Kind::kSilent, Kind::kCrash, Kind::kCrash, Kind::kDrain,
                              Kind::kReplace, Kind::kProxyCrash, Kind::kStaleList, Kind::kErrors,
                              Kind::kSlow, Kind::kLateReports});
-    f.at = to_span(5 + 10 * i + 5 * random.uniform());
-    f.length = to_span(4 + 6 * random.uniform());
+    f.at = to_duration(5 + 10 * i + 5 * random.uniform());
+    f.length = to_duration(4 + 6 * random.uniform());
     f.part = one_of(random, {0.1, 0.3, 0.5});
     f.factor = f.kind == Kind::kErrors ? 0.6 : 2;
     f.delay = std::chrono::seconds(3);
@@ -704,11 +705,11 @@
 TEST_P(Worlds, KeepTheRules) {
   for (std::uint64_t i = 0; i < 6; ++i) {
     const std::uint64_t seed = 6 * GetParam() + i;
-    emulator::World world(drawn_world(seed),
-                          [](Time now, const Settings& settings, const emulator::TrueState& truth,
-                             std::vector<Action>& actions) {
-                            return emulator::make_policy("module", now, settings, truth, actions);
-                          });
+    emulator::World world(drawn_world(seed), [](Time now, const Settings& settings,
+                                                const emulator::TrueBackendState& truth,
+                                                std::vector<Action>& actions) {
+      return emulator::make_policy("module", now, settings, truth, actions);
+    });
     world.run();
     for (const auto& v : world.rules().violations()) {
       ADD_FAILURE() << "seed " << seed << ": " << name_of(v.rule) << " at " << to_s(v.at)
--- a/tests/proxy_rules.cpp
+++ b/tests/proxy_rules.cpp
@@ -22,15 +22,15 @@
 
 // Twice on one connection.
 TEST_F(ProxyRulesOneBackend, ForwardsRequestAndResponseUnchanged) {
-  client.send(Proxy::post("a1", "body"));
-  Wire server = backend.accept();
+  client.send(ProxyUnderTest::post("a1", "body"));
+  TestConnection server = backend.accept();
   const http::Message forwarded = server.request();
   ASSERT_EQ(forwarded.method, "POST");
   ASSERT_EQ(forwarded.target, "/ajuste");
   ASSERT_EQ(forwarded.body, "body");
   ASSERT_EQ(*forwarded.headers.find("X-Trace-Id"), "a1");
   ASSERT_EQ(*forwarded.headers.find("Idempotency-Key"), "ka1");
-  const auto expires_in_ms = http::whole_number(*forwarded.headers.find("X-Expires-In-Ms"));
+  const auto expires_in_ms = http::parse_unsigned(*forwarded.headers.find("X-Expires-In-Ms"));
   ASSERT_TRUE(expires_in_ms);
   ASSERT_GT(*expires_in_ms, 0);
   ASSERT_LE(*expires_in_ms, 2000);
@@ -39,7 +39,7 @@
   ASSERT_EQ(answer.status, 200);
   ASSERT_EQ(answer.body, "answer");
   ASSERT_EQ(*answer.headers.find("Content-Type"), "text/x");
-  client.send(Proxy::get("a2"));
+  client.send(ProxyUnderTest::get("a2"));
   ASSERT_EQ(server.request().target, "/ver/x?user=1");  // the connection is used again
   server.reply(200, "", "more");
   ASSERT_EQ(client.answer().body, "more");
@@ -47,8 +47,8 @@
 
 // Rule 1: at its deadline, plus the slack, at the latest.
 TEST_F(ProxyRulesOneBackend, AnswersRequestThatBackendNeverAnswers) {
-  client.send(Proxy::get("a1", 200));
-  Wire server = backend.accept();
+  client.send(ProxyUnderTest::get("a1", 200));
+  TestConnection server = backend.accept();
   server.request();
   const int status = client.answer().status;
   ASSERT_TRUE(status == 503 || status == 502);
@@ -58,12 +58,12 @@
 // Rule 2: nor is it rejected, which would invite a retry.
 TEST(ProxyRules, NeverRepeatsRequestThatMayHaveRun) {
   for (const bool answered : {false, true}) {
-    const Door backend;
-    const Proxy proxy(one_host(backend));
-    Wire client = proxy.client();
-    client.send(Proxy::post("a1", "x", 300));
+    const FakeListener backend;
+    const ProxyUnderTest proxy(single_backend_list(backend));
+    TestConnection client = proxy.client();
+    client.send(ProxyUnderTest::post("a1", "x", 300));
     {
-      Wire server = backend.accept();
+      TestConnection server = backend.accept();
       server.request();
       if (answered) {
         server.reply(503, "", "");  // without X-Never-Ran: it may have been executed
@@ -76,8 +76,8 @@
 
 // Only X-Never-Ran proves that a request was not executed, and so may be retried or rejected.
 TEST_F(ProxyRulesOneBackend, RejectsWithRetryAfterWhenBackendIsMarkedFull) {
-  client.send(Proxy::post("a1", "x", 250));
-  Wire server = backend.accept();
+  client.send(ProxyUnderTest::post("a1", "x", 250));
+  TestConnection server = backend.accept();
   server.request();
   server.reply(503, "X-Never-Ran: 1\r\n", "");
   const http::Message answer = client.answer();
@@ -90,18 +90,18 @@
 
 // Rule 3. Its idle connection is closed, too.
 TEST(ProxyRules, SendsNothingToDrainingBackend) {
-  const Door first;
-  const Door second;
-  Proxy proxy("[" + host_json("s-1", first.address()) + "]");
-  Wire client = proxy.client();
-  Wire server = exchange(client, first, Proxy::get("a1"), "1");
+  const FakeListener first;
+  const FakeListener second;
+  ProxyUnderTest proxy("[" + host_json("s-1", first.address()) + "]");
+  TestConnection client = proxy.client();
+  TestConnection server = exchange(client, first, ProxyUnderTest::get("a1"), "1");
   proxy.list("[" + host_json("s-1", first.address(), "terminating") + "," +
                  host_json("s-2", second.address()) + "]",
              false);
   ASSERT_FALSE(server.fill());
   for (const char* id : {"a2", "a3"}) {
-    client.send(Proxy::get(id));
-    Wire other = second.accept();
+    client.send(ProxyUnderTest::get(id));
+    TestConnection other = second.accept();
     other.request();
     other.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
     expect_status(client, 200);
@@ -111,20 +111,20 @@
 
 // Rule 4.
 TEST(ProxyRules, SendsLessToBackendInSlowStart) {
-  const Door warm;
-  const Door cold;
-  const Proxy proxy("[" + host_json("s-1", warm.address()) + "," +
-                    host_json("s-2", cold.address(), "in_service", unix_ms()) + "]");
-  std::vector<Wire> clients;
+  const FakeListener warm;
+  const FakeListener cold;
+  const ProxyUnderTest proxy("[" + host_json("s-1", warm.address()) + "," +
+                             host_json("s-2", cold.address(), "in_service", unix_ms()) + "]");
+  std::vector<TestConnection> clients;
   for (int i = 0; i < 24; ++i) {
     clients.push_back(proxy.client());
-    clients.back().send(Proxy::get("a" + std::to_string(i)));
+    clients.back().send(ProxyUnderTest::get("a" + std::to_string(i)));
   }
   int at_warm = 0;
   int at_cold = 0;
-  std::vector<Wire> servers;
+  std::vector<TestConnection> servers;
   while (at_warm + at_cold < 24) {
-    ASSERT_TRUE(warm.pending(0ms) || cold.pending(0ms) || warm.pending(kPatience));
+    ASSERT_TRUE(warm.pending(0ms) || cold.pending(0ms) || warm.pending(kTestTimeout));
     const bool is_warm = warm.pending(0ms);
     servers.push_back((is_warm ? warm : cold).accept());
     ++(is_warm ? at_warm : at_cold);
@@ -133,12 +133,12 @@
 }
 
 TEST(ProxyRules, ClosesAttemptWhenClientDisconnects) {
-  const Door backend;
-  const Proxy proxy(one_host(backend));
-  std::vector<Wire> servers;
+  const FakeListener backend;
+  const ProxyUnderTest proxy(single_backend_list(backend));
+  std::vector<TestConnection> servers;
   {
-    Wire client = proxy.client();
-    client.send(Proxy::get("a1"));
+    TestConnection client = proxy.client();
+    client.send(ProxyUnderTest::get("a1"));
     servers.push_back(backend.accept());
     servers[0].request();
   }
@@ -146,8 +146,8 @@
 }
 
 TEST_F(ProxyRulesOneBackend, AnswersPipelinedRequestsInOrder) {
-  client.send(Proxy::get("a1") + Proxy::get("a2"));
-  Wire server = backend.accept();
+  client.send(ProxyUnderTest::get("a1") + ProxyUnderTest::get("a2"));
+  TestConnection server = backend.accept();
   for (const char* id : {"a1", "a2"}) {
     ASSERT_EQ(*server.request().headers.find("X-Trace-Id"), id);
     ASSERT_FALSE(server.readable(20ms));  // one at a time
@@ -158,8 +158,8 @@
 
 // Each is answered and its connection closed; the proxy goes on.
 TEST(ProxyRules, RejectsMalformedRequests) {
-  const Door backend;
-  const Proxy proxy(one_host(backend));
+  const FakeListener backend;
+  const ProxyUnderTest proxy(single_backend_list(backend));
   const struct {
     std::string bytes;
     int status;
@@ -190,7 +190,7 @@
        400},
   };
   for (const auto& c : cases) {
-    Wire client = proxy.client();
+    TestConnection client = proxy.client();
     client.send(c.bytes);
     expect_status(client, c.status);
     ASSERT_FALSE(client.fill());
@@ -202,29 +202,29 @@
 // Also one that stops amid its request; and a crowd of silent clients that is larger than the
 // descriptors does not keep a new client waiting.
 TEST(ProxyRules, TimesOutSilentClients) {
-  const Door backend;
-  const Proxy proxy(one_host(backend));
-  Wire half = proxy.client();
-  half.send(Proxy::get("a0").substr(0, 30));
+  const FakeListener backend;
+  const ProxyUnderTest proxy(single_backend_list(backend));
+  TestConnection half = proxy.client();
+  half.send(ProxyUnderTest::get("a0").substr(0, 30));
   expect_status(half, 408);
-  std::vector<Wire> silent;
+  std::vector<TestConnection> silent;
   for (int i = 0; i < 300; ++i) {
     silent.push_back(proxy.client());
   }
-  Wire usual = proxy.client();
+  TestConnection usual = proxy.client();
   usual.send("GET /health/ready HTTP/1.1\r\n\r\n");
   expect_status(usual, 200);
-  for (Wire& client : silent) {
+  for (TestConnection& client : silent) {
     ASSERT_FALSE(client.fill());
   }
 }
 
 // Also while silent clients keep connecting.
 TEST(ProxyRules, EvictsIdleClientsForNewOnes) {
-  const Door backend;
-  const Proxy proxy(one_host(backend));
-  std::vector<Wire> idle;
-  std::vector<Wire> silent;
+  const FakeListener backend;
+  const ProxyUnderTest proxy(single_backend_list(backend));
+  std::vector<TestConnection> idle;
+  std::vector<TestConnection> silent;
   for (int i = 0; i < 110; ++i) {
     idle.push_back(proxy.client());
     idle.back().send("GET /health/ready HTTP/1.1\r\n\r\n");
@@ -234,24 +234,24 @@
   for (int i = 0; i < 60; ++i) {
     silent.push_back(proxy.client());
   }
-  Wire usual = proxy.client();
+  TestConnection usual = proxy.client();
   usual.send("GET /health/ready HTTP/1.1\r\n\r\n");
   expect_status(usual, 200);
-  const auto closed = std::count_if(idle.begin(), idle.end(),
-                                    [](const Wire& client) { return client.readable(0ms); });
+  const auto closed = std::count_if(
+      idle.begin(), idle.end(), [](const TestConnection& client) { return client.readable(0ms); });
   ASSERT_GE(closed, 10);
 }
 
 // The first request goes on.
 TEST(ProxyRules, RejectsTraceIdOfOpenRequest) {
-  const Door backend;
-  const Proxy proxy(one_host(backend));
-  Wire client = proxy.client();
-  Wire other = proxy.client();
-  client.send(Proxy::get("a1"));
-  Wire server = backend.accept();
+  const FakeListener backend;
+  const ProxyUnderTest proxy(single_backend_list(backend));
+  TestConnection client = proxy.client();
+  TestConnection other = proxy.client();
+  client.send(ProxyUnderTest::get("a1"));
+  TestConnection server = backend.accept();
   server.request();
-  other.send(Proxy::post("a1", "x"));
+  other.send(ProxyUnderTest::post("a1", "x"));
   expect_status(other, 409);
   server.reply(200, "", "first");
   ASSERT_EQ(client.answer().body, "first");
@@ -261,8 +261,8 @@
 // Bytes that begin no request show that the length before them was wrong, also where they come
 // late.
 TEST_F(ProxyRulesOneBackend, RejectsRequestFollowedByGarbage) {
-  client.send(Proxy::post("a1", "x"));
-  Wire server = backend.accept();
+  client.send(ProxyUnderTest::post("a1", "x"));
+  TestConnection server = backend.accept();
   server.request();
   client.send("more of the body");
   expect_status(client, 400);
@@ -271,18 +271,18 @@
 
 // The attempt alone fails.
 TEST(ProxyRules, AnswersBadGatewayToMalformedResponses) {
-  const Door backend;
-  const Proxy proxy(one_host(backend));
+  const FakeListener backend;
+  const ProxyUnderTest proxy(single_backend_list(backend));
   for (const std::string& bytes :
        {std::string("garbage\r\n\r\n"), std::string("HTTP/1.1 200 OK\r\nContent-Le"),
         "HTTP/1.1 200 OK\r\n\r\n" + std::string(70000, 'x')}) {
-    Wire client = proxy.client();
-    client.send(Proxy::post("a" + std::to_string(bytes.size()), "x", 300));
+    TestConnection client = proxy.client();
+    client.send(ProxyUnderTest::post("a" + std::to_string(bytes.size()), "x", 300));
     while (!client.readable(5ms)) {
       if (!backend.pending(0ms)) {
         continue;
       }
-      Wire server = backend.accept();
+      TestConnection server = backend.accept();
       if (server.fill()) {
         ::send(server.fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
       }
@@ -295,8 +295,8 @@
 // Long before the request's deadline.
 TEST_F(ProxyRulesOneBackend, GivesUpResponseThatStallsBeforeItsEnd) {
   const auto sent = Clock::now();
-  client.send(Proxy::get("a1", 3000));
-  Wire server = backend.accept();
+  client.send(ProxyUnderTest::get("a1", 3000));
+  TestConnection server = backend.accept();
   server.request();
   server.send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\na1");
   ASSERT_FALSE(server.fill());
@@ -306,8 +306,8 @@
 
 // The connection is not used again.
 TEST_F(ProxyRulesOneBackend, RejectsLeftoverOfEarlierResponse) {
-  Wire server = exchange(client, backend, Proxy::post("a1", "x"), "a1 first");
-  client.send(Proxy::post("a2", "x"));
+  TestConnection server = exchange(client, backend, ProxyUnderTest::post("a1", "x"), "a1 first");
+  client.send(ProxyUnderTest::post("a2", "x"));
   server.request();
   server.reply(200, "", "a1 first");
   expect_status(client, 502);
@@ -315,21 +315,21 @@
 }
 
 TEST(ProxyRules, ReconnectsAfterMalformedEndpointList) {
-  const Door backend;
-  Proxy proxy("[]");
+  const FakeListener backend;
+  ProxyUnderTest proxy("[]");
   for (const std::string malformed :
        {"{\n", "[1]\n", "{\"seq\":9,\"whole\":true,\"hosts\":[{\"host\":3}]}\n"}) {
     proxy.chunk(malformed);
     proxy.watch_again();
   }
-  proxy.list(one_host(backend));
-  Wire client = proxy.client();
-  Wire server = exchange(client, backend, Proxy::get("a1", 3000), "");
+  proxy.list(single_backend_list(backend));
+  TestConnection client = proxy.client();
+  TestConnection server = exchange(client, backend, ProxyUnderTest::get("a1", 3000), "");
 }
 
 // A watch that sends nothing, not even empty lines, is opened again.
 TEST(ProxyRules, ReconnectsToSilentDiscovery) {
-  Proxy proxy("[]");
+  ProxyUnderTest proxy("[]");
   proxy.watch_again();
   ASSERT_EQ(proxy.ready(), 200);
 }
@@ -338,19 +338,19 @@
 // complete list, as another discovery may count its versions otherwise. A shutdown still works
 // after it.
 TEST(ProxyRules, MovesWatchOnReload) {
-  const Door first;
-  const Door second;
-  const Door elsewhere;
-  Proxy proxy(one_host(first));
+  const FakeListener first;
+  const FakeListener second;
+  const FakeListener elsewhere;
+  ProxyUnderTest proxy(single_backend_list(first));
   proxy.reconfigure("nowhere");
-  Wire client = proxy.client();
-  Wire server = exchange(client, first, Proxy::get("a1"), "1");
+  TestConnection client = proxy.client();
+  TestConnection server = exchange(client, first, ProxyUnderTest::get("a1"), "1");
   proxy.list("[" + host_json("s-1", first.address(), "terminating") + "]", false);
   ASSERT_FALSE(server.fill());  // the change has arrived
   proxy.reconfigure(elsewhere.address());
   ASSERT_TRUE(proxy.watch_again(elsewhere).ends_with("from=0"));
   proxy.list("[" + host_json("s-2", second.address()) + "]", false);
-  Wire other = exchange(client, second, Proxy::get("a2"), "2");
+  TestConnection other = exchange(client, second, ProxyUnderTest::get("a2"), "2");
   ASSERT_FALSE(first.pending(0ms));
   proxy.signal(SIGTERM);
   ASSERT_EQ(proxy.exit_status(), 0);
@@ -358,23 +358,23 @@
 
 // A new backend at the address of a removed one.
 TEST_F(ProxyRulesOneBackend, SharesNoConnectionsAtReusedAddress) {
-  Wire previous = exchange(client, backend, Proxy::get("a1"), "");
+  TestConnection previous = exchange(client, backend, ProxyUnderTest::get("a1"), "");
   proxy.list("[" + host_json("s-1", backend.address(), "terminated") + "," +
                  host_json("s-2", backend.address()) + "]",
              false);
   ASSERT_FALSE(previous.fill());
-  Wire server = exchange(client, backend, Proxy::get("a2"), "new");
+  TestConnection server = exchange(client, backend, ProxyUnderTest::get("a2"), "new");
 }
 
 // While a request to it is in flight: its old connections carry no other request.
 TEST(ProxyRules, DropsConnectionsOfRestartedOrMovedBackend) {
   for (const bool moves : {true, false}) {
-    const Door first;
-    const Door second;
-    Proxy proxy(one_host(first));
-    Wire client = proxy.client();
-    client.send(Proxy::get("a1"));
-    Wire previous = first.accept();
+    const FakeListener first;
+    const FakeListener second;
+    ProxyUnderTest proxy(single_backend_list(first));
+    TestConnection client = proxy.client();
+    client.send(ProxyUnderTest::get("a1"));
+    TestConnection previous = first.accept();
     previous.request();
     if (!moves) {  // its connection is idle when the restart becomes known
       previous.reply(200, "", "1");
@@ -386,9 +386,9 @@
                    "]",
                false);
     if (moves) {  // the request is still in flight
-      Wire other = proxy.client();
-      other.send(Proxy::get("a2"));
-      Wire server = second.accept();
+      TestConnection other = proxy.client();
+      other.send(ProxyUnderTest::get("a2"));
+      TestConnection server = second.accept();
       server.request();  // so the list has arrived
       server.reply(200, "Connection: close\r\n", "2");
       expect_status(other, 200);
@@ -396,22 +396,23 @@
       expect_status(client, 200);
     }
     ASSERT_FALSE(previous.fill());
-    Wire server = exchange(client, (moves ? second : first), Proxy::get("a3"), "3");
+    TestConnection server =
+        exchange(client, (moves ? second : first), ProxyUnderTest::get("a3"), "3");
   }
 }
 
 // Thousands of backends on one line.
 TEST(ProxyRules, AcceptsLongEndpointList) {
-  const Door backend;
-  Proxy proxy("[]");
+  const FakeListener backend;
+  ProxyUnderTest proxy("[]");
   std::string hosts = "[";
   for (int i = 0; i < 12'000; ++i) {
     hosts += host_json("far-" + std::to_string(i), "127.0.0.1:9", "terminating") + ",";
   }
   proxy.list(hosts + host_json("s-1", backend.address()) + "]");
-  Wire client = proxy.client();
-  client.send(Proxy::get("a1"));
-  const auto end = Clock::now() + kPatience;
+  TestConnection client = proxy.client();
+  client.send(ProxyUnderTest::get("a1"));
+  const auto end = Clock::now() + kTestTimeout;
   // On a busy machine the list takes longer than a request is queued for it.
   for (int i = 2; !backend.pending(10ms); ++i) {
     ASSERT_LT(Clock::now(), end);
@@ -419,9 +420,9 @@
       continue;
     }
     expect_status(client, 503);
-    client.send(Proxy::get("a" + std::to_string(i)));
+    client.send(ProxyUnderTest::get("a" + std::to_string(i)));
   }
-  Wire server = backend.accept();
+  TestConnection server = backend.accept();
   server.request();
   server.reply(200, "", "");
   expect_status(client, 200);
@@ -429,34 +430,34 @@
 
 // A request written to it would be reset.
 TEST_F(ProxyRulesOneBackend, DoesNotReuseConnectionThatBackendClosed) {
-  client.send(Proxy::post("a1", "x"));
+  client.send(ProxyUnderTest::post("a1", "x"));
   {
-    Wire server = backend.accept();
+    TestConnection server = backend.accept();
     server.request();
     server.reply(200, "", "");
     expect_status(client, 200);
   }  // closes the idle connection
-  Wire server = exchange(client, backend, Proxy::post("a2", "x"), "fresh");
+  TestConnection server = exchange(client, backend, ProxyUnderTest::post("a2", "x"), "fresh");
 }
 
 // SIGTERM: no longer ready; requests in flight and those that still come are answered, kept
 // connections go on for a while, then exit 0.
 TEST(ProxyRules, ShutsDownGracefully) {
-  const Door backend;
-  Proxy proxy(one_host(backend));
-  Wire running = proxy.client();
-  Wire idle = proxy.client();
-  running.send(Proxy::get("a1"));
-  Wire server = backend.accept();
+  const FakeListener backend;
+  ProxyUnderTest proxy(single_backend_list(backend));
+  TestConnection running = proxy.client();
+  TestConnection idle = proxy.client();
+  running.send(ProxyUnderTest::get("a1"));
+  TestConnection server = backend.accept();
   server.request();
   proxy.signal(SIGTERM);
-  const auto end = Clock::now() + kPatience;
+  const auto end = Clock::now() + kTestTimeout;
   while (proxy.ready() != 503) {
     ASSERT_LT(Clock::now(), end);
   }
-  Wire late = proxy.client();
-  late.send(Proxy::get("a2"));
-  Wire second = backend.accept();
+  TestConnection late = proxy.client();
+  late.send(ProxyUnderTest::get("a2"));
+  TestConnection second = backend.accept();
   second.request();
   second.reply(200, "", "2");
   http::Message answer = late.answer();
@@ -464,7 +465,7 @@
   ASSERT_FALSE(answer.keep_alive());
   server.reply(200, "", "1");
   ASSERT_EQ(running.answer().body, "1");
-  running.send(Proxy::get("a3"));
+  running.send(ProxyUnderTest::get("a3"));
   server.request();
   server.reply(200, "", "3");
   ASSERT_EQ(running.answer().body, "3");
@@ -475,9 +476,9 @@
 
 // The client that has been idle longest is evicted.
 TEST(ProxyRules, ServesMoreClientsThanDescriptors) {
-  const Door backend;
-  const Proxy proxy(one_host(backend));
-  std::vector<Wire> clients;
+  const FakeListener backend;
+  const ProxyUnderTest proxy(single_backend_list(backend));
+  std::vector<TestConnection> clients;
   for (int i = 0; i < 300; ++i) {  // the program may hold 256 descriptors
     clients.push_back(proxy.client());
     clients.back().send("GET /health/ready HTTP/1.1\r\n\r\n");
--- a/tests/raft_format_test.cpp
+++ b/tests/raft_format_test.cpp
@@ -251,16 +251,16 @@
   ASSERT_EQ(storages.size(), 2u);
   for (const ExpectedStorage& expected : storages) {
     SCOPED_TRACE(expected.file);
-    const Folder directory;
+    const TemporaryDirectory directory;
     std::filesystem::copy(kData + "/" + expected.file, directory.path);
-    const std::string before = contents(directory.file(expected.file));
+    const std::string before = read_file(directory.file(expected.file));
     const Voter voter = parse_voter(expected.address).value();
     const auto storage = DiskRaftStorage::open(directory.path, voter.name);
     ASSERT_TRUE(storage);
     EXPECT_EQ(storage->voter().address(), expected.address);
     EXPECT_EQ(storage->appended_records(), expected.appended_records);
     expect_equal(storage->state(), expected.state);
-    EXPECT_EQ(contents(directory.file(expected.file)), before);
+    EXPECT_EQ(read_file(directory.file(expected.file)), before);
   }
 }
 
@@ -288,7 +288,7 @@
 
 // A raft node that starts on such a storage takes its term, its voters and its snapshot from it.
 TEST(RaftFormat, RestartsFromAStorageOfTheVersionBefore) {
-  const Folder directory;
+  const TemporaryDirectory directory;
   std::filesystem::copy(kData + "/beechhill-voter-b.agreement", directory.path);
   const auto storage = DiskRaftStorage::open(directory.path, "voter-b");
   ASSERT_TRUE(storage);
--- a/tests/return_test.cpp
+++ b/tests/return_test.cpp
@@ -25,13 +25,13 @@
     const std::string hosts =
         "[" + host_json("s-1", first_.address()) + "," + host_json("s-2", second_.address()) + "]";
     for (std::size_t i = 0; i < kProcesses; ++i) {
-      proxies_.push_back(std::make_unique<Proxy>(hosts));
+      proxies_.push_back(std::make_unique<ProxyUnderTest>(hosts));
       for (std::size_t c = 0; c < kClientsPerProcess; ++c) {
         clients_.push_back(proxies_.back()->client());
       }
     }
     // A client that has sent a request counts as active.
-    for (Wire& client : clients_) {
+    for (TestConnection& client : clients_) {
       client.send("GET /health/ready HTTP/1.1\r\nHost: t\r\n\r\n");
       expect_status(client, 200);
     }
@@ -45,14 +45,14 @@
 
   void send_requests(const std::string& id_prefix) {
     for (std::size_t i = 0; i < clients_.size(); ++i) {
-      clients_[i].send(Proxy::get(id_prefix + std::to_string(i)));
+      clients_[i].send(ProxyUnderTest::get(id_prefix + std::to_string(i)));
     }
   }
 
   // Answers that many requests, each on a new connection.
-  static void serve(const Door& backend, std::size_t requests) {
+  static void serve(const FakeListener& backend, std::size_t requests) {
     for (std::size_t i = 0; i < requests; ++i) {
-      Wire connection = backend.accept();
+      TestConnection connection = backend.accept();
       connection.request();
       connection.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
     }
@@ -64,14 +64,14 @@
     }
   }
 
-  static bool telemetry_has(const Proxy& proxy, const std::string& field) {
+  static bool telemetry_has(const ProxyUnderTest& proxy, const std::string& field) {
     return proxy.call("GET", "/api/telemetry").body.find(field) != std::string::npos;
   }
 
-  Door first_;
-  Door second_;
-  std::vector<std::unique_ptr<Proxy>> proxies_;
-  std::vector<Wire> clients_;
+  FakeListener first_;
+  FakeListener second_;
+  std::vector<std::unique_ptr<ProxyUnderTest>> proxies_;
+  std::vector<TestConnection> clients_;
 };
 
 // Requests and the update that drains a backend both wait when the processes continue, the requests
@@ -100,7 +100,7 @@
     proxy->list("[" + host_json("s-1", first_.address(), "terminating") + "," +
                 host_json("s-2", second_.address()) + "," + host_json("s-3", second_.address()) +
                 "]");
-    const auto deadline = Clock::now() + kPatience;
+    const auto deadline = Clock::now() + kTestTimeout;
     while (!telemetry_has(*proxy, "\"members\":3")) {
       ASSERT_LT(Clock::now(), deadline);
     }
@@ -119,10 +119,10 @@
   ::usleep(kPauseBeyondTheWatchSilence.count());
   signal_all(SIGCONT);
   std::size_t served = 0;
-  const auto deadline = Clock::now() + kPatience;
+  const auto deadline = Clock::now() + kTestTimeout;
   while (served < clients_.size()) {
     ASSERT_LT(Clock::now(), deadline);
-    for (const Door* backend : {&first_, &second_}) {
+    for (const FakeListener* backend : {&first_, &second_}) {
       if (backend->pending(5ms)) {
         serve(*backend, 1);
         ++served;
--- a/tests/rule_checker_test.cpp
+++ b/tests/rule_checker_test.cpp
@@ -34,7 +34,7 @@
 
 RuleChecker const& rules_after(std::optional<World>& world, const Scenario& s,
                                TamperedPolicy::Tamper tamper) {
-  world.emplace(s, [tamper](Time now, const Settings& settings, const TrueState&,
+  world.emplace(s, [tamper](Time now, const Settings& settings, const TrueBackendState&,
                             std::vector<Action>& actions) {
     return std::make_unique<TamperedPolicy>(now, settings, actions, tamper);
   });
--- a/tests/shared_state_test.cpp
+++ b/tests/shared_state_test.cpp
@@ -16,7 +16,7 @@
 namespace beechhill::hot_restart {
 namespace {
 
-using test::Folder;
+using test::TemporaryDirectory;
 
 SharedState sample() {
   SharedState state;
@@ -68,7 +68,7 @@
  protected:
   std::string file(const std::string& suffix) const { return folder_.file("beechhill-t" + suffix); }
 
-  const Folder folder_;
+  const TemporaryDirectory folder_;
 };
 
 TEST_F(SharedStateDirectoryTest, SharesChangesBetweenProcesses) {
@@ -104,7 +104,7 @@
 
 TEST_F(SharedStateDirectoryTest, AppliesNothingWhileAnotherHoldsTheLock) {
   SharedStateDirectory directory(folder_.path, "t");
-  const net::Fd lock(::open(file(".lock").c_str(), O_RDWR | O_CLOEXEC));
+  const net::FileDescriptor lock(::open(file(".lock").c_str(), O_RDWR | O_CLOEXEC));
   ASSERT_EQ(::flock(lock.get(), LOCK_EX | LOCK_NB), 0);
   EXPECT_FALSE(directory.try_apply(StateChange::kDrain, ""));
   EXPECT_FALSE(directory.state().drained);
--- a/tests/snapshot_process_test.cpp
+++ b/tests/snapshot_process_test.cpp
@@ -16,7 +16,7 @@
 
 template <typename Condition>
 bool eventually(const Condition& holds) {
-  const auto deadline = Clock::now() + kPatience;
+  const auto deadline = Clock::now() + kTestTimeout;
   while (!holds()) {
     if (Clock::now() >= deadline) {
       return false;
@@ -42,12 +42,12 @@
   // it knows only what it started with. Returns the number of requests to the slow backend.
   int requests_to_slow_backend(bool load_reports) {
     constexpr int kRequests = 16;
-    const Proxy proxy(hosts());
-    Wire client = proxy.client();
+    const ProxyUnderTest proxy(hosts());
+    TestConnection client = proxy.client();
     int to_slow = 0;
     for (int i = 0; i < kRequests; ++i) {
-      client.send(Proxy::get("a" + std::to_string(i)));
-      const Door& backend = next_backend();
+      client.send(ProxyUnderTest::get("a" + std::to_string(i)));
+      const FakeListener& backend = next_backend();
       to_slow += &backend == &slow_ ? 1 : 0;
       serve(backend, load_reports ? load_report(backend) : "");
       expect_status(client, 200);
@@ -58,8 +58,8 @@
     return to_slow;
   }
 
-  const Door& next_backend() const {
-    const auto deadline = Clock::now() + kPatience;
+  const FakeListener& next_backend() const {
+    const auto deadline = Clock::now() + kTestTimeout;
     for (;;) {
       if (slow_.pending(1ms)) {
         return slow_;
@@ -67,17 +67,17 @@
       if (fast_.pending(1ms)) {
         return fast_;
       }
-      assert(Clock::now() < deadline);
+      require(Clock::now() < deadline);
     }
   }
 
-  std::string load_report(const Door& backend) const {
+  std::string load_report(const FakeListener& backend) const {
     const std::string load = &backend == &slow_ ? "0.95, served_ps=2" : "0.50, served_ps=20";
     return "Endpoint-Load-Metrics: TEXT cpu_share=" + load + ", pending=0\r\n";
   }
 
-  static void serve(const Door& backend, const std::string& headers) {
-    Wire wire = backend.accept();
+  static void serve(const FakeListener& backend, const std::string& headers) {
+    TestConnection wire = backend.accept();
     wire.request();
     wire.reply(200, "Connection: close\r\n" + headers, "");
   }
@@ -89,11 +89,11 @@
   std::string file() const { return folder_.file("beechhill-t.snapshot"); }
 
   // The snapshot on disk; an empty one where there is none.
-  Snapshot stored() const { return snapshot::decode(contents(file())).value_or(Snapshot{}); }
+  Snapshot stored() const { return snapshot::decode(read_file(file())).value_or(Snapshot{}); }
 
-  const Folder folder_;
-  Door slow_;
-  Door fast_;
+  const TemporaryDirectory folder_;
+  FakeListener slow_;
+  FakeListener fast_;
 };
 
 // A snapshot spares the slow backend from the first request on, several times in a row. A torn one
@@ -124,24 +124,24 @@
 TEST_F(SnapshotProcessTest, AnExclusionOutlastsAKill) {
   configure_snapshots(folder_.path);
   {
-    const Proxy proxy(hosts());
+    const ProxyUnderTest proxy(hosts());
     ASSERT_EQ(proxy.call("PUT", "/api/exclude?target=s-1").status, 200);
     ASSERT_TRUE(eventually([this] { return stored().excluded_backends.contains("s-1"); }));
   }
   Snapshot old = stored();
   old.written_at -= 1h;
   std::ofstream(file()) << snapshot::encode(old);
-  const Proxy proxy(hosts());
-  Wire client = proxy.client();
+  const ProxyUnderTest proxy(hosts());
+  TestConnection client = proxy.client();
   for (int i = 0; i < 8; ++i) {
-    client.send(Proxy::get("b" + std::to_string(i)));
+    client.send(ProxyUnderTest::get("b" + std::to_string(i)));
     serve(fast_, "");
     expect_status(client, 200);
   }
   EXPECT_FALSE(slow_.pending(0ms));
   EXPECT_EQ(proxy.call("PUT", "/api/include?target=s-1").status, 200);
   EXPECT_EQ(proxy.call("PUT", "/api/exclude?target=s-2").status, 200);
-  client.send(Proxy::get("c"));
+  client.send(ProxyUnderTest::get("c"));
   serve(slow_, "");
   expect_status(client, 200);
 }
--- a/tests/snapshot_store_test.cpp
+++ b/tests/snapshot_store_test.cpp
@@ -19,7 +19,7 @@
  protected:
   std::string file() const { return folder_.file("beechhill-t.snapshot"); }
 
-  const Folder folder_;
+  const TemporaryDirectory folder_;
 };
 
 TEST_F(SnapshotStoreTest, LocksOutASecondProcessOfTheSameName) {
@@ -65,7 +65,7 @@
       store.load(1000ms);
       store.save_async({}, {}, 1000ms);
     }
-    const std::optional<Snapshot> written = snapshot::decode(contents(file()));
+    const std::optional<Snapshot> written = snapshot::decode(read_file(file()));
     ASSERT_TRUE(written);
     EXPECT_EQ(written->incarnation, incarnation);
   }
@@ -74,7 +74,7 @@
 // A disk that hangs until it is released, and then is full.
 struct HangingDisk {
   void wait_for_write(int number) const {
-    const auto deadline = Clock::now() + kPatience;
+    const auto deadline = Clock::now() + kTestTimeout;
     while (writes < number && Clock::now() < deadline) {
       ::usleep(1000);
     }
@@ -86,7 +86,7 @@
 };
 
 TEST_F(SnapshotStoreTest, NeverBlocksOnADiskThatHangs) {
-  // Shared: the store's thread may outlive the store.
+  // SharedListener: the store's thread may outlive the store.
   const auto disk = std::make_shared<HangingDisk>();
   {
     SnapshotStore store(folder_.path, "t", "f", [disk](const std::string&, const std::string&) {
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -16,7 +16,7 @@
  protected:
   std::string path() const { return folder_.file("state"); }
 
-  const test::Folder folder_;
+  const test::TemporaryDirectory folder_;
 };
 
 TEST_F(StorageFile, IsReadAsItWasWritten) {
@@ -61,9 +61,9 @@
 }
 
 TEST_F(StorageFile, IsLockedByOneDescriptorUntilThatIsClosed) {
-  const net::Fd second = open_file(path(), O_RDWR | O_CREAT);
+  const net::FileDescriptor second = open_file(path(), O_RDWR | O_CREAT);
   {
-    const net::Fd first = open_file(path(), O_RDWR | O_CREAT);
+    const net::FileDescriptor first = open_file(path(), O_RDWR | O_CREAT);
     ASSERT_TRUE(first);
     EXPECT_TRUE(try_lock(first));
     EXPECT_FALSE(try_lock(second));
--- a/tests/stored_format_test.cpp
+++ b/tests/stored_format_test.cpp
@@ -38,7 +38,7 @@
 }
 
 TEST(StoredSnapshot, ReadsEveryFieldOfThePreviousVersion) {
-  const std::optional<Snapshot> read = snapshot::decode(contents(kSnapshotData + "full.snapshot"));
+  const std::optional<Snapshot> read = snapshot::decode(read_file(kSnapshotData + "full.snapshot"));
   ASSERT_TRUE(read);
   EXPECT_EQ(read->name, "proxy/1");
   EXPECT_EQ(read->settings_fingerprint, "z/0/ver/ajuste");
@@ -55,7 +55,8 @@
 }
 
 TEST(StoredSnapshot, ReadsAnEmptySnapshotOfThePreviousVersion) {
-  const std::optional<Snapshot> read = snapshot::decode(contents(kSnapshotData + "empty.snapshot"));
+  const std::optional<Snapshot> read =
+      snapshot::decode(read_file(kSnapshotData + "empty.snapshot"));
   ASSERT_TRUE(read);
   EXPECT_EQ(read->name, "");
   EXPECT_EQ(read->settings_fingerprint, "");
@@ -75,12 +76,12 @@
        {"s \"2\"\n\xc3\xa9", 0ms, 1ms, {}},
        {"s-3", -5ms, 1'764'633'598'765ms, {1234567.89, 0.123456789, 1.0 / 3, 2.0 / 3}}},
       {"s-9", "s \"10\""}};
-  EXPECT_EQ(snapshot::encode(full), contents(kSnapshotData + "full.snapshot"));
-  EXPECT_EQ(snapshot::encode({}), contents(kSnapshotData + "empty.snapshot"));
+  EXPECT_EQ(snapshot::encode(full), read_file(kSnapshotData + "full.snapshot"));
+  EXPECT_EQ(snapshot::encode({}), read_file(kSnapshotData + "empty.snapshot"));
 }
 
 TEST(StoredSnapshot, StoreReadsTheFileOfThePreviousVersion) {
-  const Folder folder;
+  const TemporaryDirectory folder;
   std::filesystem::copy(kSnapshotData + "beechhill-site_t.snapshot", folder.path);
   SnapshotStore store(folder.path, "site/t", "z/0/ver");
   const std::optional<Snapshot> read = store.load(1'000'000ms);
@@ -95,22 +96,22 @@
 }
 
 TEST(StoredSnapshot, StoreWritesTheSameFileForTheSameContent) {
-  const Folder folder;
+  const TemporaryDirectory folder;
   {
     SnapshotStore store(folder.path, "site/t", "z/0/ver");
     store.save_async({{"s-1", 5ms, 999'000ms, {12.25, 0.5, 3, 2}}}, {"s-9"}, 1'000'000ms);
   }  // its destructor waits for the write
-  EXPECT_EQ(contents(folder.file("beechhill-site_t.snapshot")),
-            contents(kSnapshotData + "beechhill-site_t.snapshot"));
+  EXPECT_EQ(read_file(folder.file("beechhill-site_t.snapshot")),
+            read_file(kSnapshotData + "beechhill-site_t.snapshot"));
 }
 
 TEST(StoredHotRestartState, ReadsEveryFieldOfThePreviousVersion) {
-  const auto first = hot_restart::decode(contents(kHotRestartData + "first_generation.state"));
+  const auto first = hot_restart::decode(read_file(kHotRestartData + "first_generation.state"));
   ASSERT_TRUE(first);
   EXPECT_EQ(first->generation, 0U);
   EXPECT_FALSE(first->drained);
   EXPECT_TRUE(first->excluded_backends.empty());
-  const auto drained = hot_restart::decode(contents(kHotRestartData + "drained.state"));
+  const auto drained = hot_restart::decode(read_file(kHotRestartData + "drained.state"));
   ASSERT_TRUE(drained);
   EXPECT_EQ(drained->generation, kMaxCounter);
   EXPECT_TRUE(drained->drained);
@@ -118,17 +119,17 @@
 }
 
 TEST(StoredHotRestartState, WritesTheSameBytesForTheSameContent) {
-  EXPECT_EQ(hot_restart::encode({}), contents(kHotRestartData + "first_generation.state"));
+  EXPECT_EQ(hot_restart::encode({}), read_file(kHotRestartData + "first_generation.state"));
   const SharedState drained{kMaxCounter, true, {"s-1", "s \"2\"\n\xc3\xa9"}};
-  EXPECT_EQ(hot_restart::encode(drained), contents(kHotRestartData + "drained.state"));
+  EXPECT_EQ(hot_restart::encode(drained), read_file(kHotRestartData + "drained.state"));
 }
 
 TEST(StoredHotRestartState, JoinsAProcessOfThePreviousVersion) {
-  const Folder folder;
+  const TemporaryDirectory folder;
   for (const char* file : {"beechhill-site_t.state", "beechhill-site_t.process-1"}) {
     std::filesystem::copy(kHotRestartData + file, folder.path);
   }
-  const net::Fd predecessor(
+  const net::FileDescriptor predecessor(
       ::open(folder.file("beechhill-site_t.process-1").c_str(), O_RDWR | O_CLOEXEC));
   ASSERT_EQ(::flock(predecessor.get(), LOCK_EX | LOCK_NB), 0);
   const SharedStateDirectory directory(folder.path, "site/t");
@@ -143,13 +144,13 @@
 }
 
 TEST(StoredHotRestartState, DirectoryWritesTheSameFilesForTheSameContent) {
-  const Folder folder;
+  const TemporaryDirectory folder;
   SharedStateDirectory directory(folder.path, "site/t");
   ASSERT_TRUE(directory.try_apply(StateChange::kExclude, "s-7"));
   ASSERT_TRUE(directory.try_apply(StateChange::kDrain, ""));
   directory.publish(true, 41);
   for (const char* file : {"beechhill-site_t.state", "beechhill-site_t.process-1"}) {
-    EXPECT_EQ(contents(folder.file(file)), contents(kHotRestartData + file)) << file;
+    EXPECT_EQ(read_file(folder.file(file)), read_file(kHotRestartData + file)) << file;
   }
 }
 
--- a/tests/support/emulator_scenarios.h
+++ b/tests/support/emulator_scenarios.h
@@ -25,7 +25,7 @@
 
 /// Makes the real module for each proxy.
 inline std::unique_ptr<emulator::Policy> make_module_policy(Time now, const Settings& settings,
-                                                            const emulator::TrueState& truth,
+                                                            const emulator::TrueBackendState& truth,
                                                             std::vector<Action>& actions) {
   return emulator::make_policy("module", now, settings, truth, actions);
 }
--- a/tests/support/fake_listener.h
+++ b/tests/support/fake_listener.h
@@ -33,11 +33,12 @@
   int fd() const { return fd_.get(); }
   TestConnection accept() const {
     require(pending(kTestTimeout));
-    return TestConnection(net::Fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC)));
+    return TestConnection(
+        net::FileDescriptor(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC)));
   }
 
  private:
-  net::Fd fd_;
+  net::FileDescriptor fd_;
 };
 
 inline std::string single_backend_list(const FakeListener& backend) {
--- a/tests/support/proxy_fixture.h
+++ b/tests/support/proxy_fixture.h
@@ -2,14 +2,12 @@
 // that the system picks. Every wait is bounded.
 #pragma once
 
-#undef NDEBUG
 #include <signal.h>
 #include <sys/prctl.h>
 #include <sys/socket.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
-#include <cassert>
 #include <chrono>
 #include <cstdio>
 #include <cstdlib>
@@ -26,29 +24,6 @@
 
 namespace beechhill::test {
 
-// Former names, until all tests use those above.
-using Door = FakeListener;
-using Wire = TestConnection;
-using Folder = TemporaryDirectory;
-inline constexpr auto kPatience = kTestTimeout;
-inline std::string contents(const std::string& file) {
-  return read_file(file);
-}
-inline std::string one_host(const FakeListener& backend) {
-  return single_backend_list(backend);
-}
-
-// Runs the test that the one argument names.
-inline int run_named(int argc, char** argv,
-                     std::initializer_list<std::pair<std::string_view, void (*)()>> tests) {
-  for (const auto& [name, run] : tests) {
-    if (argc == 2 && name == argv[1]) {
-      return run(), 0;
-    }
-  }
-  return 2;
-}
-
 // What the processes of one proxy share over an upgrade, held by the platform: here, the test.
 struct SharedListener {
   FakeListener socket;
@@ -72,7 +47,8 @@
   }
   ~ProxyUnderTest() {
     if (pid_ > 0) {
-      ::kill(pid_, SIGKILL), ::waitpid(pid_, nullptr, 0);
+      ::kill(pid_, SIGKILL);
+      ::waitpid(pid_, nullptr, 0);
     }
     std::remove(path_.c_str());
   }
@@ -131,7 +107,8 @@
     int status = 0;
     const auto end = Clock::now() + kTestTimeout;
     while (::waitpid(pid_, &status, WNOHANG) == 0) {
-      require(Clock::now() < end), ::usleep(5000);
+      require(Clock::now() < end);
+      ::usleep(5000);
     }
     pid_ = 0;
     return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
@@ -164,7 +141,7 @@
       ::_exit(127);
     }
     ::close(out[1]);
-    log_ = net::Fd(out[0]);
+    log_ = net::FileDescriptor(out[0]);
     std::string line;
     while (!line.starts_with("serving ")) {
       line.clear();
@@ -182,13 +159,14 @@
   void wait_ready() const {
     const auto end = Clock::now() + kTestTimeout;
     while ((shared_ ? call("GET", "/api/ready").status : ready()) != 200) {
-      require(Clock::now() < end), ::usleep(5000);
+      require(Clock::now() < end);
+      ::usleep(5000);
     }
   }
 
   const SharedListener* shared_;
   FakeListener discovery_;
-  net::Fd log_;
+  net::FileDescriptor log_;
   std::string path_;
   pid_t pid_ = 0;
   sockaddr_in address_{}, admin_{};
@@ -198,7 +176,4 @@
   int version_ = 1;
 };
 
-using Shared = SharedListener;
-using Proxy = ProxyUnderTest;
-
 }  // namespace beechhill::test
--- a/tests/support/proxy_test_util.h
+++ b/tests/support/proxy_test_util.h
@@ -1,4 +1,4 @@
-// Shared by the tests of the proxy package, beside proxy_fixture.h.
+// SharedListener by the tests of the proxy package, beside proxy_fixture.h.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -40,10 +40,10 @@
 
 /// Sends `request` as `client`, responds to it as `backend` on a new connection with 200 and
 /// `body`, and expects the client to get that. Returns the backend's connection.
-inline Wire exchange(Wire& client, const Door& backend, const std::string& request,
-                     const std::string& body) {
+inline TestConnection exchange(TestConnection& client, const FakeListener& backend,
+                               const std::string& request, const std::string& body) {
   client.send(request);
-  Wire server = backend.accept();
+  TestConnection server = backend.accept();
   server.request();
   server.reply(200, "", body);
   const http::Message response = client.answer();
@@ -55,15 +55,15 @@
 /// A proxy that knows one backend, and a client that has connected to it.
 class OneBackendTest : public testing::Test {
  protected:
-  const Door backend;
-  Proxy proxy{one_host(backend)};
-  Wire client = proxy.client();
+  const FakeListener backend;
+  ProxyUnderTest proxy{single_backend_list(backend)};
+  TestConnection client = proxy.client();
 };
 
 /// Reads a proxy's log as it is written.
 class LogReader {
  public:
-  explicit LogReader(const Proxy& proxy) : fd_(proxy.log_fd()) {}
+  explicit LogReader(const ProxyUnderTest& proxy) : fd_(proxy.log_fd()) {}
 
   /// The sum over the gaps logged so far in which the process did not run ("away ms=N").
   std::chrono::milliseconds logged_gaps() {
--- a/tests/support/test_connection.h
+++ b/tests/support/test_connection.h
@@ -18,10 +18,10 @@
 // A connected socket with blocking, bounded reads.
 class TestConnection {
  public:
-  explicit TestConnection(net::Fd fd) : fd_(std::move(fd)) {}
+  explicit TestConnection(net::FileDescriptor fd) : fd_(std::move(fd)) {}
   static TestConnection to(const sockaddr_in& address) {
-    net::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC,
-                        0));  // a program started later must not hold it too
+    net::FileDescriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC,
+                                    0));  // a program started later must not hold it too
     require(::connect(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0);
     return TestConnection(std::move(fd));
   }
@@ -46,10 +46,10 @@
   http::Message message(http::Parser::Kind kind) {
     http::Parser parser(kind);
     http::Progress progress = parser.feed(buffer);
-    while (progress == http::Progress::kMore) {
+    while (progress == http::Progress::kNeedsMore) {
       progress = fill() ? parser.feed(buffer) : parser.end();
     }
-    require(progress == http::Progress::kDone);
+    require(progress == http::Progress::kComplete);
     return parser.message();
   }
   http::Message request() { return message(http::Parser::Kind::kRequest); }
@@ -61,7 +61,7 @@
   std::string buffer;
 
  private:
-  net::Fd fd_;
+  net::FileDescriptor fd_;
 };
 
 inline void expect_status(TestConnection& client, int status) {
--- a/tests/support/testbed_fixture.h
+++ b/tests/support/testbed_fixture.h
@@ -76,14 +76,14 @@
 
 /// Runs the scenario with real proxies, and expects that no rule is violated and that every request
 /// was answered that no fault excuses.
-inline testbed::SocketRun run_without_violations(const emulator::Scenario& scenario) {
-  testbed::SocketRun run = testbed::play_on_sockets(scenario, PROXY_PROGRAM);
+inline testbed::LoadTestResult run_without_violations(const emulator::Scenario& scenario) {
+  testbed::LoadTestResult run = testbed::run_load_test(scenario, PROXY_PROGRAM);
   std::fprintf(stderr, "requests %llu goodput %.3f excused %llu snapshot requests %u\n",
                static_cast<unsigned long long>(run.asked), run.result["goodput"].asDouble(),
                static_cast<unsigned long long>(run.excused), run.max_snapshot_requests);
   EXPECT_GT(run.asked, 600u);
   EXPECT_EQ(run.violations, 0u) << run.violation_text;
-  EXPECT_EQ(run.wrong_answers, 0u);
+  EXPECT_EQ(run.wrong_responses, 0u);
   EXPECT_EQ(run.result["all"]["unanswered"].asUInt64(), 0u);
   return run;
 }
