--- a/src/bootstrap/server.cpp
+++ b/src/bootstrap/server.cpp
@@ -53,7 +53,7 @@
             return make_backend(inbox, endpoint, address);
           },
           endpoint_watch_.inbox(), settings.subset, std::move(restored.excluded_backends),
-          std::move(restored.endpoint_records)),
+          restored.endpoint_records),
       discovery_deadline_(runtime::Clock::now() + kDiscoveryTimeout),
       await_discovery_(has_other_process(restored)),
       listener_(
