--- a/src/cluster/disk_raft_storage.cpp
+++ b/src/cluster/disk_raft_storage.cpp
@@ -17,6 +17,7 @@
 
 #include "cluster/raft_log_file.h"
 #include "log/log.h"
+#include "storage/file.h"
 
 namespace beechhill::maintenance {
 namespace {
@@ -100,8 +101,9 @@
     state.apply(record);
   }
   const std::uint64_t appended_records = state.records().size();
-  if (!replace_file(path, encode_file(voter, state, appended_records))) {
-    throw RaftStorageError(path, std::strerror(errno));
+  const std::string content = encode_file(voter, state, appended_records);
+  if (const auto error = storage::replace_file(path, content, storage::Durability::kMachineCrash)) {
+    throw RaftStorageError(path, error.message());
   }
   return std::unique_ptr<DiskRaftStorage>(
       new DiskRaftStorage(path, std::move(lock), voter, std::move(state), appended_records));
--- a/src/cluster/raft_log_file.cpp
+++ b/src/cluster/raft_log_file.cpp
@@ -1,17 +1,11 @@
 #include "cluster/raft_log_file.h"
 
-#include <fcntl.h>
-#include <unistd.h>
 #include <xxhash.h>
 
 #include <algorithm>
-#include <cerrno>
-#include <cstdio>
-#include <filesystem>
 #include <vector>
 
 #include "base/byte_codec.h"
-#include "net/socket.h"
 
 namespace beechhill::maintenance {
 namespace {
@@ -125,35 +119,4 @@
   return file;
 }
 
-bool write_and_sync(int fd, std::string_view bytes) {
-  while (!bytes.empty()) {
-    const ssize_t written = ::write(fd, bytes.data(), bytes.size());
-    if (written < 0 && errno == EINTR) {
-      continue;
-    }
-    if (written <= 0) {
-      return false;
-    }
-    bytes.remove_prefix(static_cast<std::size_t>(written));
-  }
-  return ::fsync(fd) == 0;
-}
-
-bool replace_file(const std::string& path, std::string_view bytes) {
-  const std::string temporary = path + ".new";
-  {
-    const net::FileDescriptor fd(
-        ::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
-    if (!fd || !write_and_sync(fd.get(), bytes)) {
-      return false;
-    }
-  }
-  if (std::rename(temporary.c_str(), path.c_str()) < 0) {
-    return false;
-  }
-  const std::filesystem::path directory = std::filesystem::path(path).parent_path();
-  const net::FileDescriptor fd(::open(directory.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
-  return fd && ::fsync(fd.get()) == 0;
-}
-
 }  // namespace beechhill::maintenance
--- a/src/cluster/raft_log_file.h
+++ b/src/cluster/raft_log_file.h
@@ -38,10 +38,4 @@
 /// damaged record held may have been relied on. A torn last record is no damage.
 std::optional<RaftLogFile> decode_file(std::string_view bytes, const std::string& name);
 
-/// Writes everything and syncs. False, with errno set, where that fails.
-bool write_and_sync(int fd, std::string_view bytes);
-/// Replaces the file so that after a crash either the old or the new one is there. False, with
-/// errno set, where that fails.
-bool replace_file(const std::string& path, std::string_view bytes);
-
 }  // namespace beechhill::maintenance
--- a/src/cluster/raft_log_writer.cpp
+++ b/src/cluster/raft_log_writer.cpp
@@ -2,14 +2,13 @@
 
 #include <fcntl.h>
 
-#include <cerrno>
-#include <cstring>
 #include <string_view>
 #include <thread>
 #include <utility>
 
 #include "cluster/raft_log_file.h"
 #include "log/log.h"
+#include "storage/file.h"
 
 namespace beechhill::maintenance {
 
@@ -58,15 +57,14 @@
     const Write batch = take_batch();
     idle_ = false;
     lock.unlock();
-    const bool written = write(batch);
-    const int error = errno;
+    const std::error_code error = write(batch);
     lock.lock();
-    if (written) {
+    if (!error) {
       durable_records_ = batch.records;
     } else if (!stopping_) {
-      log::warning("agreement_disk_failed", {{"error", std::string_view(std::strerror(error))}});
+      log::warning("agreement_disk_failed", {{"error", std::string_view(error.message())}});
     }
-    failed_ = failed_ || !written;
+    failed_ = failed_ || error;
     idle_ = true;
     changed_.notify_all();
   }
@@ -86,15 +84,15 @@
   return batch;
 }
 
-bool RaftLogWriter::write(const Write& batch) {
+std::error_code RaftLogWriter::write(const Write& batch) {
   if (batch.replaces_file) {
     file_ = {};
-    return replace_file(path_, batch.bytes);
+    return storage::replace_file(path_, batch.bytes, storage::Durability::kMachineCrash);
   }
   if (!file_) {
-    file_ = net::FileDescriptor(::open(path_.c_str(), O_WRONLY | O_APPEND | O_CLOEXEC));
+    file_ = storage::open_file(path_, O_WRONLY | O_APPEND);
   }
-  return file_ && write_and_sync(file_.get(), batch.bytes);
+  return file_ ? storage::write_durably(file_, batch.bytes) : storage::last_error();
 }
 
 }  // namespace beechhill::maintenance
--- a/src/cluster/raft_log_writer.h
+++ b/src/cluster/raft_log_writer.h
@@ -9,6 +9,7 @@
 #include <memory>
 #include <mutex>
 #include <string>
+#include <system_error>
 
 #include "net/socket.h"
 
@@ -43,7 +44,7 @@
 
   void run();
   Write take_batch();
-  bool write(const Write& batch);
+  std::error_code write(const Write& batch);
 
   const std::string path_;
   /// Open for appending. The thread's own.
--- a/src/storage/file.cpp
+++ b/src/storage/file.cpp
@@ -22,9 +22,12 @@
     if (written < 0 && errno == EINTR) {
       continue;
     }
-    if (written <= 0) {
+    if (written < 0) {
       return last_error();
     }
+    if (written == 0) {  // no progress, and errno says nothing
+      return std::make_error_code(std::errc::io_error);
+    }
     text.remove_prefix(static_cast<std::size_t>(written));
   }
   return {};
@@ -40,10 +43,8 @@
   if (!file) {
     return last_error();
   }
-  if (const std::error_code error = write_all(file, text)) {
-    return error;
-  }
-  return durability == Durability::kMachineCrash ? flush(file) : std::error_code();
+  return durability == Durability::kMachineCrash ? write_durably(file, text)
+                                                 : write_all(file, text);
 }
 
 // Makes a rename in the directory durable.
@@ -88,6 +89,13 @@
   return text;
 }
 
+std::error_code write_durably(const net::FileDescriptor& file, std::string_view text) {
+  if (const std::error_code error = write_all(file, text)) {
+    return error;
+  }
+  return flush(file);
+}
+
 std::error_code replace_file(const std::string& path, std::string_view text,
                              Durability durability) {
   const std::string new_path = path + ".new";
--- a/src/storage/file.h
+++ b/src/storage/file.h
@@ -37,6 +37,9 @@
   kMachineCrash,
 };
 
+/// Writes all of `text` to an open file and flushes it to the disk.
+std::error_code write_durably(const net::FileDescriptor& file, std::string_view text);
+
 /// Replaces the file at `path` by `text`: writes "<path>.new" beside it and renames that. After a
 /// crash that `durability` covers either the old or the new content is there, complete. For
 /// Durability::kMachineCrash the file and its directory are flushed to the disk.
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -96,18 +96,6 @@
   return answer.body.substr(id.size() + 1);
 }
 
-template <typename Condition>
-bool eventually(const Condition& holds) {
-  const auto deadline = Clock::now() + kTestTimeout;
-  while (!holds()) {
-    if (Clock::now() >= deadline) {
-      return false;
-    }
-    ::usleep(10'000);
-  }
-  return true;
-}
-
 bool has_unavailable_backends(const ProxyUnderTest& proxy, int count) {
   const std::string field = "\"members_unavailable\":" + std::to_string(count);
   return proxy.call("GET", "/api/telemetry").body.find(field) != std::string::npos;
--- a/tests/snapshot_process_test.cpp
+++ b/tests/snapshot_process_test.cpp
@@ -14,18 +14,6 @@
 
 using snapshot::Snapshot;
 
-template <typename Condition>
-bool eventually(const Condition& holds) {
-  const auto deadline = Clock::now() + kTestTimeout;
-  while (!holds()) {
-    if (Clock::now() >= deadline) {
-      return false;
-    }
-    ::usleep(5000);
-  }
-  return true;
-}
-
 // Processes of one name, one after another, in front of a slow and a fast backend.
 class SnapshotProcessTest : public testing::Test {
  protected:
--- a/tests/support/require.h
+++ b/tests/support/require.h
@@ -1,11 +1,12 @@
-// Preconditions of test helpers, which may return values and so cannot use GoogleTest's ASSERT
-// macros.
+// Preconditions and bounded waits of test helpers, which may return values and so cannot use
+// GoogleTest's ASSERT macros.
 #pragma once
 
 #include <chrono>
 #include <source_location>
 #include <stdexcept>
 #include <string>
+#include <thread>
 
 namespace beechhill::test {
 
@@ -25,4 +26,17 @@
   }
 }
 
+/// Polls until `holds()`; false where it does not within kTestTimeout.
+template <typename Condition>
+bool eventually(const Condition& holds) {
+  const auto deadline = Clock::now() + kTestTimeout;
+  while (!holds()) {
+    if (Clock::now() >= deadline) {
+      return false;
+    }
+    std::this_thread::sleep_for(5ms);
+  }
+  return true;
+}
+
 }  // namespace beechhill::test
