--- a/src/recovery/recovery_tracker.cpp
+++ b/src/recovery/recovery_tracker.cpp
@@ -6,13 +6,14 @@
 namespace beechhill::recovery {
 namespace {
 
-// A pause counts from this part of the drain grace on: an update that was written as the pause
-// began is then still acted on within the grace.
+// The drain grace divided by this is the longest time between two observations that does not count
+// as a pause. The rest of the grace is left to act on an update that discovery sent when the pause
+// began.
 constexpr int kDrainGraceDivisor = 2;
-// In place of the drain grace where the settings give none.
+// Used where the settings give no drain grace.
 constexpr Duration kDefaultDrainGrace{2'000'000};
-// Discovery is an agent on this machine, or near: it answers within milliseconds or not soon. A
-// longer wait would delay clients for a list that does not come.
+// Discovery is an agent on this machine or near it, which answers within milliseconds if it answers
+// at all. A longer timeout would only delay clients.
 constexpr Duration kMaxResyncTimeout{250'000};
 
 }  // namespace
@@ -30,16 +31,16 @@
 }
 
 RecoveryTracker::RecoveryTracker(Time now, Duration drain_grace, Duration watch_silence,
-                                 bool has_list)
+                                 bool has_endpoints)
     : pause_threshold_((drain_grace > Duration{0} ? drain_grace : kDefaultDrainGrace) /
                        kDrainGraceDivisor),
       resync_timeout_(std::min(pause_threshold_, kMaxResyncTimeout)),
       watch_silence_(watch_silence),
       last_observation_(now),
       resync_deadline_(now + kMaxResyncTimeout),
-      has_endpoints_(has_list),
-      resyncing_(has_list),
-      starting_(has_list) {
+      has_endpoints_(has_endpoints),
+      resyncing_(has_endpoints),
+      starting_(has_endpoints) {
 }
 
 bool RecoveryTracker::observe_clock(Time now) {
@@ -49,7 +50,7 @@
     return false;
   }
   last_pause_ = elapsed;
-  // Without a list there is nothing that could be out of date.
+  // Without an endpoint list nothing can be out of date.
   resyncing_ = has_endpoints_;
   resync_deadline_ = now + resync_timeout_;
   return resyncing_;
@@ -57,7 +58,7 @@
 
 void RecoveryTracker::on_endpoint_update() {
   has_endpoints_ = true;
-  // During a resync this may be the first of several updates.
+  // During a resync, further updates may follow until on_resync_complete().
   if (!resyncing_) {
     updated_ = true;
   }
@@ -70,7 +71,8 @@
 }
 
 bool RecoveryTracker::is_resyncing(Time now) {
-  // The process goes on with the list that it holds; the stage stays kResyncing.
+  // After the timeout the process uses the endpoint list that it holds; as `updated_` is cleared,
+  // stage() still returns kResyncing.
   if (resyncing_ && now >= resync_deadline_) {
     resyncing_ = false;
     starting_ = false;
--- a/src/recovery/recovery_tracker.h
+++ b/src/recovery/recovery_tracker.h
@@ -1,7 +1,7 @@
-// How far a process has come towards full service: after its start, and after a pause in which it
-// did not run (it was stopped, or starved of its core). After a pause nothing that it holds counts
-// as current: nothing is sent until the process knows what discovery wrote meanwhile, or until the
-// resync deadline has passed. Free of I/O and clocks: the caller passes the time.
+// Tracks whether a process's endpoint list is current: after the process starts, and after a pause
+// in which it did not run (stopped, or without CPU time). After a pause the list counts as out of
+// date, and no request is sent until the process has read what discovery wrote during the pause or
+// the resync deadline has passed. Does no I/O and reads no clock: the caller passes the time.
 // docs/design/recovery.md compares the alternatives.
 #pragma once
 
@@ -10,52 +10,53 @@
 namespace beechhill::recovery {
 
 enum class Stage {
-  /// There is no endpoint list: nothing can be sent.
+  /// There is no endpoint list, so no request can be sent.
   kNoEndpoints,
-  /// A list is held, and discovery has sent nothing since the start or the last pause.
+  /// There is an endpoint list, but discovery has sent nothing since the start or the last pause.
   kResyncing,
   kReady,
 };
 
-/// Returns the stage as it stands in the log and on /api/telemetry: "empty", "hearing" or "full".
+/// Returns the name of the stage in the log and in /api/telemetry: "empty", "hearing" or "full".
 const char* name(Stage stage);
 
-/// Used by one thread. Times come from one clock that may stand still or go back, which counts as
-/// no time.
+/// Not thread-safe. All times are readings of one clock. A reading that is equal to or before the
+/// latest one counts as no elapsed time.
 class RecoveryTracker {
  public:
-  /// `drain_grace`: how long after an update that drains a backend requests may still go there;
-  /// zero where the settings give none. `watch_silence`: how long a live watch may send nothing.
-  /// `has_list`: an endpoint list is held at the start. It may be old, so such a start is treated
-  /// as the end of a pause.
-  RecoveryTracker(Time now, Duration drain_grace, Duration watch_silence, bool has_list);
+  /// `drain_grace`: how long after an update that drains a backend requests may still be sent to
+  /// it; zero where the settings give none. `watch_silence`: the longest time for which a working
+  /// watch sends nothing. `has_endpoints`: whether the process starts with an endpoint list. Such a
+  /// list may be out of date, so the start is treated as the end of a pause.
+  RecoveryTracker(Time now, Duration drain_grace, Duration watch_silence, bool has_endpoints);
 
-  /// To be called before anything else is done, and every observation_interval() at least. Returns
-  /// true when a pause has ended just now: then discovery's connection must be read to its end, or
-  /// a complete list be asked for where needs_snapshot() says so.
+  /// Must be called before any other work in an iteration of the event loop, and at least every
+  /// observation_interval(). Returns true if a pause has just ended and there is an endpoint list.
+  /// The caller must then read everything that is pending on the connection to discovery, or
+  /// request a complete list if needs_snapshot() is true.
   bool observe_clock(Time now);
-  /// The longest time between two calls of observe_clock() while the process runs.
+  /// The longest time allowed between two calls of observe_clock().
   Duration observation_interval() const { return pause_threshold_ / 2; }
-  /// Whether the last pause was as long as a watch may be silent: its connection may be dead, and
-  /// only a complete list tells what has changed.
+  /// Whether the last pause lasted at least `watch_silence`. The watch's connection may have failed
+  /// by then, and changes sent on it may be lost, so a complete list is required.
   bool needs_snapshot() const { return last_pause_ >= watch_silence_; }
-  /// The length of the last pause; zero before the first.
+  /// The length of the last pause; zero before the first pause.
   Duration gap() const { return last_pause_; }
 
-  /// Discovery has sent a list, or changes of it.
+  /// Must be called when discovery has sent a complete endpoint list or changes to it.
   void on_endpoint_update();
-  /// Everything that discovery had written when the resync began has been read.
+  /// Must be called when everything that discovery had written before the resync has been read.
   void on_resync_complete();
-  /// Whether the endpoint list may decide where something new goes. False also during a pause that
-  /// observe_clock() has not seen yet.
+  /// Whether endpoints for new requests may be selected from the list. Also false during a pause
+  /// that observe_clock() has not detected yet.
   bool endpoints_are_current(Time now) const {
     return !resyncing_ && now - last_observation_ <= pause_threshold_;
   }
-  /// Whether the process still waits for discovery after a start or a pause. Ends the wait once
-  /// resync_deadline() is reached.
+  /// Whether the process is waiting for discovery after its start or a pause. Ends the resync once
+  /// `now` reaches resync_deadline().
   bool is_resyncing(Time now);
-  /// Whether the process may be put to use: it has a list, and the wait after its start is over. A
-  /// later pause does not change that.
+  /// Whether the process can serve: it has an endpoint list, and the resync at its start has ended.
+  /// Later pauses do not reset this.
   bool ready() const { return has_endpoints_ && !starting_; }
   Time resync_deadline() const { return resync_deadline_; }
   Stage stage() const;
@@ -68,11 +69,11 @@
   Time resync_deadline_;
   Duration last_pause_{0};
   bool has_endpoints_;
-  /// Discovery has sent something since the start, or since the last wait that ran out.
+  /// Discovery has sent an update since the start, or since the last resync that timed out.
   bool updated_ = false;
-  /// Waiting for discovery, after the start or a pause.
+  /// A resync is in progress, after the start or after a pause.
   bool resyncing_;
-  /// The wait after the start is not over.
+  /// The resync at the start has not ended.
   bool starting_;
 };
 
--- a/src/routing/subset.cpp
+++ b/src/routing/subset.cpp
@@ -9,15 +9,15 @@
 namespace beechhill::routing {
 namespace {
 
-// Widths of arcs are powers of two and their halves in between.
+// Arc widths are powers of 2, and one step between each two of them.
 constexpr double kStepsPerOctave = 2;
-// An arc is widened while it holds less than this part of the endpoints that its width stands for,
-// counting those that are up.
+// An arc is widened while it contains fewer endpoints that are up than this fraction of the number
+// of endpoints expected for its width.
 constexpr double kMinUpFraction = 0.5;
-// Seeds the hash of units, so that it is independent of the hashes it is made of.
+// Makes the ring position of a unit independent of the endpoint hash that it is computed from.
 constexpr std::uint64_t kUnitHashSeed = 1;
 
-// A hash as a number from 0 to 1, of the 53 bits that a double holds.
+// Maps a hash to [0, 1). Uses its upper 53 bits, which a double represents exactly.
 double to_fraction(std::uint64_t hash) {
   return static_cast<double>(hash >> 11) * 0x1.0p-53;
 }
@@ -33,7 +33,8 @@
   return std::min(1.0, std::exp2(std::ceil(std::log2(width) * kStepsPerOctave) / kStepsPerOctave));
 }
 
-// Van der Corput's sequence in base 2: the bits of `index`, mirrored at the binary point.
+// Element `index` of the base-2 van der Corput sequence: the bits of `index`, mirrored at the
+// binary point.
 double van_der_corput(std::uint32_t index) {
   double value = 0;
   double bit_value = 0.5;
@@ -129,7 +130,7 @@
     update_membership(id, complete_list || updated[id], result.endpoints);
   }
   if (complete_list) {
-    // A complete list removes whatever it does not name.
+    // A complete list removes every endpoint that it does not contain, without naming it.
     std::erase_if(result.endpoints, [](const Endpoint& endpoint) {
       return endpoint.status == EndpointStatus::kRemoved;
     });
@@ -137,7 +138,7 @@
   return result;
 }
 
-// Stores the endpoints of an update. Returns their ids.
+// Stores the endpoints of an update and returns their ids.
 std::vector<EndpointId> SubsetView::store(const EndpointUpdate& update,
                                           const std::vector<std::uint64_t>& endpoint_hashes) {
   std::vector<EndpointId> ids;
@@ -161,8 +162,8 @@
   return ids;
 }
 
-// Decides whether an endpoint is in the subset, and appends what that changes. `updated`: its state
-// is to be reported even where it stays in the subset.
+// Recomputes whether an endpoint is in the subset and appends the resulting change, if any.
+// `updated`: the endpoint's state has changed and is reported even if it stays in the subset.
 void SubsetView::update_membership(EndpointId id, bool updated, std::vector<Endpoint>& changes) {
   EndpointState& state = endpoints_[id];
   const bool was_used = state.used;
@@ -180,8 +181,8 @@
   }
 }
 
-// The width for the number of endpoints, doubled while the arc holds too few endpoints that are up:
-// a proxy whose endpoints all fail must not be left without any.
+// Sets the width for the number of listed endpoints, then doubles it while the arc contains too few
+// endpoints that are up: a proxy whose endpoints all fail must not be left without any.
 void SubsetView::update_arc_width() {
   width_ = arc_width(settings_, listed_count_);
   while (width_ < 1) {
--- a/tests/recovery_tracker_test.cpp
+++ b/tests/recovery_tracker_test.cpp
@@ -1,4 +1,4 @@
-// The recovery tracker, driven by a clock of the test's own.
+// Tests of the recovery tracker with simulated time.
 #include "recovery/recovery_tracker.h"
 
 #include <gtest/gtest.h>
@@ -28,32 +28,32 @@
   EXPECT_TRUE(tracker.ready());
 }
 
-// The list of the configuration decides nothing before discovery has sent its own, or the deadline
-// has passed.
+// The list from the configuration is not used before discovery has sent its own list or the resync
+// deadline has passed.
 TEST(RecoveryTracker, ResynchronizesAtAStartWithAList) {
   RecoveryTracker tracker(kStart, kDrainGrace, kWatchSilence, true);
   EXPECT_EQ(tracker.stage(), Stage::kResyncing);
   EXPECT_TRUE(tracker.is_resyncing(kStart));
   EXPECT_FALSE(tracker.endpoints_are_current(kStart));
   EXPECT_FALSE(tracker.ready());
-  tracker.on_endpoint_update();  // one update of several
+  tracker.on_endpoint_update();  // the first of several updates in the resync
   EXPECT_FALSE(tracker.ready());
   tracker.on_resync_complete();
   EXPECT_EQ(tracker.stage(), Stage::kReady);
   EXPECT_TRUE(tracker.ready() && tracker.endpoints_are_current(kStart));
 }
 
-TEST(RecoveryTracker, GoesOnAtAStartWithAListAtTheDeadline) {
+TEST(RecoveryTracker, UsesItsInitialListAfterTheDeadline) {
   RecoveryTracker tracker(kStart, kDrainGrace, kWatchSilence, true);
   EXPECT_LE(tracker.resync_deadline(), kStart + milliseconds(250));
   EXPECT_FALSE(tracker.is_resyncing(tracker.resync_deadline()));
-  EXPECT_EQ(tracker.stage(), Stage::kResyncing);  // goes on with the list that it holds
+  EXPECT_EQ(tracker.stage(), Stage::kResyncing);  // discovery has still not sent its list
   EXPECT_TRUE(tracker.ready());
   EXPECT_TRUE(tracker.observe_clock(kStart + milliseconds(1000)));
-  EXPECT_TRUE(tracker.ready());  // a later pause does not change that
+  EXPECT_TRUE(tracker.ready());  // a pause after the start does not reset readiness
 }
 
-TEST(RecoveryTracker, SeesNoPauseBetweenRegularObservations) {
+TEST(RecoveryTracker, DetectsNoPauseBetweenRegularObservations) {
   RecoveryTracker tracker = ready_tracker();
   for (Time now = kStart; now < kStart + milliseconds(5000);
        now += tracker.observation_interval()) {
@@ -62,11 +62,11 @@
   }
 }
 
-// An update that was written as the pause began must still be acted on within the drain grace: the
-// list is out of date after half of it.
-TEST(RecoveryTracker, HoldsNoCurrentListAfterHalfTheDrainGrace) {
+// An update that discovery sends when the pause begins must be acted on within the drain grace, so
+// the list is treated as out of date after half of the grace.
+TEST(RecoveryTracker, TreatsItsListAsOutOfDateAfterHalfTheDrainGrace) {
   RecoveryTracker tracker = ready_tracker();
-  // Also before the pause is observed.
+  // The list is out of date even before observe_clock() detects the pause.
   EXPECT_FALSE(tracker.endpoints_are_current(kStart + milliseconds(151)));
   EXPECT_FALSE(tracker.observe_clock(kStart + milliseconds(149)));
   const Time resumed = kStart + milliseconds(149 + 151);
@@ -74,14 +74,14 @@
   EXPECT_FALSE(tracker.endpoints_are_current(resumed));
   EXPECT_TRUE(tracker.is_resyncing(resumed));
   EXPECT_EQ(tracker.stage(), Stage::kResyncing);
-  tracker.on_endpoint_update();  // one update of several
+  tracker.on_endpoint_update();  // the first of several updates in the resync
   EXPECT_FALSE(tracker.endpoints_are_current(resumed));
   tracker.on_resync_complete();
   EXPECT_TRUE(tracker.endpoints_are_current(resumed));
   EXPECT_EQ(tracker.stage(), Stage::kReady);
 }
 
-TEST(RecoveryTracker, GoesOnWithoutDiscoveryAtTheDeadline) {
+TEST(RecoveryTracker, UsesItsListAfterTheDeadlineWithoutDiscovery) {
   RecoveryTracker tracker = ready_tracker();
   const Time resumed = kStart + milliseconds(1000);
   EXPECT_TRUE(tracker.observe_clock(resumed));
@@ -89,7 +89,7 @@
   EXPECT_TRUE(tracker.is_resyncing(tracker.resync_deadline() - Duration(1)));
   EXPECT_FALSE(tracker.is_resyncing(tracker.resync_deadline()));
   EXPECT_TRUE(tracker.endpoints_are_current(resumed));
-  EXPECT_EQ(tracker.stage(), Stage::kResyncing);  // goes on with the list that it holds
+  EXPECT_EQ(tracker.stage(), Stage::kResyncing);  // discovery has still not sent its list
   tracker.on_endpoint_update();
   EXPECT_EQ(tracker.stage(), Stage::kReady);
 }
@@ -103,8 +103,9 @@
   EXPECT_TRUE(tracker.needs_snapshot());
 }
 
-// A clock that stands still or goes back makes no pause.
-TEST(RecoveryTracker, RestartsTheWaitAtAPauseWithinAResync) {
+// A second pause during a resync moves the deadline. Clock readings that stand still or go back are
+// not taken for a pause.
+TEST(RecoveryTracker, ExtendsTheDeadlineAtAPauseDuringAResync) {
   RecoveryTracker tracker = ready_tracker();
   EXPECT_TRUE(tracker.observe_clock(kStart + milliseconds(1000)));
   const Time first_deadline = tracker.resync_deadline();
@@ -116,13 +117,13 @@
   EXPECT_FALSE(tracker.observe_clock(kStart + milliseconds(2000)));
 }
 
-TEST(RecoveryTracker, HasNothingToResynchronizeWithoutAList) {
+TEST(RecoveryTracker, DoesNotResynchronizeWithoutAList) {
   RecoveryTracker tracker(kStart, kDrainGrace, kWatchSilence, false);
   EXPECT_FALSE(tracker.observe_clock(kStart + milliseconds(9000)));
   EXPECT_EQ(tracker.stage(), Stage::kNoEndpoints);
 }
 
-TEST(RecoveryTracker, SeesAPauseAfterASecondWithoutADrainGrace) {
+TEST(RecoveryTracker, DetectsAPauseAfterASecondWithoutADrainGrace) {
   RecoveryTracker tracker(kStart, Duration{0}, kWatchSilence, true);
   EXPECT_FALSE(tracker.observe_clock(kStart + milliseconds(900)));
   EXPECT_TRUE(tracker.observe_clock(kStart + milliseconds(2000)));
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -1,5 +1,5 @@
-// Properties of subsets over random sets of endpoints, and the ranked set that choices are sampled
-// from.
+// Tests of subsets over random sets of endpoints, and of the ranked set from which the balancer
+// samples its choices.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -24,7 +24,7 @@
   return endpoint;
 }
 
-// A complete list of endpoints, with hashes that differ between seeds.
+// A complete list of endpoints, whose hashes depend on the seed.
 struct EndpointList {
   explicit EndpointList(EndpointId count, std::uint64_t seed = 0) : hash_salt(seed << 32) {
     snapshot.endpoints.reserve(count);
@@ -64,7 +64,7 @@
   return proxies;
 }
 
-// The number of proxies that use each endpoint.
+// Returns the number of proxies that use each endpoint, indexed by endpoint id.
 std::vector<int> users_of(const std::vector<SubsetView>& proxies, EndpointId endpoint_count) {
   std::vector<int> users(endpoint_count, 0);
   for (const SubsetView& proxy : proxies) {
@@ -87,8 +87,9 @@
   }
 }
 
-// Also where the configured number of proxies is wrong by a factor of two.
-TEST(Subset, EveryEndpointIsUsedByNearlyAsManyProxies) {
+// The distribution must be even also if the configured number of proxies is half or twice the
+// actual number.
+TEST(Subset, EveryEndpointIsUsedByNearlyTheSameNumberOfProxies) {
   for (const auto& [endpoints, proxy_count, configured_proxies] : {std::tuple{1000u, 50u, 50u},
                                                                    {1000u, 50u, 25u},
                                                                    {1000u, 50u, 100u},
@@ -110,7 +111,7 @@
   }
 }
 
-TEST(Subset, OneChangedEndpointConcernsOnlyTheProxiesThatUseIt) {
+TEST(Subset, AChangedEndpointIsReportedOnlyToTheProxiesThatUseIt) {
   std::mt19937_64 random(3);
   for (int round = 0; round < 20; ++round) {
     const EndpointId count = 500 + static_cast<EndpointId>(random() % 2000);
@@ -207,8 +208,9 @@
   }
 }
 
-// Half of the endpoints are replaced one by one. All reported updates together give the subset.
-TEST(Subset, ReportedUpdatesAddUpToTheSubset) {
+// Replaces half of the endpoints one by one. The reported updates, applied in order, must yield
+// exactly the subset.
+TEST(Subset, ReportedUpdatesYieldTheSubset) {
   std::mt19937_64 random(11);
   const EndpointList list(800);
   SubsetView view({120, 8, 20, 7u}, SubsetUnit::kEndpoint, "p");
@@ -249,19 +251,19 @@
   set.assign(all);
   std::set<std::pair<double, EndpointId>> model(all.begin(), all.end());
   for (int i = 0; i < 2000; ++i) {
-    const auto& e = all[random() % all.size()];
-    // Either may find it done already.
+    const auto& entry = all[random() % all.size()];
+    // Inserting an entry that is present and erasing one that is absent must have no effect.
     if (random() % 2) {
-      set.insert(e.first, e.second);
-      model.insert(e);
+      set.insert(entry.first, entry.second);
+      model.insert(entry);
     } else {
-      set.erase(e.first, e.second);
-      model.erase(e);
+      set.erase(entry.first, entry.second);
+      model.erase(entry);
     }
     ASSERT_EQ(set.size(), model.size());
-    std::size_t k = 0;
-    for (const auto& m : model) {
-      ASSERT_EQ(set[k++], m.second);
+    std::size_t index = 0;
+    for (const auto& expected : model) {
+      ASSERT_EQ(set[index++], expected.second);
     }
   }
 }
