--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -21,23 +21,23 @@
 
 namespace {
 
-// From the accept to the call's last byte.
+// From the accept to the last byte of the call.
 constexpr auto kReadTimeout = 1500ms;
-// While all connections are in use, one without a complete call by this age may be evicted: a
-// caller that is not idle has sent it by then.
+// While all connections are in use, one that has not sent a complete call by this age may be
+// evicted. Callers that are not idle have sent their call by then.
 constexpr auto kEvictionAge = 20ms;
-// For the actor that owns the state. Operators are owed an answer within 1 s.
+// Timeout for the actor that owns the state. Operators must get a response within 1 s.
 constexpr auto kReplyTimeout = 800ms;
-// For what the proxies have to agree on first.
+// Timeout for commands on which the proxies of the cluster have to agree first.
 constexpr auto kClusterReplyTimeout = 3000ms;
 constexpr auto kWriteTimeout = 2000ms;
 constexpr auto kLingerTimeout = 500ms;
-// Before the next attempt to accept, after one that failed or found no free connection.
+// Delay before the next accept if the last one failed or all connections were in use.
 constexpr auto kAcceptBackoff = 10ms;
 
 constexpr std::string_view kJsonHeader = "Content-Type: application/json\r\n";
 
-// Each connection carries one call.
+// Writes a response that closes its connection: each connection carries one call.
 std::string write_last_response(int status, std::string_view headers = "",
                                 std::string_view body = "") {
   return http::write_response(status, headers, body, true);
@@ -81,8 +81,8 @@
     if (!full) {
       accepted = co_await accept_connection();
     }
-    // After each accept the other connections get a turn: what they have sent is read before the
-    // next eviction.
+    // Suspends after each accept, so that the other connections can read what callers have sent
+    // before the next eviction.
     runtime::Wait wait(scheduler_);
     if (full) {
       wait.notified(connection_ended_);
@@ -100,15 +100,15 @@
     try {
       connections_.push_back(std::make_shared<Connection>(scheduler_, std::move(fd)));
       scheduler_.spawn(run_connection(connections_.back()));
-    } catch (const std::system_error& error) {  // epoll takes no more descriptors
+    } catch (const std::system_error& error) {  // the descriptor could not be added to epoll
       log::fault("operator_let_go", error);
     }
   }
   co_return accepted;
 }
 
-// Closes the oldest connection that has had time for its call and has not sent it. False where
-// there is none.
+// Evicts the oldest connection that is past the eviction age and has not sent a complete call.
+// Returns false if there is none.
 bool AdminServer::evict_connection() {
   const auto now = Clock::now();
   for (const auto& connection : connections_) {
@@ -170,7 +170,8 @@
     co_return write_last_response(status_code(*error));
   }
   const Command& command = std::get<Command>(parsed);
-  // Each awaited response has a name: GCC 12 destroys temporaries of co_await expressions wrongly.
+  // The awaited response is a named variable because GCC 12 destroys temporaries in co_await
+  // expressions incorrectly.
   std::string response;
   switch (command.type) {
     case CommandType::kReady:
@@ -188,7 +189,7 @@
     case CommandType::kMembers:
     case CommandType::kMaintenanceStatus:
     case CommandType::kMaintenanceCommand:
-      response = co_await ask_cluster(command);
+      response = co_await forward_to_cluster(command);
       break;
   }
   co_return response;
@@ -207,7 +208,7 @@
   co_return response;
 }
 
-Task<std::string> AdminServer::ask_cluster(const Command& command) {
+Task<std::string> AdminServer::forward_to_cluster(const Command& command) {
   int status = 404;
   const auto reply = std::make_shared<runtime::PendingTextReply>();
   if (cluster_handler_) {
@@ -222,9 +223,9 @@
 
 Task<std::string> AdminServer::report_telemetry() {
   const auto reply = std::make_shared<PendingReply>();
-  proxy::DecisionMessage question(std::in_place_type<proxy::GetEndpointCounts>, reply);
+  proxy::DecisionMessage query(std::in_place_type<proxy::GetEndpointCounts>, reply);
   int status = 503;
-  if (decisions_.post(std::move(question))) {
+  if (decisions_.post(std::move(query))) {
     status = co_await runtime::await_reply(scheduler_, reply, kReplyTimeout);
   }
   const std::string body =
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -1,6 +1,6 @@
-// The HTTP server for operators: one call to a connection. Each command goes to the actor that owns
-// its state, and is answered once that actor has carried it out. The server's descriptors are its
-// own, so that a listener full of clients never keeps an operator waiting.
+// HTTP server for operators, with one call per connection. Each command is sent to the actor that
+// owns the affected state and answered after that actor has executed it. The server has its own
+// descriptors, so operators can connect even if clients use up all of theirs.
 #pragma once
 
 #include <functional>
@@ -17,31 +17,31 @@
 
 namespace beechhill::admin {
 
-/// Connections open at a time. Further ones wait in the backlog until one ends, or the oldest that
-/// has not sent a complete call is closed.
+/// Maximum number of open connections. Further connections wait in the backlog until one closes or
+/// the oldest one that has not sent a complete call is evicted.
 inline constexpr std::size_t kMaxConnections = 16;
 
-/// Carries out the commands on membership and maintenance and completes `reply`, with a body. Null
-/// where this process is not in a cluster: these commands are unknown then.
+/// Executes commands on membership and maintenance and completes `reply` with a body. If it is
+/// null, this process is not in a cluster and these commands are answered with status 404.
 using ClusterHandler =
     std::function<void(const Command& command, std::shared_ptr<runtime::PendingTextReply> reply)>;
 
-/// Runs on the scheduler's thread.
+/// Must be used on the scheduler's thread.
 class AdminServer {
  public:
-  /// Listens on `address`. All that is referred to must outlive the server. `class_names` are by
-  /// ClassId; `is_ready` gives the answer to "/api/ready". Throws std::system_error where the
-  /// address cannot be listened on.
+  /// Listens on `address`. All referenced objects must outlive the server. `class_names` is indexed
+  /// by ClassId; `is_ready` determines the answer to "/api/ready". Throws std::system_error if the
+  /// server cannot listen on the address.
   AdminServer(runtime::Scheduler& scheduler, const sockaddr_in& address,
               proxy::DecisionMailbox& decisions,
               hot_restart::OperatorCommandMailbox& operator_commands,
               const proxy::Telemetry& telemetry, const std::vector<std::string>& class_names,
               std::function<bool()> is_ready, ClusterHandler cluster_handler = {});
 
-  /// The address that is listened on, with the port that the system chose for port 0.
+  /// Returns the listening address, with the port that the system chose if port 0 was given.
   sockaddr_in address() const { return listener_.address(); }
 
-  /// Accepts and serves connections; never returns.
+  /// Accepts and serves connections. Never returns.
   runtime::Task<> run();
 
  private:
@@ -51,7 +51,7 @@
     net::Stream stream;
     runtime::Notifier eviction;
     runtime::TimePoint accepted_at = runtime::Clock::now();
-    bool awaits_request = true;  // until its call is read to the end
+    bool awaits_request = true;  // false once the call has been read completely
   };
 
   runtime::Task<net::IoResult> accept_connection();
@@ -60,7 +60,7 @@
   runtime::Task<std::string> respond(const std::string& method, const std::string& target);
   runtime::Task<std::string> change_state(const Command& command, const std::string& target);
   runtime::Task<std::string> report_telemetry();
-  runtime::Task<std::string> ask_cluster(const Command& command);
+  runtime::Task<std::string> forward_to_cluster(const Command& command);
   bool evict_connection();
 
   runtime::Scheduler& scheduler_;
@@ -71,7 +71,7 @@
   const std::function<bool()> is_ready_;
   const ClusterHandler cluster_handler_;
   net::Listener listener_;
-  std::list<std::shared_ptr<Connection>> connections_;  // the oldest first
+  std::list<std::shared_ptr<Connection>> connections_;  // oldest first
   runtime::Notifier connection_ended_;
 };
 
--- a/src/admin/command.cpp
+++ b/src/admin/command.cpp
@@ -28,7 +28,7 @@
     {"GET", "/api/maintenance", CommandType::kMaintenanceStatus, Arguments::kParameters},
 };
 
-// Its path goes on with the action.
+// The path of a maintenance command ends in the name of the action.
 constexpr Route kMaintenanceCommandRoute = {
     "PUT", kMaintenanceCommandPrefix, CommandType::kMaintenanceCommand, Arguments::kParameters};
 
@@ -41,7 +41,7 @@
   return path.starts_with(kMaintenanceCommandPrefix) ? &kMaintenanceCommandRoute : nullptr;
 }
 
-// False where `query` does not hold what the command needs.
+// Reads the command's arguments from `query`. Returns false if they are missing or malformed.
 bool read_arguments(Arguments arguments, std::string_view query, Command& command) {
   switch (arguments) {
     case Arguments::kNone:
--- a/src/admin/command.h
+++ b/src/admin/command.h
@@ -1,4 +1,4 @@
-// The calls that operators may make: which method and path stand for which command. No I/O.
+// Commands of the operators' HTTP API, parsed from method and request target. Does no I/O.
 #pragma once
 
 #include <string>
@@ -23,22 +23,22 @@
 
 struct Command {
   CommandType type = CommandType::kReady;
-  /// Of kExclude and kInclude.
+  /// Set for kExclude and kInclude.
   std::string backend_id;
-  /// Of kMaintenanceCommand: what follows "/api/maintenance/" in the path.
+  /// Set for kMaintenanceCommand: the part of the path after "/api/maintenance/".
   std::string action;
-  /// Of kMaintenanceStatus and kMaintenanceCommand.
+  /// Set for kMaintenanceStatus and kMaintenanceCommand.
   QueryParameters parameters;
 };
 
 enum class CommandError { kMalformed, kUnknown, kWrongMethod };
 
-/// The HTTP status code that answers a call with this error.
+/// Returns the HTTP status code for a call with this error.
 int status_code(CommandError error);
 
 using ParsedCommand = std::variant<Command, CommandError>;
 
-/// `target` is in origin form (RFC 9112, section 3.2.1): path and query.
+/// Parses a call. `target` is a path and a query in origin form (RFC 9112, section 3.2.1).
 ParsedCommand parse_command(std::string_view method, std::string_view target);
 
 }  // namespace beechhill::admin
--- a/src/admin/query_string.cpp
+++ b/src/admin/query_string.cpp
@@ -8,15 +8,15 @@
 namespace beechhill::admin {
 namespace {
 
-constexpr std::size_t kEscapeLength = 3;  // "%2F"
+constexpr std::size_t kEscapeLength = 3;  // of an escape such as "%2F"
 constexpr int kHexadecimal = 16;
 
 struct RawParameter {
   std::string_view name;
-  std::optional<std::string_view> value;  // still encoded; absent without '='
+  std::optional<std::string_view> value;  // not decoded; absent if there is no '='
 };
 
-// Takes the first parameter off the front of `query`.
+// Removes the first parameter from the front of `query` and returns it.
 RawParameter take_parameter(std::string_view& query) {
   const std::string_view text = query.substr(0, query.find('&'));
   query.remove_prefix(std::min(query.size(), text.size() + 1));
--- a/src/admin/telemetry_json.h
+++ b/src/admin/telemetry_json.h
@@ -1,4 +1,4 @@
-// The body of the operators' call GET /api/telemetry.
+// JSON body of the response to an operator's GET /api/telemetry.
 #pragma once
 
 #include <string>
@@ -9,8 +9,8 @@
 
 namespace beechhill::admin {
 
-/// One line of JSON with its line end. `class_names` are by ClassId; `endpoints` is the complete
-/// reply to GetEndpointCounts.
+/// Returns one line of JSON with a line end. `class_names` is indexed by ClassId; `endpoints` is
+/// the completed reply to GetEndpointCounts.
 std::string telemetry_json(const proxy::Telemetry& telemetry,
                            const std::vector<std::string>& class_names,
                            const runtime::PendingReply& endpoints);
--- a/src/bootstrap/cluster.cpp
+++ b/src/bootstrap/cluster.cpp
@@ -18,7 +18,7 @@
 
 using runtime::now;
 
-// A drained listener gets no new clients once this has passed.
+// A drained listener is assumed to get no new clients after this time.
 constexpr Duration kDrainSettleTime = std::chrono::seconds(2);
 
 membership::MacKeys load_keys(const std::string& file) {
@@ -34,18 +34,20 @@
   }
 }
 
-// Checks this process's name for what its members and datagrams can carry.
+// Also checks that this process's name is valid as the name of a member.
 membership::SwimSettings swim_settings(const config::Config& config,
                                        const config::MembershipSettings& settings) {
   const std::string& name = config.name;
   if (name.empty() || name.size() > membership::kMaxNameBytes ||
       name.find('#') != std::string::npos) {
     throw std::runtime_error(
-        "membership: the configuration's name must be 1 to 48 bytes, without #");
+        "membership: the configuration's name must be 1 to 48 bytes long, without '#'");
   }
-  // Two processes of one name would be one member.
+  // Processes that share an inherited listener have the same name, so the cluster would take them
+  // for one member.
   if (config.inherited_listener_fd) {
-    throw std::runtime_error("membership: not with an inherited socket (GW_FD)");
+    throw std::runtime_error(
+        "membership: cannot be enabled with an inherited listening socket (GW_FD)");
   }
   return {settings.probe_interval, settings.forget_after, settings.seed_addresses};
 }
@@ -53,7 +55,7 @@
 sockaddr_in listen_address(const config::MembershipSettings& settings) {
   const std::optional<sockaddr_in> address = net::parse_address(settings.listen_address);
   if (!address) {
-    throw std::runtime_error("membership.listen: not an IPv4 address and a port: " +
+    throw std::runtime_error("membership.listen: not an IPv4 address with a port: " +
                              settings.listen_address);
   }
   return *address;
@@ -95,7 +97,8 @@
   void leave() override { gossip_.leave(); }
 
  private:
-  // Messages are lost, like datagrams, while the maintenance actor's mailbox is full.
+  // Messages are dropped while the maintenance actor's mailbox is full. Its protocol tolerates
+  // that, as datagrams may be lost too.
   membership::GossipHandlers gossip_handlers() {
     const auto post = [this](auto message) {
       maintenance::MaintenanceMessage posted(std::move(message));
@@ -137,7 +140,7 @@
     return view;
   }
 
-  // Whether this process has nothing open and will get nothing new.
+  // Returns whether this process has no pending requests and will get no new clients.
   bool is_idle(bool is_shutting_down) const {
     const bool gets_no_clients =
         is_shutting_down || (drained_since_ && now() >= *drained_since_ + kDrainSettleTime);
@@ -188,7 +191,7 @@
     return maintenance::QueryStatus{request_id, std::move(reply)};
   }
 
-  // Nothing where the command is malformed; the reply's text says why.
+  // Returns nothing if the command is malformed, and sets the reply's text to the error.
   static std::optional<maintenance::MaintenanceMessage> maintenance_command(
       const admin::Command& command, std::shared_ptr<runtime::PendingTextReply> reply) {
     auto parsed =
--- a/src/bootstrap/cluster.h
+++ b/src/bootstrap/cluster.h
@@ -1,5 +1,5 @@
-// This process as a member of a cluster of proxies: gossip membership and coordinated maintenance.
-// Off unless the operator file enables it; a build without BEECHHILL_CLUSTER has none.
+// Membership of this process in a cluster of proxies: gossip and coordinated maintenance. Disabled
+// unless the operator file enables it, and absent from builds without BEECHHILL_CLUSTER.
 #pragma once
 
 #include <functional>
@@ -12,20 +12,21 @@
 
 namespace beechhill::bootstrap {
 
-/// The cluster as the rest of the process sees it. Used on the scheduler's thread alone.
+/// Interface of the cluster for the rest of the process. Must be used on the scheduler's thread.
 class Cluster {
  public:
   virtual ~Cluster() = default;
-  /// Answers operators' calls on membership and maintenance. Valid as long as the cluster.
+  /// Returns a handler for operators' calls on membership and maintenance. It must not be called
+  /// after the cluster is destroyed.
   virtual admin::ClusterHandler admin_handler() = 0;
-  /// Reads the membership keys again from the file that `settings` names. Never throws: keys that
-  /// cannot be read are logged and those in use are kept.
+  /// Reloads the membership keys from the file that `settings` names. Does not throw: if the keys
+  /// cannot be read, logs the error and keeps the current keys.
   virtual void reload(const config::OperatorSettings& settings) = 0;
-  /// Notifies the other members that this process ends.
+  /// Notifies the other members that this process is shutting down.
   virtual void leave() = 0;
 };
 
-/// What a cluster works with. All that is referred to must outlive it.
+/// Dependencies of a cluster. Every referenced object must outlive the cluster.
 struct ClusterDependencies {
   runtime::Scheduler& scheduler;
   const config::Config& config;
@@ -33,12 +34,12 @@
   proxy::DecisionActor& decisions;
   hot_restart::OperatorCommandMailbox& operator_commands;
   const proxy::Telemetry& telemetry;
-  /// Whether the planned end of this process has begun.
+  /// Returns whether a graceful shutdown of this process has begun.
   std::function<bool()> is_shutting_down;
 };
 
-/// Joins the cluster and spawns its actors. Null where `settings` do not enable membership. Throws
-/// std::runtime_error or std::system_error, saying what is wrong, where it cannot join.
+/// Joins the cluster and spawns its actors. Returns null if `settings` do not enable membership.
+/// Throws std::runtime_error or std::system_error with a description if joining fails.
 std::unique_ptr<Cluster> join_cluster(const ClusterDependencies& dependencies);
 
 }  // namespace beechhill::bootstrap
--- a/src/bootstrap/coordinator_settings.cpp
+++ b/src/bootstrap/coordinator_settings.cpp
@@ -5,7 +5,7 @@
 namespace beechhill::bootstrap {
 namespace {
 
-// Whether a class with idempotency keys relies on one cell's or zone's memory of earlier requests.
+// Returns whether any class has idempotency keys that are deduplicated within `scope`.
 bool deduplicates_within(const Settings& settings, DeduplicationScope scope) {
   return std::any_of(settings.classes.begin(), settings.classes.end(),
                      [scope](const ClassSettings& request_class) {
@@ -38,7 +38,8 @@
   result.drain_grace = settings.drain_grace;
   result.max_request_duration = longest_deadline(settings);
   result.disruption_budget = maintenance.disruption_budget;
-  // The backends that remember idempotency keys must not all be taken out of their zone or cell.
+  // The backends of a zone or cell hold the idempotency keys of earlier requests, so they must not
+  // all be taken out.
   result.disruption_budget.preserve_last_in_zone =
       deduplicates_within(settings, DeduplicationScope::kZone);
   result.disruption_budget.preserve_last_in_cell =
--- a/src/bootstrap/coordinator_settings.h
+++ b/src/bootstrap/coordinator_settings.h
@@ -8,8 +8,9 @@
 
 namespace beechhill::bootstrap {
 
-/// `maintenance` decides leases and budgets; `config` the name, the zone, the longest deadline of a
-/// class, and where a last backend must stay because it deduplicates keyed requests.
+/// Lease durations and the disruption budget come from `maintenance`. `config` provides the name,
+/// the zone, the longest deadline of any class, and whether the last backend in a zone or cell must
+/// be kept because it deduplicates requests with idempotency keys.
 maintenance::CoordinatorSettings coordinator_settings(
     const config::Config& config, const config::MaintenanceSettings& maintenance);
 
--- a/src/bootstrap/membership_json.h
+++ b/src/bootstrap/membership_json.h
@@ -1,4 +1,4 @@
-// The body of the operators' call GET /api/members.
+// JSON body of the response to an operator's GET /api/members.
 #pragma once
 
 #include <cstdint>
@@ -8,8 +8,9 @@
 
 namespace beechhill::bootstrap {
 
-/// One line of JSON with its line end: this member `self`, the others as `node` holds them, and how
-/// many datagrams were rejected so far. `now` is the time of the clock that `node` is driven by.
+/// Returns one line of JSON with a line end: this member (`self`), the other members known to
+/// `node`, and the number of datagrams rejected so far. `now` is read from the clock that drives
+/// `node`.
 std::string membership_json(const membership::SwimNode& node, const std::string& self,
                             std::uint64_t rejected_datagrams, Time now);
 
--- a/src/bootstrap/no_cluster.cpp
+++ b/src/bootstrap/no_cluster.cpp
@@ -1,10 +1,10 @@
-// The build without BEECHHILL_CLUSTER: a proxy is never a member of a cluster.
+// Replaces cluster.cpp in builds without BEECHHILL_CLUSTER.
 #include "bootstrap/cluster.h"
 
 namespace beechhill::bootstrap {
 
 std::unique_ptr<Cluster> join_cluster(const ClusterDependencies& /*dependencies*/) {
-  // The operator file's reader rejects membership.listen in this build.
+  // In these builds, reading the operator file fails if membership.listen is set.
   return nullptr;
 }
 
--- a/src/bootstrap/resource_allocation.cpp
+++ b/src/bootstrap/resource_allocation.cpp
@@ -9,11 +9,12 @@
 
 constexpr std::size_t kOwnDescriptors = 24;
 constexpr std::size_t kClientPercent = 55;
-// At least this part of all descriptors is a process's own, whatever the others hold.
+// A process may always use 1/4 of the descriptors, however many the other processes hold.
 constexpr std::size_t kMinimumDivisor = 4;
-// This part stays free beside another process: both grow between two exchanges of their status.
+// While other processes are running, 1/10 of the descriptors is left unallocated, as the number
+// that they hold may grow before they exchange their status again.
 constexpr std::size_t kReserveDivisor = 10;
-// Streamed bodies get this part of the memory; the rest is for buffered requests and the program.
+// Streamed bodies may use 1/6 of the memory; the rest is for buffered requests and the program.
 constexpr std::size_t kBodyMemoryDivisor = 6;
 constexpr std::size_t kBytesPerMegabyte = std::size_t{1024} * 1024;
 
--- a/src/bootstrap/resource_allocation.h
+++ b/src/bootstrap/resource_allocation.h
@@ -1,4 +1,4 @@
-// How the file descriptors and the body memory of the process's limits are divided.
+// Divides the process's limits on file descriptors and memory.
 #pragma once
 
 #include <cstddef>
@@ -8,20 +8,21 @@
 
 namespace beechhill::bootstrap {
 
-/// Descriptors that neither clients nor backends hold: standard streams, epoll, signals, listeners,
-/// discovery and the operators' connections.
+/// Returns the number of descriptors reserved for uses other than client and backend connections:
+/// standard streams, epoll, signals, listeners, discovery and operators' connections.
 std::size_t reserved_descriptors();
 
 /// Divides the descriptors for connections between clients and backends.
 class DescriptorAllocation {
  public:
-  /// `available`: descriptors for connections of both kinds.
+  /// `available`: the number of descriptors for client and backend connections together.
   explicit DescriptorAllocation(std::size_t available) : available_(available) {}
 
   std::size_t for_clients() const;
   std::size_t for_backends() const { return available_ - for_clients(); }
-  /// The allocation of this process while `others` of the same proxy live: together they stay
-  /// within one process's limit, but for a minimum that each process has.
+  /// Returns the allocation of this process while `others`, the other processes of the same proxy,
+  /// are running. All processes together stay within the limit of one process, except that each has
+  /// a guaranteed minimum.
   DescriptorAllocation beside(
       const hot_restart::SharedStateDirectory::ProcessGroupStatus& others) const;
 
@@ -29,10 +30,11 @@
   std::size_t available_;
 };
 
-/// All descriptors for connections under the configured limit.
+/// Returns the allocation for a process that runs alone under the configured limit.
 DescriptorAllocation allocate_descriptors(const config::Config& config);
 
-/// Bytes that streamed bodies may hold at a time, with or without other processes beside this one.
+/// Returns the maximum number of bytes that streamed bodies may occupy in this process at a time.
+/// `shared_with_others`: whether other processes of the same proxy are running.
 std::size_t body_memory_bytes(const config::Config& config, bool shared_with_others);
 
 }  // namespace beechhill::bootstrap
--- a/src/bootstrap/restored_state.cpp
+++ b/src/bootstrap/restored_state.cpp
@@ -17,7 +17,7 @@
   }
   try {
     if (config.shared_state_directory.empty()) {
-      throw std::runtime_error("TMPDIR: not set");
+      throw std::runtime_error("TMPDIR: not set; the shared state directory is unknown");
     }
     return std::make_unique<hot_restart::SharedStateDirectory>(config.shared_state_directory,
                                                                config.name);
@@ -27,7 +27,8 @@
   }
 }
 
-// What was learned depends on these: under another zone, tier or other classes it means nothing.
+// Records of endpoints are valid only for the zone, the tier and the classes under which they were
+// made, so the scope identifies all of these.
 std::string snapshot_scope(const config::Config& config) {
   std::string scope =
       config.named_settings.zone + "/" + std::to_string(config.named_settings.settings.tier);
@@ -72,7 +73,7 @@
   log::info("snapshot_found",
             {{"rows", static_cast<std::uint64_t>(found->records.size())},
              {"barred", static_cast<std::uint64_t>(found->excluded_backends.size())}});
-  // The shared directory's exclusions are newer than a snapshot's.
+  // Exclusions in the shared directory are newer than those in a snapshot.
   if (!state.shared_directory) {
     state.excluded_backends = std::move(found->excluded_backends);
   }
--- a/src/bootstrap/restored_state.h
+++ b/src/bootstrap/restored_state.h
@@ -1,4 +1,4 @@
-// What a process finds at its start of what earlier and other processes of its proxy left.
+// State that a process reads at its start, saved by earlier or other processes of its proxy.
 #pragma once
 
 #include <chrono>
@@ -15,22 +15,22 @@
 namespace beechhill::bootstrap {
 
 struct RestoredState {
-  /// Null where no other process can share with this one.
+  /// Null if no other process can share state with this one.
   std::unique_ptr<hot_restart::SharedStateDirectory> shared_directory;
-  /// Null where no snapshots are kept.
+  /// Null if snapshots are disabled.
   std::unique_ptr<snapshot::SnapshotStore> snapshot_store;
   bool drained = false;
-  /// Ids of backends that operators had excluded.
+  /// Ids of the backends that operators have excluded.
   std::set<std::string> excluded_backends;
-  /// What an earlier process had learned of its backends.
+  /// What an earlier process recorded about its backends.
   std::vector<snapshot::EndpointRecord> endpoint_records;
 };
 
-/// Opens both stores and reads them. A store that cannot be used is logged and left out: the
-/// process serves without it.
+/// Opens the shared state directory and the snapshot store, and reads them. If one of them cannot
+/// be used, logs the error and continues without it.
 RestoredState restore_state(const config::Config& config, const config::OperatorSettings& settings);
 
-/// The wall clock's reading, as snapshots carry it.
+/// Returns the wall clock's time since the Unix epoch, as snapshots store it.
 std::chrono::milliseconds unix_time();
 
 }  // namespace beechhill::bootstrap
--- a/src/bootstrap/run.cpp
+++ b/src/bootstrap/run.cpp
@@ -11,7 +11,7 @@
 namespace beechhill::bootstrap {
 
 void run(const std::string& operator_file) {
-  // First, so that a signal that comes during the start is handled after it.
+  // Signals are blocked first, so that one that arrives during the start is handled afterwards.
   net::FileDescriptor signals = block_signals();
   const config::Config config = config::load_config();
   const config::OperatorSettings settings = config::load_operator_settings(operator_file);
--- a/src/bootstrap/run.h
+++ b/src/bootstrap/run.h
@@ -1,14 +1,14 @@
-// The serving program from its start to its end.
+// Entry point of the serving process.
 #pragma once
 
 #include <string>
 
 namespace beechhill::bootstrap {
 
-/// Serves until SIGTERM or SIGINT, and reads its files again on SIGHUP. The configuration is that
-/// of config::load_config(); `operator_file` is the operator file's path, or empty. Blocks these
-/// signals and starts the log. Throws config::JsonError, config::TomlError, std::runtime_error or
-/// std::system_error where it cannot start.
+/// Serves until SIGTERM or SIGINT, and reloads its files on SIGHUP. Reads the configuration with
+/// config::load_config(). `operator_file` is the path of the operator file, or empty for none.
+/// Blocks these signals and starts the log. Throws config::JsonError, config::TomlError,
+/// std::runtime_error or std::system_error if the process cannot start.
 void run(const std::string& operator_file);
 
 }  // namespace beechhill::bootstrap
--- a/src/bootstrap/server.cpp
+++ b/src/bootstrap/server.cpp
@@ -18,8 +18,8 @@
 using hot_restart::HotRestartActor;
 using hot_restart::SharedStateDirectory;
 
-// How long a process waits for discovery before it serves from the configured endpoint list, while
-// another process of its proxy can serve meanwhile.
+// How long a process waits for discovery before it serves from the configured endpoint list, if
+// another process of the same proxy can serve in the meantime.
 constexpr std::chrono::milliseconds kDiscoveryTimeout{1500};
 
 bool has_other_process(const RestoredState& restored) {
@@ -111,15 +111,16 @@
                                                config_.named_settings.settings, endpoint, address);
 }
 
-// The configured endpoint list may be out of date. While another process can serve, discovery's is
-// awaited.
+// The configured endpoint list may be out of date, so if another process of the proxy can serve in
+// the meantime, this process waits for discovery's list.
 bool Server::may_serve() const {
   return decisions_.ready() && decisions_.serving_permitted() &&
          (!await_discovery_ || decisions_.has_discovery_update() ||
           runtime::Clock::now() >= discovery_deadline_);
 }
 
-// Adapts this process's limits to the other processes of its proxy; returns its status for them.
+// Adapts this process's limits to the other processes of its proxy and returns the status to
+// publish to them.
 HotRestartActor::ProcessStatus Server::exchange_status(
     const SharedStateDirectory::ProcessGroupStatus& others) {
   const DescriptorAllocation allocation = descriptors_.beside(others);
@@ -148,7 +149,8 @@
   }
 }
 
-// False where the listener's mailbox is full: another signal is needed then.
+// Returns false if the listener's mailbox is full; shutdown must then be requested by another
+// signal.
 bool Server::begin_shutdown() {
   const bool has_successor = hot_restart_.has_successor();
   log::info("ending", {{"succeeded", has_successor}});
@@ -159,14 +161,14 @@
   return false;
 }
 
-// Takes over discovery's address from the configuration; the log's level and the membership keys
-// from the operator file. A faulty file changes nothing.
+// Applies discovery's address from the configuration, and the log level and the membership keys
+// from the operator file. If either file is invalid, logs the error and changes nothing.
 void Server::reload() {
   try {
     const sockaddr_in discovery = config::reload_config().discovery;
     const config::OperatorSettings settings = config::load_operator_settings(operator_file_);
-    // Replaces a redirection that still waits: a connection attempt to a discovery that is gone may
-    // keep the mailbox full.
+    // Replaces a pending redirection instead of queueing a second one: the mailbox may stay full
+    // while a connection attempt to an unreachable discovery is in progress.
     endpoint_watch_.inbox().replace(proxy::RedirectWatch{discovery},
                                     [](const proxy::EndpointWatchMessage& message) {
                                       return std::holds_alternative<proxy::RedirectWatch>(message);
@@ -182,7 +184,7 @@
   }
 }
 
-// Returns, and stops the scheduler, once the planned end is complete.
+// Stops the scheduler once the graceful shutdown is complete.
 runtime::Task<> Server::run_listener() {
   co_await listener_.run_lifecycle();
   if (cluster_) {
--- a/src/bootstrap/server.h
+++ b/src/bootstrap/server.h
@@ -1,4 +1,4 @@
-// The serving process: owns its actors, wires them together, reloads its files and shuts down.
+// The serving process: owns the actors, connects them, reloads the files and shuts down gracefully.
 #pragma once
 
 #include <chrono>
@@ -24,18 +24,18 @@
 
 namespace beechhill::bootstrap {
 
-/// One serving process. All actors run on the thread that calls run().
+/// A serving process. All actors run on the thread that calls run().
 class Server {
  public:
-  /// Starts the actors and listens. `signals` is a descriptor of block_signals(); `config` and
-  /// `settings` must outlive the server. Throws std::runtime_error or std::system_error where it
-  /// cannot start.
+  /// Starts the actors and listens for clients. `signals` is the descriptor from block_signals();
+  /// `config` and `settings` must outlive the server. Throws std::runtime_error or
+  /// std::system_error if the server cannot start.
   Server(const config::Config& config, const config::OperatorSettings& settings,
          std::string operator_file, net::FileDescriptor signals);
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
-  /// Serves until the planned end is complete.
+  /// Serves until a graceful shutdown is complete.
   void run();
 
  private:
@@ -64,7 +64,7 @@
   const net::FileDescriptor signals_;
   const DescriptorAllocation descriptors_;
 
-  // Each refers to some of those before it, and is destroyed before them.
+  // The order matters: a member may refer to the members before it, and is destroyed before them.
   runtime::Scheduler scheduler_;
   proxy::Telemetry telemetry_;
   proxy::BodyBudget body_budget_;
--- a/src/bootstrap/signals.cpp
+++ b/src/bootstrap/signals.cpp
@@ -16,7 +16,7 @@
   sigprocmask(SIG_BLOCK, &mask, nullptr);
   net::FileDescriptor signals(::signalfd(-1, &mask, SFD_NONBLOCK | SFD_CLOEXEC));
   if (!signals) {
-    throw std::runtime_error("signalfd failed");
+    throw std::runtime_error("signalfd() for SIGTERM, SIGINT and SIGHUP failed");
   }
   return signals;
 }
--- a/src/bootstrap/signals.h
+++ b/src/bootstrap/signals.h
@@ -1,12 +1,12 @@
-// The signals that a serving process handles, as events of its event loop.
+// The signals that a serving process handles, delivered through a descriptor.
 #pragma once
 
 #include "net/socket.h"
 
 namespace beechhill::bootstrap {
 
-/// Blocks SIGTERM, SIGINT and SIGHUP for the process and returns a non-blocking signalfd of them.
-/// To be called before any thread is started. Throws std::runtime_error.
+/// Blocks SIGTERM, SIGINT and SIGHUP for the process and returns a non-blocking signalfd for them.
+/// Must be called before any thread is started. Throws std::runtime_error on failure.
 net::FileDescriptor block_signals();
 
 }  // namespace beechhill::bootstrap
--- a/src/config/address_reader.h
+++ b/src/config/address_reader.h
@@ -1,4 +1,4 @@
-// Socket addresses in JSON.
+// Reads socket addresses from JSON.
 #pragma once
 
 #include <netinet/in.h>
@@ -7,8 +7,8 @@
 
 namespace beechhill::config {
 
-/// The member `key` of `object`, an IPv4 address and a port such as "127.0.0.1:80". Throws
-/// JsonError.
+/// Returns the member `key` of `object`, which must be an IPv4 address with a port such as
+/// "127.0.0.1:80". Throws JsonError.
 sockaddr_in read_address(const Json::Value& object, const char* key);
 
 }  // namespace beechhill::config
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t kMaxSeedDigits = 16;
 constexpr int kHexadecimal = 16;
 
-// A number, or a text of hexadecimal digits such as "8c1f30d27a5be964".
+// Reads the seed, a number or a string of hexadecimal digits such as "8c1f30d27a5be964".
 std::uint64_t read_seed(const Json::Value& root) {
   const Json::Value& value = require_member(root, "seed");
   if (!value.isString()) {
@@ -28,7 +28,7 @@
   const std::string text = value.asString();
   if (text.empty() || text.size() > kMaxSeedDigits ||
       text.find_first_not_of("0123456789abcdefABCDEF") != std::string::npos) {
-    throw_json_error("seed", "not up to 16 hexadecimal digits", &value);
+    throw_json_error("seed", "not a number or a string of 1 to 16 hexadecimal digits", &value);
   }
   return std::stoull(text, nullptr, kHexadecimal);
 }
@@ -41,20 +41,21 @@
     config.memory_mb = get_member<std::uint32_t>(limits, "memory_mb", config.memory_mb);
   }
   if (config.memory_mb < kMinMemoryMb) {
-    throw_json_error("limits.memory_mb", "under " + std::to_string(kMinMemoryMb), given);
+    throw_json_error("limits.memory_mb", "must be at least " + std::to_string(kMinMemoryMb), given);
   }
   if (config.max_descriptors < kMinDescriptors) {
-    throw_json_error("limits.sockets", "under " + std::to_string(kMinDescriptors), given);
+    throw_json_error("limits.sockets", "must be at least " + std::to_string(kMinDescriptors),
+                     given);
   }
 }
 
 NamedSettings read_proxy_settings(const Json::Value& root) {
   NamedSettings named = read_settings(require_object(root, "settings"), read_seed(root));
   if (named.settings.connect_timeout <= Duration{0}) {
-    throw_json_error("connect-timeout", "must be above 0");
+    throw_json_error("connect-timeout", "must be greater than 0");
   }
   if (named.settings.backend_idle_timeout <= Duration{0}) {
-    throw_json_error("idle-close", "must be above 0");
+    throw_json_error("idle-close", "must be greater than 0");
   }
   validate(named.settings);
   return named;
@@ -70,7 +71,7 @@
   return text.str();
 }
 
-// A key of the file, and the environment variable that takes precedence over it.
+// An environment variable that takes precedence over a key of the file.
 struct Override {
   const char* variable;
   const char* key;
@@ -84,7 +85,7 @@
   const std::string text = read_file(path);
   Json::Value root = parse(text.data(), text.data() + text.size(), "GW_CONFIG");
   if (!root.isObject()) {
-    throw_json_error("GW_CONFIG", "not an object");
+    throw_json_error("GW_CONFIG", "not a JSON object");
   }
   for (const Override& override : overrides) {
     if (const char* value = std::getenv(override.variable)) {
@@ -109,7 +110,7 @@
   const char* const end = begin + text.size();
   const auto [stop, error] = std::from_chars(begin, end, descriptor);
   if (error != std::errc{} || stop != end || descriptor < 0) {
-    throw_json_error("GW_FD", "not a descriptor: " + std::string(text));
+    throw_json_error("GW_FD", "not the number of a file descriptor: " + std::string(text));
   }
   return descriptor;
 }
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,4 +1,4 @@
-// The platform's configuration of a proxy: read, checked and given defaults here and nowhere else.
+// The platform's configuration of a proxy. All reading, validation and defaults are in this module.
 #pragma once
 
 #include <netinet/in.h>
@@ -16,11 +16,11 @@
   std::string name;
   sockaddr_in listen{};
   sockaddr_in discovery{};
-  /// Where operators call; absent: nowhere.
+  /// Listening address for operators' calls; absent: operators cannot connect.
   std::optional<sockaddr_in> admin;
-  /// A descriptor that already listens for clients; absent: `listen` is bound.
+  /// A descriptor that already listens for clients; absent: the process binds `listen` itself.
   std::optional<int> inherited_listener_fd;
-  /// What the processes of one proxy share; empty: none.
+  /// Directory of the state that the processes of one proxy share; empty: no state is shared.
   std::string shared_state_directory;
   std::uint32_t max_descriptors = 1024;
   std::uint32_t memory_mb = 192;
@@ -28,16 +28,17 @@
   NamedSettings named_settings;
 };
 
-/// Throws JsonError, or std::invalid_argument where the settings contradict each other.
+/// Throws JsonError, or std::invalid_argument if the settings are inconsistent.
 Config read_config(const Json::Value& root);
 
-/// The file that GW_CONFIG names. GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_ADMIN_ADDR, where set,
-/// take precedence over it. GW_FD and, with it, TMPDIR give what the environment alone decides: the
-/// inherited listener and the shared state's directory. Throws like read_config().
+/// Loads the file that GW_CONFIG names. GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_ADMIN_ADDR, if set,
+/// take precedence over its keys. The inherited listener is read only from the environment, from
+/// GW_FD, and so is the shared state directory, from TMPDIR if GW_FD is set. Throws like
+/// read_config().
 Config load_config();
 
-/// The same file after it was replaced. Its own discovery address counts now, whatever GW_DISCOVERY
-/// holds. Throws like read_config().
+/// Loads the same file after it was replaced. Takes the discovery address from the file even if
+/// GW_DISCOVERY is set. Throws like read_config().
 Config reload_config();
 
 }  // namespace beechhill::config
--- a/src/config/endpoint_list.cpp
+++ b/src/config/endpoint_list.cpp
@@ -7,7 +7,7 @@
 namespace beechhill::config {
 namespace {
 
-// Keeps the start times from overflowing when they are converted to microseconds.
+// Prevents overflow when a start time is converted to microseconds.
 constexpr std::chrono::milliseconds kMaxStartTime{100'000'000'000'000};
 
 EndpointStatus read_status(const Json::Value& entry) {
@@ -29,7 +29,8 @@
   const std::chrono::milliseconds started_at(
       get_member<Duration>(entry, "born_ms", Duration{0}).count());
   if (started_at < std::chrono::milliseconds{0} || started_at > kMaxStartTime) {
-    throw_json_error("born_ms", "not a time", find_member(entry, "born_ms"));
+    throw_json_error("born_ms", "not from 0 to 100000000000000 (Unix time in milliseconds)",
+                     find_member(entry, "born_ms"));
   }
   return started_at;
 }
--- a/src/config/endpoint_list.h
+++ b/src/config/endpoint_list.h
@@ -1,4 +1,4 @@
-// Discovery's list of endpoints, as it stands in the configuration and on the watch.
+// The list of endpoints, as stored in the configuration and as discovery sends it on the watch.
 #pragma once
 
 #include <netinet/in.h>
@@ -17,17 +17,17 @@
   std::string host;
   std::string zone;
   std::string instance_type;
-  /// Unset where the endpoint is removed.
+  /// Not set if the endpoint is removed.
   sockaddr_in address{};
   std::uint32_t cell = 0;
   EndpointStatus status = EndpointStatus::kUp;
-  /// Unix time; 0: long ago.
+  /// Milliseconds since the Unix epoch; 0 if the start time is not given.
   std::chrono::milliseconds started_at{0};
 };
 
 struct EndpointList {
   std::uint64_t version = 0;
-  /// Whether these are all endpoints, or only those that have changed.
+  /// Whether the list contains all endpoints, or only those that have changed.
   bool complete = true;
   std::vector<EndpointListEntry> entries;
 };
--- a/src/config/interner.h
+++ b/src/config/interner.h
@@ -10,10 +10,11 @@
 
 namespace beechhill::config {
 
-/// Each operation takes amortised constant time, besides the hash of a name.
+/// Each operation takes amortised constant time, plus the time to hash the name.
 class Interner {
  public:
-  /// The integer of `name`; a new name gets the lowest unused one, or one that was forgotten.
+  /// Returns the integer of `name`. A new name gets a released integer if there is one, otherwise
+  /// the next higher one.
   std::uint32_t id(std::string_view name) {
     const auto next =
         unused_ids_.empty() ? static_cast<std::uint32_t>(names_.size()) : unused_ids_.back();
@@ -29,17 +30,18 @@
     }
     return next;
   }
-  /// Releases `id`, which must be in use, for another name.
+  /// Removes the name of `id` and releases `id` for reuse. `id` must be in use.
   void forget(std::uint32_t id) {
     ids_.erase(names_[id]);
     unused_ids_.push_back(id);
   }
-  /// The integer of `name`; nothing where it has none.
+  /// Returns the integer of `name`, or nothing if the name has none.
   std::optional<std::uint32_t> known(std::string_view name) const {
     const auto it = ids_.find(std::string(name));
     return it == ids_.end() ? std::nullopt : std::optional(it->second);
   }
-  /// The name of `id`, which must be in use. Valid until the next call of id().
+  /// Returns the name of `id`, which must be in use. The reference is valid until the next call of
+  /// id().
   const std::string& name(std::uint32_t id) const { return names_[id]; }
 
  private:
--- a/src/config/json.cpp
+++ b/src/config/json.cpp
@@ -33,7 +33,7 @@
 
 void throw_json_error(const std::string& key, const std::string& reason, const Json::Value* at) {
   std::optional<std::size_t> offset;
-  // A value that was not parsed from a text has no offsets.
+  // Only values that were parsed from a text have offsets.
   if (at != nullptr && at->getOffsetLimit() > 0) {
     offset = static_cast<std::size_t>(at->getOffsetStart());
   }
@@ -49,14 +49,14 @@
       return value;
     }
   } catch (const Json::Exception& error) {
-    errors = error.what();  // nested too deep
+    errors = error.what();  // nested deeper than kMaxNesting
   }
   std::replace(errors.begin(), errors.end(), '\n', ' ');
   throw_json_error(name, "not JSON: " + errors);
 }
 
 const Json::Value* find_member(const Json::Value& object, const char* key) {
-  require(object.isObject(), "not in an object", object, key);
+  require(object.isObject(), "must be a member of a JSON object", object, key);
   const Json::Value* value = object.find(key, key + std::char_traits<char>::length(key));
   return value != nullptr && !value->isNull() ? value : nullptr;
 }
@@ -70,7 +70,7 @@
 
 const Json::Value& require_object(const Json::Value& object, const char* key) {
   const Json::Value& value = require_member(object, key);
-  require(value.isObject(), "not an object", value, key);
+  require(value.isObject(), "not a JSON object", value, key);
   return value;
 }
 
@@ -78,14 +78,14 @@
   const Json::Value& value = require_member(object, key);
   require(value.isArray(), "not an array", value, key);
   for (const Json::Value& item : value) {
-    require(item.isObject(), "holds something other than objects", item, key);
+    require(item.isObject(), "not an array of JSON objects", item, key);
   }
   return value;
 }
 
 template <>
 bool convert<bool>(const Json::Value& value, const char* key) {
-  require(value.isBool(), "not a bool", value, key);
+  require(value.isBool(), "not true or false", value, key);
   return value.asBool();
 }
 
@@ -103,23 +103,24 @@
 
 template <>
 Duration convert<Duration>(const Json::Value& value, const char* key) {
-  require(value.isInt64(), "not an integer", value, key);
+  require(value.isInt64(), "not a signed 64-bit integer", value, key);
   return Duration(value.asInt64());
 }
 
-// A negative number is taken as its two's complement, as writers of signed 64-bit numbers mean it.
+// A negative number is converted to its two's complement, because writers with signed 64-bit
+// integers write values of 2^63 and above as negative numbers.
 template <>
 std::uint64_t convert<std::uint64_t>(const Json::Value& value, const char* key) {
   if (value.isInt64()) {
     return static_cast<std::uint64_t>(value.asInt64());
   }
-  require(value.isUInt64(), "not an integer", value, key);
+  require(value.isUInt64(), "not a 64-bit integer", value, key);
   return value.asUInt64();
 }
 
 template <>
 std::uint32_t convert<std::uint32_t>(const Json::Value& value, const char* key) {
-  require(value.isUInt(), "not a small non-negative integer", value, key);
+  require(value.isUInt(), "not an integer from 0 to 4294967295", value, key);
   return value.asUInt();
 }
 
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -1,4 +1,4 @@
-// Typed reading of JSON objects. Each error names the key that is wrong. A null counts as absent.
+// Typed access to JSON objects. Every error names the invalid key. A null value counts as absent.
 #pragma once
 
 #include <json/json.h>
@@ -14,10 +14,10 @@
 
 namespace beechhill::config {
 
-/// What is wrong with a JSON text. what() is "KEY: REASON", behind a location where it has one.
+/// An error in a JSON text. what() is "KEY: REASON", preceded by "LOCATION: " if there is one.
 class JsonError : public std::runtime_error {
  public:
-  /// `offset`: of the faulty value in the text, in bytes; absent where it is unknown.
+  /// `offset`: byte offset of the invalid value in the text; absent if it is unknown.
   JsonError(std::string key, std::string reason, std::optional<std::size_t> offset = {},
             const std::string& location = "");
 
@@ -25,7 +25,7 @@
   const std::string& reason() const { return reason_; }
   const std::optional<std::size_t>& offset() const { return offset_; }
 
-  /// The same error with `location`, such as "config.json:3", in front.
+  /// Returns a copy of the error with `location`, such as "config.json:3", at the front of what().
   JsonError at(const std::string& location) const { return {key_, reason_, offset_, location}; }
 
  private:
@@ -34,25 +34,26 @@
   std::optional<std::size_t> offset_;
 };
 
-/// Throws a JsonError. `at`: the value that is wrong, or the object that lacks one.
+/// Throws a JsonError. `at`: the invalid value, or the object that lacks a member.
 [[noreturn]] void throw_json_error(const std::string& key, const std::string& reason,
                                    const Json::Value* at = nullptr);
 
-/// Parses `text` strictly: nothing may follow the value, and nesting is bounded. Throws a JsonError
-/// whose key is `name`.
+/// Parses the text from `begin` to `end`, in which nothing may follow the value and nesting is at
+/// most 64 levels deep. Throws a JsonError with the key `name`.
 Json::Value parse(const char* begin, const char* end, const std::string& name);
 
-/// The member `key` of `object`; null where it is absent. Throws JsonError where `object` is none.
+/// Returns the member `key` of `object`, or null if it is absent. Throws JsonError if `object` is
+/// not a JSON object.
 const Json::Value* find_member(const Json::Value& object, const char* key);
-/// Like find_member(), but throws where the member is absent.
+/// Like find_member(), but throws JsonError if the member is absent.
 const Json::Value& require_member(const Json::Value& object, const char* key);
-/// A member that is an object.
+/// Like require_member(), but the member must be an object.
 const Json::Value& require_object(const Json::Value& object, const char* key);
-/// A member that is an array of objects.
+/// Like require_member(), but the member must be an array of objects.
 const Json::Value& require_array(const Json::Value& object, const char* key);
 
-/// `value` as a T, which is one of those below. Throws JsonError for `key` where it is of another
-/// type or out of T's range. A Duration is a number of microseconds.
+/// Converts `value` to T, which must be one of the types below. Throws JsonError for `key` if the
+/// value has another type or is out of T's range. A Duration is given in microseconds.
 template <typename T>
 T convert(const Json::Value& value, const char* key);
 template <>
@@ -68,13 +69,14 @@
 template <>
 std::uint32_t convert<std::uint32_t>(const Json::Value& value, const char* key);
 
-/// The member `key` of `object` as a T; must be there.
+/// Returns the member `key` of `object` as a T. Throws JsonError if it is absent or invalid.
 template <typename T>
 T get_member(const Json::Value& object, const char* key) {
   return convert<T>(require_member(object, key), key);
 }
 
-/// The member `key` of `object` as a T, or `fallback` where it is absent.
+/// Returns the member `key` of `object` as a T, or `fallback` if it is absent. Throws JsonError if
+/// it is invalid.
 template <typename T>
 T get_member(const Json::Value& object, const char* key, T fallback) {
   const Json::Value* value = find_member(object, key);
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -12,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t kMaxNameBytes = 48;  // of a member, as its datagrams carry it
+constexpr std::size_t kMaxNameBytes = 48;  // of a member's name in a datagram
 constexpr std::size_t kMaxVoters = 7;
 constexpr std::int64_t kMaxCount = 100'000;  // of machines, proxies or endpoints
 constexpr std::int64_t kMaxCoverage = 10'000;
@@ -28,7 +28,7 @@
   return static_cast<std::uint32_t>(table.integer(key, fallback, 0, kMaxCount));
 }
 
-// A duration of at least a second, without its fraction of one.
+// Reads a duration of at least 1 s and rounds it down to whole seconds.
 maintenance::Seconds read_seconds(TomlReader& table, std::string_view key,
                                   maintenance::Seconds fallback) {
   return table.span(key, std::chrono::seconds(fallback), 1s) / std::chrono::seconds(1);
@@ -36,7 +36,7 @@
 
 void check_address(const TomlReader& table, std::string_view key, const std::string& text) {
   if (!text.empty() && !net::parse_address(text)) {
-    table.fault(key, "not an IPv4 address and a port: " + text);
+    table.fault(key, "not an IPv4 address with a port: " + text);
   }
 }
 
@@ -64,7 +64,7 @@
     settings.proxy_index = read_count(table, "place", 0);
   }
   if (settings.proxy_index && *settings.proxy_index >= settings.proxies) {
-    table.fault("place", "not under proxies");
+    table.fault("place", "must be less than routing.proxies");
   }
   table.finish();
   return settings;
@@ -93,11 +93,11 @@
     check_address(table, "seeds", seed);
   }
   if (!settings.listen_address.empty() && settings.key_file.empty()) {
-    table.fault("key_file", "missing");
+    table.fault("key_file", "missing; required where membership.listen is set");
   }
 #ifndef BEECHHILL_CLUSTER
   if (!settings.listen_address.empty()) {
-    table.fault("listen", "this build has no membership (BEECHHILL_CLUSTER)");
+    table.fault("listen", "not supported: this build does not include BEECHHILL_CLUSTER");
   }
 #endif
   table.finish();
@@ -108,19 +108,19 @@
                   const MembershipSettings& membership) {
   const std::size_t count = voters.size();
   if (count != 0 && (count % 2 == 0 || count > kMaxVoters)) {
-    table.fault("voters", "1, 3, 5 or 7 names");
+    table.fault("voters", "not 1, 3, 5 or 7 names");
   }
   const std::set<std::string> names(voters.begin(), voters.end());
   if (names.size() != count) {
-    table.fault("voters", "a name comes twice");
+    table.fault("voters", "must not contain a name twice");
   }
   for (const std::string& name : names) {
     if (name.empty() || name.size() > kMaxNameBytes || name.find('#') != std::string::npos) {
-      table.fault("voters", "no name of a proxy: " + name);
+      table.fault("voters", "not a proxy name of 1 to 48 bytes without '#': " + name);
     }
   }
   if (count > 0 && membership.listen_address.empty()) {
-    table.fault("voters", "needs membership.listen");
+    table.fault("voters", "requires membership.listen to be set");
   }
 }
 
--- a/src/config/operator_file.h
+++ b/src/config/operator_file.h
@@ -1,6 +1,6 @@
-// The operator file (TOML): what the operators decide, beside the platform's configuration. Read,
-// checked and given defaults here and nowhere else. docs/operators/configuration.md describes every
-// key.
+// The operator file (TOML): settings chosen by the operators, separate from the platform's
+// configuration. All reading, validation and defaults are in this module.
+// docs/operators/configuration.md describes every key.
 #pragma once
 
 #include <chrono>
@@ -15,31 +15,32 @@
 namespace beechhill::config {
 
 struct SnapshotSettings {
-  /// On a disk that outlives the process; empty: no snapshots are kept.
+  /// Must be on a disk that outlives the process; empty: no snapshots are written.
   std::string directory;
   std::chrono::milliseconds interval{2000};
 };
 
 struct MembershipSettings {
-  /// UDP, an IPv4 address and a port; empty: the process is in no cluster.
+  /// UDP address and port, IPv4; empty: the process is not in a cluster.
   std::string listen_address;
-  /// Where the other members reach it; empty: `listen_address`.
+  /// Address at which the other members reach this process; empty: `listen_address`.
   std::string advertised_address;
-  /// Of some of the other members.
+  /// Addresses of some of the other members.
   std::vector<std::string> seed_addresses;
-  /// One key a line, as 64 hexadecimal digits. The first signs; a second one is accepted too.
+  /// File with one key per line, as 64 hexadecimal digits. The first key signs datagrams; a second
+  /// key is also accepted on received ones.
   std::string key_file;
   Duration probe_interval{1'000'000};
   Duration forget_after{3'600'000'000};
 };
 
 struct MaintenanceSettings {
-  /// Names of proxies; none: maintenance is not coordinated.
+  /// Names of the proxies that vote; empty: maintenance is not coordinated.
   std::vector<std::string> voters;
-  /// Of a voter's log, on a disk that outlives the process.
+  /// Directory of a voter's log, on a disk that outlives the process.
   std::string storage_directory;
   Duration lease_duration{5'000'000};
-  /// 0: none.
+  /// How long after its lease has expired a proxy keeps serving; 0: without limit.
   Duration isolation_timeout{0};
   Duration initial_lease_timeout{5'000'000};
   bool serve_without_lease = false;
@@ -54,9 +55,9 @@
   routing::SubsetSettings subset;
 };
 
-/// Throws TomlError naming `file`, the line and the key; an unknown key is an error.
+/// Throws TomlError with `file`, the line and the key. An unknown key is an error.
 OperatorSettings read_operator_settings(const toml::table& root, const std::string& file);
-/// Reads the file at `path`; the defaults where `path` is empty. Throws TomlError.
+/// Loads the file at `path`; returns the defaults if `path` is empty. Throws TomlError.
 OperatorSettings load_operator_settings(const std::string& path);
 
 }  // namespace beechhill::config
--- a/src/config/settings_reader.h
+++ b/src/config/settings_reader.h
@@ -1,5 +1,4 @@
-// The one reader of the balancer's settings from JSON, for the simulator's host and the proxy
-// alike.
+// Reads the balancer's settings from JSON, for both the simulator's host and the proxy.
 #pragma once
 
 #include <cstdint>
@@ -11,19 +10,20 @@
 
 namespace beechhill::config {
 
-/// The balancer's settings, and the names that stand for its numbers.
+/// The balancer's settings with the names of the zone, classes and tenants, which the settings
+/// identify by number.
 struct NamedSettings {
-  /// The zone in it is 0.
+  /// `settings.zone` is 0 and stands for `zone`.
   Settings settings;
   std::string zone;
-  /// By ClassId.
+  /// Indexed by ClassId.
   std::vector<std::string> classes;
-  /// By TenantId.
+  /// Indexed by TenantId.
   std::vector<std::string> tenants;
 };
 
-/// Reads `env` and takes over `seed`. Unknown keys are skipped; ranges are not checked, which
-/// validate() does. Throws JsonError.
+/// Reads the settings from `env` and sets their seed to `seed`. Unknown keys are ignored. Value
+/// ranges are not checked; call validate() for that. Throws JsonError.
 NamedSettings read_settings(const Json::Value& env, std::uint64_t seed);
 
 }  // namespace beechhill::config
--- a/src/config/toml_reader.cpp
+++ b/src/config/toml_reader.cpp
@@ -13,7 +13,7 @@
 constexpr std::streamsize kMaxFileBytes = 1 << 20;
 constexpr double kMaxDurationMicroseconds = 366.0 * 86'400e6;
 
-// What an absent table reads as.
+// Stands in for a table that is absent.
 const toml::table kEmptyTable;
 
 struct DurationUnit {
@@ -24,8 +24,8 @@
     {"ns", 1e-3}, {"us", 1}, {"ms", 1e3}, {"s", 1e6}, {"m", 60e6}, {"h", 3600e6},
 };
 
-// The value of an integer, rounded where a double does not hold it, or of a floating-point number;
-// nothing of another type.
+// Returns the value of an integer or a floating-point number, or nothing for other types. An
+// integer that a double cannot represent is rounded.
 std::optional<double> as_number(const toml::node& node) {
   if (const toml::value<std::int64_t>* integer = node.as_integer()) {
     return static_cast<double>(integer->get());
@@ -36,7 +36,7 @@
   return std::nullopt;
 }
 
-// A number, or an array of two numbers; nothing where it is neither.
+// Reads a number or an array of two numbers; returns nothing for anything else.
 std::optional<Range> as_range(const toml::node& node) {
   const toml::array* const bounds = node.as_array();
   const bool is_pair = bounds != nullptr && bounds->size() == 2;
@@ -48,7 +48,8 @@
   return Range{*from, *to};
 }
 
-// "FILE:LINE". A table may be merged from several files: `source` names its own, where it has one.
+// Returns "FILE:LINE". A table may be merged from several files, so the path in `source`, if there
+// is one, takes precedence over `file`.
 std::string location(const std::string& file, const toml::source_region& source) {
   if (!source.begin) {
     return file;
@@ -78,7 +79,7 @@
     throw TomlError(path + ": cannot be read");
   }
   if (in.gcount() > kMaxFileBytes) {
-    throw TomlError(path + ": over 1 MiB");
+    throw TomlError(path + ": larger than 1 MiB");
   }
   text.resize(static_cast<std::size_t>(in.gcount()));
   return parse_toml(text, path);
@@ -100,7 +101,7 @@
     return std::nullopt;
   }
   const double microseconds = value * unit->microseconds;
-  // Written so that it is false for what is not a number.
+  // Both comparisons are false for NaN, so it is rejected.
   const bool is_in_range = microseconds >= 0 && microseconds <= kMaxDurationMicroseconds;
   return is_in_range ? std::optional(Duration(std::llround(microseconds))) : std::nullopt;
 }
@@ -173,7 +174,7 @@
   }
   const toml::value<std::string>* const value = node->as_string();
   if (value == nullptr) {
-    fault(key, "not a text");
+    fault(key, "not a string");
   }
   return value->get();
 }
@@ -206,7 +207,7 @@
     fault(key, "not a span of time such as \"250ms\", \"1.5s\" or \"2m\"");
   }
   if (*value < min) {
-    fault(key, "under " + std::to_string(min.count()) + "us");
+    fault(key, "must be at least " + std::to_string(min.count()) + "us");
   }
   return *value;
 }
@@ -222,7 +223,7 @@
   }
   if (!(range->from >= min && range->to <= max && range->from <= range->to)) {
     std::ostringstream reason;
-    reason << "not within " << min << " to " << max << ", the lesser first";
+    reason << "not within " << min << " to " << max << ", with the smaller number first";
     fault(key, reason.str());
   }
   return *range;
@@ -236,12 +237,12 @@
   }
   const toml::array* array = node->as_array();
   if (array == nullptr) {
-    fault(key, "not an array of texts");
+    fault(key, "not an array of strings");
   }
   for (const toml::node& item : *array) {
     const toml::value<std::string>* const text = item.as_string();
     if (text == nullptr) {
-      fault(key, "not an array of texts");
+      fault(key, "not an array of strings");
     }
     all.push_back(text->get());
   }
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -14,7 +14,8 @@
 
 constexpr std::chrono::milliseconds kFinishPollInterval{1};
 
-// Gives up where standard output fails: the log must not end the program.
+// Discards the rest of `bytes` if writing to standard output fails: a logging error must not end
+// the program.
 void write_all(std::string_view bytes) {
   while (!bytes.empty()) {
     const ssize_t count = ::write(STDOUT_FILENO, bytes.data(), bytes.size());
@@ -30,7 +31,7 @@
 
 std::atomic<std::uint64_t> lines_written{0};
 
-// Writes on the pool's thread, which is the only one that uses it.
+// Writes to standard output. Used only by the single thread of the pool, so it needs no mutex.
 class StandardOutput : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  public:
   explicit StandardOutput(Format format) : format_(format) {}
@@ -54,7 +55,8 @@
   std::uint64_t reported_drops_ = 0;
 };
 
-// Never destroyed: a thread that is blocked in a write must not block the program's end.
+// Never destroyed, because destruction would join a thread that may be blocked in write() and so
+// block the exit of the program.
 struct Writer {
   Settings settings;
   std::shared_ptr<spdlog::details::thread_pool> pool;
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,7 +1,7 @@
-// The structured log: one line for each event, with a name and typed fields. A line goes to a
-// writer thread through a bounded queue, so that a stalled reader of standard output never holds up
-// the event loop. A line that does not fit replaces the oldest one, and the next line that is
-// written states how many were dropped.
+// The structured log: one line per event, with a name and typed fields. Lines are written by a
+// separate thread that takes them from a bounded queue, so a stalled reader of standard output
+// never blocks the event loop. If the queue is full, a new line replaces the oldest one, and the
+// next line that is written is preceded by the number of dropped lines.
 #pragma once
 
 #include <chrono>
@@ -19,37 +19,37 @@
 enum class Format { kLogfmt, kJson };
 
 struct Settings {
-  /// Events below it are not written.
+  /// Events with a lower level are not written.
   Level level = Level::kInfo;
   Format format = Format::kLogfmt;
-  /// Whether each line begins with the wall clock's time, in UTC.
+  /// Whether each line begins with the wall clock's time in UTC.
   bool time = false;
-  /// Lines that may wait for the writer, from 16 to 65,536; each takes about 400 bytes.
+  /// Capacity of the queue in lines, from 16 to 65,536. Each line takes about 400 bytes.
   std::size_t queue = 2048;
 };
 
 struct Field {
-  /// Letters, digits, '_' and '.'.
+  /// Consists of letters, digits, '_' and '.'.
   std::string_view name;
   std::variant<std::string_view, std::int64_t, std::uint64_t, double, bool> value;
 };
 
-/// The line of an event, without its line end. No I/O. The time is left out where `at` is null.
-/// Bytes that could end or forge a line are escaped, whoever they came from. In logfmt the level is
-/// named from kWarning on.
+/// Formats an event as a line without a line end. Does no I/O. The time is omitted if `at` is null.
+/// Values may come from clients and backends, so bytes that could end or forge a line are escaped.
+/// In logfmt the level is included for kWarning and above.
 std::string format_line(Format format, Level level, std::string_view name, const Field* fields,
                         std::size_t count, const std::chrono::system_clock::time_point* at);
 
-/// Starts the writer. To be called once in a process, after its signals are blocked. Before that,
-/// events are written at once by the thread that logs them.
+/// Starts the writer thread. Must be called at most once in a process, after its signals are
+/// blocked. Until then, events are written synchronously by the thread that logs them.
 void start(const Settings& settings);
-/// Takes over `level`; the other settings are fixed by start().
+/// Changes the level; the other settings are fixed by start().
 void set_level(Level level);
-/// Waits until all that was logged is written, but no longer than `timeout`. What is left is lost.
+/// Waits at most `timeout` until all logged lines are written. Lines that remain are lost.
 void finish(std::chrono::milliseconds timeout);
-/// Logs an event. Never blocks once the writer is started; any thread may call it from then on.
+/// Logs an event. After start() it never blocks and may be called by any thread.
 void event(Level level, std::string_view name, std::initializer_list<Field> fields);
-/// Lines dropped so far.
+/// Returns the number of lines dropped so far.
 std::uint64_t dropped();
 
 inline void info(std::string_view name, std::initializer_list<Field> fields = {}) {
@@ -58,11 +58,11 @@
 inline void warning(std::string_view name, std::initializer_list<Field> fields = {}) {
   event(Level::kWarning, name, fields);
 }
-/// A fault that did not end the program, as a warning called `name`.
+/// Logs an error that did not end the program, as a warning called `name`.
 inline void fault(std::string_view name, const std::exception& error) {
   warning(name, {{"fault", std::string_view(error.what())}});
 }
-/// A bounded mailbox was full and did not take the message called `message`.
+/// Logs that a full bounded mailbox rejected the message called `message`.
 inline void dropped_message(std::string_view message) {
   warning("mailbox_full", {{"lost", message}});
 }
--- a/src/log/log_line.cpp
+++ b/src/log/log_line.cpp
@@ -14,7 +14,7 @@
   return kNames[static_cast<std::size_t>(level)];
 }
 
-// Whether `text` can stand in a logfmt line without quotes.
+// Whether `text` can be written as a logfmt value without quotes.
 bool is_bare(std::string_view text) {
   if (text.empty()) {
     return false;
@@ -27,7 +27,8 @@
   return true;
 }
 
-// jsoncpp escapes quotes, control bytes and what is no UTF-8, so that a line stays one line.
+// Quotes `text` with jsoncpp, which escapes quotes, control bytes and invalid UTF-8, so that the
+// value cannot end the line.
 std::string quote(std::string_view text) {
   static const Json::StreamWriterBuilder kBuilder = [] {
     Json::StreamWriterBuilder compact;
@@ -46,7 +47,7 @@
 std::string format_value(Format, std::uint64_t value) {
   return std::to_string(value);
 }
-// JSON has no infinity and no NaN.
+// JSON cannot represent infinity and NaN, so they are written as null.
 std::string format_value(Format format, double value) {
   return format == Format::kJson && !std::isfinite(value) ? "null" : fmt::format("{:g}", value);
 }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,6 +1,6 @@
-// The command line. Without arguments the program serves. Exit codes: 0 done, 1 a fault while
-// starting or serving, 2 faulty arguments or, with `check`, a faulty file; those of
-// beechhill-testbed for the commands that it carries out.
+// The command line. Without arguments the program serves. Exit codes: 0 success, 1 error while
+// starting or serving, 2 invalid arguments or, with `check`, an invalid file. Commands executed by
+// beechhill-testbed exit with its exit code.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -32,7 +32,7 @@
 constexpr int kFailure = 1;
 constexpr int kUsageError = 2;
 
-// How long a stalled reader of the log may delay the program's end.
+// The longest time for which a stalled reader of the log may delay the exit of the program.
 constexpr auto kLogFlushTimeout = 250ms;
 
 std::string operator_file_from_environment() {
@@ -64,7 +64,7 @@
   return kSuccess;
 }
 
-// Reads both files as serve() would. `config` takes precedence over GW_CONFIG.
+// Reads both files as serve() does. `config` takes precedence over GW_CONFIG.
 int check(const std::string& config, const std::string& operator_file) {
   if (!config.empty()) {
     ::setenv("GW_CONFIG", config.c_str(), 1);
@@ -88,15 +88,15 @@
   return exit_code;
 }
 
-// Replaces this process by beechhill-testbed. It is a program of its own, so that the emulator and
-// its libraries are not part of the serving program. Returns only where it cannot be started.
+// Replaces this process by beechhill-testbed, a separate program, so that the serving program does
+// not contain the emulator and its libraries. Returns only if beechhill-testbed cannot be started.
 int execute_testbed(char** argv) {
   std::error_code error;
   const auto self = std::filesystem::read_symlink("/proc/self/exe", error);
   const std::string testbed = (self.parent_path() / "beechhill-testbed").string();
   ::execv(testbed.c_str(), argv);
-  std::fprintf(stderr, "beechhill: %s is carried out by %s, which cannot be started\n", argv[1],
-               testbed.c_str());
+  std::fprintf(stderr, "beechhill: command %s is executed by %s, which cannot be started\n",
+               argv[1], testbed.c_str());
   return kFailure;
 }
 
@@ -104,17 +104,17 @@
   CLI::App* command =
       app.add_subcommand("serve", "Serve with the configuration that GW_CONFIG names");
   command->add_option("--operator", operator_file,
-                      "Operator file (TOML), in place of BEECHHILL_OPERATOR's");
+                      "Operator file (TOML), overrides BEECHHILL_OPERATOR");
   command->callback([&] { exit_code = serve(operator_file); });
 }
 
 void add_check_command(CLI::App& app, std::string& config, std::string& operator_file,
                        int& exit_code) {
   CLI::App* command = app.add_subcommand(
-      "check", "Say what is wrong with a configuration and an operator file, with key and line");
-  command->add_option("--config", config, "Configuration (JSON), in place of GW_CONFIG's");
+      "check", "Check a configuration and an operator file; report errors with key and line");
+  command->add_option("--config", config, "Configuration (JSON), overrides GW_CONFIG");
   command->add_option("--operator", operator_file,
-                      "Operator file (TOML), in place of BEECHHILL_OPERATOR's");
+                      "Operator file (TOML), overrides BEECHHILL_OPERATOR");
   command->callback([&] { exit_code = check(config, operator_file); });
 }
 
@@ -124,18 +124,18 @@
     const char* description;
   };
   constexpr TestbedCommand kCommands[] = {
-      {"emulate", "[testbed] Play a scenario in simulated time"},
+      {"emulate", "[testbed] Run a scenario in simulated time"},
       {"experiment", "[testbed] Run a grid of scenarios, policies and seeds"},
-      {"plot", "[testbed] Draw results into one HTML page"},
-      {"fake-backends", "[testbed] Play fake backends and their discovery on loopback"},
+      {"plot", "[testbed] Render results as one HTML page"},
+      {"fake-backends", "[testbed] Run fake backends and their discovery on loopback"},
       {"cluster-test",
-       "[testbed] Many processes under a fault plan, checked against what clients and backends "
-       "observed"},
-      {"demo", "[testbed] Nodes, discovery, the real proxy and a load, all on this machine"},
+       "[testbed] Run many processes under a fault plan and check them against what clients and "
+       "backends observed"},
+      {"demo", "[testbed] Run backends, discovery, the real proxy and a load on this machine"},
   };
   for (const TestbedCommand& testbed_command : kCommands) {
     CLI::App* command = app.add_subcommand(testbed_command.name, testbed_command.description);
-    // Its arguments are beechhill-testbed's to parse.
+    // beechhill-testbed parses the command's arguments and its --help.
     command->prefix_command();
     command->set_help_flag();
     command->callback([argv, &exit_code] { exit_code = execute_testbed(argv); });
@@ -144,15 +144,14 @@
 
 int run_command_line(int argc, char** argv) {
   CLI::App app{
-      "beechhill: a load balancing proxy for services that stand in tiers. Without arguments it "
-      "serves."};
+      "beechhill: a load balancing proxy for multi-tier services. Without arguments it serves."};
   app.require_subcommand(1);
   app.footer(
-      "Exit codes: 0 done, 1 a fault while starting or serving, 2 faulty arguments or a faulty "
-      "file. The commands\n"
-      "marked [testbed] are carried out by beechhill-testbed, which stands beside this program; "
-      "its own "
-      "--help tells more.");
+      "Exit codes: 0 success, 1 error while starting or serving, 2 invalid arguments or an invalid "
+      "file. Commands\n"
+      "marked [testbed] are executed by beechhill-testbed, which is installed in the same "
+      "directory; "
+      "see its --help.");
   int exit_code = kSuccess;
   std::string config;
   std::string operator_file = operator_file_from_environment();
--- a/tests/admin_command_test.cpp
+++ b/tests/admin_command_test.cpp
@@ -1,4 +1,4 @@
-// Operators' calls as the admin server parses them. No I/O.
+// Tests of parsing operators' calls into commands.
 #include <gtest/gtest.h>
 
 #include "admin/command.h"
@@ -13,7 +13,7 @@
   return command ? *command : Command{};
 }
 
-// The status code that answers a call that is no command; 0 where it is one.
+// Returns the status code for a call that is not a valid command, or 0 if it is valid.
 int error_status(const char* method, const char* target) {
   const ParsedCommand result = parse_command(method, target);
   const auto* const error = std::get_if<CommandError>(&result);
--- a/tests/command_line_test.cpp
+++ b/tests/command_line_test.cpp
@@ -1,4 +1,4 @@
-// The program's command line: what it prints and its exit codes.
+// Tests of the program's command line: its output and exit codes.
 #include <gtest/gtest.h>
 
 #include "support/proxy_fixture.h"
@@ -6,23 +6,23 @@
 namespace beechhill::test {
 namespace {
 
-struct Completed {
+struct ProgramResult {
   int exit_code = 0;
-  std::string output;  // on standard output and error
+  std::string output;  // standard output and standard error
 };
 
-Completed run_program(const std::string& arguments) {
+ProgramResult run_program(const std::string& arguments) {
   const std::string command = std::string(PROXY_PROGRAM) + " " + arguments + " 2>&1";
   FILE* pipe = ::popen(command.c_str(), "r");
   require(pipe != nullptr);
-  Completed completed;
+  ProgramResult result;
   char chunk[512];
-  while (const std::size_t n = std::fread(chunk, 1, sizeof chunk, pipe)) {
-    completed.output.append(chunk, n);
+  while (const std::size_t size = std::fread(chunk, 1, sizeof chunk, pipe)) {
+    result.output.append(chunk, size);
   }
   const int status = ::pclose(pipe);
-  completed.exit_code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
-  return completed;
+  result.exit_code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
+  return result;
 }
 
 class TemporaryFile {
@@ -58,7 +58,7 @@
       {"--help", 0, "beechhill-testbed"},
       {"serve --help", 0, "--operator"},
       {"check --config " + good.path(), 0, "configuration: good"},
-      {"check --config " + bad.path(), 2, bad.path() + ":3: limits.sockets: under 64"},
+      {"check --config " + bad.path(), 2, bad.path() + ":3: limits.sockets: must be at least 64"},
       {"check --config " + good.path() + " --operator " + bad_operator.path(), 2,
        bad_operator.path() + ":2: log.format: not one of logfmt, json"},
       {"check --config /nowhere", 2, "GW_CONFIG: cannot be read: /nowhere"},
@@ -70,9 +70,9 @@
   ::unsetenv("BEECHHILL_OPERATOR");
   for (const auto& c : cases) {
     SCOPED_TRACE(c.arguments);
-    const Completed completed = run_program(c.arguments);
-    EXPECT_EQ(completed.exit_code, c.exit_code);
-    EXPECT_NE(completed.output.find(c.output), std::string::npos) << completed.output;
+    const ProgramResult result = run_program(c.arguments);
+    EXPECT_EQ(result.exit_code, c.exit_code);
+    EXPECT_NE(result.output.find(c.output), std::string::npos) << result.output;
   }
 }
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,4 +1,4 @@
-// The configuration's reader: values, and errors that name their key. No file, no environment.
+// Tests of reading the configuration: values, and errors that name the invalid key.
 #include "config/config.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
   return read_config(parse(text.data(), text.data() + text.size(), "config"));
 }
 
-// The text of the error that `text` causes; empty where it causes none.
+// Returns the message of the error that reading `text` causes; empty if there is none.
 std::string error_of(const std::string& text) {
   try {
     read(text);
@@ -31,7 +31,7 @@
   EXPECT_EQ(config.named_settings.settings.connect_timeout, Duration(100'000));
 }
 
-TEST(Config, NamesTheKeyThatIsWrong) {
+TEST(Config, NamesTheInvalidKey) {
   const std::string good = test::config_json("127.0.0.1:1", "127.0.0.1:2", "[]");
   const struct {
     const char* from;
--- a/tests/coordinator_settings_test.cpp
+++ b/tests/coordinator_settings_test.cpp
@@ -1,4 +1,5 @@
-// The maintenance coordinator's settings, as the configuration and the operator file give them.
+// Tests of deriving the maintenance coordinator's settings from the configuration and operator
+// file.
 #include "bootstrap/coordinator_settings.h"
 
 #include <gtest/gtest.h>
@@ -19,7 +20,8 @@
 TEST(CoordinatorSettings, PreservesTheLastBackendOnlyWhereAClassDeduplicates) {
   config::Config config;
   config::MaintenanceSettings maintenance;
-  maintenance.disruption_budget.preserve_last_in_cell = true;  // not the operators' to decide
+  // Ignored: derived from the classes, not set by operators.
+  maintenance.disruption_budget.preserve_last_in_cell = true;
   config.named_settings.settings.classes = {
       class_with(Idempotency::kIdempotencyKey, DeduplicationScope::kZone, 2s),
       class_with(Idempotency::kIdempotent, DeduplicationScope::kCell, 3s)};
@@ -28,7 +30,7 @@
   EXPECT_FALSE(settings.disruption_budget.preserve_last_in_cell);
 }
 
-TEST(CoordinatorSettings, TakesOverNamesTimesAndBudget) {
+TEST(CoordinatorSettings, CopiesNamesTimesAndBudget) {
   config::Config config;
   config.name = "p-1";
   config.named_settings.zone = "z";
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -1,4 +1,4 @@
-// The structured log: the text of its lines, and that it never blocks its caller.
+// Tests of the structured log: the format of its lines, and that logging never blocks the caller.
 #include "log/log.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 
 using namespace std::chrono_literals;
 
-// What a client or a backend sends cannot end a line or forge one.
+// Values come from clients and backends. They must not be able to end a line or forge one.
 TEST(LogLine, EscapesItsValues) {
   const struct {
     Format format;
@@ -58,8 +58,9 @@
             "2023-11-14T22:13:20.123Z x");
 }
 
-// Logs more than the queue and a pipe hold while nobody reads; stops itself; once it is continued,
-// logs one more line and waits for all of them to be written. Its assertions end the process.
+// Child process: while nobody reads the pipe, logs more than the queue and the pipe can hold, then
+// stops itself with SIGSTOP. After SIGCONT it logs one more line and waits until all lines are
+// written. Aborts if too few lines were dropped.
 [[noreturn]] void log_into_a_stalled_pipe(int out) {
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
   ::dup2(out, STDOUT_FILENO);
@@ -73,7 +74,7 @@
   if (dropped() <= 10'000) {  // a pipe holds 64 KiB
     std::abort();
   }
-  finish(50ms);  // returns, though nobody has read yet
+  finish(50ms);  // must return even though nobody reads
   ::raise(SIGSTOP);
   info("last");
   finish(test::kTestTimeout);
@@ -83,15 +84,15 @@
 std::string read_to_end(int fd) {
   std::string text;
   char chunk[4096];
-  for (ssize_t n = 0; (n = ::read(fd, chunk, sizeof chunk)) > 0;) {
-    text.append(chunk, static_cast<std::size_t>(n));
+  for (ssize_t size = 0; (size = ::read(fd, chunk, sizeof chunk)) > 0;) {
+    text.append(chunk, static_cast<std::size_t>(size));
   }
   return text;
 }
 
 struct LineCounts {
   long long written = 0;
-  long long dropped = 0;  // as the lines called log_dropped state
+  long long dropped = 0;  // sum of the counts in log_dropped lines
 };
 
 LineCounts count_lines(const std::string& text) {
@@ -134,7 +135,7 @@
   EXPECT_EQ(counts.written + counts.dropped, 20'001);
 }
 
-// Logs from several threads at once and waits for all lines to be written.
+// Child process: logs from several threads at once and waits until all lines are written.
 [[noreturn]] void log_from_threads(int out, int thread_count, int lines_per_thread) {
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
   ::dup2(out, STDOUT_FILENO);
@@ -142,7 +143,7 @@
   settings.queue = 65'536;
   start(settings);
   std::vector<std::thread> threads;
-  for (int t = 0; t < thread_count; ++t) {
+  for (int thread_index = 0; thread_index < thread_count; ++thread_index) {
     threads.emplace_back([lines_per_thread] {
       for (int i = 0; i < lines_per_thread; ++i) {
         info("line", {{"number", std::int64_t{i}}});
@@ -156,7 +157,8 @@
   ::_exit(0);
 }
 
-// The writers of snapshots and of the Raft log are threads that log, too.
+// Snapshots and the Raft log are written by threads of their own, which log too, so finish() must
+// count the lines of all threads.
 TEST(Log, FinishWaitsForTheLinesOfAllThreads) {
   constexpr int kThreads = 4;
   constexpr int kLinesPerThread = 10'000;
--- a/tests/operator_file_test.cpp
+++ b/tests/operator_file_test.cpp
@@ -1,4 +1,4 @@
-// The operator file's reader: errors that name file, line and key, and the example's values.
+// Tests of reading the operator file: errors that name file, line and key, and the example file.
 #include "config/operator_file.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace beechhill::config {
 namespace {
 
-TEST(OperatorFile, NamesTheFileTheLineAndTheKeyThatIsWrong) {
+TEST(OperatorFile, NamesTheFileLineAndKeyOfAnError) {
   const struct {
     const char* text;
     const char* error;
@@ -31,7 +31,7 @@
   }
 }
 
-TEST(OperatorFile, ExampleHoldsTheDefaults) {
+TEST(OperatorFile, ExampleContainsTheDefaults) {
   const OperatorSettings example = load_operator_settings(OPERATOR_EXAMPLE);
   const OperatorSettings defaults = load_operator_settings("");
   EXPECT_EQ(example.log.level, defaults.log.level);
--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -1,4 +1,4 @@
-// Operators' calls to a running proxy: telemetry, exclusions, drain and resume.
+// Tests of operators' calls to a running proxy: telemetry, exclusion, drain and resume.
 #include <gtest/gtest.h>
 #include <json/json.h>
 
@@ -9,8 +9,8 @@
 namespace beechhill::test {
 namespace {
 
-std::string hosts_json(const FakeListener& a, const FakeListener& b) {
-  return "[" + host_json("s-1", a.address()) + "," + host_json("s-2", b.address()) + "]";
+std::string hosts_json(const FakeListener& first, const FakeListener& second) {
+  return "[" + host_json("s-1", first.address()) + "," + host_json("s-2", second.address()) + "]";
 }
 
 Json::Value telemetry(const ProxyUnderTest& proxy) {
@@ -25,11 +25,11 @@
   return root;
 }
 
-// Silent callers, and callers that have sent half a call, hold all connections; a complete call is
-// answered meanwhile, also while clients hold all of theirs.
-TEST(OperatorCalls, AreAnsweredWhileSilentCallersAndClientsHoldAllConnections) {
-  const FakeListener a, b;
-  const ProxyUnderTest proxy(hosts_json(a, b));
+// Callers that send nothing or half a call hold all operator connections, and clients hold all of
+// theirs. A complete call must still be answered, which requires that the idle callers are evicted.
+TEST(OperatorCalls, AreAnsweredWhileIdleCallersAndClientsHoldAllConnections) {
+  const FakeListener first, second;
+  const ProxyUnderTest proxy(hosts_json(first, second));
   std::vector<TestConnection> silent, half, clients;
   for (int i = 0; i < 250; ++i) {
     clients.push_back(proxy.client());
@@ -49,8 +49,8 @@
   EXPECT_EQ(proxy.call("GET", "/").status, 404);
 }
 
-// An accepted request is pending, completed, rejected, failed or abandoned; every class is listed
-// from the start.
+// Each accepted request is counted exactly once, as pending, completed, rejected or failed, unless
+// its client leaves. Every class is listed before its first request.
 TEST(OperatorTelemetry, CountsEachRequestOnce) {
   const FakeListener backend;
   const ProxyUnderTest proxy("[" + host_json("s-1", backend.address()) + "]");
@@ -77,12 +77,13 @@
   server.reply(503, "X-Never-Ran: 1\r\n", "");
   expect_status(client, 503);
   {
-    TestConnection leaver = proxy.client();
-    leaver.send(ProxyUnderTest::get("a4"));
+    TestConnection leaving_client = proxy.client();
+    leaving_client.send(ProxyUnderTest::get("a4"));
     server.request();
   }
   EXPECT_FALSE(server.fill());
-  client.send("GET /nowhere HTTP/1.1\r\nX-Trace-Id: a5\r\n\r\n");  // no request of a class
+  // The path names no class, so the request is not counted.
+  client.send("GET /nowhere HTTP/1.1\r\nX-Trace-Id: a5\r\n\r\n");
   expect_status(client, 404);
   counters = telemetry(proxy);
   EXPECT_EQ(counters["completed"]["ver"], 1);
@@ -102,23 +103,23 @@
   expect_status(client, 200);
 }
 
-// An included backend begins its slow start: a client may get a Retry-After before the backend gets
-// its first request.
-void answer_soon(const FakeListener& backend, TestConnection& client, const std::string& id) {
-  for (int n = 0;; ++n) {
-    client.send(ProxyUnderTest::get(id + std::to_string(n)));
+// Repeats a request until the backend gets it. An included backend is in slow start, so the first
+// requests may be rejected with a Retry-After.
+void answer_eventually(const FakeListener& backend, TestConnection& client, const std::string& id) {
+  for (int attempt = 0;; ++attempt) {
+    client.send(ProxyUnderTest::get(id + std::to_string(attempt)));
     while (!client.readable(5ms) && !backend.pending(0ms)) {}
     if (backend.pending(0ms)) {
       return answer_next(backend, client);
     }
     expect_status(client, 503);
-    ASSERT_LT(n, 8);  // 5 s at the most
+    ASSERT_LT(attempt, 8);  // takes at most 5 s
   }
 }
 
-// An excluded backend gets nothing new, whatever the endpoint list states meanwhile, until it is
-// included again.
-TEST(OperatorExclusion, OutlastsWhatTheEndpointListStates) {
+// An excluded backend gets no new requests until it is included again, even if the endpoint list
+// removes it and adds it again in the meantime.
+TEST(OperatorExclusion, PersistsThroughChangesOfTheEndpointList) {
   const FakeListener first, second;
   ProxyUnderTest proxy(hosts_json(first, second));
   EXPECT_EQ(proxy.call("PUT", "/api/exclude?target=nobody").status, 404);
@@ -130,31 +131,32 @@
   EXPECT_EQ(counters["members"], 2);
   EXPECT_EQ(counters["members_unavailable"], 1);
   TestConnection client = proxy.client();
-  int n = 0;
+  int request_count = 0;
   const auto all_go_to = [&](const FakeListener& only, const FakeListener& other) {
     for (int i = 0; i < 4; ++i) {
-      client.send(ProxyUnderTest::get("b" + std::to_string(++n)));
+      client.send(ProxyUnderTest::get("b" + std::to_string(++request_count)));
       answer_next(only, client);
     }
     EXPECT_FALSE(other.pending(0ms));
   };
   all_go_to(second, first);
-  proxy.list("[" + host_json("s-1", first.address(), "terminated") + "]",
-             false);  // removed, and added as restarted
+  // The backend is removed, and added again as restarted.
+  proxy.list("[" + host_json("s-1", first.address(), "terminated") + "]", false);
   proxy.list("[" + host_json("s-1", first.address(), "in_service", 1) + "]", false);
   all_go_to(second, first);
   proxy.list("[" + host_json("s-1", first.address(), "terminated") + "]", false);
   all_go_to(second, first);
-  EXPECT_EQ(proxy.call("PUT", "/api/exclude?target=s-1").status, 200);  // removed, yet known
+  // A removed backend that is excluded is still known.
+  EXPECT_EQ(proxy.call("PUT", "/api/exclude?target=s-1").status, 200);
   EXPECT_EQ(proxy.call("PUT", "/api/include?target=s-1").status, 200);
   proxy.list("[" + host_json("s-1", first.address()) + "]", false);
   EXPECT_EQ(proxy.call("PUT", "/api/exclude?target=s-2").status, 200);
-  answer_soon(first, client, "last");
+  answer_eventually(first, client, "last");
   EXPECT_FALSE(second.pending(0ms));
 }
 
-// An exclusion closes idle connections. With all backends excluded, a client gets a Retry-After at
-// once.
+// Excluding a backend closes its idle connections. While all backends are excluded, a request is
+// rejected at once with a Retry-After.
 TEST(OperatorExclusion, OfAllBackendsRejectsRequestsAtOnce) {
   const FakeListener backend;
   const ProxyUnderTest proxy("[" + host_json("s-1", backend.address()) + "]");
@@ -166,24 +168,24 @@
   expect_status(client, 200);
   EXPECT_EQ(proxy.call("PUT", "/api/exclude?target=s-1").status, 200);
   EXPECT_FALSE(server.fill());
-  client.send(
-      ProxyUnderTest::get("a2", 60000));  // queued, it would wait for half of its latency objective
+  // If it were queued, it would wait for half of its latency objective.
+  client.send(ProxyUnderTest::get("a2", 60000));
   const http::Message answer = client.answer();
   EXPECT_EQ(answer.status, 503);
   EXPECT_TRUE(answer.headers.find("Retry-After"));
   EXPECT_EQ(proxy.call("PUT", "/api/include?target=s-1").status, 200);
-  answer_soon(backend, client, "c");
+  answer_eventually(backend, client, "c");
 }
 
-// Drained: not ready, new clients are still served, responses close their connections, idle
-// connections are closed; the process runs on and can be resumed.
-TEST(OperatorDrain, SendsClientsAwayUntilResumed) {
+// A drained proxy is not ready, but still serves new clients. It closes idle connections, and each
+// other connection with the last response that it owes. It can be resumed or shut down.
+TEST(OperatorDrain, ClosesClientConnectionsUntilResumed) {
   const FakeListener backend;
   ProxyUnderTest proxy("[" + host_json("s-1", backend.address()) + "]");
-  TestConnection busy = proxy.client(), idle = proxy.client(), asker = proxy.client();
-  for (TestConnection* wire : {&idle, &asker}) {
-    wire->send(ProxyUnderTest::get(wire == &idle ? "i" : "k"));
-    answer_next(backend, *wire);
+  TestConnection busy = proxy.client(), idle = proxy.client(), pipelining = proxy.client();
+  for (TestConnection* connection : {&idle, &pipelining}) {
+    connection->send(ProxyUnderTest::get(connection == &idle ? "i" : "k"));
+    answer_next(backend, *connection);
   }
   busy.send(ProxyUnderTest::get("a1"));
   TestConnection server = backend.accept();
@@ -194,28 +196,28 @@
   EXPECT_EQ(proxy.ready(), 503);
   EXPECT_EQ(proxy.call("GET", "/api/ready").status, 200);
   ::usleep(350'000);
-  asker.send(ProxyUnderTest::get("a2") +
-             ProxyUnderTest::get(
-                 "a3"));  // the second has been read when the close comes: it is answered first
+  // The second request has been read when the proxy decides to close the connection, so it is
+  // answered first.
+  pipelining.send(ProxyUnderTest::get("a2") + ProxyUnderTest::get("a3"));
   TestConnection other = backend.accept();
   other.request();
   other.reply(200, "", "2");
-  http::Message answer = asker.answer();
+  http::Message answer = pipelining.answer();
   EXPECT_EQ(answer.body, "2");
   EXPECT_TRUE(answer.keep_alive());
   EXPECT_EQ(*other.request().headers.find("X-Trace-Id"), "a3");
   other.reply(200, "", "3");
-  answer = asker.answer();
+  answer = pipelining.answer();
   EXPECT_EQ(answer.body, "3");
   EXPECT_FALSE(answer.keep_alive());
-  EXPECT_FALSE(asker.fill());
+  EXPECT_FALSE(pipelining.fill());
   EXPECT_FALSE(other.readable(0ms));
   TestConnection fresh = proxy.client();
   fresh.send(ProxyUnderTest::get("a4"));
   other.request();
   other.reply(200, "", "4");
   EXPECT_EQ(fresh.answer().body, "4");
-  EXPECT_FALSE(idle.fill());  // closed by the drain, as no response is owed on it
+  EXPECT_FALSE(idle.fill());  // closed by the drain, as it has no pending request
   server.reply(200, "", "1");
   answer = busy.answer();
   EXPECT_EQ(answer.body, "1");
@@ -223,16 +225,16 @@
   EXPECT_EQ(proxy.call("PUT", "/api/rejoin").status, 200);
   EXPECT_EQ(proxy.call("PUT", "/api/rejoin").status, 200);
   EXPECT_EQ(proxy.ready(), 200);
-  TestConnection back = proxy.client();
-  back.send(ProxyUnderTest::get("a5"));
+  TestConnection resumed = proxy.client();
+  resumed.send(ProxyUnderTest::get("a5"));
   TestConnection* const free = server.readable(200ms) ? &server : &other;
   free->request();
   free->reply(200, "", "5");
-  answer = back.answer();
+  answer = resumed.answer();
   EXPECT_EQ(answer.body, "5");
   EXPECT_TRUE(answer.keep_alive());
   EXPECT_EQ(proxy.call("PUT", "/api/evacuate").status, 200);
-  proxy.signal(SIGTERM);  // a shutdown during a drain
+  proxy.signal(SIGTERM);  // must also work during a drain
   EXPECT_EQ(proxy.exit_status(), 0);
 }
 
--- a/tests/resource_allocation_test.cpp
+++ b/tests/resource_allocation_test.cpp
@@ -1,4 +1,4 @@
-// How the process's limits are divided, alone and beside other processes of its proxy.
+// Tests of dividing the process's limits, alone and with other processes of the same proxy running.
 #include "bootstrap/resource_allocation.h"
 
 #include <gtest/gtest.h>
