--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -21,12 +21,12 @@
 
 namespace {
 
-// From the accept to the last byte of the call.
+// Timeout from accepting a connection to reading the last byte of its call.
 constexpr auto kReadTimeout = 1500ms;
 // While all connections are in use, one that has not sent a complete call by this age may be
 // evicted. Callers that are not idle have sent their call by then.
 constexpr auto kEvictionAge = 20ms;
-// Timeout for the actor that owns the state. Operators must get a response within 1 s.
+// Timeout for the reply of the actor that owns the state. Operators must get a response within 1 s.
 constexpr auto kReplyTimeout = 800ms;
 // Timeout for commands on which the proxies of the cluster have to agree first.
 constexpr auto kClusterReplyTimeout = 3000ms;
--- a/src/admin/command.h
+++ b/src/admin/command.h
@@ -23,11 +23,11 @@
 
 struct Command {
   CommandType type = CommandType::kReady;
-  /// Set for kExclude and kInclude.
+  /// Id of the backend that kExclude or kInclude affects; empty for other commands.
   std::string backend_id;
-  /// Set for kMaintenanceCommand: the part of the path after "/api/maintenance/".
+  /// For kMaintenanceCommand, the part of the path after "/api/maintenance/"; otherwise empty.
   std::string action;
-  /// Set for kMaintenanceStatus and kMaintenanceCommand.
+  /// Parameters of kMaintenanceStatus or kMaintenanceCommand; empty for other commands.
   QueryParameters parameters;
 };
 
--- a/src/bootstrap/cluster.cpp
+++ b/src/bootstrap/cluster.cpp
@@ -34,7 +34,8 @@
   }
 }
 
-// Also checks that this process's name is valid as the name of a member.
+// Returns the settings of the SWIM node. Checks that this process's name is valid as a member's
+// name.
 membership::SwimSettings swim_settings(const config::Config& config,
                                        const config::MembershipSettings& settings) {
   const std::string& name = config.name;
--- a/src/bootstrap/resource_allocation.cpp
+++ b/src/bootstrap/resource_allocation.cpp
@@ -28,7 +28,7 @@
   return available_ * kClientPercent / 100;
 }
 
-DescriptorAllocation DescriptorAllocation::beside(
+DescriptorAllocation DescriptorAllocation::shared_with(
     const hot_restart::SharedStateDirectory::ProcessGroupStatus& others) const {
   if (others.alive == 0) {
     return *this;
--- a/src/bootstrap/resource_allocation.h
+++ b/src/bootstrap/resource_allocation.h
@@ -12,7 +12,7 @@
 /// standard streams, epoll, signals, listeners, discovery and operators' connections.
 std::size_t reserved_descriptors();
 
-/// Divides the descriptors for connections between clients and backends.
+/// Divides the descriptors for connections into those for clients and those for backends.
 class DescriptorAllocation {
  public:
   /// `available`: the number of descriptors for client and backend connections together.
@@ -23,7 +23,7 @@
   /// Returns the allocation of this process while `others`, the other processes of the same proxy,
   /// are running. All processes together stay within the limit of one process, except that each has
   /// a guaranteed minimum.
-  DescriptorAllocation beside(
+  DescriptorAllocation shared_with(
       const hot_restart::SharedStateDirectory::ProcessGroupStatus& others) const;
 
  private:
--- a/src/bootstrap/server.cpp
+++ b/src/bootstrap/server.cpp
@@ -18,8 +18,8 @@
 using hot_restart::HotRestartActor;
 using hot_restart::SharedStateDirectory;
 
-// How long a process waits for discovery before it serves from the configured endpoint list, if
-// another process of the same proxy can serve in the meantime.
+// Time for which a process waits for discovery before it serves from the configured endpoint list,
+// if another process of the same proxy can serve in the meantime.
 constexpr std::chrono::milliseconds kDiscoveryTimeout{1500};
 
 bool has_other_process(const RestoredState& restored) {
@@ -123,7 +123,7 @@
 // publish to them.
 HotRestartActor::ProcessStatus Server::exchange_status(
     const SharedStateDirectory::ProcessGroupStatus& others) {
-  const DescriptorAllocation allocation = descriptors_.beside(others);
+  const DescriptorAllocation allocation = descriptors_.shared_with(others);
   listener_.descriptor_budget().set_limit(allocation.for_clients());
   backend_pool_.budget.set_limit(allocation.for_backends());
   body_budget_.set_limit(body_memory_bytes(config_, others.alive > 0));
--- a/src/bootstrap/signals.h
+++ b/src/bootstrap/signals.h
@@ -1,4 +1,4 @@
-// The signals that a serving process handles, delivered through a descriptor.
+// Delivers the signals that a serving process handles through a file descriptor.
 #pragma once
 
 #include "net/socket.h"
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -28,7 +28,8 @@
   NamedSettings named_settings;
 };
 
-/// Throws JsonError, or std::invalid_argument if the settings are inconsistent.
+/// Reads and validates a configuration. Throws JsonError, or std::invalid_argument if the settings
+/// are inconsistent.
 Config read_config(const Json::Value& root);
 
 /// Loads the file that GW_CONFIG names. GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_ADMIN_ADDR, if set,
--- a/src/config/endpoint_list.h
+++ b/src/config/endpoint_list.h
@@ -17,7 +17,7 @@
   std::string host;
   std::string zone;
   std::string instance_type;
-  /// Not set if the endpoint is removed.
+  /// The address to connect to; not set if the endpoint has been removed.
   sockaddr_in address{};
   std::uint32_t cell = 0;
   EndpointStatus status = EndpointStatus::kUp;
@@ -32,7 +32,7 @@
   std::vector<EndpointListEntry> entries;
 };
 
-/// Throws JsonError.
+/// Reads an endpoint list. Throws JsonError if it is invalid.
 EndpointList read_endpoint_list(const Json::Value& list);
 
 }  // namespace beechhill::config
--- a/src/config/operator_file.h
+++ b/src/config/operator_file.h
@@ -15,13 +15,13 @@
 namespace beechhill::config {
 
 struct SnapshotSettings {
-  /// Must be on a disk that outlives the process; empty: no snapshots are written.
+  /// Directory of the snapshots, on a disk that outlives the process; empty: none are written.
   std::string directory;
   std::chrono::milliseconds interval{2000};
 };
 
 struct MembershipSettings {
-  /// UDP address and port, IPv4; empty: the process is not in a cluster.
+  /// IPv4 address and UDP port to listen on; empty: the process is not in a cluster.
   std::string listen_address;
   /// Address at which the other members reach this process; empty: `listen_address`.
   std::string advertised_address;
@@ -40,7 +40,7 @@
   /// Directory of a voter's log, on a disk that outlives the process.
   std::string storage_directory;
   Duration lease_duration{5'000'000};
-  /// How long after its lease has expired a proxy keeps serving; 0: without limit.
+  /// Time for which a proxy keeps serving after its lease has expired; 0: without limit.
   Duration isolation_timeout{0};
   Duration initial_lease_timeout{5'000'000};
   bool serve_without_lease = false;
--- a/src/config/settings_reader.h
+++ b/src/config/settings_reader.h
@@ -16,9 +16,9 @@
   /// `settings.zone` is 0 and stands for `zone`.
   Settings settings;
   std::string zone;
-  /// Indexed by ClassId.
+  /// Names of the classes, indexed by ClassId.
   std::vector<std::string> classes;
-  /// Indexed by TenantId.
+  /// Names of the tenants, indexed by TenantId.
   std::vector<std::string> tenants;
 };
 
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -29,7 +29,7 @@
 };
 
 struct Field {
-  /// Consists of letters, digits, '_' and '.'.
+  /// The field's name, which consists of letters, digits, '_' and '.'.
   std::string_view name;
   std::variant<std::string_view, std::int64_t, std::uint64_t, double, bool> value;
 };
--- a/src/log/log_line.cpp
+++ b/src/log/log_line.cpp
@@ -14,7 +14,7 @@
   return kNames[static_cast<std::size_t>(level)];
 }
 
-// Whether `text` can be written as a logfmt value without quotes.
+// Returns whether `text` can be written as a logfmt value without quotes.
 bool is_bare(std::string_view text) {
   if (text.empty()) {
     return false;
--- a/src/recovery/recovery_tracker.cpp
+++ b/src/recovery/recovery_tracker.cpp
@@ -58,7 +58,8 @@
 
 void RecoveryTracker::on_endpoint_update() {
   has_endpoints_ = true;
-  // During a resync, further updates may follow until on_resync_complete().
+  // During a resync this may be the first of several updates, so the list counts as updated only in
+  // on_resync_complete().
   if (!resyncing_) {
     updated_ = true;
   }
--- a/src/recovery/recovery_tracker.h
+++ b/src/recovery/recovery_tracker.h
@@ -35,28 +35,28 @@
   /// The caller must then read everything that is pending on the connection to discovery, or
   /// request a complete list if needs_snapshot() is true.
   bool observe_clock(Time now);
-  /// The longest time allowed between two calls of observe_clock().
+  /// Returns the longest time allowed between two calls of observe_clock().
   Duration observation_interval() const { return pause_threshold_ / 2; }
-  /// Whether the last pause lasted at least `watch_silence`. The watch's connection may have failed
-  /// by then, and changes sent on it may be lost, so a complete list is required.
+  /// Returns whether the last pause lasted at least `watch_silence`. The watch's connection may
+  /// have failed by then, and changes sent on it may be lost, so a complete list is required.
   bool needs_snapshot() const { return last_pause_ >= watch_silence_; }
-  /// The length of the last pause; zero before the first pause.
+  /// Returns the length of the last pause; zero before the first pause.
   Duration gap() const { return last_pause_; }
 
   /// Must be called when discovery has sent a complete endpoint list or changes to it.
   void on_endpoint_update();
   /// Must be called when everything that discovery had written before the resync has been read.
   void on_resync_complete();
-  /// Whether endpoints for new requests may be selected from the list. Also false during a pause
-  /// that observe_clock() has not detected yet.
+  /// Returns whether endpoints for new requests may be selected from the list. Also false during a
+  /// pause that observe_clock() has not detected yet.
   bool endpoints_are_current(Time now) const {
     return !resyncing_ && now - last_observation_ <= pause_threshold_;
   }
-  /// Whether the process is waiting for discovery after its start or a pause. Ends the resync once
-  /// `now` reaches resync_deadline().
+  /// Returns whether the process is waiting for discovery after its start or a pause. Ends the
+  /// resync once `now` reaches resync_deadline().
   bool is_resyncing(Time now);
-  /// Whether the process can serve: it has an endpoint list, and the resync at its start has ended.
-  /// Later pauses do not reset this.
+  /// Returns whether the process can serve: it has an endpoint list, and the resync at its start
+  /// has ended. Later pauses do not reset this.
   bool ready() const { return has_endpoints_ && !starting_; }
   Time resync_deadline() const { return resync_deadline_; }
   Stage stage() const;
--- a/src/routing/subset.cpp
+++ b/src/routing/subset.cpp
@@ -9,7 +9,7 @@
 namespace beechhill::routing {
 namespace {
 
-// Arc widths are powers of 2, and one step between each two of them.
+// Arc widths are rounded up to 2^(i / kStepsPerOctave) for an integer i.
 constexpr double kStepsPerOctave = 2;
 // An arc is widened while it contains fewer endpoints that are up than this fraction of the number
 // of endpoints expected for its width.
@@ -33,8 +33,8 @@
   return std::min(1.0, std::exp2(std::ceil(std::log2(width) * kStepsPerOctave) / kStepsPerOctave));
 }
 
-// Element `index` of the base-2 van der Corput sequence: the bits of `index`, mirrored at the
-// binary point.
+// Returns element `index` of the base-2 van der Corput sequence: the bits of `index`, mirrored at
+// the binary point.
 double van_der_corput(std::uint32_t index) {
   double value = 0;
   double bit_value = 0.5;
@@ -130,7 +130,8 @@
     update_membership(id, complete_list || updated[id], result.endpoints);
   }
   if (complete_list) {
-    // A complete list removes every endpoint that it does not contain, without naming it.
+    // The receiver removes every endpoint that a complete list does not contain, so removals are
+    // not listed.
     std::erase_if(result.endpoints, [](const Endpoint& endpoint) {
       return endpoint.status == EndpointStatus::kRemoved;
     });
--- a/src/routing/subset.h
+++ b/src/routing/subset.h
@@ -45,7 +45,7 @@
 /// octave, so that the arcs do not change whenever a single endpoint is added.
 double arc_width(const SubsetSettings& settings, std::size_t endpoint_count);
 
-/// Returns the start of an arc as a position on the ring, in [0, 1]: element `proxy_index` of the
+/// Returns the start of an arc as a position on the ring, in [0, 1): element `proxy_index` of the
 /// van der Corput sequence, every prefix of which is evenly distributed, or the hash of the name.
 double arc_start(const SubsetSettings& settings, const std::string& proxy_name);
 
@@ -64,9 +64,9 @@
   EndpointUpdate apply(const EndpointUpdate& update,
                        const std::vector<std::uint64_t>& endpoint_hashes);
 
-  /// The number of endpoints that discovery lists.
+  /// Returns the number of endpoints that discovery lists.
   std::size_t listed_endpoints() const { return listed_count_; }
-  /// The number of listed endpoints that are in the subset.
+  /// Returns the number of listed endpoints that are in the subset.
   std::size_t used_endpoints() const { return used_count_; }
   /// Returns whether the endpoint is in the subset.
   bool uses(EndpointId id) const;
@@ -92,7 +92,7 @@
   const SubsetUnit unit_;
   const double start_;
   double width_ = 1;
-  /// Indexed by endpoint id.
+  /// All endpoints that were ever listed, indexed by endpoint id.
   std::vector<EndpointState> endpoints_;
   std::size_t listed_count_ = 0;
   std::size_t used_count_ = 0;
--- a/tests/admin_command_test.cpp
+++ b/tests/admin_command_test.cpp
@@ -36,11 +36,11 @@
       {"PUT", "/api/evacuate", CommandType::kDrain, ""},
       {"PUT", "/api/rejoin", CommandType::kResume, ""},
   };
-  for (const auto& c : cases) {
-    SCOPED_TRACE(std::string(c.method) + " " + c.target);
-    const Command command = parsed(c.method, c.target);
-    EXPECT_EQ(command.type, c.type);
-    EXPECT_EQ(command.backend_id, c.backend_id);
+  for (const auto& test_case : cases) {
+    SCOPED_TRACE(std::string(test_case.method) + " " + test_case.target);
+    const Command command = parsed(test_case.method, test_case.target);
+    EXPECT_EQ(command.type, test_case.type);
+    EXPECT_EQ(command.backend_id, test_case.backend_id);
   }
 }
 
--- a/tests/command_line_test.cpp
+++ b/tests/command_line_test.cpp
@@ -68,11 +68,11 @@
   };
   ::unsetenv("GW_CONFIG");
   ::unsetenv("BEECHHILL_OPERATOR");
-  for (const auto& c : cases) {
-    SCOPED_TRACE(c.arguments);
-    const ProgramResult result = run_program(c.arguments);
-    EXPECT_EQ(result.exit_code, c.exit_code);
-    EXPECT_NE(result.output.find(c.output), std::string::npos) << result.output;
+  for (const auto& test_case : cases) {
+    SCOPED_TRACE(test_case.arguments);
+    const ProgramResult result = run_program(test_case.arguments);
+    EXPECT_EQ(result.exit_code, test_case.exit_code);
+    EXPECT_NE(result.output.find(test_case.output), std::string::npos) << result.output;
   }
 }
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -14,7 +14,7 @@
 }
 
 // Returns the message of the error that reading `text` causes; empty if there is none.
-std::string error_of(const std::string& text) {
+std::string error_message(const std::string& text) {
   try {
     read(text);
   } catch (const std::exception& error) {
@@ -54,13 +54,13 @@
        "born_ms"},
       {"{\"name\"", "[{\"name\"", "config"},
   };
-  for (const auto& c : cases) {
+  for (const auto& test_case : cases) {
     std::string text = good;
-    const auto at = text.find(c.from);
-    ASSERT_NE(at, std::string::npos) << c.from;
-    text.replace(at, std::string(c.from).size(), c.to);
-    const std::string error = error_of(text);
-    EXPECT_TRUE(error.starts_with(c.key)) << c.key << ": " << error;
+    const auto at = text.find(test_case.from);
+    ASSERT_NE(at, std::string::npos) << test_case.from;
+    text.replace(at, std::string(test_case.from).size(), test_case.to);
+    const std::string error = error_message(text);
+    EXPECT_TRUE(error.starts_with(test_case.key)) << test_case.key << ": " << error;
   }
 }
 
@@ -73,8 +73,8 @@
                {"host:80", false},
                {"127.0.0.1:", false},
                {"127.0.0.1:70000", false}};
-  for (const auto& c : cases) {
-    EXPECT_EQ(net::parse_address(c.text).has_value(), c.good) << c.text;
+  for (const auto& test_case : cases) {
+    EXPECT_EQ(net::parse_address(test_case.text).has_value(), test_case.good) << test_case.text;
   }
 }
 
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -46,9 +46,10 @@
         {"t", std::string_view("a\"")}},
        R"({"level":"info","event":"end","ok":true,"n":-3,"x":0.5,"bad":null,"t":"a\""})"},
   };
-  for (const auto& c : cases) {
-    EXPECT_EQ(format_line(c.format, c.level, "end", c.fields.data(), c.fields.size(), nullptr),
-              c.line);
+  for (const auto& test_case : cases) {
+    EXPECT_EQ(format_line(test_case.format, test_case.level, "end", test_case.fields.data(),
+                          test_case.fields.size(), nullptr),
+              test_case.line);
   }
 }
 
@@ -71,7 +72,7 @@
   for (int i = 0; i < 20'000; ++i) {
     info("line", {{"number", std::int64_t{i}}, {"padding", std::string_view(padding)}});
   }
-  if (dropped() <= 10'000) {  // a pipe holds 64 KiB
+  if (dropped() <= 10'000) {  // more than half, as a pipe holds only 64 KiB
     std::abort();
   }
   finish(50ms);  // must return even though nobody reads
--- a/tests/operator_file_test.cpp
+++ b/tests/operator_file_test.cpp
@@ -20,14 +20,14 @@
       {"log = 3", "op:1: log: not a table"},
       {"[log", "op:1: "},
       {"[maintenance]\nreserve = 9007199254740993", "op:2: maintenance.reserve: not from 0 to 10"}};
-  for (const auto& c : cases) {
+  for (const auto& test_case : cases) {
     std::string error;
     try {
-      read_operator_settings(parse_toml(c.text, "op"), "op");
+      read_operator_settings(parse_toml(test_case.text, "op"), "op");
     } catch (const TomlError& thrown) {
       error = thrown.what();
     }
-    EXPECT_TRUE(error.starts_with(c.error)) << c.text << ": " << error;
+    EXPECT_TRUE(error.starts_with(test_case.error)) << test_case.text << ": " << error;
   }
 }
 
--- a/tests/resource_allocation_test.cpp
+++ b/tests/resource_allocation_test.cpp
@@ -22,18 +22,20 @@
 }
 
 TEST(DescriptorAllocation, IsUnchangedWithoutOtherProcesses) {
-  const DescriptorAllocation beside = DescriptorAllocation(200).beside(others_with(0, 150));
-  EXPECT_EQ(beside.for_clients() + beside.for_backends(), 200U);
+  const DescriptorAllocation allocation =
+      DescriptorAllocation(200).shared_with(others_with(0, 150));
+  EXPECT_EQ(allocation.for_clients() + allocation.for_backends(), 200U);
 }
 
 TEST(DescriptorAllocation, LeavesOthersWhatTheyHoldAndAReserve) {
-  const DescriptorAllocation beside = DescriptorAllocation(200).beside(others_with(1, 60));
-  EXPECT_EQ(beside.for_clients() + beside.for_backends(), 120U);
+  const DescriptorAllocation allocation = DescriptorAllocation(200).shared_with(others_with(1, 60));
+  EXPECT_EQ(allocation.for_clients() + allocation.for_backends(), 120U);
 }
 
 TEST(DescriptorAllocation, KeepsAMinimumHoweverMuchOthersHold) {
-  const DescriptorAllocation beside = DescriptorAllocation(200).beside(others_with(1, 10'000));
-  EXPECT_EQ(beside.for_clients() + beside.for_backends(), 50U);
+  const DescriptorAllocation allocation =
+      DescriptorAllocation(200).shared_with(others_with(1, 10'000));
+  EXPECT_EQ(allocation.for_clients() + allocation.for_backends(), 50U);
 }
 
 TEST(DescriptorAllocation, FitsTheLowestConfiguredLimit) {
@@ -43,7 +45,7 @@
   EXPECT_EQ(allocation.for_clients() + allocation.for_backends() + reserved_descriptors(), 64U);
 }
 
-TEST(BodyMemory, IsASixthOfTheLimitAndHalfOfThatBesideOthers) {
+TEST(BodyMemory, IsASixthOfTheLimitAndHalfOfThatWithOtherProcesses) {
   config::Config config;
   config.memory_mb = 192;
   EXPECT_EQ(body_memory_bytes(config, false), std::size_t{32} * 1024 * 1024);
