--- a/src/recovery/recovery_tracker.h
+++ b/src/recovery/recovery_tracker.h
@@ -12,8 +12,9 @@
 enum class Stage {
   /// There is no endpoint list, so no request can be sent.
   kNoEndpoints,
-  /// There is an endpoint list, but discovery has sent nothing since the start or the last pause.
+  /// There is an endpoint list, but discovery has not updated it since the start or the last pause.
   kResyncing,
+  /// The endpoint list is up to date.
   kReady,
 };
 
