--- a/src/config/json.cpp
+++ b/src/config/json.cpp
@@ -103,7 +103,7 @@
 
 template <>
 Duration convert<Duration>(const Json::Value& value, const char* key) {
-  require(value.isInt64(), "not a signed 64-bit integer", value, key);
+  require(value.isInt64(), "not an integer that fits into 64 bits", value, key);
   return Duration(value.asInt64());
 }
 
@@ -114,7 +114,7 @@
   if (value.isInt64()) {
     return static_cast<std::uint64_t>(value.asInt64());
   }
-  require(value.isUInt64(), "not a 64-bit integer", value, key);
+  require(value.isUInt64(), "not an integer that fits into 64 bits", value, key);
   return value.asUInt64();
 }
 
