--- a/src/admin/command.h
+++ b/src/admin/command.h
@@ -1,4 +1,4 @@
-// The calls that operators may make: which method and path stand for which command. No I/O.
+// Commands of the operators' HTTP API, parsed from method and request target. Does no I/O.
 #pragma once
 
 #include <string>
@@ -23,22 +23,22 @@
 
 struct Command {
   CommandType type = CommandType::kReady;
-  /// Of kExclude and kInclude.
+  /// Id of the backend that kExclude or kInclude affects; empty for other commands.
   std::string backend_id;
-  /// Of kMaintenanceCommand: what follows "/api/maintenance/" in the path.
+  /// For kMaintenanceCommand, the part of the path after "/api/maintenance/"; otherwise empty.
   std::string action;
-  /// Of kMaintenanceStatus and kMaintenanceCommand.
+  /// Parameters of kMaintenanceStatus or kMaintenanceCommand; empty for other commands.
   QueryParameters parameters;
 };
 
 enum class CommandError { kMalformed, kUnknown, kWrongMethod };
 
-/// The HTTP status code that answers a call with this error.
+/// Returns the HTTP status code for a call with this error.
 int status_code(CommandError error);
 
 using ParsedCommand = std::variant<Command, CommandError>;
 
-/// `target` is in origin form (RFC 9112, section 3.2.1): path and query.
+/// Parses a call. `target` is a path and a query in origin form (RFC 9112, section 3.2.1).
 ParsedCommand parse_command(std::string_view method, std::string_view target);
 
 }  // namespace beechhill::admin
--- a/tests/admin_command_test.cpp
+++ b/tests/admin_command_test.cpp
@@ -1,4 +1,4 @@
-// Operators' calls as the admin server parses them. No I/O.
+// Tests of parsing operators' calls into commands.
 #include <gtest/gtest.h>
 
 #include "admin/command.h"
@@ -13,7 +13,7 @@
   return command ? *command : Command{};
 }
 
-// The status code that answers a call that is no command; 0 where it is one.
+// Returns the status code for a call that is not a valid command, or 0 if it is valid.
 int error_status(const char* method, const char* target) {
   const ParsedCommand result = parse_command(method, target);
   const auto* const error = std::get_if<CommandError>(&result);
@@ -36,11 +36,11 @@
       {"PUT", "/api/evacuate", CommandType::kDrain, ""},
       {"PUT", "/api/rejoin", CommandType::kResume, ""},
   };
-  for (const auto& c : cases) {
-    SCOPED_TRACE(std::string(c.method) + " " + c.target);
-    const Command command = parsed(c.method, c.target);
-    EXPECT_EQ(command.type, c.type);
-    EXPECT_EQ(command.backend_id, c.backend_id);
+  for (const auto& test_case : cases) {
+    SCOPED_TRACE(std::string(test_case.method) + " " + test_case.target);
+    const Command command = parsed(test_case.method, test_case.target);
+    EXPECT_EQ(command.type, test_case.type);
+    EXPECT_EQ(command.backend_id, test_case.backend_id);
   }
 }
 
--- a/tests/operator_file_test.cpp
+++ b/tests/operator_file_test.cpp
@@ -1,4 +1,4 @@
-// The operator file's reader: errors that name file, line and key, and the example's values.
+// Tests of reading the operator file: errors that name file, line and key, and the example file.
 #include "config/operator_file.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace beechhill::config {
 namespace {
 
-TEST(OperatorFile, NamesTheFileTheLineAndTheKeyThatIsWrong) {
+TEST(OperatorFile, NamesTheFileLineAndKeyOfAnError) {
   const struct {
     const char* text;
     const char* error;
@@ -20,18 +20,18 @@
       {"log = 3", "op:1: log: not a table"},
       {"[log", "op:1: "},
       {"[maintenance]\nreserve = 9007199254740993", "op:2: maintenance.reserve: not from 0 to 10"}};
-  for (const auto& c : cases) {
+  for (const auto& test_case : cases) {
     std::string error;
     try {
-      read_operator_settings(parse_toml(c.text, "op"), "op");
+      read_operator_settings(parse_toml(test_case.text, "op"), "op");
     } catch (const TomlError& thrown) {
       error = thrown.what();
     }
-    EXPECT_TRUE(error.starts_with(c.error)) << c.text << ": " << error;
+    EXPECT_TRUE(error.starts_with(test_case.error)) << test_case.text << ": " << error;
   }
 }
 
-TEST(OperatorFile, ExampleHoldsTheDefaults) {
+TEST(OperatorFile, ExampleContainsTheDefaults) {
   const OperatorSettings example = load_operator_settings(OPERATOR_EXAMPLE);
   const OperatorSettings defaults = load_operator_settings("");
   EXPECT_EQ(example.log.level, defaults.log.level);
