--- a/src/proxy/active_request.h
+++ b/src/proxy/active_request.h
@@ -1,4 +1,4 @@
-// The decision actor's record of one request, from its arrival to its last attempt's outcome.
+// The decision actor's state of one client request, kept until its last attempt has ended.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +13,7 @@
 
 namespace beechhill::proxy {
 
-/// A request and its attempts.
+/// A client request, its attempts, and whether it has been responded to.
 class ActiveRequest {
  public:
   struct Attempt {
@@ -26,7 +26,8 @@
   const std::shared_ptr<ClientRequest>& request() const { return request_; }
   const std::vector<Attempt>& attempts() const { return attempts_; }
 
-  /// Gives the request its one final response; later ones are ignored.
+  /// Sets the response and notifies the client's connection. Has no effect after an earlier call or
+  /// after abandon().
   void respond(ClientResponse response) {
     if (closed_) {
       return;
@@ -35,14 +36,14 @@
     request_->response = std::move(response);
     request_->response_ready.notify();
   }
-  /// The client has disconnected: no response is wanted.
+  /// Records that the client has disconnected. respond() has no effect afterwards.
   void abandon() { closed_ = true; }
-  /// Answered or abandoned.
+  /// Whether the request has been responded to or abandoned.
   bool closed() const { return closed_; }
-  /// Closed, with no attempt outstanding.
+  /// Whether the request is closed and none of its attempts is outstanding.
   bool finished() const { return closed_ && outstanding_attempts_ == 0; }
 
-  /// Returns the attempt's number.
+  /// Records a new attempt and returns its number, counted from 0.
   std::uint32_t start_attempt(EndpointId endpoint, Time now) {
     attempts_.push_back({endpoint, now});
     ++outstanding_attempts_;
@@ -56,9 +57,11 @@
       first_possibly_executed_ = attempt_number;
     }
   }
-  /// Whether a backend has received the whole request, or may receive it now.
+  /// Whether a backend has received the whole request or may still receive it from an outstanding
+  /// attempt.
   bool may_have_reached_backend() const { return reached_backend_ || outstanding_attempts_ > 0; }
-  /// When the first attempt that may have been executed was started.
+  /// Start time of the attempt that was the first to end in a way that a backend may have executed
+  /// the request; empty if there is none.
   std::optional<Time> possibly_executed_at() const {
     return first_possibly_executed_ ? std::optional(attempts_[*first_possibly_executed_].started_at)
                                     : std::nullopt;
--- a/src/proxy/backend_actor.cpp
+++ b/src/proxy/backend_actor.cpp
@@ -24,11 +24,12 @@
 
 constexpr std::size_t kInboxCapacity = 2048;
 
-// Of the mailbox, what attempts may take: the rest is for cancellations and status updates.
+// Attempts are accepted only below this number of queued messages; the rest of the mailbox is
+// reserved for cancellations and status updates.
 constexpr std::size_t kMaxQueuedAttempts = 1024;
 
-// A health check may take so many times the connect timeout.
-constexpr int kHealthCheckConnectTimeouts = 5;
+// The timeout of a health check as a multiple of the connect timeout.
+constexpr int kHealthCheckTimeoutFactor = 5;
 
 class HealthCheckPayload : public Payload {
  public:
@@ -37,7 +38,8 @@
   }
 };
 
-// Whether the outcome is still of use: not where its client has disconnected, or has its response.
+// Whether the outcome is still needed: the client has neither disconnected nor received a response.
+// Always true for a health check, for which `attempt` is null.
 bool is_wanted(const AttemptRequest* attempt) {
   return !attempt || !attempt->request || attempt->request->awaits_response();
 }
@@ -100,9 +102,9 @@
 void BackendActor::on(CancelAttempt& cancel) {
   const auto it = attempts_.find({cancel.request_id, cancel.attempt_number});
   if (it == attempts_.end()) {
-    return;  // its outcome is under way
+    return;  // the attempt has already ended
   }
-  scheduler_.cancel(it->second);  // closes its connection: HTTP/1.1 has no other way to cancel
+  scheduler_.cancel(it->second);  // closes the connection: HTTP/1.1 has no other way to cancel
   attempts_.erase(it);
   AttemptCompleted outcome{cancel.request_id, cancel.attempt_number, Result::kCancelled, {}, {}};
   scheduler_.spawn(post_reliably(scheduler_, decisions_, std::move(outcome)));
@@ -116,8 +118,8 @@
   if (status.status == EndpointStatus::kRemoved) {
     status.address = status_.address;
   }
-  // Guards against a request on a connection to a process that is gone: once written there, it may
-  // have been executed.
+  // Connections to a process that has ended are closed, because a request that was written to one
+  // of them counts as possibly executed.
   const bool restarted =
       !net::same(status.address, status_.address) || status.started_at != status_.started_at;
   status_ = status;
@@ -128,16 +130,16 @@
 
 // ---- Attempts
 
-// No part of a drain's grace is used: it runs from when discovery's agent learned of the drain,
-// which may be the whole grace before it became known here (at a start, or on a watch that broke or
-// fell silent).
+// Nothing is sent to a draining backend, even within its drain grace. The grace starts when
+// discovery's agent learns of the drain and may be over before this process learns of it, at its
+// start or after the watch broke or fell silent.
 bool BackendActor::may_send() const {
   return pool_.endpoints_are_current() && now() < status_.permitted_until &&
          status_.status == EndpointStatus::kUp;
 }
 
-// Of an attempt that may not be sent. After a gap it is not known whether the backend still serves:
-// no fault of its own.
+// The result of an attempt that may not be sent. While the endpoint list is not current, the result
+// does not count against the backend, because it is unknown whether the backend still serves.
 Result BackendActor::unsent_result(const AttemptRequest* attempt) const {
   return is_wanted(attempt) && pool_.endpoints_are_current() ? Result::kConnectFailed
                                                              : Result::kSkipped;
@@ -151,20 +153,20 @@
   AttemptCompleted outcome{
       attempt.request_id, attempt.attempt_number, Result::kConnectFailed, {}, {}};
   try {
-    ExchangeResult exchanged =
+    ExchangeResult exchange_result =
         co_await exchange(*attempt.payload, attempt.connect_deadline, attempt.deadline, &attempt);
-    if (exchanged.posted) {
+    if (exchange_result.posted) {
       attempts_.erase({attempt.request_id, attempt.attempt_number});
       DecisionMessage ended(ResponseStreamEnded{endpoint_});
       co_await post_reliably(scheduler_, decisions_, std::move(ended));
       co_return;
     }
-    outcome.result = exchanged.result;
-    outcome.load_report = exchanged.load_report;
-    outcome.response = std::move(exchanged.response);
-  } catch (const std::exception& error) {  // guards against an attempt without an outcome
+    outcome.result = exchange_result.result;
+    outcome.load_report = exchange_result.load_report;
+    outcome.response = std::move(exchange_result.response);
+  } catch (const std::exception& error) {  // an attempt must always have an outcome
     log::fault("step_fault", error);
-    outcome.result = Result::kError;  // it may have been executed
+    outcome.result = Result::kError;  // the request may have been executed
   }
   attempts_.erase({attempt.request_id, attempt.attempt_number});
   DecisionMessage message(std::move(outcome));
@@ -173,13 +175,14 @@
 
 Task<> BackendActor::run_health_check() {
   const HealthCheckPayload payload;
-  const Time deadline = now() + kHealthCheckConnectTimeouts * settings_.connect_timeout;
-  const ExchangeResult exchanged = co_await exchange(payload, deadline, deadline, nullptr);
-  DecisionMessage message(HealthCheckCompleted{endpoint_, exchanged.result, exchanged.load_report});
+  const Time deadline = now() + kHealthCheckTimeoutFactor * settings_.connect_timeout;
+  const ExchangeResult exchange_result = co_await exchange(payload, deadline, deadline, nullptr);
+  DecisionMessage message(
+      HealthCheckCompleted{endpoint_, exchange_result.result, exchange_result.load_report});
   co_await post_reliably(scheduler_, decisions_, std::move(message));
 }
 
-// `attempt`: null for a health check.
+// `attempt` is null for a health check.
 Task<ExchangeResult> BackendActor::exchange(const Payload& payload, Time connect_deadline,
                                             Time deadline, const AttemptRequest* attempt) {
   ExchangeResult unsent;
@@ -194,9 +197,9 @@
     if (!connection) {
       co_return unsent;
     }
-    // Guards against a request to a backend that drained, or moved, while the connection was being
-    // established; for a client that has disconnected or has its response; or beyond the time in
-    // which the backend knows a repeat as one.
+    // While the connection was being established, the backend may have drained or moved, the client
+    // may have disconnected or received its response, or the backend's deduplication window may
+    // have ended.
     const bool usable = may_send() && is_at_current_address(*connection);
     if (!usable || !is_wanted(attempt) || now() >= write_deadline) {
       connection->end_reason = usable ? EndReason::kAttemptCancelled : EndReason::kBackendDrained;
@@ -209,7 +212,7 @@
   }
   BackendExchange exchange(scheduler_, decisions_, pool_, *connection, payload, attempt);
   ExchangeResult result = co_await exchange.run(write_deadline, deadline);
-  // Guards against the next request going to where the backend no longer is.
+  // A connection to an address from which the backend has moved must not be reused.
   if (exchange.connection_is_reusable() && status_.status == EndpointStatus::kUp &&
       is_at_current_address(*connection)) {
     idle_connections_.put(std::move(connection));
@@ -217,7 +220,7 @@
   co_return result;
 }
 
-// Null where no descriptor is free, or the connection is not established in time.
+// Returns null if no descriptor is free or the connection is not established in time.
 Task<std::unique_ptr<BackendConnection>> BackendActor::connect(Time connect_deadline) {
   if (!pool_.reserve_descriptor()) {
     co_return nullptr;
--- a/src/proxy/backend_actor.h
+++ b/src/proxy/backend_actor.h
@@ -1,4 +1,5 @@
-// The actor of one backend that speaks HTTP/1.1: its connections and the attempts on them.
+// The actor of one HTTP/1.1 backend. It owns the connections to the backend and runs attempts and
+// health checks on them.
 #pragma once
 
 #include <netinet/in.h>
@@ -18,11 +19,13 @@
 
 namespace beechhill::proxy {
 
-/// Runs from its construction to its destruction, which closes its connections and posts no outcome
-/// for attempts that are under way. All members are called on the scheduler's thread.
+/// Runs from construction to destruction. The destructor closes the connections and cancels
+/// outstanding attempts without posting their outcomes. All members are called on the scheduler's
+/// thread.
 class BackendActor : public Backend {
  public:
-  /// `decisions` receives each attempt's and health check's outcome. The references outlive this.
+  /// Posts the outcome of each attempt and health check to `decisions`. All references must outlive
+  /// the actor.
   BackendActor(runtime::Scheduler& scheduler, DecisionMailbox& decisions, BackendPool& pool,
                const Settings& settings, EndpointId endpoint, sockaddr_in address);
   ~BackendActor() override;
--- a/src/proxy/backend_exchange.cpp
+++ b/src/proxy/backend_exchange.cpp
@@ -21,11 +21,11 @@
 
 namespace {
 
-// Without a byte of a streamed body, from either side.
+// Maximum time without progress of a streamed body, when reading or writing.
 constexpr auto kStreamTimeout = 5000ms;
 
-// Bytes of a response that states a larger length than http::kMaxBufferedBodyBytes, before its
-// client gets any.
+// Bytes of a response that are buffered before it is forwarded, if its stated length exceeds
+// http::kMaxBufferedBodyBytes.
 constexpr std::size_t kFirstPartBytes = std::size_t{8} * 1024;
 
 LoadReport load_report_of(const http::Headers& headers) {
@@ -42,8 +42,8 @@
     return Result::kOk;
   }
   const std::string* never_ran = message.headers.find("X-Never-Ran");
-  // Guards against adding load to an overloaded tier for one full backend: only the header proves
-  // that the request was not executed.
+  // Only X-Never-Ran proves that the request was not executed. Retrying on every 503 or 504 would
+  // add load to an overloaded tier.
   if ((message.status == 503 || message.status == 504) && never_ran && *never_ran == "1") {
     return Result::kOverloaded;
   }
@@ -60,7 +60,7 @@
     written = co_await write_remaining_body();
     deadline = now() + attempt_->response_timeout;
   }
-  if (written != IoResult::kOk) {  // its last byte was not sent, so it was not executed
+  if (written != IoResult::kOk) {  // the last byte was not sent, so the request was not executed
     connection_.end_reason = EndReason::kReset;
     co_return std::move(result_);
   }
@@ -72,9 +72,9 @@
   co_return std::move(result_);
 }
 
-// The rest of a streamed request, at the pace of its client. Anything but kOk: its last byte was
-// not sent. A backend that closes, or responds before it has received everything, wants no more of
-// it.
+// Writes the rest of a streamed request at the pace of its client. Any result other than kOk means
+// that the last byte was not sent. Writing ends early if the backend closes the connection or
+// responds before it has received the whole request.
 Task<IoResult> BackendExchange::write_remaining_body() {
   net::Stream& stream = *connection_.stream;
   BodyPipe& pipe = *payload_.remaining_body();
@@ -106,15 +106,15 @@
   }
 }
 
-// Only a complete response to this very request counts; after anything else the request may have
-// been executed, and the connection is of no more use.
+// Accepts only a complete response to this request. After anything else the request may have been
+// executed, and the connection is not reused.
 Task<> BackendExchange::receive(Time deadline) {
   const ReadOutcome outcome = co_await read_first_part(deadline);
-  if (outcome == ReadOutcome::kFailed || !take_response()) {
+  if (outcome == ReadOutcome::kFailed || !accept_response()) {
     co_return;
   }
   if (outcome == ReadOutcome::kStreaming) {
-    if (!attempt_ || result_.result != Result::kOk) {  // nobody is to have the rest
+    if (!attempt_ || result_.result != Result::kOk) {  // the rest of the response is not needed
       connection_.end_reason = EndReason::kMalformedResponse;
       co_return;
     }
@@ -128,7 +128,7 @@
       buffer_.empty() ? EndReason::kBackendClosed : EndReason::kMalformedResponse;
 }
 
-// A complete response, or of one that is streamed its head and first part.
+// Reads a complete response, or the head and first part of a streamed one.
 Task<BackendExchange::ReadOutcome> BackendExchange::read_first_part(Time deadline) {
   bool started = false;
   for (;;) {
@@ -176,12 +176,13 @@
   }
 }
 
-// False where it is the response to another request.
-bool BackendExchange::take_response() {
+// Returns false if the response belongs to another request.
+bool BackendExchange::accept_response() {
   http::Message& message = parser_.message();
   const std::string_view trace_id = payload_.trace_id();
   const bool echoes_trace_id = !trace_id.empty() && message.body.starts_with(trace_id);
-  // Guards against passing on what was left over from the response before it on this connection.
+  // If the previous response on the connection began with its trace id and this one does not, this
+  // one may be left over from an earlier request and must not be forwarded.
   if (message.status == 200 && !echoes_trace_id && connection_.echoes_trace_ids) {
     connection_.echoes_trace_ids = false;
     connection_.end_reason = EndReason::kMalformedResponse;
@@ -198,13 +199,12 @@
   return true;
 }
 
-// A streamed response, whose first part has arrived: posted at once, and passed on until its end.
-// The request's deadline does not cut off what the backend still sends. Returns whether it is
-// complete.
+// Posts the outcome with the first part of a streamed response and forwards the rest until it ends.
+// The request's deadline does not limit the rest. Returns whether the response is complete.
 Task<bool> BackendExchange::stream_response() {
   runtime::Notifier capacity;
   const auto pipe = std::make_shared<BodyPipe>(pool_.body_budget);
-  const BodyPipe::WriterGuard writing(pipe.get(), capacity);
+  const BodyPipe::WriterGuard writer_guard(pipe.get(), capacity);
   AttemptCompleted outcome{attempt_->request_id, attempt_->attempt_number, Result::kOk,
                            result_.load_report, std::move(result_.response)};
   outcome.response.remaining_body = pipe;
@@ -221,7 +221,7 @@
   co_return true;
 }
 
-// Until the body's end, or until nobody reads it any more.
+// Forwards the body until it ends or the reader closes the pipe.
 Task<http::Progress> BackendExchange::forward_body(BodyPipe& pipe, runtime::Notifier& capacity) {
   http::Progress progress = http::Progress::kNeedsMore;
   std::string bytes;
--- a/src/proxy/backend_exchange.h
+++ b/src/proxy/backend_exchange.h
@@ -1,4 +1,4 @@
-// One request and its response on an established connection to a backend.
+// Sends one request to a backend on an established connection and receives the response.
 #pragma once
 
 #include <optional>
@@ -21,14 +21,15 @@
   Result result = Result::kConnectFailed;
   LoadReport load_report;
   BackendResponse response;
-  /// The outcome has been posted already, with the first part of a streamed response.
+  /// Whether the outcome has already been posted, along with the first part of a streamed response.
   bool posted = false;
 };
 
-/// Runs once. Nothing that it refers to may end before it.
+/// run() is called once. Everything passed to the constructor by reference must outlive that call.
 class BackendExchange {
  public:
-  /// `attempt`: whose outcome may be posted before the response's end; null for a health check.
+  /// `attempt` identifies the attempt whose outcome is posted when a streamed response begins; null
+  /// for a health check.
   BackendExchange(runtime::Scheduler& scheduler, DecisionMailbox& decisions, BackendPool& pool,
                   BackendConnection& connection, const Payload& payload,
                   const AttemptRequest* attempt)
@@ -39,11 +40,12 @@
         payload_(payload),
         attempt_(attempt) {}
 
-  /// `write_deadline`: for the request's last byte, unless its body is streamed. `deadline`: for
-  /// the response.
+  /// `write_deadline` limits writing the request, or the first part of a streamed one. `deadline`
+  /// limits receiving the response, or the first part of a streamed one; for a streamed request,
+  /// the attempt's response_timeout replaces it.
   runtime::Task<ExchangeResult> run(Time write_deadline, Time deadline);
 
-  /// Whether the connection may carry another request.
+  /// Whether the connection can carry another request after run().
   bool connection_is_reusable() const { return reusable_; }
 
  private:
@@ -54,7 +56,7 @@
   runtime::Task<ReadOutcome> read_first_part(Time deadline);
   http::Progress parse_buffer();
   void record_failure(net::IoResult io, bool response_started);
-  bool take_response();
+  bool accept_response();
   runtime::Task<bool> stream_response();
   runtime::Task<http::Progress> forward_body(BodyPipe& pipe, runtime::Notifier& capacity);
 
@@ -67,7 +69,7 @@
   ExchangeResult result_;
   std::string buffer_;
   http::Parser parser_{http::Parser::Kind::kResponse};
-  /// The response is too large to be buffered.
+  /// Whether the response is too large to be buffered and is forwarded as it arrives.
   bool streams_response_ = false;
   bool reusable_ = false;
 };
--- a/src/proxy/backend_exclusions.h
+++ b/src/proxy/backend_exclusions.h
@@ -1,4 +1,4 @@
-// Which backends receive nothing, whatever the endpoint list says of them.
+// Backends that must not receive requests, regardless of their status in the endpoint list.
 #pragma once
 
 #include <map>
@@ -11,14 +11,14 @@
 
 namespace beechhill::proxy {
 
-/// Operators' exclusions and the permissions that the proxies have agreed on, by backend id. Both
-/// outlast the backend's entry in the list.
+/// Exclusions made by operators and the dispatch permissions on which the proxies have agreed, by
+/// backend id. Both are kept after the backend has left the endpoint list.
 class BackendExclusions {
  public:
   explicit BackendExclusions(std::set<std::string> excluded_by_operator)
       : excluded_by_operator_(std::move(excluded_by_operator)) {}
 
-  /// True where that changed anything.
+  /// Returns whether the exclusion has changed.
   bool set_excluded_by_operator(const std::string& backend_id, bool excluded) {
     return excluded ? excluded_by_operator_.insert(backend_id).second
                     : excluded_by_operator_.erase(backend_id) > 0;
@@ -28,25 +28,25 @@
   }
   const std::set<std::string>& excluded_by_operator() const { return excluded_by_operator_; }
 
-  /// Returns the permissions that were in force before.
+  /// Replaces all permissions and returns the previous ones.
   DispatchPermissions replace_permissions(DispatchPermissions permissions) {
     serving_permitted_until_ = permissions.serving_permitted_until;
     return std::exchange(permissions_, std::move(permissions));
   }
   const DispatchPermissions& permissions() const { return permissions_; }
 
-  /// Time::max() where no permission limits it.
+  /// When the permission to send requests to the backend ends; Time::max() if it is not limited.
   Time permitted_until(const std::string& backend_id) const {
     const auto it = permissions_.permitted_until.find(backend_id);
     return it == permissions_.permitted_until.end() ? Time::max() : it->second;
   }
 
-  /// Excluded by an operator, or not permitted any more.
+  /// Whether an operator has excluded the backend or the permission to use it has ended.
   bool is_excluded(const std::string& backend_id, Time now) const {
     return is_excluded_by_operator(backend_id) || permitted_until(backend_id) <= now;
   }
 
-  /// Nothing may be sent to any backend until replace_permissions() permits it.
+  /// Forbids sending requests to any backend until replace_permissions() permits it.
   void require_permissions() { serving_permitted_until_ = Time::min(); }
   bool serving_permitted(Time now) const { return now < serving_permitted_until_; }
 
--- a/src/proxy/backend_messages.h
+++ b/src/proxy/backend_messages.h
@@ -1,5 +1,5 @@
 // The messages that a backend's actor receives, and the interface through which the decision actor
-// sends them.
+// posts them.
 #pragma once
 
 #include <netinet/in.h>
@@ -15,51 +15,54 @@
 
 namespace beechhill::proxy {
 
-/// Carry out one attempt of a request. Answered by exactly one AttemptCompleted.
+/// Requests one attempt of a client request. Answered by exactly one AttemptCompleted.
 struct AttemptRequest {
   RequestId request_id = 0;
-  /// Of the request's attempts, from 0.
+  /// Index among the request's attempts, from 0.
   std::uint32_t attempt_number = 0;
-  /// A connection that is not established by then has failed.
+  /// The attempt fails if no connection is established by this time.
   Time connect_deadline{0};
   /// When the proxy stops waiting for the response.
   Time deadline{0};
-  /// Of a streamed body: how long the response may take, from its last byte's write.
+  /// For a streamed request body: maximum time from writing its last byte to receiving the
+  /// response.
   Duration response_timeout{0};
   std::shared_ptr<const Payload> payload;
-  /// Null where no client can disconnect.
+  /// The client request, whose state shows whether an outcome is still needed. If null, it always
+  /// is.
   std::shared_ptr<const ClientRequest> request;
-  /// The request's last byte is written by then, or the attempt is not carried out.
+  /// The request's last byte must be written by this time. If it has passed before writing begins,
+  /// the attempt is not carried out.
   Time write_deadline = Time::max();
 };
 
-/// Cancel an attempt; without effect where its outcome is under way already.
+/// Cancels an attempt. Has no effect if the attempt has already ended.
 struct CancelAttempt {
   RequestId request_id = 0;
   std::uint32_t attempt_number = 0;
 };
 
-/// Carry out a health check. Answered by exactly one HealthCheckCompleted.
+/// Requests a health check. Answered by exactly one HealthCheckCompleted.
 struct CheckHealth {};
 
-/// The backend's state in the endpoint list.
+/// Informs the actor of its backend's entry in the endpoint list and of its dispatch permission.
 struct BackendStatus {
   EndpointStatus status = EndpointStatus::kUp;
   sockaddr_in address{};
-  /// Unix time of the backend's latest start; 0: not stated.
+  /// Unix time of the backend's latest start; 0 if not stated.
   std::chrono::milliseconds started_at{0};
-  /// When the permission to send new requests there ends.
+  /// No new request may be sent to the backend from this time on.
   Time permitted_until = Time::max();
 };
 
 using BackendMessage = std::variant<AttemptRequest, CancelAttempt, CheckHealth, BackendStatus>;
 
-/// A backend as the decision actor sees it, whatever protocol it speaks.
+/// A backend as the decision actor uses it, independent of the backend's protocol.
 class Backend {
  public:
   virtual ~Backend() = default;
 
-  /// False, with `message` unchanged, when the mailbox is full.
+  /// Returns false and leaves `message` unchanged if the mailbox is full.
   [[nodiscard]] virtual bool post(BackendMessage&& message) = 0;
 };
 
--- a/src/proxy/backend_pool.h
+++ b/src/proxy/backend_pool.h
@@ -1,4 +1,4 @@
-// What the actors of all backends share.
+// State shared by the actors of all backends.
 #pragma once
 
 #include <algorithm>
@@ -14,19 +14,19 @@
 
 namespace beechhill::proxy {
 
-/// The descriptors that connections to backends may hold, and the idle ones among them. Outlives
-/// the actors.
+/// The budget of descriptors for connections to backends, the idle connections, and state that all
+/// backends share. Must outlive the actors.
 struct BackendPool {
   BackendPool(std::size_t descriptors, BodyBudget& body_budget, Telemetry& telemetry,
               const Settings& settings)
       : budget(descriptors), body_budget(body_budget), telemetry(telemetry) {
     for (const ClassSettings& class_settings : settings.classes) {
-      max_response_gap = std::min(max_response_gap, class_settings.deadline / kDeadlinePartsPerGap);
+      max_response_gap = std::min(max_response_gap, class_settings.deadline / kResponseGapDivisor);
     }
   }
 
-  /// Where descriptors are short, closes the connection that has been idle longest, of any backend.
-  /// Returns whether there is capacity for one more, at once or with that close.
+  /// Returns whether another connection may be opened. If the descriptor budget is exhausted, makes
+  /// room by closing the connection that has been idle longest, of any backend.
   bool reserve_descriptor() {
     if (budget.has_capacity()) {
       return true;
@@ -46,16 +46,17 @@
   DescriptorBudget budget;
   BodyBudget& body_budget;
   Telemetry& telemetry;
-  /// By backend, in no order.
+  /// The idle connections of each backend, in no particular order.
   std::vector<IdleConnections*> idle_connections;
-  /// Without a byte of a response that has begun. After a longer gap its stated length was wrong.
+  /// Maximum time without a byte while a response, or the first part of a streamed one, is
+  /// received. A longer gap shows that the response is shorter than its stated length.
   Duration max_response_gap = Duration::max();
-  /// Whether the endpoint list may still decide where something new goes.
+  /// Whether the endpoint list is recent enough to choose backends for new requests.
   std::function<bool()> endpoints_are_current = [] { return true; };
 
  private:
-  /// The gap is one part in so many of the shortest deadline: 250 ms of 2 s.
-  static constexpr int kDeadlinePartsPerGap = 8;
+  /// The maximum gap is the shortest deadline divided by this: 250 ms for a deadline of 2 s.
+  static constexpr int kResponseGapDivisor = 8;
 };
 
 }  // namespace beechhill::proxy
--- a/src/proxy/body_pipe.h
+++ b/src/proxy/body_pipe.h
@@ -1,5 +1,5 @@
-// A body on its way from one connection to another, bounded, with one writer and one reader:
-// whoever is slower holds the other back.
+// A bounded buffer that carries a message body from one connection to another, with one writer and
+// one reader. Backpressure limits the writer to the reader's pace.
 #pragma once
 
 #include <cstddef>
@@ -10,8 +10,8 @@
 
 namespace beechhill::proxy {
 
-/// Bytes that all pipes together should hold. Beyond it new streamed requests are rejected, and
-/// each pipe holds less.
+/// Limits the bytes buffered by all pipes together. Once the limit is reached, new streamed
+/// requests are rejected and each pipe buffers less.
 class BodyBudget {
  public:
   explicit BodyBudget(std::size_t bytes) : limit_(bytes) {}
@@ -25,11 +25,12 @@
   std::size_t used_ = 0;
 };
 
-/// One body. `budget` outlives it.
+/// The buffer of one body. `budget` must outlive the pipe.
 class BodyPipe {
  public:
-  /// Beyond these the pipe is full; the last part written may exceed them.
+  /// Number of buffered bytes at which the pipe is full. The last push() may exceed it.
   static constexpr std::size_t kMaxBufferedBytes = std::size_t{64} * 1024;
+  /// Replaces kMaxBufferedBytes while the budget has no capacity.
   static constexpr std::size_t kMaxBufferedBytesWhenOverBudget = std::size_t{16} * 1024;
 
   explicit BodyPipe(BodyBudget& budget) : budget_(budget) {}
@@ -37,14 +38,14 @@
   BodyPipe(const BodyPipe&) = delete;
   BodyPipe& operator=(const BodyPipe&) = delete;
 
-  // ---- The writer's side
+  // ---- Writer
 
-  /// Held for as long as the writer is there: `capacity_available` is notified when the pipe is no
-  /// longer full, or its reader has closed it. However the writer ends, a body that is incomplete
-  /// is aborted then, and the notifier is not used any more.
+  /// Registers the writer for its lifetime. `capacity_available` is notified when the reader takes
+  /// bytes or closes its side. The destructor aborts a body that is incomplete and unregisters the
+  /// notifier.
   class WriterGuard {
    public:
-    /// `pipe` null: there is nothing to write.
+    /// `pipe` is null if there is no body to write.
     WriterGuard(BodyPipe* pipe, runtime::Notifier& capacity_available) : pipe_(pipe) {
       if (pipe_) {
         pipe_->capacity_available_ = &capacity_available;
@@ -68,18 +69,18 @@
     return bytes_.size() >=
            (budget_.has_capacity() ? kMaxBufferedBytes : kMaxBufferedBytesWhenOverBudget);
   }
-  /// Takes all of `bytes`, which is empty afterwards.
+  /// Appends `bytes` to the pipe and leaves `bytes` empty.
   void push(std::string& bytes) {
     budget_.used_ += bytes.size();
     bytes_ += std::exchange(bytes, {});
     data_available_.notify();
   }
-  /// The body is complete.
+  /// Marks the body as complete.
   void finish() {
     state_ = State::kComplete;
     data_available_.notify();
   }
-  /// The body will never be complete. Without effect on one that is.
+  /// Marks the body as never to be completed. Has no effect after finish().
   void abort() {
     if (state_ == State::kOpen) {
       state_ = State::kAborted;
@@ -87,12 +88,12 @@
     data_available_.notify();
   }
   bool reader_closed() const { return reader_closed_; }
-  /// Whether the reader has taken a byte: then nobody can read the body from its start any more.
+  /// Whether the reader has taken bytes, so that the body can no longer be read from its start.
   bool reading_started() const { return reading_started_; }
 
-  // ---- The reader's side
+  // ---- Reader
 
-  /// Closes the reader's side at its end.
+  /// Closes the reader's side on destruction.
   class ReaderGuard {
    public:
     explicit ReaderGuard(BodyPipe& pipe) : pipe_(pipe) {}
@@ -105,7 +106,7 @@
   };
 
   bool empty() const { return bytes_.empty(); }
-  /// All bytes that the pipe holds.
+  /// Removes and returns all buffered bytes.
   std::string take() {
     reading_started_ = true;
     budget_.used_ -= bytes_.size();
@@ -115,7 +116,7 @@
   /// Whether the writer has finished; the pipe may still hold bytes.
   bool is_complete() const { return state_ == State::kComplete; }
   bool is_aborted() const { return state_ == State::kAborted; }
-  /// Notified of bytes, and of the body's end.
+  /// Notified when bytes are pushed and when the body is finished or aborted.
   runtime::Notifier& data_available() { return data_available_; }
   void close_reader() {
     reader_closed_ = true;
@@ -132,7 +133,7 @@
   }
 
   BodyBudget& budget_;
-  /// The writer's; null where there is none.
+  /// The writer's notifier; null if there is no writer.
   runtime::Notifier* capacity_available_ = nullptr;
   runtime::Notifier data_available_;
   std::string bytes_;
--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -24,27 +24,27 @@
 
 namespace {
 
-// Between two requests.
+// Maximum time between two requests on a connection.
 constexpr auto kIdleTimeout = 10000ms;
 
-// For a new client's first byte.
+// Maximum time until the first byte of a new client.
 constexpr auto kFirstByteTimeout = 1000ms;
 
-// For a request to arrive, from its first byte, and in addition a millisecond for each
-// kMinUploadRate bytes. Slow clients write 64.
+// Maximum time for a request to arrive from its first byte on, extended by one millisecond for
+// every kMinUploadRate bytes received. Slow clients send 64 bytes per millisecond.
 constexpr auto kRequestTimeout = 2500ms;
 constexpr std::uint64_t kMinUploadRate = 32;
 
-// For a client to take a response.
+// Maximum time for a client to take a response, or a part of a streamed one.
 constexpr auto kWriteTimeout = 5s;
 
-// For a client to close after its last response.
+// Maximum time for a client to close the connection after its last response.
 constexpr Duration kLingerTimeout = 1s;
 
-// After the deadline, when the decision actor has not responded.
+// A request is failed this long after its deadline if the decision actor has not responded.
 constexpr Duration kResponseOverdue = 10ms;
 
-// Bytes of following requests that are buffered while one is answered.
+// Maximum bytes of pipelined requests that are buffered while another request is served.
 constexpr std::size_t kMaxPipelinedBytes = http::kMaxHeadBytes + http::kMaxBufferedBodyBytes;
 
 bool is_health_check(const http::Message& message) {
@@ -79,7 +79,7 @@
   wake_.notify();
 }
 
-void ClientConnection::enter(Phase phase) {
+void ClientConnection::enter_phase(Phase phase) {
   phase_ = phase;
   phase_started_at_ = Clock::now();
 }
@@ -88,8 +88,8 @@
   for (bool open = true; open;) {
     http::Parser parser(http::Parser::Kind::kRequest);
     const ReadOutcome outcome = co_await read_request(parser);
-    // Between requests no response is still on its way. A request that crosses the close stays
-    // unread, so its client can tell, and retries it.
+    // No response is in transit between requests, so the connection is closed without lingering. A
+    // request that arrives at the same time stays unread; its client can detect that and retry it.
     if (outcome == ReadOutcome::kClosed) {
       co_return;
     }
@@ -104,14 +104,15 @@
       co_await reject(408, EndReason::kReadTimeout);
     }
   }
-  enter(Phase::kLingering);
+  enter_phase(Phase::kLingering);
   const bool evicted = close_requested_ && close_reason_ == EndReason::kEvicted;
-  if (!evicted) {  // else its descriptor is needed now
+  if (!evicted) {  // an evicted connection must free its descriptor at once
     co_await lingering_close();
   }
 }
 
-// Guards against a reset that destroys a response still on its way.
+// Keeps the descriptor open until the client closes or kLingerTimeout ends, because a reset could
+// destroy a response in transit.
 Task<> ClientConnection::lingering_close() {
   const TimePoint until =
       to_point(std::min(now() + kLingerTimeout, context_.lifecycle.response_deadline()));
@@ -122,10 +123,10 @@
   }
 }
 
-// ---- Reading
+// ---- Reading requests
 
-// A complete request, or of one whose body is streamed what has arrived beyond
-// http::kMaxBufferedBodyBytes.
+// Reads a complete request, or the head and first part of one whose body is streamed because it
+// exceeds http::kMaxBufferedBodyBytes.
 Task<ClientConnection::ReadOutcome> ClientConnection::read_request(http::Parser& parser) {
   received_bytes_ = buffer_.size();
   http::Progress progress = parse_buffer(parser);
@@ -133,14 +134,14 @@
       progress != http::Progress::kNeedsMore || !buffer_.empty() || parser.head_done();
   const bool is_new = requests_ == 0 && !answered_health_check_;
   const Phase waiting = is_new ? Phase::kNew : Phase::kIdle;
-  enter(started ? Phase::kReading : waiting);
+  enter_phase(started ? Phase::kReading : waiting);
   request_started_at_ = phase_started_at_;
   bool expectation_handled = false;
   while (progress == http::Progress::kNeedsMore && !streams_body_) {
     if (parser.head_done() && !std::exchange(expectation_handled, true)) {
-      const std::optional<ReadOutcome> refused = co_await handle_expectation(parser.message());
-      if (refused) {
-        co_return *refused;
+      const std::optional<ReadOutcome> rejected = co_await handle_expectation(parser.message());
+      if (rejected) {
+        co_return *rejected;
       }
     }
     const bool was_reading = phase_ == Phase::kReading;
@@ -154,14 +155,15 @@
       co_return end_of_input(io);
     }
     received_bytes_ += buffer_.size() - size_before;
-    enter(Phase::kReading);
+    enter_phase(Phase::kReading);
     if (!was_reading) {
       request_started_at_ = phase_started_at_;
     }
     progress = parse_buffer(parser);
   }
-  enter(Phase::kActive);
-  // Guards against a request whose length is wrong: what follows it is no request.
+  enter_phase(Phase::kActive);
+  // If the bytes after a request cannot begin another one, the stated length of the request is
+  // wrong.
   const bool followed_by_request =
       progress != http::Progress::kComplete || http::may_begin_request(buffer_);
   co_return progress == http::Progress::kMalformed || !followed_by_request ? ReadOutcome::kMalformed
@@ -175,7 +177,8 @@
   return progress;
 }
 
-// Answers an Expect header, if there is one. Returns how the request ended, if it did.
+// Responds to an Expect header, if there is one. Returns an outcome if the rest of the request is
+// not read.
 Task<std::optional<ClientConnection::ReadOutcome>> ClientConnection::handle_expectation(
     const http::Message& message) {
   if (!message.headers.find("Expect")) {
@@ -192,7 +195,7 @@
   co_return std::nullopt;
 }
 
-// A large body may take its time, at a minimum rate.
+// A large body may take longer to arrive, as long as it keeps a minimum rate.
 TimePoint ClientConnection::request_read_deadline() const {
   return request_started_at_ + kRequestTimeout +
          std::chrono::milliseconds(received_bytes_ / kMinUploadRate);
@@ -200,7 +203,7 @@
 
 TimePoint ClientConnection::read_deadline() const {
   const bool reading = phase_ == Phase::kReading;
-  // A last look for what has arrived, without waiting for more.
+  // Bytes that have already arrived are read without waiting for more.
   if (close_requested_ && (!reading || close_reason_ == EndReason::kEvicted)) {
     return Clock::now();
   }
@@ -229,16 +232,17 @@
   return ReadOutcome::kClosed;
 }
 
-// ---- Answering
+// ---- Serving requests
 
-// Not while the next request has been read, but for the deadline of all responses.
+// Whether the connection closes after the current response. If the next request has already been
+// received, it is answered first, unless the response deadline of the shutdown has passed.
 bool ClientConnection::closes_after_response() const {
   const ListenerLifecycle& lifecycle = context_.lifecycle;
   return (close_requested_ || lifecycle.closes_after_response(accepted_at_, now())) &&
          (buffer_.empty() || now() >= lifecycle.response_deadline());
 }
 
-// False: this was the connection's last request.
+// Serves a request. Returns false if it was the connection's last.
 Task<bool> ClientConnection::answer_request(http::Parser& parser) {
   http::Message& message = parser.message();
   const bool close = !message.keep_alive();
@@ -260,17 +264,17 @@
   ++requests_;
   const auto request = std::get<std::shared_ptr<ClientRequest>>(parsed);
   Telemetry::RequestScope scope(context_.telemetry, request->class_id);
-  const BodyPipe::WriterGuard writing(upload.get(), request->response_ready);
+  const BodyPipe::WriterGuard writer_guard(upload.get(), request->response_ready);
   DecisionMessage received(RequestReceived{request});
   if (over_budget || !context_.decisions.post(std::move(received))) {
     request->response = Rejection{};
   } else if (!co_await await_response(request, parser)) {
     co_return false;
   }
-  // Answered before its body has arrived: what still comes is no request.
+  // If the response is ready before the request's body, the rest of the body is not a new request.
   discard_input_ = upload && !upload->is_complete();
   const bool last = close || discard_input_ || closes_after_response();
-  // NOLINTNEXTLINE(bugprone-unchecked-optional-access): await_response() has waited for it
+  // NOLINTNEXTLINE(bugprone-unchecked-optional-access): set on every path to here
   const ClientResponse& response = *request->response;
   co_return co_await send_response(response, last, client_decodes_chunks, scope);
 }
@@ -282,8 +286,8 @@
   co_return co_await write_response(bytes, last);
 }
 
-// Waits for the response and for the client's end alike, and passes the rest of a streamed body on.
-// False: the client has disconnected, or its request was rejected.
+// Waits for the response while it watches for a disconnect and forwards the rest of a streamed
+// body. Returns false if the client has disconnected or its request was rejected.
 Task<bool> ClientConnection::await_response(const std::shared_ptr<ClientRequest>& request,
                                             http::Parser& parser) {
   while (!request->response) {
@@ -292,14 +296,15 @@
     if (outcome == WaitOutcome::kPending) {
       continue;
     }
-    if (outcome == WaitOutcome::kOverdue) {  // an unforeseen fault: it may have been executed
+    if (outcome == WaitOutcome::kOverdue) {
+      // The decision actor has not responded, and the request may have been executed.
       request->response = Failure{};
     }
     request->abandoned = outcome != WaitOutcome::kOverdue;
     if (BodyPipe* upload = request->payload->remaining_body().get()) {
       upload->abort();
     }
-    // Guards against a request that is queued and forwarded for nobody.
+    // Without this message the request would stay queued or be forwarded although no client waits.
     DecisionMessage abandoned(RequestAbandoned{request});
     co_await post_reliably(context_.scheduler, context_.decisions, std::move(abandoned));
     if (outcome == WaitOutcome::kOverdue) {
@@ -317,7 +322,7 @@
   co_return true;
 }
 
-// Waits once: for the response, for bytes of the client, or for its end.
+// Waits until the response is set, bytes of the client arrive, or the client disconnects.
 Task<ClientConnection::WaitOutcome> ClientConnection::await_progress(ClientRequest& request,
                                                                      http::Parser& parser) {
   const bool uploading = is_uploading(request);
@@ -331,8 +336,9 @@
     io = co_await stream_.read(buffer_, overdue, &request.response_ready);
     received_bytes_ += buffer_.size() - size_before;
   } else {
-    // While a backend holds the body back, its client is not the slow one. It may disconnect,
-    // whether or not all its bytes have been read.
+    // Nothing is read while the backend takes no more of the body or while the buffer for pipelined
+    // requests is full, but a disconnect is still detected. Time in which the backend takes no more
+    // does not count as the client's upload time.
     const TimePoint started_at = Clock::now();
     const TimePoint until = uploading ? to_point(request.deadline) : overdue;
     io = co_await stream_.wait_for_peer_close(until, request.response_ready);
@@ -349,13 +355,13 @@
   if (io != IoResult::kOk) {
     co_return WaitOutcome::kDisconnected;
   }
-  // Bytes that begin no request show that the length of this one was wrong.
+  // If the bytes cannot begin another request, the stated length of this one is wrong.
   const bool valid = uploading ? forward_upload(request, parser) : http::may_begin_request(buffer_);
   co_return valid ? WaitOutcome::kPending : WaitOutcome::kMalformed;
 }
 
-// Moves what has arrived of a streamed body into its pipe. False: it is malformed, or its length is
-// wrong.
+// Moves received bytes of a streamed body into its pipe. Returns false if the body is malformed or
+// its stated length is wrong.
 bool ClientConnection::forward_upload(ClientRequest& request, http::Parser& parser) {
   BodyPipe& upload = *request.payload->remaining_body();
   std::string bytes;
@@ -376,9 +382,9 @@
   return true;
 }
 
-// ---- Responding
+// ---- Sending responses
 
-// False: the connection is to be closed.
+// Returns whether the connection stays open.
 Task<bool> ClientConnection::send_response(const ClientResponse& response, bool close,
                                            bool client_decodes_chunks,
                                            Telemetry::RequestScope& scope) {
@@ -398,12 +404,13 @@
   co_return open;
 }
 
-// A streamed response, at the pace of its backend and its client. False: its end did not come, or
-// the client disconnected; the connection is then closed without it, so that the client can tell.
+// Sends a streamed response at the pace of its backend and client. Returns false if the response
+// ended early or could not be written; the connection is then closed before the body's end, which
+// shows the client that the body is incomplete.
 Task<bool> ClientConnection::stream_response(const BackendResponse& response, bool close,
                                              bool client_decodes_chunks) {
   BodyPipe& pipe = *response.remaining_body;
-  const BodyPipe::ReaderGuard reading(pipe);
+  const BodyPipe::ReaderGuard reader_guard(pipe);
   const bool chunked = client_decodes_chunks && !response.content_length;
   const auto frame = [chunked](const std::string& bytes) {
     return chunked ? http::write_chunk(bytes) : bytes;
@@ -436,7 +443,7 @@
   }
 }
 
-// False: the connection is to be closed.
+// Returns whether the connection stays open.
 Task<bool> ClientConnection::write_response(const std::string& bytes, bool close) {
   const IoResult io = co_await stream_.write(bytes, Clock::now() + kWriteTimeout);
   end_reason_ = io == IoResult::kOk ? EndReason::kClosedAfterResponse : EndReason::kWriteFailed;
--- a/src/proxy/client_connection.h
+++ b/src/proxy/client_connection.h
@@ -1,4 +1,4 @@
-// One client's connection: one request at a time, each answered before the next is read.
+// A client's connection. It serves one request at a time, in the order in which they arrive.
 #pragma once
 
 #include <cstdint>
@@ -25,7 +25,7 @@
 
 class ClientConnection;
 
-/// What the connections of one listener share. It outlives them.
+/// State shared by the connections of one listener. Must outlive them.
 struct ClientContext {
   runtime::Scheduler& scheduler;
   DecisionMailbox& decisions;
@@ -34,17 +34,17 @@
   DescriptorBudget descriptor_budget;
   ListenerLifecycle lifecycle;
   ClientRequestParser request_parser;
-  /// Whether there are endpoints to send requests to.
+  /// Returns whether there are endpoints to which requests can be sent.
   std::function<bool()> has_endpoints;
-  /// The open ones.
+  /// All open connections.
   std::list<ClientConnection*> connections;
   runtime::Notifier connection_closed;
 
-  /// Whether new clients should come here.
+  /// Whether the readiness check succeeds, so that new clients are routed to this process.
   bool ready() const { return lifecycle.is_ready() && has_endpoints(); }
 };
 
-/// Registers itself with its context, and logs its end.
+/// A client's connection. Registers itself with its context and logs its end.
 class ClientConnection {
  public:
   ClientConnection(ClientContext& context, net::FileDescriptor fd, const sockaddr_in& remote);
@@ -52,37 +52,37 @@
   ClientConnection(const ClientConnection&) = delete;
   ClientConnection& operator=(const ClientConnection&) = delete;
 
-  /// In the order of eviction, but for kActive.
+  /// Except for kActive, the phases are in the order in which connections are evicted.
   enum class Phase {
-    /// Accepted; no byte has arrived.
+    /// Accepted, and no byte has been received.
     kNew,
-    /// After the last response, until the client closes.
+    /// The last response has been sent, and the client has not closed the connection yet.
     kLingering,
-    /// Between two requests.
+    /// Waiting for the next request.
     kIdle,
-    /// Part of a request has arrived.
+    /// Part of a request has been received.
     kReading,
-    /// A response is owed, or the connection is being closed.
+    /// A response is outstanding, or the connection is being closed.
     kActive,
   };
-  /// Phases from which a connection may be evicted.
+  /// Number of phases in which a connection may be evicted.
   static constexpr std::size_t kEvictablePhases = static_cast<std::size_t>(Phase::kActive);
 
-  /// Serves requests until the connection's end.
+  /// Serves requests until the connection ends.
   runtime::Task<> serve();
 
   Phase phase() const { return close_requested_ ? Phase::kActive : phase_; }
   runtime::TimePoint phase_started_at() const { return phase_started_at_; }
 
-  /// Closes the connection as soon as no response is owed. A request that has arrived by then is
-  /// still answered.
+  /// Closes the connection once no response is outstanding. A request that has been received by
+  /// then is still answered.
   void request_close(EndReason reason);
 
  private:
   enum class ReadOutcome { kRequest, kMalformed, kTimedOut, kClosed };
   enum class WaitOutcome { kPending, kOverdue, kMalformed, kUploadTooSlow, kDisconnected };
 
-  void enter(Phase phase);
+  void enter_phase(Phase phase);
   runtime::Task<> lingering_close();
 
   runtime::Task<ReadOutcome> read_request(http::Parser& parser);
@@ -111,19 +111,20 @@
   DescriptorBudget::Slot slot_;
   std::string remote_;
   net::Stream stream_;
-  /// Bytes read and not used yet: the next request may arrive early.
+  /// Received bytes that have not been parsed yet; may include pipelined requests.
   std::string buffer_;
   runtime::Notifier wake_;
   bool close_requested_ = false;
   EndReason close_reason_ = EndReason::kEvicted;
   bool answered_health_check_ = false;
-  /// The request's body is too large to be buffered, and is passed on as it arrives.
+  /// Whether the request's body is too large to be buffered and is forwarded as it arrives.
   bool streams_body_ = false;
-  /// What still arrives cannot be told from a rejected request's body: it is read and discarded.
+  /// Whether further input is discarded, because it may belong to the body of a rejected request.
   bool discard_input_ = false;
-  /// When the request's first byte arrived.
+  /// When the first byte of the current request was received.
   runtime::TimePoint request_started_at_{};
-  std::uint64_t received_bytes_ = 0;  // of the request
+  /// Bytes of the current request received so far.
+  std::uint64_t received_bytes_ = 0;
   Phase phase_ = Phase::kNew;
   runtime::TimePoint phase_started_at_ = runtime::Clock::now();
   EndReason end_reason_ = EndReason::kFault;
--- a/src/proxy/client_listener.cpp
+++ b/src/proxy/client_listener.cpp
@@ -23,23 +23,25 @@
 
 constexpr std::size_t kInboxCapacity = 32;
 
-// While descriptors are short, or endpoints awaited.
+// Polling interval while descriptors or endpoints are missing and during a drain or shutdown.
 constexpr auto kRetryInterval = 20ms;
 
-// How often the accept loop checks whether it is to end.
+// How often the accept loop checks whether it must stop.
 constexpr auto kAcceptTimeout = 200ms;
 
-// Connections accepted before other tasks have their turn.
+// Connections that are accepted before other tasks run.
 constexpr std::size_t kAcceptBatch = 32;
 
-// Where descriptors are short, a connection is evicted once it has been so long in its phase. A
-// usual client has sent its first byte by then.
+// Minimum time that a connection has been in its phase before it may be evicted when descriptors
+// are short. A regular client sends its first byte within kMinNewAge.
 constexpr auto kMinNewAge = 30ms;
 constexpr auto kMinReadingAge = 500ms;
-// Between requests, while there may be clients that never send anything.
+// Minimum age for the eviction of an idle connection while there are new connections that may turn
+// out to be silent.
 constexpr auto kMinIdleAge = 250ms;
 
-// At a shutdown: a new client that sends anything at all has begun by then.
+// During a drain or shutdown, a new connection without a received byte is closed after this time. A
+// client that sends anything has begun by then.
 constexpr auto kFirstByteGrace = 100ms;
 
 Duration max_deadline(const config::Config& config) {
@@ -59,7 +61,7 @@
   return std::make_unique<net::Listener>(scheduler, config.listen);
 }
 
-// A fault on one connection ends that connection alone, and is logged.
+// Serves one connection. An exception is logged and ends only this connection.
 Task<> serve_connection(std::unique_ptr<ClientConnection> connection) {
   try {
     co_await connection->serve();
@@ -100,11 +102,12 @@
   sockaddr_in remote{};
   net::FileDescriptor fd;
   for (std::size_t round = 1; context_.lifecycle.accepts_connections(now()); ++round) {
-    // The clients that were accepted have their turn: those that send anything have begun by then.
+    // Lets the tasks of accepted connections run, so that the first bytes of their clients are
+    // read.
     if (round % kAcceptBatch == 0 || !context_.descriptor_budget.has_capacity()) {
       co_await sleep_for(0ms);
     }
-    // While descriptors are short nothing is accepted: the backlog holds clients until one is free.
+    // Without a free descriptor nothing is accepted, and clients wait in the backlog.
     if (!context_.descriptor_budget.has_capacity()) {
       co_await await_descriptor();
       continue;
@@ -114,14 +117,16 @@
     if (io == IoResult::kOk) {
       accept_client(std::move(fd), remote);
     } else if (io == IoResult::kError) {
-      co_await sleep_for(kRetryInterval);  // guards against a busy loop where the system has none
+      // Avoids a busy loop when the system has no descriptors left.
+      co_await sleep_for(kRetryInterval);
     }
   }
   co_await accept_backlog();
-  listener_.reset();  // from here on clients are refused, not left waiting
+  listener_.reset();  // from here on connections are rejected instead of kept waiting
 }
 
-// A shared socket's clients wait for whoever can serve them.
+// Waits for endpoints before accepting from an inherited socket, whose clients another process may
+// be able to serve meanwhile.
 Task<> ClientListener::await_endpoints() {
   while (config_.inherited_listener_fd && !context_.has_endpoints() &&
          !context_.lifecycle.is_shutting_down()) {
@@ -129,9 +134,9 @@
   }
 }
 
-// Guards against a reset of clients in the backlog: to them this machine has accepted. Nothing else
-// runs between the last look and the listener's close. A shared socket's backlog is its other
-// holders'.
+// Accepts the clients in the backlog, which would otherwise be reset when the listener closes. No
+// other task runs between the last accept and the close. The backlog of an inherited socket is left
+// to the other processes that hold it.
 Task<> ClientListener::accept_backlog() {
   sockaddr_in remote{};
   net::FileDescriptor fd;
@@ -151,7 +156,8 @@
   try {
     auto connection = std::make_unique<ClientConnection>(context_, std::move(fd), remote);
     context_.scheduler.spawn(serve_connection(std::move(connection)));
-  } catch (const std::system_error& error) {  // epoll takes no more: the client is disconnected
+  } catch (const std::system_error& error) {
+    // epoll accepts no more descriptors, so the client is disconnected.
     log::fault("connection_let_go", error);
   }
 }
@@ -164,7 +170,8 @@
 
 // ---- Eviction
 
-// Evicts a client that nothing is owed to, and waits for any connection's end.
+// Evicts a client without an outstanding response and waits until any connection ends, for at most
+// kRetryInterval.
 Task<> ClientListener::await_descriptor() {
   evict_one();
   runtime::Wait wait(context_.scheduler);
@@ -172,16 +179,17 @@
   co_await wait;
 }
 
-// Closes the connection that has been longest in its phase, of the first phase in Phase's order
-// that has any old enough. While a new one is too young to be called silent, those that had a
-// request a moment ago are spared: crowds of silent clients must not displace usual ones, nor must
-// those that keep a connection for good keep new ones waiting.
+// Requests the close of one connection: the one that has been in its phase longest, of the first
+// phase in the order of Phase in which any connection is old enough. While there are new
+// connections too young to count as silent, connections that became idle a moment ago are spared. A
+// crowd of silent clients must not displace regular ones, and clients that keep idle connections
+// open must not block new ones.
 void ClientListener::evict_one() {
-  const TimePoint at = Clock::now();
+  const TimePoint current_time = Clock::now();
   std::array<ClientConnection*, ClientConnection::kEvictablePhases> oldest{};
   bool has_young = false;
   for (ClientConnection* connection : context_.connections) {
-    const auto age = at - connection->phase_started_at();
+    const auto age = current_time - connection->phase_started_at();
     const Phase phase = connection->phase();
     if (phase == Phase::kActive) {
       continue;
@@ -197,7 +205,7 @@
     }
   }
   ClientConnection*& idle = oldest[static_cast<std::size_t>(Phase::kIdle)];
-  if (has_young && idle && at - idle->phase_started_at() < kMinIdleAge) {
+  if (has_young && idle && current_time - idle->phase_started_at() < kMinIdleAge) {
     idle = nullptr;
   }
   const auto victim = std::find_if(oldest.begin(), oldest.end(),
@@ -210,7 +218,8 @@
 // ---- Lifecycle
 
 Task<> ClientListener::run_lifecycle() {
-  while (listener_ || !context_.connections.empty()) {  // clients in the backlog are still to come
+  // While `listener_` is set, its backlog may hold clients.
+  while (listener_ || !context_.connections.empty()) {
     while (!inbox_.empty()) {
       process(inbox_.take());
     }
--- a/src/proxy/client_listener.h
+++ b/src/proxy/client_listener.h
@@ -1,4 +1,5 @@
-// Accepts clients and follows the commands that drain, resume and shut the listener down.
+// Accepts client connections and processes the commands that drain, resume and shut down the
+// listener.
 #pragma once
 
 #include <cstddef>
@@ -17,9 +18,9 @@
 /// scheduler's thread.
 class ClientListener {
  public:
-  /// Listens at once. `descriptors`: how many clients' connections may be open. `has_endpoints`:
-  /// whether there are endpoints to send requests to. `drained`: begin drained. The references
-  /// outlive this.
+  /// Starts to listen. `descriptors` is the maximum number of open client connections.
+  /// `has_endpoints` returns whether there are endpoints to which requests can be sent. If
+  /// `drained` is set, the listener starts drained. All references must outlive the listener.
   ClientListener(runtime::Scheduler& scheduler, DecisionMailbox& decisions,
                  const config::Config& config, Telemetry& telemetry, BodyBudget& body_budget,
                  std::size_t descriptors, std::function<bool()> has_endpoints,
@@ -28,13 +29,13 @@
   sockaddr_in address() const { return listener_->address(); }
   ListenerMailbox& inbox() { return inbox_; }
 
-  /// Accepts until the listener's lifecycle ends it.
+  /// Accepts connections until a shutdown ends that.
   runtime::Task<> run_accept_loop();
 
-  /// Follows commands. Returns after a shutdown, when no client is left.
+  /// Processes commands. Returns after a shutdown, once all client connections are closed.
   runtime::Task<> run_lifecycle();
 
-  /// Whether this process takes clients, drained or not.
+  /// Whether this process accepts clients and has endpoints for them. Remains true while drained.
   bool is_serving() const {
     return accepting_ && context_.has_endpoints() && !context_.lifecycle.is_shutting_down();
   }
--- a/src/proxy/client_request.h
+++ b/src/proxy/client_request.h
@@ -1,4 +1,4 @@
-// One client's request and the response that it gets, independent of the client's protocol.
+// A client's request and its response, independent of the client's protocol.
 #pragma once
 
 #include <cstdint>
@@ -14,49 +14,51 @@
 
 namespace beechhill::proxy {
 
-/// A backend's response that is passed on to the client.
+/// A backend's response that is forwarded to the client.
 struct BackendResponse {
-  /// The body, or its first part.
+  /// The complete body, or the first part of a streamed one.
   std::string body;
   std::string content_type;
-  /// The part of a streamed body that follows `body`; null where `body` is complete.
+  /// The part of a streamed body that follows `body`; null if `body` is complete.
   std::shared_ptr<BodyPipe> remaining_body;
-  /// Bytes of a streamed body, `body` included, where the backend stated them.
+  /// Total length of a streamed body in bytes, `body` included; empty if the backend did not state
+  /// it.
   std::optional<std::uint64_t> content_length;
 };
 
-/// The request was not executed: the client may retry it.
+/// The request was not executed, so the client may retry it.
 struct Rejection {
-  /// When to retry; zero: not stated.
+  /// Delay after which the client should retry; zero if none is stated.
   Duration retry_after{0};
 };
 
 /// The request failed and may have been executed.
 struct Failure {};
 
-/// The one final response to a request.
+/// The final response to a request.
 using ClientResponse = std::variant<BackendResponse, Rejection, Failure>;
 
-/// One request of a client, shared by its connection, the decision actor and the backends' actors.
-/// The connection waits on `response_ready` for the one response.
+/// A client's request, shared by its connection, the decision actor and the backends' actors. The
+/// connection waits on `response_ready` for `response` to be set.
 struct ClientRequest {
   /// Assigned by the decision actor.
   RequestId id = 0;
   ClassId class_id = 0;
   TenantId tenant = kNoTenant;
   Time arrived_at{0};
-  /// When the proxy stops waiting. Of a streamed body an estimate until its last byte has arrived.
+  /// When the proxy stops waiting for a response. For a streamed body this is an estimate until the
+  /// body's last byte has been received.
   Time deadline{0};
-  /// How long the client waits, from the last byte of its request.
+  /// How long the client waits for a response after the last byte of its request.
   Duration client_timeout{0};
   std::shared_ptr<const Payload> payload;
   std::optional<ClientResponse> response;
   runtime::Notifier response_ready;
-  /// The client has disconnected. Set as soon as that is noticed: the RequestAbandoned message may
-  /// wait in a mailbox, and no attempt may begin meanwhile.
+  /// Whether the client has disconnected. Set in addition to posting RequestAbandoned, so that no
+  /// attempt starts while that message waits in a mailbox.
   bool abandoned = false;
 
-  /// Whether the body is passed on as it arrives, and not buffered.
+  /// Whether the body is forwarded as it arrives instead of being buffered.
   bool streams_body() const { return payload->remaining_body() != nullptr; }
   bool awaits_response() const { return !abandoned && !response; }
 };
--- a/src/proxy/client_request_parser.cpp
+++ b/src/proxy/client_request_parser.cpp
@@ -13,10 +13,11 @@
 
 using namespace std::chrono_literals;
 
-// The estimate of how long a streamed body takes to arrive, for the balancer.
+// Estimated time for a streamed body to arrive, included in the deadline that the balancer uses.
 constexpr Duration kEstimatedUploadTime = 60s;
 
-// How long after its deadline a request's id stays taken: no attempt is outstanding any more then.
+// How long a trace id stays reserved after its request's deadline. No attempt of the request is
+// outstanding any more by then.
 constexpr Duration kIdRetention = 1s;
 
 constexpr std::size_t kMaxTraceIdBytes = 128;
@@ -32,7 +33,7 @@
                      });
 }
 
-// Whether the headers and the body that a class of requests must have, or must not have, are right.
+// Whether the request has the headers and body that its class requires and none that it forbids.
 bool is_well_formed(const http::Message& message, Idempotency idempotency) {
   const http::Headers& headers = message.headers;
   if (idempotency == Idempotency::kIdempotent &&
@@ -49,8 +50,8 @@
   return idempotency != Idempotency::kIdempotencyKey || headers.find("Idempotency-Key");
 }
 
-// How long the client waits: what it states, up to the class's deadline. Nothing where what it
-// states cannot be understood.
+// Returns how long the client waits: the time that it states, limited to the deadline of the class.
+// Returns nothing if the header is malformed.
 std::optional<Duration> client_timeout(const http::Headers& headers, Duration class_deadline) {
   const std::string* text = headers.find("X-Expires-In-Ms");
   if (!text) {
@@ -79,7 +80,7 @@
   return class_ids_.known(target.substr(1, target.find_first_of("/?", 1) - 1));
 }
 
-// kNoTenant where the header is absent; nothing where it names no tenant.
+// Returns kNoTenant if the header is absent, and nothing if it names an unknown tenant.
 std::optional<TenantId> ClientRequestParser::find_tenant(const http::Headers& headers) const {
   const std::string* name = headers.find("X-Customer");
   return name ? tenant_ids_.known(*name) : std::optional<TenantId>(kNoTenant);
--- a/src/proxy/client_request_parser.h
+++ b/src/proxy/client_request_parser.h
@@ -1,4 +1,4 @@
-// From an HTTP request to a ClientRequest: its class, tenant and deadline.
+// Converts an HTTP request to a ClientRequest and determines its class, tenant and deadline.
 #pragma once
 
 #include <cstdint>
@@ -15,27 +15,27 @@
 
 namespace beechhill::proxy {
 
-/// Why a request is not accepted; the value is the HTTP status.
+/// Why a request is rejected. Each value is the HTTP status of the response.
 enum class RequestError {
   kBadRequest = 400,
   kNotFound = 404,
   kMethodNotAllowed = 405,
-  /// A request with its trace id is open.
+  /// Another open request has the same trace id.
   kConflict = 409,
 };
 
-/// Strict: nothing ambiguous reaches a backend. A header may be absent where a default stands for
-/// it; one that is there must be understood, and must not be repeated.
+/// Parses strictly, so that no ambiguous request is forwarded to a backend. Headers that have a
+/// default may be absent; a header that is present must be valid and must not be repeated.
 class ClientRequestParser {
  public:
   using ParsedRequest = std::variant<RequestError, std::shared_ptr<ClientRequest>>;
 
-  /// `config` outlives this.
+  /// `config` must outlive the parser.
   explicit ClientRequestParser(const config::Config& config);
 
-  /// Takes `message` over, unless it returns an error. `content_length` is as stated; `upload`
-  /// carries the rest of a streamed body, null where the body is complete. No deadline is beyond
-  /// `latest_deadline`.
+  /// Moves from `message` unless an error is returned. `content_length` is the length stated by the
+  /// client. `upload` receives the rest of a streamed body and is null if the body is complete. The
+  /// request's deadline is at most `latest_deadline`.
   ParsedRequest parse(http::Message& message, std::optional<std::uint64_t> content_length,
                       std::shared_ptr<BodyPipe> upload, Time latest_deadline);
 
--- a/src/proxy/client_response_encoder.h
+++ b/src/proxy/client_response_encoder.h
@@ -1,4 +1,4 @@
-// From a ClientResponse to HTTP.
+// Encodes a ClientResponse as HTTP/1.1.
 #pragma once
 
 #include <string>
@@ -8,15 +8,17 @@
 
 namespace beechhill::proxy {
 
-/// A response whose body is complete: 200, 503 where the request was rejected, else 502. `close`:
-/// the connection is closed after it.
+/// Encodes a response with a complete body. The status is 200 for a backend's response, 503 for a
+/// rejection and 502 for a failure. `close` announces that the connection is closed after the
+/// response.
 std::string encode_response(const ClientResponse& response, bool close);
 
-/// The head of a streamed response: with its length, chunked, or ended by the connection's close.
+/// Encodes the head of a streamed response, whose body is delimited by its length, by chunked
+/// encoding or by the end of the connection.
 std::string encode_stream_head(const BackendResponse& response, bool close,
                                bool client_decodes_chunks);
 
-/// How a request with that response is counted.
+/// Returns the outcome as which a request with this response is counted.
 RequestOutcome outcome_of(const ClientResponse& response);
 
 }  // namespace beechhill::proxy
--- a/src/proxy/connection_log.cpp
+++ b/src/proxy/connection_log.cpp
@@ -4,7 +4,7 @@
 
 namespace beechhill::proxy {
 
-const char* code(EndReason reason) {
+const char* reason_code(EndReason reason) {
   switch (reason) {
     case EndReason::kClientClosed:
       return "client_closed";
@@ -58,7 +58,7 @@
                         std::uint64_t requests) {
   log::info("end", {{"side", std::string_view(side)},
                     {"remote", std::string_view(remote)},
-                    {"reason", std::string_view(code(reason))},
+                    {"reason", std::string_view(reason_code(reason))},
                     {"operations", requests}});
 }
 
--- a/src/proxy/connection_log.h
+++ b/src/proxy/connection_log.h
@@ -1,4 +1,4 @@
-// One log line for each connection that ended, with a code for the reason.
+// Logs the end of each connection with a reason code.
 #pragma once
 
 #include <cstdint>
@@ -6,65 +6,68 @@
 
 namespace beechhill::proxy {
 
-/// Why a connection ended. The codes that operators see are those of code().
+/// Why a connection ended. reason_code() returns the code that is logged for a reason.
 enum class EndReason {
-  // A client's connection.
-  /// The client closed it between requests.
+  // Client connections.
+  /// The client closed the connection between requests.
   kClientClosed,
-  /// The client closed it while its request was queued or in flight.
+  /// The client closed the connection while its request was queued or in flight.
   kClientDisconnected,
-  /// Closed after a response that announced it.
+  /// Closed after a response that announced the close.
   kClosedAfterResponse,
-  /// Closed after a rejection of what the client sent.
+  /// Closed after an invalid request was rejected.
   kBadRequest,
-  /// No byte of a new client arrived in time, or not all of a request.
+  /// A new client sent nothing, or a client did not complete its request, within the time limit.
   kReadTimeout,
-  /// The client did not take its response in time.
+  /// The client did not read its response within the time limit.
   kWriteFailed,
   /// The process is draining or shutting down.
   kDraining,
-  /// No response was owed, and descriptors were short. Of a backend's connection: it was idle.
+  /// Closed to free a descriptor: a client's connection without an outstanding response, or an idle
+  /// connection to a backend.
   kEvicted,
-  /// Idle for too long. Of a backend's connection too.
+  /// Closed after its idle timeout. Also used for connections to backends.
   kIdle,
 
-  // A backend's connection.
-  /// The backend closed it while it was idle, or announced that it would.
+  // Connections to backends.
+  /// The backend closed the connection while it was idle, or announced that it would.
   kBackendClosed,
-  /// Idle, and the backend is draining or removed.
+  /// Closed because the backend is draining, was removed, or has restarted or moved.
   kBackendDrained,
-  /// Refused, or not established in time. Of discovery's connection too.
+  /// Refused, or not established in time. Also used for connections to discovery.
   kConnectFailed,
-  /// Its attempt was cancelled.
+  /// The attempt on the connection was cancelled.
   kAttemptCancelled,
-  /// Its attempt got no response in time.
+  /// The attempt on the connection received no response in time.
   kAttemptTimeout,
-  /// Broken during an attempt.
+  /// The connection was reset or closed during an attempt.
   kReset,
-  /// The backend sent a malformed response, or another request's.
+  /// The backend sent a malformed response, or the response to another request.
   kMalformedResponse,
 
-  // Discovery's connection.
+  // Connections to discovery.
   /// Discovery closed the watch.
   kDiscoveryEnded,
-  /// Nothing arrived on the watch for too long.
+  /// Nothing arrived on the watch within its silence timeout.
   kDiscoverySilent,
-  /// What arrived on the watch cannot be parsed.
+  /// Data that arrived on the watch cannot be parsed.
   kDiscoveryMalformed,
-  /// A new configuration names another discovery.
+  /// A new configuration names another address of discovery.
   kDiscoveryMoved,
-  /// After a gap the complete list is requested on a new connection.
+  /// Closed to request the complete list on a new connection, after a gap in which the process did
+  /// not run.
   kDiscoveryResync,
 
-  /// An unforeseen fault.
+  /// An unexpected error, such as an exception.
   kFault,
 };
 
-/// The code of `reason` in the log, a string literal.
-const char* code(EndReason reason);
+/// Returns the code that is logged for `reason`, a string literal.
+const char* reason_code(EndReason reason);
 
-/// Logs the end of a connection that carried `requests` requests, or endpoint lists. `side`: front
-/// (a client's), peer (a backend's) or discovery.
+/// Logs the end of a connection. `side` is "front" for a client, "peer" for a backend, or
+/// "discovery". `requests` is the number of requests that the connection carried, or of endpoint
+/// lists received from discovery.
 void log_connection_end(const char* side, const std::string& remote, EndReason reason,
                         std::uint64_t requests);
 
--- a/src/proxy/decision_actor.cpp
+++ b/src/proxy/decision_actor.cpp
@@ -13,10 +13,11 @@
 
 namespace {
 
-// Every message but an endpoint list stands for a descriptor's event, so this is not reached.
+// Not reached in operation: every message other than an endpoint list stems from an event on a
+// descriptor, and the number of descriptors is limited.
 constexpr std::size_t kInboxCapacity = 8192;
 
-/// What updates the endpoint list is processed while resyncing; all else waits until that is over.
+// Messages that update the endpoint list are processed during a resync; all others are deferred.
 bool is_processed_while_resyncing(const DecisionMessage& message) {
   return std::holds_alternative<config::EndpointList>(message) ||
          std::holds_alternative<ResyncComplete>(message) ||
@@ -55,7 +56,7 @@
     deduplication_windows_.push_back(keyed ? std::optional(class_settings.deduplication_window)
                                            : std::nullopt);
   }
-  zone_ids_.id(config.named_settings.zone);  // the balancer's own zone is id 0
+  zone_ids_.id(config.named_settings.zone);  // zone id 0 is the balancer's own zone
   perform_actions();
   apply_list(config.cached_endpoints, UpdateKind::kCached);
 }
@@ -83,7 +84,7 @@
   }
 }
 
-// Returns once the mailbox is empty or a timer is due.
+// Processes messages until the mailbox is empty or a timer is due.
 void DecisionActor::process_inbox() {
   while (!inbox_.empty()) {
     DecisionMessage message = inbox_.take();
@@ -127,18 +128,18 @@
 
 // ---- Recovery
 
-// Notices a gap in which the process did not run, before anything is decided on what it holds.
-// Returns whether it is resyncing.
+// Detects a gap in which the process did not run, so that no decision is based on outdated state.
+// Returns whether a resync is in progress.
 bool DecisionActor::update_recovery() {
-  const Time at = now();
-  if (recovery_.observe_clock(at)) {
+  const Time current_time = now();
+  if (recovery_.observe_clock(current_time)) {
     const auto gap = std::chrono::duration_cast<std::chrono::milliseconds>(recovery_.gap());
     log::info("away", {{"ms", static_cast<std::uint64_t>(gap.count())}});
     if (!watch_.post(Resync{recovery_.needs_snapshot()})) {
       log::dropped_message("resync");
     }
   }
-  const bool resyncing = recovery_.is_resyncing(at);
+  const bool resyncing = recovery_.is_resyncing(current_time);
   log_stage_change();
   return resyncing;
 }
@@ -164,9 +165,10 @@
 void DecisionActor::perform_actions() {
   const std::vector<Action> actions = std::exchange(actions_, {});
   for (const Action& action : actions) {
-    std::visit([this](const auto& content) { act(content); }, action);
+    std::visit([this](const auto& content) { perform(content); }, action);
   }
-  // The balancer expects an event's actions to be carried out before the next event.
+  // Processed only now, because the balancer requires that the actions of an event are performed
+  // before the next event.
   while (!immediate_outcomes_.empty()) {
     std::vector<DecisionMessage> outcomes = std::exchange(immediate_outcomes_, {});
     for (DecisionMessage& outcome : outcomes) {
@@ -175,11 +177,11 @@
   }
 }
 
-void DecisionActor::act(const SetTimer& action) {
+void DecisionActor::perform(const SetTimer& action) {
   timers_.emplace(action.at, action.token);
 }
 
-void DecisionActor::act(const WatchEndpoints&) {
+void DecisionActor::perform(const WatchEndpoints&) {
   if (!watch_.post(EndpointWatchMessage(StartWatch{}))) {
     log::event(log::Level::kDebug, "watch_ordered_already", {});
   }
--- a/src/proxy/decision_actor.h
+++ b/src/proxy/decision_actor.h
@@ -1,5 +1,5 @@
-// The actor that owns the balancer: its clock, timers and requests, and the ids that stand for
-// names in it.
+// The actor that owns the balancer. It supplies the balancer with events and timers, performs its
+// actions, and maps names to the ids that the balancer uses.
 #pragma once
 
 #include <netinet/in.h>
@@ -34,17 +34,18 @@
 
 namespace beechhill::proxy {
 
-/// Decides, with the balancer, what happens to each request. All members are called on the
+/// Uses the balancer to decide what happens to each request. All members are called on the
 /// scheduler's thread.
 class DecisionActor {
  public:
   using BackendFactory =
       std::function<std::unique_ptr<Backend>(DecisionMailbox&, EndpointId, const sockaddr_in&)>;
 
-  /// `watch` receives the balancer's orders to watch discovery. With `subset.min_endpoints` 0 the
-  /// balancer uses all endpoints. `excluded`: ids that operators had excluded when this process
-  /// started. `records`: what an earlier process of this name had learned; used only of backends
-  /// that a list names with the same start.
+  /// Posts the balancer's requests to watch discovery to `watch`. If `subset.min_endpoints` is 0,
+  /// the balancer uses all endpoints. `excluded` holds the ids of backends that operators had
+  /// excluded when this process started. `records` holds the statistics that an earlier process of
+  /// this proxy saved; a record is restored only if a list names its backend with the same start
+  /// time.
   DecisionActor(runtime::Scheduler& scheduler, const config::Config& config,
                 BackendFactory make_backend, EndpointWatchMailbox& watch,
                 const routing::SubsetSettings& subset = {}, std::set<std::string> excluded = {},
@@ -52,46 +53,48 @@
 
   DecisionMailbox& inbox() { return inbox_; }
 
-  /// Whether requests may be accepted: an endpoint list is held and the start is over.
+  /// Whether requests may be accepted: there is an endpoint list, and the resync at start is over.
   bool ready() const { return recovery_.ready(); }
-  /// Whether discovery has sent an update since the start.
+  /// Whether discovery has sent an update since this process started.
   bool has_discovery_update() const { return has_discovery_update_; }
-  /// Whether the endpoint list may decide where something new goes: false within a gap, until
-  /// discovery has resynced this process, and without permission to serve.
+  /// Whether the endpoint list may be used to choose backends for new requests. False after a gap
+  /// in which the process did not run, until the resync with discovery is over, and while there is
+  /// no permission to serve.
   bool endpoints_are_current() const {
     return recovery_.endpoints_are_current(runtime::now()) && serving_permitted();
   }
   bool serving_permitted() const { return exclusions_.serving_permitted(runtime::now()); }
   recovery::Stage stage() const { return recovery_.stage(); }
 
-  /// From now on nothing is sent until DispatchPermissions permit it.
+  /// Forbids sending requests until a DispatchPermissions message permits it.
   void require_permissions() { exclusions_.require_permissions(); }
 
-  /// A listed backend, as maintenance plans see it.
+  /// A backend in the endpoint list, as used by maintenance plans.
   struct ListedBackend {
     std::string id;
     std::string zone;
     std::string instance_type;
     std::uint32_t cell = 0;
-    /// In service, and not excluded by an operator.
+    /// Whether the backend is in service and not excluded by an operator.
     bool up = false;
-    /// Beyond its slow start window.
+    /// Whether the backend is past its slow start window.
     bool warm = false;
-    /// Unix time of its latest start; 0: not stated.
+    /// Unix time of the backend's latest start; 0 if not stated.
     std::chrono::milliseconds started_at{0};
-    /// Relative to the average backend, from load reports, rounded to half powers of two.
+    /// Capacity relative to the average backend, from load reports, rounded to half powers of two.
     double relative_capacity = 1;
   };
   std::vector<ListedBackend> listed_backends() const;
 
-  /// Smoothed, from load reports, 0 to 1.
+  /// Smoothed utilization of each zone by name, from load reports; values are from 0 to 1.
   std::map<std::string, double> utilization_by_zone() const;
 
-  /// Ids of excluded backends that are still in use by this process, or may be, as their drain
+  /// Ids of excluded backends that this process still uses, or may still use because the drain
   /// grace is not over.
   std::set<std::string> busy_excluded_backends() const;
 
-  /// What has been learned so far; at most snapshot::kMaxRecords beside what was never claimed.
+  /// Statistics of backends for a snapshot: all restored records that no list has claimed yet, and
+  /// records of current backends up to a total of snapshot::kMaxRecords.
   std::vector<snapshot::EndpointRecord> endpoint_records() const;
 
   const std::set<std::string>& excluded_backends() const {
@@ -103,7 +106,7 @@
 
  private:
   struct BackendEntry {
-    /// Null: this id is free.
+    /// Null if this id is unused.
     std::unique_ptr<Backend> backend;
     EndpointStatus status = EndpointStatus::kRemoved;
     bool excluded = false;
@@ -114,7 +117,7 @@
     std::uint32_t cell = 0;
     sockaddr_in address{};
     std::chrono::milliseconds started_at{0};
-    /// Attempts, response streams and health checks that refer to it.
+    /// Number of attempts, response streams and health checks that refer to the backend.
     std::size_t references = 0;
   };
 
@@ -131,8 +134,8 @@
   Time unix_now() const { return runtime::now() + unix_offset_; }
   void on(ResyncComplete&);
   void on(GetEndpointCounts& query);
-  void act(const SetTimer& action);
-  void act(const WatchEndpoints&);
+  void perform(const SetTimer& action);
+  void perform(const WatchEndpoints&);
 
   // ---- Requests and attempts (decision_actor_requests.cpp)
   void on(RequestReceived& message);
@@ -140,11 +143,11 @@
   void on(AttemptCompleted& outcome);
   void on(ResponseStreamEnded& message);
   void on(HealthCheckCompleted& outcome);
-  void act(const StartAttempt& action);
-  void act(const Cancel& action);
-  void act(const Reject& action);
-  void act(const Fail& action);
-  void act(const HealthCheck& action);
+  void perform(const StartAttempt& action);
+  void perform(const Cancel& action);
+  void perform(const Reject& action);
+  void perform(const Fail& action);
+  void perform(const HealthCheck& action);
   AttemptRequest make_attempt(const ActiveRequest& active) const;
   Result post_attempt(const ActiveRequest& active, EndpointId endpoint, AttemptRequest&& attempt);
   ActiveRequest* find_request(RequestId id);
@@ -174,7 +177,7 @@
   runtime::Scheduler& scheduler_;
   BackendFactory make_backend_;
   EndpointWatchMailbox& watch_;
-  /// Empty: all endpoints are used.
+  /// Empty if the balancer uses all endpoints.
   std::optional<routing::SubsetView> subset_;
   DecisionMailbox inbox_;
   BackendExclusions exclusions_;
@@ -183,28 +186,29 @@
   Duration slow_start_window_;
   Duration max_retry_after_;
   std::uint32_t max_attempts_;
-  /// By class; empty where the class has no idempotency key.
+  /// Deduplication window by class; empty for a class without an idempotency key.
   std::vector<std::optional<Duration>> deduplication_windows_;
-  /// Unix time less the steady clock's.
+  /// Unix time minus the time of the steady clock.
   Time unix_offset_;
   RestoredRecords restored_records_;
   bool has_discovery_update_ = false;
   recovery::RecoveryTracker recovery_;
   recovery::Stage logged_stage_ = recovery::Stage::kNoEndpoints;
-  /// Messages that arrived while resyncing, in order. Each stands for a descriptor's event, which
-  /// bounds them.
+  /// Messages that arrived during a resync, in order. Each stems from an event on a descriptor, so
+  /// the number of descriptors limits them.
   std::deque<DecisionMessage> deferred_messages_;
   config::Interner endpoint_ids_;
   config::Interner zone_ids_;
   config::Interner instance_type_ids_;
-  std::vector<BackendEntry> backends_;  // by EndpointId
+  std::vector<BackendEntry> backends_;  // indexed by EndpointId
   DepartedBackends departed_backends_;
   std::unordered_map<RequestId, ActiveRequest> requests_;
   std::multimap<Time, TimerToken> timers_;
-  /// Filled by the balancer, its constructor included.
+  /// Actions of the balancer that have not been performed yet. The balancer's constructor adds to
+  /// them.
   std::vector<Action> actions_;
-  /// Outcomes of attempts and health checks that were never posted, to be processed after the
-  /// present event.
+  /// Outcomes of attempts and health checks that were never posted to a backend, to be processed
+  /// after the current event.
   std::vector<DecisionMessage> immediate_outcomes_;
   RequestId next_request_id_ = 1;
   Balancer balancer_;
--- a/src/proxy/decision_actor_endpoints.cpp
+++ b/src/proxy/decision_actor_endpoints.cpp
@@ -1,4 +1,4 @@
-// The endpoint list, and which backends are excluded whatever it says.
+// The part of DecisionActor for the endpoint list, exclusions and permissions.
 #include <utility>
 
 #include "log/log.h"
@@ -22,7 +22,7 @@
   std::vector<std::uint64_t> name_hashes;
   for (const config::EndpointListEntry& row : list.entries) {
     if (row.status == EndpointStatus::kRemoved && !endpoint_ids_.known(row.host)) {
-      continue;  // released already
+      continue;  // the backend has already been released
     }
     update.endpoints.push_back(upsert_backend(row));
     listed.push_back(update.endpoints.back().id);
@@ -51,7 +51,8 @@
   }
 }
 
-// Takes a row over, with an actor for a backend that has none. Returns it as the balancer sees it.
+// Applies a row of the list, creating an actor for a new backend. Returns the balancer's view of
+// it.
 Endpoint DecisionActor::upsert_backend(const config::EndpointListEntry& row) {
   Endpoint endpoint;
   endpoint.id = endpoint_ids_.id(row.host);
@@ -71,7 +72,7 @@
   entry.cell = endpoint.cell;
   if (!entry.backend) {
     entry.backend = make_backend_(inbox_, endpoint.id, row.address);
-    // Before the balancer sees the endpoint: an exclusion outlasts the list.
+    // Applied before the balancer knows the endpoint: exclusions are kept for unlisted backends.
     if (exclusions_.is_excluded(row.host, now())) {
       set_excluded(endpoint.id, true);
     }
@@ -93,7 +94,7 @@
   }
 }
 
-// Of the list, what the balancer uses: all of it, or this proxy's subset.
+// Returns the part of the update that the balancer uses: all of it, or this proxy's subset.
 EndpointUpdate DecisionActor::select_subset(EndpointUpdate update,
                                             const std::vector<std::uint64_t>& hashes) {
   if (!subset_) {
@@ -125,7 +126,7 @@
 // ---- Exclusions and permissions
 
 void DecisionActor::on(ExcludeBackend& command) {
-  // Another process of this proxy has checked the id.
+  // A command without a reply has been validated by another process of this proxy.
   const bool known = !command.reply || was_ever_listed(command.backend_id);
   if (known && exclusions_.set_excluded_by_operator(command.backend_id, command.excluded)) {
     update_exclusion(command.backend_id);
@@ -191,8 +192,8 @@
     entry.started_at = status.started_at;
   }
   status.permitted_until = entry.permitted_until;
-  // To its actor an excluded backend is one that drains: what has not begun stays unsent, and idle
-  // connections are closed.
+  // The actor treats an excluded backend as draining: it sends no attempt that has not begun and
+  // closes idle connections.
   if (entry.excluded && status.status == EndpointStatus::kUp) {
     status.status = EndpointStatus::kDraining;
   }
@@ -201,8 +202,8 @@
   }
 }
 
-// Frees a removed backend's actor and id once nothing refers to it: processes run for long, and see
-// many backends.
+// Releases the actor and the id of a removed backend once nothing refers to it. Otherwise both
+// would accumulate in a process that runs for a long time.
 void DecisionActor::release_backend_if_unused(EndpointId endpoint) {
   BackendEntry& entry = backends_[endpoint];
   if (!entry.backend || entry.status != EndpointStatus::kRemoved || entry.references > 0) {
@@ -210,7 +211,7 @@
   }
   entry.backend.reset();
   if (entry.excluded) {
-    set_excluded(endpoint, false);  // another backend may get this id; exclusions_ keeps its own
+    set_excluded(endpoint, false);  // another backend may get this id; exclusions_ is keyed by name
   }
   departed_backends_.add(endpoint_ids_.name(endpoint));
   endpoint_ids_.forget(endpoint);
--- a/src/proxy/decision_actor_requests.cpp
+++ b/src/proxy/decision_actor_requests.cpp
@@ -1,4 +1,4 @@
-// Requests, their attempts, and health checks.
+// The part of DecisionActor for requests, their attempts, and health checks.
 #include <utility>
 
 #include "log/log.h"
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Of a request's time, what its first connection may take: past half of it a client is better told
-// that nothing was sent than kept waiting for a connection.
+// Percentage of a request's time that its first connection may take. Past half of the time, a
+// client is served better by a response that nothing was sent than by waiting for a connection.
 constexpr int kFirstConnectPercent = 45;
 
 }  // namespace
@@ -60,7 +60,8 @@
       request.streams_body() && request.payload->remaining_body()->reading_started();
   const std::shared_ptr<BodyPipe> response_stream = outcome.response.remaining_body;
   if (response_stream) {
-    add_reference(active->attempts()[outcome.attempt_number].endpoint);  // to ResponseStreamEnded
+    // This reference is dropped when ResponseStreamEnded arrives.
+    add_reference(active->attempts()[outcome.attempt_number].endpoint);
   }
   if (outcome.result == Result::kOk && !active->closed()) {
     active->respond(std::move(outcome.response));
@@ -107,7 +108,7 @@
   release_backend_if_unused(endpoint);
 }
 
-void DecisionActor::act(const StartAttempt& action) {
+void DecisionActor::perform(const StartAttempt& action) {
   ActiveRequest* active = find_request(action.id);
   if (!active) {
     return;
@@ -135,8 +136,8 @@
     attempt.connect_deadline =
         request.arrived_at + (request.deadline - request.arrived_at) * kFirstConnectPercent / 100;
   }
-  // Guards against a repeat that waits, in a mailbox or for a connection, until the first attempt's
-  // deduplication scope has forgotten the key.
+  // Limits how long a retry may wait in a mailbox or for a connection: it must be written before
+  // the deduplication window of the first attempt ends.
   const std::optional<Duration>& window = deduplication_windows_[request.class_id];
   const std::optional<Time> executed_at = active.possibly_executed_at();
   if (window && executed_at) {
@@ -145,7 +146,7 @@
   return attempt;
 }
 
-// kOk once the attempt is on its way; else the outcome of an attempt that was never begun.
+// Returns kOk if the attempt was posted, and otherwise its outcome without having been started.
 Result DecisionActor::post_attempt(const ActiveRequest& active, EndpointId endpoint,
                                    AttemptRequest&& attempt) {
   const BackendEntry& backend = backends_[endpoint];
@@ -159,7 +160,7 @@
                                                                   : Result::kConnectFailed;
 }
 
-void DecisionActor::act(const Cancel& action) {
+void DecisionActor::perform(const Cancel& action) {
   const ActiveRequest* active = find_request(action.id);
   if (!active || action.attempt >= active->attempts().size()) {
     return;
@@ -170,19 +171,19 @@
   }
 }
 
-void DecisionActor::act(const Reject& action) {
+void DecisionActor::perform(const Reject& action) {
   if (ActiveRequest* active = find_request(action.id)) {
     active->respond(Rejection{action.retry_after});
   }
 }
 
-void DecisionActor::act(const Fail& action) {
+void DecisionActor::perform(const Fail& action) {
   if (ActiveRequest* active = find_request(action.id)) {
     active->respond(Failure{});
   }
 }
 
-void DecisionActor::act(const HealthCheck& action) {
+void DecisionActor::perform(const HealthCheck& action) {
   add_reference(action.endpoint);
   if (!backends_[action.endpoint].backend->post(CheckHealth{})) {
     immediate_outcomes_.push_back(
--- a/src/proxy/decision_messages.cpp
+++ b/src/proxy/decision_messages.cpp
@@ -12,7 +12,7 @@
 
 runtime::Task<> post_reliably(runtime::Scheduler& scheduler, DecisionMailbox& mailbox,
                               DecisionMessage message) {
-  // NOLINTNEXTLINE(bugprone-use-after-move): Mailbox::post() leaves a message that it refuses as is
+  // NOLINTNEXTLINE(bugprone-use-after-move): post() leaves a rejected message unchanged
   while (!mailbox.post(std::move(message))) {
     runtime::Wait wait(scheduler);
     wait.until(runtime::Clock::now() + kFullMailboxRetryInterval);
--- a/src/proxy/decision_messages.h
+++ b/src/proxy/decision_messages.h
@@ -17,7 +17,7 @@
 
 namespace beechhill::proxy {
 
-/// A client's request has been read.
+/// A client's request has been received.
 struct RequestReceived {
   std::shared_ptr<ClientRequest> request;
 };
@@ -36,7 +36,7 @@
   BackendResponse response;
 };
 
-/// A response with a `remaining_body` has ended, completely or not.
+/// A streamed response, one with a `remaining_body`, has ended, whether complete or not.
 struct ResponseStreamEnded {
   EndpointId endpoint = 0;
 };
@@ -48,29 +48,30 @@
   LoadReport load_report;
 };
 
-/// An operator excludes a backend, whatever the endpoint list says of it, or lifts the exclusion.
+/// An operator excludes a backend regardless of the endpoint list, or lifts the exclusion.
 struct ExcludeBackend {
   std::string backend_id;
   bool excluded = true;
-  /// Completed with 200, or 404 where no list ever named the backend. Null where another process of
+  /// Completed with 200, or with 404 if no list ever named the backend. Null if another process of
   /// this proxy received the command.
   std::shared_ptr<runtime::PendingReply> reply;
 };
 
-/// Asks how many backends are listed, and how many of those are avoided now.
+/// Requests the number of listed backends and how many of them are currently avoided.
 struct GetEndpointCounts {
   std::shared_ptr<runtime::PendingReply> reply;
 };
 
-/// Where new requests may be sent, as the proxies have agreed.
+/// States where new requests may be sent, as agreed among the proxies.
 struct DispatchPermissions {
-  /// By backend id, of backends under maintenance or next to be; Time::min(): not permitted.
+  /// When the permission ends, by id of a backend under maintenance or selected for it next;
+  /// Time::min() if sending is not permitted.
   std::map<std::string, Time> permitted_until;
-  /// Nothing is sent to any backend after this.
+  /// When the permission to send requests to any backend ends.
   Time serving_permitted_until = Time::max();
 };
 
-/// All that discovery had written when a Resync was received has been posted.
+/// All updates that discovery had written when a Resync was received have been posted.
 struct ResyncComplete {};
 
 using DecisionMessage =
@@ -79,8 +80,8 @@
                  GetEndpointCounts, DispatchPermissions>;
 using DecisionMailbox = runtime::Mailbox<DecisionMessage>;
 
-/// Posts `message`, and retries each millisecond for as long as the mailbox is full: for messages
-/// that must not be lost.
+/// Posts `message` and retries every millisecond while the mailbox is full. Used for messages that
+/// must not be lost.
 runtime::Task<> post_reliably(runtime::Scheduler& scheduler, DecisionMailbox& mailbox,
                               DecisionMessage message);
 
--- a/src/proxy/departed_backends.h
+++ b/src/proxy/departed_backends.h
@@ -1,4 +1,4 @@
-// A bounded memory of the ids of backends that have left the endpoint list.
+// A bounded set of the ids of backends that have left the endpoint list.
 #pragma once
 
 #include <cstddef>
@@ -8,11 +8,11 @@
 
 namespace beechhill::proxy {
 
-/// Remembers the ids that departed most recently, so that an operator's command for one of them is
-/// told from one for an id that never existed.
+/// Holds the ids of the backends that left the list most recently, to distinguish an operator's
+/// command for one of them from a command for an id that never existed.
 class DepartedBackends {
  public:
-  /// Ids remembered; beyond it the one that was added first is forgotten.
+  /// Maximum number of ids. Beyond it the id that was added first is evicted.
   static constexpr std::size_t kMaxIds = std::size_t{16} * 1024;
 
   void add(const std::string& id) {
--- a/src/proxy/descriptor_budget.h
+++ b/src/proxy/descriptor_budget.h
@@ -1,21 +1,21 @@
-// How many descriptors one side of the proxy may hold.
+// Limits the number of descriptors that one side of the proxy holds.
 #pragma once
 
 #include <cstddef>
 
 namespace beechhill::proxy {
 
-/// A counter with a limit that may change.
+/// Counts used descriptors against a limit that may change.
 class DescriptorBudget {
  public:
   explicit DescriptorBudget(std::size_t limit) : limit_(limit) {}
 
   bool has_capacity() const { return used_ < limit_; }
   std::size_t used() const { return used_; }
-  /// Below used(): there is no capacity until enough slots have been released.
+  /// If `limit` is below used(), there is no capacity until enough slots have been released.
   void set_limit(std::size_t limit) { limit_ = limit; }
 
-  /// One descriptor, for as long as this lives. Taken whether or not there is capacity.
+  /// Counts one descriptor as used while the slot exists, even if that exceeds the limit.
   class Slot {
    public:
     explicit Slot(DescriptorBudget& budget) : budget_(budget) { ++budget_.used_; }
--- a/src/proxy/endpoint_watch_actor.cpp
+++ b/src/proxy/endpoint_watch_actor.cpp
@@ -24,27 +24,28 @@
 
 constexpr auto kConnectTimeout = 500ms;
 
-// Discovery's agent runs on this machine, or near, and answers at once: a connection without a
-// response head by then was not served.
+// Discovery's agent runs on this machine or nearby and answers at once. A connection without a
+// response head within this time counts as unanswered.
 constexpr auto kResponseHeadTimeout = 500ms;
 
-// After each so many unanswered connections in a row the response head may take
-// kResponseHeadTimeout longer, up to kWatchSilenceTimeout, for an agent that is slow.
+// After each group of this many consecutive unanswered connections, the timeout for the response
+// head grows by kResponseHeadTimeout, up to kWatchSilenceTimeout, in case the agent is slow.
 constexpr int kUnansweredPerTimeoutStep = 8;
 
-// After a connection that lasted less than kResponseHeadTimeout. A drain's grace runs from when
-// discovery learns of it, so this stays well under the shortest grace known, 200 ms.
+// Backoff after a connection that lasted less than kResponseHeadTimeout. A drain's grace starts
+// when discovery learns of the drain, so the backoff stays well below the shortest known grace, 200
+// ms.
 constexpr auto kMinBackoff = 50ms;
 constexpr auto kMaxBackoff = 100ms;
 
-// Bytes a millisecond of an endpoint list that is being received, at the least.
+// Minimum rate at which an endpoint list is received, in bytes per millisecond.
 constexpr std::size_t kMinListRate = 100;
 
 constexpr std::size_t kInboxCapacity = 16;
 
-// One part in so many of the process's memory is what an object of the list may take: parsed, it
-// takes about ten times as much. At 192 MB these are 40,000 endpoints.
-constexpr std::size_t kMemoryPartsPerObject = 32;
+// The maximum size of one endpoint list object is the process's memory limit divided by this,
+// because a parsed object takes about ten times its size. At 192 MB, 40,000 endpoints fit.
+constexpr std::size_t kObjectMemoryDivisor = 32;
 
 }  // namespace
 
@@ -54,14 +55,15 @@
       : address(to), decoder(max_object_bytes) {}
 
   sockaddr_in address;
-  /// Changes since version 0 were requested: the complete list, which comes at once.
+  /// Whether changes since version 0 were requested, which is the complete list and is sent at
+  /// once.
   bool requested_snapshot = false;
   TimePoint silence_deadline{};
   http::Parser head{http::Parser::Kind::kResponseHead};
   http::ChunkedDecoder chunked;
   WatchStreamDecoder decoder;
   std::string buffer;
-  /// Endpoint lists that were posted.
+  /// Number of endpoint lists posted.
   std::uint64_t lists = 0;
 };
 
@@ -69,7 +71,7 @@
     : scheduler_(scheduler),
       inbox_(kInboxCapacity),
       address_(config.discovery),
-      max_object_bytes_(std::size_t{config.memory_mb} * 1024 * 1024 / kMemoryPartsPerObject),
+      max_object_bytes_(std::size_t{config.memory_mb} * 1024 * 1024 / kObjectMemoryDivisor),
       version_(config.cached_endpoints.version),
       random_(config.named_settings.settings.seed) {
 }
@@ -77,13 +79,13 @@
 Task<> EndpointWatchActor::run(DecisionMailbox& decisions) {
   for (;;) {
     process_messages();
-    reconnect_for_resync_ = false;  // a new connection is what comes next
+    reconnect_for_resync_ = false;  // the next watch is a new connection
     const TimePoint started_at = Clock::now();
     Watch watch(address_, max_object_bytes_);
     EndReason reason = EndReason::kDiscoveryMalformed;
     try {
       reason = co_await run_watch(decisions, watch);
-    } catch (const std::exception& error) {  // guards against ending by what discovery sends
+    } catch (const std::exception& error) {  // data from discovery must not end the actor
       log::fault("discovery_fault", error);
     }
     log_connection_end("discovery", net::to_string(watch.address), reason, watch.lists);
@@ -95,7 +97,7 @@
   }
 }
 
-// With jitter: all proxies lose a discovery that fails at the same moment.
+// Waits with jitter, because all proxies lose a failing discovery at the same moment.
 Task<> EndpointWatchActor::back_off() {
   std::uniform_int_distribution<std::int64_t> backoff_ms(kMinBackoff.count(), kMaxBackoff.count());
   runtime::Wait wait(scheduler_);
@@ -104,7 +106,7 @@
   co_await wait;
 }
 
-// Processes the mailbox. Returns why the current watch is to end, if it is.
+// Processes the mailbox. Returns the reason to end the current watch, if there is one.
 std::optional<EndReason> EndpointWatchActor::process_messages() {
   bool moved = false;
   while (!inbox_.empty()) {
@@ -113,14 +115,14 @@
       resync_pending_ = true;
       reconnect_for_resync_ = reconnect_for_resync_ || resync->from_snapshot;
     }
-    // StartWatch needs no more than the wake-up that it is.
+    // StartWatch only wakes the actor.
     const auto* redirect = std::get_if<RedirectWatch>(&message);
     if (!redirect || net::same(redirect->address, address_)) {
       continue;
     }
     moved = true;
     address_ = redirect->address;
-    // Another discovery may count its versions otherwise: the complete list is requested.
+    // Another discovery may number its versions differently, so the complete list is requested.
     resync_pending_ = true;
     unanswered_connections_ = 0;
   }
@@ -136,18 +138,18 @@
   }
   DecisionMessage message(std::in_place_type<ResyncComplete>);
   if (!decisions.post(std::move(message))) {
-    log::dropped_message("resync_complete");  // the resync then ends at its deadline
+    log::dropped_message("resync_complete");  // the resync ends at its deadline instead
   }
 }
 
-// Whether to read on without waiting, to the end of what discovery has written: all of it, or where
-// the complete list was requested, all that followed that.
-bool EndpointWatchActor::is_draining_for_resync(const Watch& watch) const {
+// Whether to read without waiting until everything that discovery has written has been read. If the
+// complete list was requested, it must have arrived before.
+bool EndpointWatchActor::is_catching_up(const Watch& watch) const {
   return resync_pending_ && (!watch.requested_snapshot || watch.lists > 0);
 }
 
 TimePoint EndpointWatchActor::read_deadline(const Watch& watch) const {
-  if (is_draining_for_resync(watch)) {
+  if (is_catching_up(watch)) {
     return Clock::now();
   }
   return watch.silence_deadline +
@@ -177,14 +179,14 @@
     co_return EndReason::kDiscoveryEnded;
   }
   for (;;) {
-    const bool draining = is_draining_for_resync(watch);
+    const bool catching_up = is_catching_up(watch);
     const TimePoint deadline = read_deadline(watch);
     const IoResult io =
-        co_await stream->read(watch.buffer, deadline, draining ? nullptr : &inbox_.arrived());
+        co_await stream->read(watch.buffer, deadline, catching_up ? nullptr : &inbox_.arrived());
     std::optional<EndReason> end;
     if (io == IoResult::kNotified) {
       end = process_messages();
-    } else if (io == IoResult::kTimeout && draining) {
+    } else if (io == IoResult::kTimeout && catching_up) {
       report_resync_complete(decisions);
     } else if (io == IoResult::kTimeout) {
       end = EndReason::kDiscoverySilent;
@@ -199,7 +201,7 @@
   }
 }
 
-// Returns why the watch is to end, if it is.
+// Returns the reason to end the watch, if there is one.
 std::optional<EndReason> EndpointWatchActor::process_bytes(DecisionMailbox& decisions,
                                                            Watch& watch) {
   if (!watch.head.head_done()) {
@@ -216,8 +218,8 @@
     body = std::exchange(watch.buffer, {});
   }
   watch.decoder.feed(body);
-  // Only complete tokens show that the watch is alive: bytes that complete nothing may come from
-  // one that is broken.
+  // Only complete tokens show that the watch is alive; a broken watch may still send bytes that
+  // complete nothing.
   const std::optional<bool> alive = post_lists(decisions, watch);
   if (!alive || progress == http::Progress::kMalformed) {
     return EndReason::kDiscoveryMalformed;
@@ -239,13 +241,13 @@
     return EndReason::kDiscoveryMalformed;
   }
   if (!watch.requested_snapshot) {
-    watch.silence_deadline = Clock::now() + kWatchSilenceTimeout;  // nothing may have changed
+    watch.silence_deadline = Clock::now() + kWatchSilenceTimeout;  // there may be no change to send
   }
   return std::nullopt;
 }
 
-// Posts each complete list. Returns whether there was any complete token; nothing where the watch
-// cannot be read on.
+// Posts each complete list. Returns whether any token was complete, or nothing if the watch must
+// end.
 std::optional<bool> EndpointWatchActor::post_lists(DecisionMailbox& decisions, Watch& watch) {
   std::string_view object;
   for (bool alive = false;; alive = true) {
@@ -263,7 +265,7 @@
         config::parse(object.data(), object.data() + object.size(), "server list"));
     const std::uint64_t version = list.version;
     if (!decisions.post(std::move(list))) {
-      return std::nullopt;  // requested again, from the same version
+      return std::nullopt;  // the list is requested again, from the same version
     }
     version_ = version;
     ++watch.lists;
--- a/src/proxy/endpoint_watch_actor.h
+++ b/src/proxy/endpoint_watch_actor.h
@@ -18,18 +18,19 @@
 
 namespace beechhill::proxy {
 
-/// Holds one watch on discovery at a time and opens another whenever it ends. All members are
-/// called on the scheduler's thread.
+/// Keeps one watch on discovery open and opens another whenever it ends. All members are called on
+/// the scheduler's thread.
 class EndpointWatchActor {
  public:
-  /// Discovery sends at least an empty line every 2 s; a watch without one for so long is closed.
+  /// Maximum silence on a watch before it is closed. Discovery sends at least an empty line every 2
+  /// s.
   static constexpr std::chrono::milliseconds kWatchSilenceTimeout{2500};
 
   EndpointWatchActor(runtime::Scheduler& scheduler, const config::Config& config);
 
   EndpointWatchMailbox& inbox() { return inbox_; }
 
-  /// Watches until its task is cancelled.
+  /// Watches discovery until its task is cancelled.
   runtime::Task<> run(DecisionMailbox& decisions);
 
  private:
@@ -39,7 +40,7 @@
   runtime::Task<> back_off();
   std::string watch_request(const Watch& watch) const;
   runtime::TimePoint read_deadline(const Watch& watch) const;
-  bool is_draining_for_resync(const Watch& watch) const;
+  bool is_catching_up(const Watch& watch) const;
   std::optional<EndReason> process_bytes(DecisionMailbox& decisions, Watch& watch);
   std::optional<EndReason> process_head(Watch& watch);
   std::optional<bool> post_lists(DecisionMailbox& decisions, Watch& watch);
@@ -51,11 +52,12 @@
   sockaddr_in address_;
   std::size_t max_object_bytes_;
   std::uint64_t version_;
-  /// Connections in a row that discovery accepted and did not answer.
+  /// Consecutive connections that discovery accepted but did not answer.
   int unanswered_connections_ = 0;
-  /// ResyncComplete is owed: at the start too, as discovery may hold a newer list than the cached.
+  /// Whether a ResyncComplete must be posted. Also true at start, as discovery may have a newer
+  /// list than the cached one.
   bool resync_pending_ = true;
-  /// The pending resync is to request the complete list on a new connection.
+  /// Whether the pending resync must request the complete list on a new connection.
   bool reconnect_for_resync_ = false;
   std::mt19937_64 random_;
 };
--- a/src/proxy/endpoint_watch_messages.h
+++ b/src/proxy/endpoint_watch_messages.h
@@ -9,7 +9,7 @@
 
 namespace beechhill::proxy {
 
-/// Connect to discovery now, without further backoff.
+/// Asks the actor to connect to discovery immediately, without further backoff.
 struct StartWatch {};
 
 /// Discovery has moved to another address.
@@ -17,9 +17,11 @@
   sockaddr_in address{};
 };
 
-/// Read all that discovery has written so far, then post ResyncComplete.
+/// Asks the actor to read everything that discovery has written so far and then to post
+/// ResyncComplete.
 struct Resync {
-  /// What the current watch carries may be incomplete: request the complete list on a new one.
+  /// Whether to request the complete list on a new connection, because updates on the current watch
+  /// may be missing.
   bool from_snapshot = false;
 };
 
--- a/src/proxy/http_payload.h
+++ b/src/proxy/http_payload.h
@@ -1,4 +1,4 @@
-// A client's HTTP request as a backend is to receive it.
+// A client's HTTP request, encoded for a backend.
 #pragma once
 
 #include <cstdint>
@@ -14,9 +14,9 @@
 
 class HttpPayload : public Payload {
  public:
-  /// With `remaining_body` the request's body is its first part only. `content_length` is that of
-  /// the whole body, where the client stated it; `client_timeout` how long the client waits.
-  /// `request` has an X-Trace-Id header.
+  /// `request` must have an X-Trace-Id header. If `remaining_body` is set, the body of `request` is
+  /// only its first part. `content_length` is the length of the whole body if the client stated it.
+  /// `client_timeout` is how long the client waits for a response.
   HttpPayload(http::Message&& request, std::shared_ptr<BodyPipe> remaining_body,
               std::optional<std::uint64_t> content_length, Duration client_timeout);
 
--- a/src/proxy/idle_connections.cpp
+++ b/src/proxy/idle_connections.cpp
@@ -13,8 +13,8 @@
 
 constexpr std::chrono::milliseconds kSettlingTime{5};
 
-// A connection is kept idle for one part in so many of the backend's own idle timeout.
-constexpr int kIdleTimeoutParts = 2;
+// The backend's own idle timeout is divided by this, so that the proxy closes the connection first.
+constexpr int kIdleTimeoutDivisor = 2;
 
 }  // namespace
 
@@ -25,9 +25,9 @@
 std::unique_ptr<BackendConnection> IdleConnections::take() {
   close_stale();
   while (!connections_.empty()) {
-    const auto position = preferred();
-    // Guards against a request on a connection that the backend has closed, or is about to: that is
-    // a reset. epoll may not have reported it yet.
+    const auto position = find_preferred();
+    // A request on a connection that the backend has closed would be reset, and epoll may not have
+    // reported the close yet.
     if (!(*position)->stream->stale()) {
       return remove(position);
     }
@@ -36,9 +36,10 @@
   return nullptr;
 }
 
-// The last that has settled, else the last. The list is ordered by time, so only those of the last
-// few milliseconds are passed over.
-IdleConnections::List::iterator IdleConnections::preferred() {
+// Returns the most recently used connection that has been idle for kSettlingTime, or the most
+// recently used one if there is none. The list is ordered by time, so that only connections of the
+// last few milliseconds are skipped.
+IdleConnections::List::iterator IdleConnections::find_preferred() {
   const TimePoint settled = Clock::now() - kSettlingTime;
   const auto last = std::prev(connections_.end());
   auto position = last;
@@ -53,7 +54,7 @@
   idle.idle_since_ = Clock::now();
   idle.owner_ = this;
   idle.stream->watch(&idle);
-  // Its end may have come with the response: epoll does not report it again.
+  // The backend's close may have arrived along with the response; epoll does not report it again.
   if (idle.stream->stale()) {
     idle.end_reason = EndReason::kBackendClosed;
     return;
@@ -100,7 +101,7 @@
 }
 
 TimePoint IdleConnections::next_expiry() const {
-  return oldest_since() + settings_.backend_idle_timeout / kIdleTimeoutParts;
+  return oldest_since() + settings_.backend_idle_timeout / kIdleTimeoutDivisor;
 }
 
 void IdleConnections::close_stale() {
--- a/src/proxy/idle_connections.h
+++ b/src/proxy/idle_connections.h
@@ -1,4 +1,4 @@
-// A backend's connections that carry no request, kept for the next one.
+// Connections to a backend that carry no request and are kept for reuse.
 #pragma once
 
 #include <netinet/in.h>
@@ -20,7 +20,7 @@
 
 class IdleConnections;
 
-/// One connection to a backend. Logs its end.
+/// A connection to a backend. The destructor logs the end of the connection.
 struct BackendConnection final : runtime::IoWatcher {
   BackendConnection(DescriptorBudget& budget, const sockaddr_in& to) : slot(budget), address(to) {}
   ~BackendConnection() {
@@ -29,64 +29,67 @@
   BackendConnection(const BackendConnection&) = delete;
   BackendConnection& operator=(const BackendConnection&) = delete;
 
-  /// Called only while it is idle.
+  /// Called only while the connection is idle.
   void on_readable() override;
 
   DescriptorBudget::Slot slot;
   sockaddr_in address;
   std::unique_ptr<net::Stream> stream;
-  /// What is logged if nothing else is known: its attempt was cancelled.
+  /// The reason that is logged unless another one is set. Cancelling an attempt destroys its
+  /// connection without setting one.
   EndReason end_reason = EndReason::kAttemptCancelled;
   std::uint64_t requests = 0;
-  /// The latest response began with its request's trace id.
+  /// Whether the latest response began with its request's trace id.
   bool echoes_trace_ids = false;
 
  private:
   friend class IdleConnections;
-  /// Null unless it is idle.
+  /// Null unless the connection is idle.
   IdleConnections* owner_ = nullptr;
   runtime::TimePoint idle_since_{};
   std::list<std::unique_ptr<BackendConnection>>::iterator position_;
-  /// Index in the owner's `readable_`, where it is there.
+  /// Index in the owner's `readable_`; empty if the connection is not in that list.
   std::optional<std::size_t> readable_index_;
 };
 
-/// Idle connections of one backend, ordered by when they became idle. A connection that its backend
-/// closes, or writes to, is closed at the next take() or close_stale().
+/// The idle connections of one backend, ordered by when they became idle. A connection that the
+/// backend has closed or written to is closed by the next take() or close_stale().
 class IdleConnections {
  public:
-  /// `changed` is notified when there is something for close_stale(), now or at next_expiry().
-  /// `idle_timeout`: after which a connection is closed. `settings` and `changed` outlive this.
+  /// `changed` is notified when a connection becomes readable and when the first connection is
+  /// added; the owner then calls close_stale(), and again at next_expiry(). `settings` states the
+  /// idle timeout. Both references must outlive the object.
   IdleConnections(runtime::Notifier& changed, const Settings& settings)
       : changed_(changed), settings_(settings) {}
   ~IdleConnections() { close_all(EndReason::kBackendDrained); }
   IdleConnections(const IdleConnections&) = delete;
   IdleConnections& operator=(const IdleConnections&) = delete;
 
-  /// The one that was used last, but preferably not within kSettlingTime of its response: bytes
-  /// that do not belong to that may still arrive. Null where there is none.
+  /// Returns the most recently used connection, or null if there is none. Connections used within
+  /// the last kSettlingTime are the last choice, because bytes that do not belong to the previous
+  /// response may still arrive on them.
   std::unique_ptr<BackendConnection> take();
-  /// Keeps `connection`, unless the backend has closed it.
+  /// Adds `connection`, or closes it if the backend has closed it.
   void put(std::unique_ptr<BackendConnection> connection);
 
-  /// Closes those that the backend has closed or written to, and those beyond the idle timeout.
-  /// O(1) for each of them.
+  /// Closes the connections that the backend has closed or written to and those past the idle
+  /// timeout. Takes O(1) for each of them.
   void close_stale();
   void close_all(EndReason reason);
-  /// Not while empty().
+  /// Requires !empty().
   void close_oldest(EndReason reason) { close(connections_.begin(), reason); }
 
   bool empty() const { return connections_.empty(); }
-  /// Not while empty().
+  /// Requires !empty().
   runtime::TimePoint oldest_since() const { return connections_.front()->idle_since_; }
-  /// When the oldest is beyond the idle timeout. Not while empty().
+  /// Returns when the oldest connection reaches the idle timeout. Requires !empty().
   runtime::TimePoint next_expiry() const;
 
  private:
   friend struct BackendConnection;
   using List = std::list<std::unique_ptr<BackendConnection>>;
 
-  List::iterator preferred();
+  List::iterator find_preferred();
   std::unique_ptr<BackendConnection> remove(List::iterator position);
   void close(List::iterator position, EndReason reason) { remove(position)->end_reason = reason; }
   void add_readable(BackendConnection& connection);
@@ -95,7 +98,7 @@
   runtime::Notifier& changed_;
   const Settings& settings_;
   List connections_;
-  /// Those that the backend has closed or written to.
+  /// Connections that the backend has closed or written to.
   std::vector<BackendConnection*> readable_;
 };
 
--- a/src/proxy/listener_messages.h
+++ b/src/proxy/listener_messages.h
@@ -10,12 +10,12 @@
 
 enum class ListenerCommandType { kDrain, kResume, kShutdown };
 
-/// An operator's or the platform's command.
+/// A command from an operator or the platform.
 struct ListenerCommand {
   ListenerCommandType type = ListenerCommandType::kShutdown;
-  /// With kShutdown: another process accepts this one's clients.
+  /// For kShutdown: whether another process accepts this one's clients.
   bool has_successor = false;
-  /// Completed with 200; null where nobody waits.
+  /// Completed with 200; null if nobody waits for the reply.
   std::shared_ptr<runtime::PendingReply> reply;
 };
 
--- a/src/proxy/messages.h
+++ b/src/proxy/messages.h
@@ -1,4 +1,5 @@
-// All messages between the proxy's actors. Prefer the header of the actor that is meant.
+// Includes all messages between the proxy's actors. Prefer the header of the actor that receives
+// them.
 #pragma once
 
 #include "proxy/backend_messages.h"
--- a/src/proxy/open_request_ids.h
+++ b/src/proxy/open_request_ids.h
@@ -1,4 +1,4 @@
-// The trace ids of requests that are open, or were a moment ago.
+// Trace ids of requests that are open or ended recently.
 #pragma once
 
 #include <cstddef>
@@ -10,13 +10,13 @@
 
 namespace beechhill::proxy {
 
-/// A set whose members expire. O(log n) for each call.
+/// A set of ids that expire. Each call takes O(log n).
 class OpenRequestIds {
  public:
-  /// Ids held; beyond it the ones that expire first are forgotten early.
+  /// Maximum number of ids. Beyond it the ids that expire first are evicted early.
   static constexpr std::size_t kMaxIds = std::size_t{32} * 1024;
 
-  /// Inserts `id` until `expiry`. False where it is a member already.
+  /// Inserts `id` until `expiry`. Returns false if the set already contains it.
   bool insert(const std::string& id, Time now, Time expiry);
 
  private:
--- a/src/proxy/payload.h
+++ b/src/proxy/payload.h
@@ -1,4 +1,4 @@
-// A request in the form in which a backend is to receive it, independent of the client's protocol.
+// A request to be encoded for a backend, independent of the client's protocol.
 #pragma once
 
 #include <memory>
@@ -10,17 +10,17 @@
 
 namespace beechhill::proxy {
 
-/// Encodes one request for a backend. Immutable but for the pipe of a streamed body, so that
-/// several attempts of one request may share it.
+/// Encodes one request for a backend. Immutable except for the pipe of a streamed body, so that
+/// several attempts of a request can share it.
 class Payload {
  public:
   virtual ~Payload() = default;
 
-  /// The request's bytes: all of them, or the head and the first part of a streamed body. `host` is
-  /// the backend's address; `time_left` is how long the proxy will wait for the response.
+  /// Returns the whole request, or the head and the first part of a streamed body. `host` is the
+  /// backend's address; `time_left` is how long the proxy waits for the response.
   virtual std::string encode(const std::string& host, Duration time_left) const = 0;
 
-  /// The part of a streamed body that follows encode(), for a single reader; null where encode()
+  /// The part of a streamed body that follows encode(), for a single reader; null if encode()
   /// returns the whole request.
   virtual const std::shared_ptr<BodyPipe>& remaining_body() const {
     static const std::shared_ptr<BodyPipe> kNone;
@@ -30,10 +30,11 @@
   /// Applies the transfer encoding to a part of the streamed body.
   virtual std::string frame_body(std::string bytes) const { return bytes; }
 
-  /// What ends a streamed body in its transfer encoding.
+  /// Returns the bytes that end a streamed body in its transfer encoding.
   virtual std::string frame_body_end() const { return {}; }
 
-  /// The request's trace id, with which a backend may begin its response; empty for a health check.
+  /// The request's trace id, which a backend may echo at the start of its response body; empty for
+  /// a health check.
   virtual std::string_view trace_id() const { return {}; }
 };
 
--- a/src/proxy/restored_records.h
+++ b/src/proxy/restored_records.h
@@ -1,5 +1,5 @@
-// What an earlier process had learned of its backends, until the endpoint list shows which of it
-// still applies.
+// Statistics of backends saved by an earlier process, kept until the endpoint list shows which of
+// them still apply.
 #pragma once
 
 #include <chrono>
@@ -15,10 +15,10 @@
 
 namespace beechhill::proxy {
 
-/// Records of a snapshot by backend id. Each is claimed at most once.
+/// Records of a snapshot by backend id. Each record can be claimed once.
 class RestoredRecords {
  public:
-  /// Records since the last summary.
+  /// Numbers of records restored and discarded since the last summary.
   struct Summary {
     std::uint64_t restored = 0;
     std::uint64_t discarded = 0;
@@ -30,8 +30,9 @@
     }
   }
 
-  /// Takes the record of a backend that the list names, with its latest start there. Nothing where
-  /// there is none, or where it does not apply any more.
+  /// Removes the record of a listed backend and returns its statistics, discounted for their age.
+  /// `started_at` is the backend's latest start in the list. Returns nothing if there is no record
+  /// or if it no longer applies.
   std::optional<EndpointStats> claim(const std::string& backend_id,
                                      std::chrono::milliseconds started_at, Time unix_now) {
     const auto it = unclaimed_.find(backend_id);
@@ -47,7 +48,8 @@
     return stats;
   }
 
-  /// Discards what no complete list has claimed. Nothing where there was no record at all.
+  /// Discards all unclaimed records; called after a complete list. Returns nothing if no record was
+  /// restored or discarded since the last summary.
   std::optional<Summary> discard_unclaimed() {
     summary_.discarded += unclaimed_.size();
     unclaimed_.clear();
--- a/src/proxy/telemetry.h
+++ b/src/proxy/telemetry.h
@@ -1,4 +1,4 @@
-// The counters that operators read.
+// Request counters that operators can read.
 #pragma once
 
 #include <cstddef>
@@ -10,21 +10,21 @@
 
 namespace beechhill::proxy {
 
-/// How a request ended. A request that is answered for what is wrong with it (400, 404, 405, 409,
-/// 413...) belongs to no class and is not counted; one that is answered as the decision actor's
-/// mailbox is full is rejected like any other.
+/// How a request ended. Requests with a client error (400, 404, 405, 409, 413...) belong to no
+/// class and are not counted. Requests that find the decision actor's mailbox full count as
+/// rejected.
 enum class RequestOutcome {
   kCompleted,
   kRejected,
   kFailed,
-  /// Its client disconnected before the response's end.
+  /// The client disconnected before the end of the response.
   kAbandoned,
 };
 
-/// Plain counters: all members are called on the scheduler's thread.
+/// Counters without synchronization: all members are called on the scheduler's thread.
 class Telemetry {
  public:
-  /// Of one class.
+  /// Outcomes of the requests of one class.
   struct Counts {
     std::uint64_t completed = 0;
     std::uint64_t rejected = 0;
@@ -34,8 +34,8 @@
 
   explicit Telemetry(std::size_t classes) : by_class_(classes) {}
 
-  /// Counts one request, from when it was accepted to its one end: as abandoned, unless end() was
-  /// called before this is destroyed.
+  /// Counts a request as accepted on construction and by its outcome at end(). A request whose
+  /// scope is destroyed without end() counts as abandoned.
   class RequestScope {
    public:
     RequestScope(Telemetry& telemetry, ClassId class_id)
@@ -47,7 +47,7 @@
     RequestScope& operator=(RequestScope&&) = delete;
     ~RequestScope() { end(RequestOutcome::kAbandoned); }
 
-    /// Only the first call counts.
+    /// Only the first call has an effect.
     void end(RequestOutcome outcome) {
       if (Telemetry* telemetry = std::exchange(telemetry_, nullptr)) {
         telemetry->count_end(class_id_, outcome);
@@ -59,7 +59,7 @@
     ClassId class_id_;
   };
 
-  /// The last byte of a request has been written to a backend.
+  /// Called when the last byte of a request has been written to a backend.
   void count_upstream_request() { ++upstream_requests_; }
 
   const Counts& of(ClassId class_id) const { return by_class_[class_id]; }
--- a/src/proxy/watch_stream_decoder.cpp
+++ b/src/proxy/watch_stream_decoder.cpp
@@ -37,7 +37,7 @@
 
 WatchStreamDecoder::Step WatchStreamDecoder::scan_in_string(char c) {
   if (c == '\n') {
-    return Step::kInvalid;  // JSON has none there: the line was cut
+    return Step::kInvalid;  // a JSON string cannot contain a line end: the line is truncated
   }
   in_string_ = escaped_ || c != '"';
   escaped_ = !escaped_ && c == '\\';
--- a/src/proxy/watch_stream_decoder.h
+++ b/src/proxy/watch_stream_decoder.h
@@ -1,5 +1,5 @@
-// Splits what a watch on discovery carries: JSON objects, each on one line or indented over
-// several, and empty lines, which only show that the watch is alive. No I/O.
+// Splits the data of a watch on discovery into JSON objects, each on one line or indented over
+// several, and empty lines, which only show that the watch is alive. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -8,31 +8,31 @@
 
 namespace beechhill::proxy {
 
-/// Feed it bytes, then call next() until it returns kIncomplete.
+/// Call feed() with received bytes, then next() until it returns kIncomplete.
 class WatchStreamDecoder {
  public:
   enum class Token {
     /// No further token is complete yet.
     kIncomplete,
-    /// Between two objects.
+    /// An empty line between two objects.
     kEmptyLine,
-    /// From its first brace to its last.
+    /// A complete object, from its first brace to its last.
     kObject,
-    /// Bytes that begin no object or cannot be part of one, or an object that is too long. All that
-    /// follows is doubtful.
+    /// Bytes that cannot begin or continue an object, or an object beyond the size limit. What
+    /// follows cannot be decoded reliably.
     kInvalid,
   };
 
-  /// `max_object_bytes`: of one object.
+  /// `max_object_bytes` is the maximum size of one object.
   explicit WatchStreamDecoder(std::size_t max_object_bytes) : max_object_bytes_(max_object_bytes) {}
 
   void feed(std::string_view bytes) { bytes_ += bytes; }
 
-  /// The next token. With kObject `object` is valid until the next call of a non-const member.
-  /// Linear in the bytes fed; none is scanned twice.
+  /// Returns the next token. For kObject, `object` is valid until the next call of a non-const
+  /// member. Takes time linear in the bytes fed; no byte is scanned twice.
   Token next(std::string_view& object);
 
-  /// Bytes held of an object that is not complete yet.
+  /// Number of bytes held of an object that is not complete yet.
   std::size_t incomplete_object_bytes() const {
     return depth_ > 0 ? bytes_.size() - object_start_ : 0;
   }
@@ -48,7 +48,7 @@
   std::size_t max_object_bytes_;
   std::size_t scan_position_ = 0;
   std::size_t object_start_ = 0;
-  /// Open braces and brackets.
+  /// Number of open braces and brackets.
   int depth_ = 0;
   bool in_string_ = false;
   bool escaped_ = false;
--- a/src/proxy/zone_utilization.h
+++ b/src/proxy/zone_utilization.h
@@ -1,4 +1,4 @@
-// The smoothed utilization of each zone, from the backends' load reports.
+// The smoothed utilization of each zone, computed from the load reports of its backends.
 #pragma once
 
 #include <cstdint>
@@ -8,10 +8,10 @@
 
 namespace beechhill::proxy {
 
-/// An exponentially weighted moving average by zone id.
+/// Exponentially weighted moving averages of the utilization, by zone id.
 class ZoneUtilization {
  public:
-  /// Reports without a utilization, or with one outside 0 to 1, are ignored.
+  /// Ignores reports without a utilization or with one outside 0 to 1.
   void record(std::uint32_t zone, const LoadReport& report) {
     if (!report.utilization || !(*report.utilization >= 0 && *report.utilization <= 1)) {
       return;
@@ -22,7 +22,7 @@
   const std::map<std::uint32_t, double>& by_zone() const { return by_zone_; }
 
  private:
-  /// Weight of the latest report: about the last twenty count.
+  /// Weight of the latest report. The average covers about the last twenty reports.
   static constexpr double kSmoothingFactor = 0.05;
 
   std::map<std::uint32_t, double> by_zone_;
