--- a/tests/backend_actor_test.cpp
+++ b/tests/backend_actor_test.cpp
@@ -1,4 +1,4 @@
-// The actor of one backend, in this process, on a scheduler that the test stops.
+// Tests of BackendActor in the test's own process, on a scheduler that the test stops.
 #include "proxy/backend_actor.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 
 namespace {
 
-// An actor whose backend is a listening socket.
+// Provides an actor for a backend that is a listening socket.
 class BackendActorTest : public testing::Test {
  protected:
   BackendActorTest() {
@@ -30,13 +30,13 @@
     return {1, 0, now + 3s, now + 3s, {}, std::make_shared<TestPayload>(), std::move(request)};
   }
 
-  // Runs until the attempt's outcome is posted; `while_connecting`, if any, is called once the
-  // attempt waits for its connection.
+  // Runs until the attempt's outcome has been posted. If `while_connecting` is set, it is called
+  // once the attempt waits for its connection.
   Result outcome(const std::function<void()>& while_connecting = {}) {
     scheduler.spawn(await_outcome(while_connecting));
     scheduler.run();
     if (decisions.empty()) {
-      ADD_FAILURE() << "no outcome";
+      ADD_FAILURE() << "no outcome was posted within the test timeout";
       return Result::kOk;
     }
     const proxy::DecisionMessage message = decisions.take();
@@ -67,8 +67,8 @@
   }
 };
 
-// Nothing of the drain's grace is used: discovery's agent may have known of the drain for all of
-// it.
+// A draining backend receives no request even within its drain grace, because discovery's agent may
+// have learned of the drain that long ago.
 TEST_F(BackendActorTest, SkipsQueuedAttemptWhenBackendDrains) {
   settings.drain_grace = 2s;
   ASSERT_TRUE(actor.post(attempt(nullptr)));
@@ -89,13 +89,14 @@
   ASSERT_TRUE(server.buffer.empty());
 }
 
-// No cancellation comes, by settings that allow none or behind a full mailbox.
+// The client's disconnect must prevent the request without a CancelAttempt, which the settings may
+// disable and a full mailbox may delay.
 TEST_F(BackendActorTest, SendsNothingWhenClientDisconnectsDuringConnect) {
   const auto request = std::make_shared<proxy::ClientRequest>();
   ASSERT_TRUE(actor.post(attempt(request)));
   ASSERT_EQ(outcome([&request] { request->abandoned = true; }), Result::kSkipped);
   const TestConnection server = backend.accept();
-  ASSERT_FALSE(server.readable(50ms));  // open, for another request
+  ASSERT_FALSE(server.readable(50ms));  // the connection stays open for another request
 }
 
 TEST_F(BackendActorTest, SendsNothingWhenRequestIsAnsweredDuringConnect) {
@@ -106,7 +107,7 @@
   ASSERT_FALSE(server.readable(50ms));
 }
 
-// A repeat whose connection comes up when the backend would no longer know it as one.
+// A retry is not sent if its connection is established only after the deduplication window.
 TEST_F(BackendActorTest, SendsNothingPastWriteDeadline) {
   proxy::AttemptRequest late = attempt(nullptr);
   late.write_deadline = runtime::now() + 20ms;
--- a/tests/bodies_test.cpp
+++ b/tests/bodies_test.cpp
@@ -1,4 +1,4 @@
-// Bodies that are too large to be buffered, and are passed on as they arrive.
+// Bodies that are too large to be buffered and are forwarded as they arrive.
 #include <gtest/gtest.h>
 
 #include <cstring>
@@ -14,7 +14,7 @@
 
 namespace {
 
-std::string pattern(std::size_t size, const std::string& id) {
+std::string make_body(std::size_t size, const std::string& id) {
   std::string bytes = id + " ";
   while (bytes.size() < size) {
     bytes += std::to_string(bytes.size()) + ",";
@@ -27,28 +27,28 @@
   return "POST /ajuste HTTP/1.1\r\nX-Trace-Id: " + id + "\r\nIdempotency-Key: k" + id + "\r\n" +
          framing + "\r\n";
 }
-std::string length(std::size_t n) {
+std::string content_length(std::size_t n) {
   return "Content-Length: " + std::to_string(n) + "\r\n";
 }
 const std::string kChunked = "Transfer-Encoding: chunked\r\n";
 std::string chunked(const std::string& bytes) {
   std::string out;
-  for (std::size_t at = 0; at < bytes.size(); at += 30'000) {
-    out += http::write_chunk(bytes.substr(at, 30'000));
+  for (std::size_t offset = 0; offset < bytes.size(); offset += 30'000) {
+    out += http::write_chunk(bytes.substr(offset, 30'000));
   }
   return out + http::write_chunk({});
 }
 
-// Sends from a thread of its own, as either side may hold the other back. Stops where the other
-// side has gone.
-std::thread sender(const TestConnection& wire, std::string bytes) {
-  return std::thread([fd = wire.fd(), bytes = std::move(bytes)] {
-    for (std::size_t at = 0; at < bytes.size();) {
-      const ssize_t n = ::send(fd, bytes.data() + at, bytes.size() - at, MSG_NOSIGNAL);
+// Sends from a separate thread, because the receiver may stop reading. Ends early if the receiver
+// closes the connection.
+std::thread send_in_thread(const TestConnection& connection, std::string bytes) {
+  return std::thread([fd = connection.fd(), bytes = std::move(bytes)] {
+    for (std::size_t offset = 0; offset < bytes.size();) {
+      const ssize_t n = ::send(fd, bytes.data() + offset, bytes.size() - offset, MSG_NOSIGNAL);
       if (n <= 0) {
         return;
       }
-      at += static_cast<std::size_t>(n);
+      offset += static_cast<std::size_t>(n);
     }
   });
 }
@@ -58,17 +58,17 @@
   bool complete = false;
 };
 
-LargeMessage read_large(TestConnection& wire, http::Parser::Kind kind) {
+LargeMessage read_large(TestConnection& connection, http::Parser::Kind kind) {
   http::Parser parser(kind);
   LargeMessage received;
   std::string body;
   http::Progress progress = http::Progress::kNeedsMore;
   for (bool open = true; progress == http::Progress::kNeedsMore;) {
     if (!parser.head_done()) {
-      progress = parser.feed_head(wire.buffer);
+      progress = parser.feed_head(connection.buffer);
     }
     if (parser.head_done()) {
-      progress = parser.feed_body(wire.buffer, body);
+      progress = parser.feed_body(connection.buffer, body);
     }
     if (progress != http::Progress::kNeedsMore) {
       break;
@@ -77,7 +77,7 @@
       progress = parser.end();
     }
     if (open) {
-      open = wire.fill();
+      open = connection.fill();
     }
   }
   received.complete = progress == http::Progress::kComplete;
@@ -86,19 +86,20 @@
   return received;
 }
 
-// In each framing, twice on the client's connection where that may stay open.
+// Streams large bodies with a stated length, with chunked encoding, and with a response that ends
+// with the connection. Each client connection carries two requests.
 TEST(Bodies, StreamsLargeBodiesBothWays) {
   const FakeListener backend;
   const ProxyUnderTest proxy(single_backend_list(backend));
-  const std::string request_body = pattern(700'000, "up");
-  const std::string response_body = pattern(900'000, "a1");
+  const std::string request_body = make_body(700'000, "up");
+  const std::string response_body = make_body(900'000, "a1");
   for (int framing = 0; framing < 3; ++framing) {
     TestConnection client = proxy.client();
     for (int n = 0; n < 2; ++n) {
       const std::string id = "a" + std::to_string(framing) + std::to_string(n);
-      std::thread sending =
-          sender(client, framing == 0 ? post_head(id, length(request_body.size())) + request_body
-                                      : post_head(id, kChunked) + chunked(request_body));
+      std::thread sending = send_in_thread(
+          client, framing == 0 ? post_head(id, content_length(request_body.size())) + request_body
+                               : post_head(id, kChunked) + chunked(request_body));
       TestConnection server = backend.accept();
       const LargeMessage request = read_large(server, http::Parser::Kind::kRequest);
       sending.join();
@@ -106,13 +107,14 @@
       ASSERT_TRUE(request.message.body == request_body);
       ASSERT_EQ(*request.message.headers.find("X-Trace-Id"), id);
       const std::string head = "HTTP/1.1 200 OK\r\nConnection: close\r\n";
-      std::thread answering =
-          sender(server, framing == 0 ? head + length(response_body.size()) + "\r\n" + response_body
-                         : framing == 1 ? head + kChunked + "\r\n" + chunked(response_body)
-                                        : head + "\r\n" + response_body);
+      std::thread answering = send_in_thread(
+          server, framing == 0
+                      ? head + content_length(response_body.size()) + "\r\n" + response_body
+                  : framing == 1 ? head + kChunked + "\r\n" + chunked(response_body)
+                                 : head + "\r\n" + response_body);
       if (framing == 2) {
         answering.join();
-        ::shutdown(server.fd(), SHUT_WR);  // the connection's end is the body's
+        ::shutdown(server.fd(), SHUT_WR);  // the end of the connection ends the body
       }
       const LargeMessage answer = read_large(client, http::Parser::Kind::kResponse);
       ASSERT_TRUE(answer.complete);
@@ -125,26 +127,27 @@
   }
 }
 
-// A slow upload may take longer than a head; one that stalls gets 408. 100-continue is honoured.
+// A slow upload with Expect: 100-continue may take longer than a request's head is allowed to. An
+// upload that stalls gets 408, and a request with an unknown expectation gets 400.
 TEST(Bodies, WaitsForSlowUploadAndTimesOutStalledOne) {
   const FakeListener backend;
   const ProxyUnderTest proxy(single_backend_list(backend));
   TestConnection slow = proxy.client();
   TestConnection stalled = proxy.client();
   TestConnection other = proxy.client();
-  const std::string body = pattern(200'000, "s1");
-  stalled.send(post_head("s2", length(body.size())) + body.substr(0, 100'000));
-  other.send(post_head("s3", length(4) + "Expect: 200-ok\r\n"));
+  const std::string body = make_body(200'000, "s1");
+  stalled.send(post_head("s2", content_length(body.size())) + body.substr(0, 100'000));
+  other.send(post_head("s3", content_length(4) + "Expect: 200-ok\r\n"));
   expect_status(other, 400);
-  slow.send(post_head("s1", length(body.size()) + "Expect: 100-continue\r\n"));
+  slow.send(post_head("s1", content_length(body.size()) + "Expect: 100-continue\r\n"));
   while (slow.buffer.find("\r\n\r\n") == std::string::npos) {
     ASSERT_TRUE(slow.fill());
   }
   ASSERT_EQ(slow.buffer, "HTTP/1.1 100 Continue\r\n\r\n");
   slow.buffer.clear();
   std::thread writing([&] {
-    for (std::size_t at = 0; at < body.size(); at += 6'000) {
-      slow.send(body.substr(at, 6'000));
+    for (std::size_t offset = 0; offset < body.size(); offset += 6'000) {
+      slow.send(body.substr(offset, 6'000));
       ::usleep(100'000);
     }
   });
@@ -177,7 +180,7 @@
   return -1;
 }
 
-// Many large responses at once to clients that do not read.
+// Large responses to many clients that do not read must not be buffered completely.
 TEST(Bodies, BoundsMemoryForSlowReaders) {
   constexpr int kClients = 24;
   constexpr std::size_t kSize = 8'000'000;
@@ -185,7 +188,7 @@
   ::setenv("ASAN_OPTIONS", "quarantine_size_mb=1", 1);
   const ProxyUnderTest proxy(single_backend_list(backend));
   const long before = peak_kb(proxy.pid());
-  const std::string body = pattern(kSize, "x");
+  const std::string body = make_body(kSize, "x");
   std::vector<TestConnection> clients;
   std::vector<TestConnection> servers;
   std::vector<std::thread> answering;
@@ -194,20 +197,21 @@
     clients.back().send(ProxyUnderTest::get("m" + std::to_string(n)));
     servers.push_back(backend.accept());
     servers.back().request();
-    answering.push_back(
-        sender(servers.back(), "HTTP/1.1 200 OK\r\n" + length(kSize) + "\r\n" + body));
+    answering.push_back(send_in_thread(
+        servers.back(), "HTTP/1.1 200 OK\r\n" + content_length(kSize) + "\r\n" + body));
   }
-  ::usleep(1'000'000);  // as much is in flight as will be
+  ::usleep(1'000'000);  // by now all buffers are full
   for (TestConnection& client : clients) {
     ASSERT_TRUE(read_large(client, http::Parser::Kind::kResponse).message.body == body);
   }
   for (std::thread& thread : answering) {
     thread.join();
   }
-  ASSERT_LT(peak_kb(proxy.pid()) - before, 64 * 1024);  // of 192 MB that passed
+  ASSERT_LT(peak_kb(proxy.pid()) - before, 64 * 1024);  // the bodies are 192 MB in total
 }
 
-// In either framing the client can tell that the body is incomplete.
+// If the backend breaks off a response, the client can tell in either framing that it is
+// incomplete.
 TEST(Bodies, CutsClientResponseWhenBackendBreaksOff) {
   const FakeListener backend;
   const ProxyUnderTest proxy(single_backend_list(backend));
@@ -217,8 +221,8 @@
     {
       TestConnection server = backend.accept();
       server.request();
-      const std::string part = pattern(150'000, "c");
-      server.send("HTTP/1.1 200 OK\r\n" + (stated ? length(500'000) + "\r\n" + part
+      const std::string part = make_body(150'000, "c");
+      server.send("HTTP/1.1 200 OK\r\n" + (stated ? content_length(500'000) + "\r\n" + part
                                                   : kChunked + "\r\n" + http::write_chunk(part)));
     }
     const LargeMessage received = read_large(client, http::Parser::Kind::kResponse);
@@ -234,7 +238,7 @@
   const FakeListener backend;
   const ProxyUnderTest proxy(single_backend_list(backend));
   auto client = std::make_unique<TestConnection>(proxy.client());
-  client->send(post_head("l1", length(5'000'000)) + std::string(100'000, 'x'));
+  client->send(post_head("l1", content_length(5'000'000)) + std::string(100'000, 'x'));
   TestConnection upload = backend.accept();
   ASSERT_TRUE(upload.fill());
   client.reset();
@@ -243,31 +247,32 @@
   client->send(ProxyUnderTest::get("l2"));
   TestConnection download = backend.accept();
   download.request();
-  std::thread answering = sender(
-      download, "HTTP/1.1 200 OK\r\n" + length(30'000'000) + "\r\n" + std::string(30'000'000, 'x'));
+  std::thread answering =
+      send_in_thread(download, "HTTP/1.1 200 OK\r\n" + content_length(30'000'000) + "\r\n" +
+                                   std::string(30'000'000, 'x'));
   ASSERT_TRUE(client->fill());
   client.reset();
-  answering.join();  // written or not: its connection is closed
+  answering.join();  // ends once all is sent or the proxy has closed the connection
   ASSERT_FALSE(download.fill());
   ASSERT_NE(proxy.call("GET", "/api/telemetry").body.find("\"pending\":0"), std::string::npos);
 }
 
-// It was not buffered, so no other backend can get it; it was not executed, so the client may
-// retry.
+// A streamed request that was sent in part is not buffered, so it cannot be retried on another
+// backend. It was not executed, so it is rejected and the client may retry it.
 TEST(Bodies, RejectsPartlySentRequest) {
   const FakeListener first;
   const FakeListener second;
   ProxyUnderTest proxy("[" + host_json("s-1", first.address()) + "," +
                        host_json("s-2", second.address()) + "]");
   TestConnection client = proxy.client();
-  client.send(post_head("p1", length(5'000'000)) + std::string(200'000, 'x'));
+  client.send(post_head("p1", content_length(5'000'000)) + std::string(200'000, 'x'));
   while (!first.pending(5ms) && !second.pending(5ms)) {}
   {
     TestConnection server = (first.pending(0ms) ? first : second).accept();
     while (server.buffer.size() < 150'000) {
       ASSERT_TRUE(server.fill());
     }
-  }  // closes before the last byte: not executed
+  }  // closes before the last byte, so the request is not executed
   const http::Message answer = client.answer();
   ASSERT_EQ(answer.status, 503);
   ASSERT_TRUE(answer.headers.find("Retry-After"));
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -1,4 +1,4 @@
-// Pairs of events that meet, in a forced order: see docs/design/crossings.md.
+// Races between two events, each forced into a fixed order. See docs/design/crossings.md.
 #include "http/writer.h"
 #include "support/proxy_fixture.h"
 #include "support/proxy_test_util.h"
@@ -10,8 +10,8 @@
 
 class CrossingsOneBackend : public OneBackendTest {};
 
-// A client pipelines more than is buffered and disconnects: its request's attempt is cancelled,
-// though nobody reads up to the end.
+// A client pipelines more requests than the proxy buffers and disconnects. The attempt of its first
+// request must be cancelled although bytes on the connection are still unread.
 TEST(Crossings, NoticesDisconnectBehindUnreadBytes) {
   const FakeListener backend;
   const ProxyUnderTest proxy(single_backend_list(backend));
@@ -29,31 +29,32 @@
     client.send(early);
   }
   ASSERT_FALSE(servers[0].fill());
-  ASSERT_LT(Clock::now() - sent, 2s);  // its deadline would be after 3 s
+  ASSERT_LT(Clock::now() - sent, 2s);  // the request's deadline is after 3 s
   ASSERT_FALSE(backend.pending(50ms));
 }
 
-// The resync is complete as soon as the watch has been read to its end, also on the first watch,
-// which requested the complete list.
+// After a gap without updates, a resync must end as soon as the watch has been read to its end,
+// even on the first watch, which requested the complete list.
 TEST(Crossings, ResyncsAfterGapWithoutUpdates) {
   const FakeListener backend;
   ProxyUnderTest proxy(single_backend_list(backend));
   proxy.signal(SIGSTOP);
-  ::usleep(1'200'000);  // over half of the grace, and less than a watch may be silent for
+  ::usleep(1'200'000);  // more than half of the drain grace, less than the silence timeout
   proxy.signal(SIGCONT);
   TestConnection client = proxy.client();
   TestConnection server = exchange(client, backend, ProxyUnderTest::get("a1"), "1");
   ASSERT_NE(proxy.call("GET", "/api/telemetry").body.find("full"),
-            std::string::npos);  // resynced, and not at the resync's deadline
+            std::string::npos);  // the resync ended before its deadline
 }
 
-// Discovery may hold a newer list than the cached one, and may count its versions otherwise.
+// At start the proxy requests the complete list, because discovery may have a newer list than the
+// cached one and may number its versions differently.
 TEST(Crossings, RequestsCompleteListAtStart) {
   const ProxyUnderTest proxy("", "[" + host_json("s-1", "127.0.0.1:9") + "]");
   ASSERT_TRUE(proxy.first_call().ends_with("from=0"));
 }
 
-// Over several lines, with an empty one within, and a name that looks like the object's end.
+// Reads a list over several lines, with an empty line in it and a name that looks like its end.
 TEST(Crossings, ReadsIndentedEndpointList) {
   const FakeListener backend;
   ProxyUnderTest proxy("[]");
@@ -63,11 +64,11 @@
   TestConnection server = exchange(client, backend, ProxyUnderTest::get("a1"), "");
 }
 
-// A list's beginning, and then a byte now and then.
+// A watch that delivers the start of a list and then single bytes must be closed, as if silent.
 TEST(Crossings, LeavesWatchThatCompletesNothing) {
   ProxyUnderTest proxy("[]");
   proxy.chunk("{\"seq\":5,\"whole\":true,\"hosts\":[");
-  // 4 s, in which a complete line would have had to come.
+  // These 4 s are longer than the silence timeout.
   for (int i = 0; i < 40 && !proxy.calls(); ++i) {
     proxy.chunk(" ");
     ::usleep(100'000);
@@ -75,7 +76,8 @@
   ASSERT_TRUE(proxy.calls());
 }
 
-// At the first malformed byte, though no line ends; a list cut within a string at its line's end.
+// Malformed data closes the watch at once, even without a line end. One case is a list that is
+// truncated within a string at the end of a line.
 TEST(Crossings, LeavesMalformedWatchAtOnce) {
   ProxyUnderTest proxy("[]");
   const auto started_at = Clock::now();
@@ -83,17 +85,17 @@
     proxy.chunk(malformed);
     proxy.watch_again();
   }
-  ASSERT_LT(Clock::now() - started_at, 2s);  // a silent one is left after 2.5 s
+  ASSERT_LT(Clock::now() - started_at, 2s);  // a silent watch is closed after 2.5 s
 }
 
-// A connection that is accepted and never answered is one of several within the silence timeout.
-// The first list that arrives serves the requests that wait for it. Only a gap that the log shows
-// changes what is requested and when.
+// A connection that discovery accepts but never answers is replaced several times within the
+// silence timeout, and the first list that arrives serves the waiting requests. A gap in the log is
+// the only accepted reason for another version or a delay.
 TEST(Crossings, ReconnectsWhenDiscoveryDoesNotAnswer) {
   const FakeListener backend;
   ProxyUnderTest proxy("[]");
-  // A second round trip after the one that showed the first list: by now that watch has been read
-  // to its end, so that the start's resync is over.
+  // After this second round trip the first watch has been read to its end, so the resync at start
+  // is over.
   ASSERT_EQ(proxy.ready(), 200);
   proxy.list("[]");
   proxy.say("0\r\n\r\n");  // ends the watch
@@ -103,7 +105,7 @@
   }
   const std::string target = proxy.watch_again();
   const auto took = Clock::now() - started_at;
-  // A process that was starved of its core, and logs that, requests the complete list, and later.
+  // A process that was denied the CPU logs a gap and requests the complete list, with a delay.
   LogReader log(proxy);
   const bool from_held_version = target.ends_with("from=3");
   ASSERT_TRUE(from_held_version || (target.ends_with("from=0") && log.wait_for_gap(5s) > 0ms))
@@ -115,27 +117,27 @@
   backend.accept().request();
 }
 
-// After a gap in which the process did not run, longer than a watch may be silent, a call asks for
-// the complete list, also where no call was answered before it.
+// After a gap in which the process did not run, longer than the silence timeout, the next watch
+// must request the complete list, even if discovery did not answer the connection before it.
 TEST(Crossings, RequestsCompleteListAfterGapBetweenCalls) {
   ProxyUnderTest proxy("[]");
-  ASSERT_EQ(proxy.ready(), 200);  // as above
+  ASSERT_EQ(proxy.ready(), 200);  // after this round trip the resync at start is over
   proxy.list("[]");
   proxy.say("0\r\n\r\n");
   proxy.leave_mute();
   proxy.signal(SIGSTOP);
-  ::usleep(2'800'000);  // longer than a watch may be silent
+  ::usleep(2'800'000);  // longer than the silence timeout
   proxy.signal(SIGCONT);
   LogReader log(proxy);
   ASSERT_GE(log.wait_for_gap(kTestTimeout), 2500ms);
   std::string target = proxy.watch_again();
-  if (target.ends_with("from=3")) {  // on its way when the gap was noticed
+  if (target.ends_with("from=3")) {  // sent before the gap was detected
     target = proxy.watch_again();
   }
   ASSERT_TRUE(target.ends_with("from=0")) << target;
 }
 
-// SIGTERM: connections that the machine accepts until the listener closes are all answered.
+// After SIGTERM, all connections that the kernel accepts until the listener closes are answered.
 TEST(Crossings, AnswersBacklogAtShutdown) {
   const FakeListener backend;
   ProxyUnderTest proxy("[]");
@@ -150,7 +152,7 @@
     clients.push_back(proxy.client());
     clients.back().send("GET /health/ready HTTP/1.1\r\nHost: t\r\n\r\n");
   }
-  ::usleep(1'200'000);  // past the second for which it accepts
+  ::usleep(1'200'000);  // past the 1 s in which the proxy accepts during a shutdown
   proxy.signal(SIGCONT);
   for (TestConnection& client : clients) {
     expect_status(client, 503);
@@ -158,7 +160,8 @@
   ASSERT_EQ(proxy.exit_status(), 0);
 }
 
-// The next request has been read already when its connection would get its last response.
+// During a shutdown, a pipelined request that has already been read is answered before the
+// connection is closed.
 TEST(Crossings, AnswersPipelinedRequestAtShutdown) {
   const FakeListener backend;
   ProxyUnderTest proxy(single_backend_list(backend));
@@ -166,7 +169,8 @@
   while (proxy.ready() != 503) {
     ::usleep(1000);
   }
-  TestConnection client = proxy.client();  // came after the signal: its answers are its last
+  // Accepted after SIGTERM, so the connection closes after a response.
+  TestConnection client = proxy.client();
   client.send(ProxyUnderTest::get("a1") + ProxyUnderTest::get("a2"));
   TestConnection server = backend.accept();
   for (const char* id : {"a1", "a2"}) {
@@ -178,8 +182,8 @@
   }
 }
 
-// A request that arrives after its connection's last response is left unread, so that its client
-// can tell: the connection is reset, and never closed in order.
+// A request that arrives after its connection's last response is left unread. The connection is
+// then reset and not closed in order, so that the client can tell that it must retry.
 TEST(Crossings, ResetsConnectionOverUnansweredRequest) {
   const FakeListener backend;
   ProxyUnderTest proxy(single_backend_list(backend));
@@ -206,10 +210,11 @@
     ::getsockopt(client.fd(), SOL_SOCKET, SO_ERROR, &error, &size);
   }
   ASSERT_TRUE(error == ECONNRESET || error == EPIPE);
-  ASSERT_TRUE(!server.readable(0ms) || !server.fill());  // and nothing of it was forwarded
+  ASSERT_TRUE(!server.readable(0ms) || !server.fill());  // nothing of the request was forwarded
 }
 
-// Half a line or a second response: the next request goes on another connection.
+// An idle connection on which the backend writes part of a line or a second response is closed, and
+// the next request uses another connection.
 TEST(Crossings, DropsIdleConnectionThatBackendWritesTo) {
   for (const std::string& late :
        {std::string("HTTP/1.1 2"), http::write_response(200, "", "second", false)}) {
@@ -218,34 +223,35 @@
     TestConnection client = proxy.client();
     TestConnection server = exchange(client, backend, ProxyUnderTest::get("a1"), "first");
     server.send(late);
-    ASSERT_FALSE(server.fill());  // the proxy has closed it, and so has seen it
+    ASSERT_FALSE(server.fill());  // the proxy has read the bytes and closed the connection
     TestConnection other = exchange(client, backend, ProxyUnderTest::get("a2"), "second's own");
   }
 }
 
-// A response without a length that is reset is incomplete, however much of it came.
+// A response without a length whose connection is reset counts as incomplete, however much of it
+// arrived.
 TEST_F(CrossingsOneBackend, TreatsResetAsFailedResponse) {
   client.send(ProxyUnderTest::post("a1", "x"));
   {
     TestConnection server = backend.accept();
     server.request();
     server.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\na1 and a part");
-    ::usleep(50'000);  // what came is read before the reset
+    ::usleep(50'000);  // lets the proxy read the part before the reset
     const linger reset{1, 0};
     ::setsockopt(server.fd(), SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
   }
-  expect_status(client, 502);  // it may have been executed
+  expect_status(client, 502);  // the request may have been executed
   ASSERT_FALSE(backend.pending(0ms));
 }
 
-// While discovery is gone: the watch is opened again, its list applied, and a new client gets a
-// backend's response.
+// Idle clients hold all descriptors while discovery is unavailable. The watch must be opened again,
+// its list applied, and a new client must get a backend's response.
 TEST(Crossings, ServesWhileIdleClientsHoldAllDescriptors) {
   const FakeListener backend;
   ProxyUnderTest proxy("[]");
   std::vector<TestConnection> idle;
   for (int i = 0; i < 300; ++i) {
-    idle.push_back(proxy.client());  // the program may hold 256 descriptors
+    idle.push_back(proxy.client());  // the process may hold 256 descriptors
   }
   proxy.say("0\r\n\r\n");
   for (int i = 0; i < 100; ++i) {
@@ -257,8 +263,8 @@
   TestConnection server = exchange(client, backend, ProxyUnderTest::get("a1"), "1");
 }
 
-// A faulty configuration, a move of discovery while it is gone, and a second signal: what is in
-// flight is answered, and the program exits in order.
+// During a shutdown, an invalid configuration, a new address of discovery and further signals
+// arrive. The request in flight must still be answered, and the process must exit with 0.
 TEST(Crossings, HandlesReloadDuringShutdown) {
   const FakeListener backend;
   const FakeListener elsewhere;
--- a/tests/decision_actor_test.cpp
+++ b/tests/decision_actor_test.cpp
@@ -1,4 +1,4 @@
-// The decision actor, in this process, on a scheduler that the test stops.
+// Tests of DecisionActor in the test's own process, on a scheduler that the test stops.
 #include "proxy/decision_actor.h"
 
 #include <gtest/gtest.h>
@@ -41,7 +41,7 @@
   return request;
 }
 
-// Keeps what the decision actor posts to a backend.
+// Records the messages that the decision actor posts to a backend.
 class RecordingBackend : public proxy::Backend {
  public:
   explicit RecordingBackend(std::vector<proxy::BackendMessage>& messages) : messages_(messages) {}
@@ -84,7 +84,7 @@
     return found;
   }
 
-  // Lets the actor process what was posted, calls `next`, and lets it process what that posted.
+  // Lets the actor process all messages, calls `next`, and lets the actor process what that posted.
   void run(const std::function<void()>& next) {
     scheduler.spawn(run_around(next));
     scheduler.run();
@@ -100,14 +100,14 @@
   runtime::Scheduler scheduler;
   config::Config config;
   proxy::EndpointWatchMailbox watch{4};
-  // What each backend's actor would have received, by endpoint.
+  // Messages posted to each backend, by endpoint.
   std::vector<std::vector<proxy::BackendMessage>> messages =
       std::vector<std::vector<proxy::BackendMessage>>(kMaxBackends);
   std::optional<proxy::DecisionActor> actor;
 };
 
-// By the cached list a backend serves, and a request arrives before discovery says that it drains:
-// discovery's agent knew that before the process was there, and the grace may be over.
+// A request that arrives before discovery's first update must wait: a backend that serves according
+// to the cached list may be draining, and its drain grace may be over.
 TEST_F(DecisionActorTest, WaitsForDiscoveryAtStart) {
   start("[" + host_json("s-1", "127.0.0.1:9") + "]");
   const auto request = client_request(0, 3s);
@@ -124,14 +124,14 @@
   ASSERT_EQ(attempts(1).size(), 1u);
 }
 
-// Of two requests whose clients disconnect, one while its message waits in the mailbox, the other
-// while it is queued for want of a backend, nothing is forwarded.
+// A request is not forwarded if its client disconnects while the RequestReceived message is in the
+// mailbox, or while the request is queued because there is no backend.
 TEST_F(DecisionActorTest, ForwardsNothingForDisconnectedClients) {
   start("[]");
   const auto disconnected = client_request(0, 3s);
   const auto waiting = client_request(0, 3s);
   const auto queued = client_request(0, 3s);
-  // Set by its connection; the RequestAbandoned message may come much later.
+  // The connection sets this flag; the RequestAbandoned message may arrive much later.
   disconnected->abandoned = true;
   post(proxy::RequestReceived{disconnected});
   post(proxy::RequestReceived{waiting});
@@ -144,8 +144,8 @@
   ASSERT_EQ(attempts(0)[0].request, waiting);
 }
 
-// A request with an idempotency key may have been executed: its retry carries the time by which it
-// must have been sent.
+// The retry of a request with an idempotency key that may have been executed states a write
+// deadline, which is the end of the deduplication window.
 TEST_F(DecisionActorTest, RetryCarriesDeduplicationDeadline) {
   start("[]", 3);
   const auto request = client_request(1, 2s);
@@ -163,7 +163,7 @@
   ASSERT_LE(write_deadline, runtime::now() + 3s);
 }
 
-// Counts those that exist.
+// Counts its instances.
 class CountedBackend : public proxy::Backend {
  public:
   explicit CountedBackend(int& count) : count_(count) { ++count_; }
@@ -176,8 +176,8 @@
 
 constexpr std::uint64_t kReplacements = 500;
 
-// Posts lists of one backend each: a complete one without the backend before it, or a change that
-// removes that.
+// Posts lists with one new backend each: alternately a change that also removes the previous
+// backend, and a complete list without it.
 runtime::Task<> replace_backends(runtime::Scheduler& scheduler, proxy::DecisionMailbox& inbox) {
   for (std::uint64_t version = 1; version <= kReplacements; ++version) {
     const bool complete = version % 2 == 0;
@@ -195,7 +195,7 @@
   scheduler.stop();
 }
 
-// However backends are removed, their actors and ids are released.
+// Removed backends release their actors and ids, whether a change or a complete list removes them.
 TEST(DecisionActor, ReleasesRemovedBackends) {
   const config::Config config = test_config("[]");
   int alive = 0;
@@ -203,7 +203,7 @@
   runtime::Scheduler scheduler;
   proxy::EndpointWatchMailbox watch(4);
   const auto make_backend = [&](proxy::DecisionMailbox&, EndpointId endpoint, const sockaddr_in&) {
-    EXPECT_LT(endpoint, 3u) << "ids are used again";
+    EXPECT_LT(endpoint, 3u) << "the id of a removed backend was not reused";
     ++made;
     return std::make_unique<CountedBackend>(alive);
   };
--- a/tests/listener_lifecycle_test.cpp
+++ b/tests/listener_lifecycle_test.cpp
@@ -1,4 +1,4 @@
-// The stages of a drain and of a planned end, each alone and one during the other.
+// Drain and shutdown of the listener, each alone and both together.
 #include "proxy/listener_lifecycle.h"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 constexpr Time kStart = 100s;
 constexpr Duration kMaxDeadline = 3s;
 
-TEST(ListenerLifecycle, ServesWithoutLimitUntilTold) {
+TEST(ListenerLifecycle, ServesWithoutLimitByDefault) {
   const ListenerLifecycle lifecycle(kMaxDeadline);
   EXPECT_TRUE(lifecycle.is_ready());
   EXPECT_TRUE(lifecycle.accepts_connections(kStart));
@@ -22,7 +22,7 @@
 TEST(ListenerLifecycle, DrainsInStagesFromItsFirstCommand) {
   ListenerLifecycle lifecycle(kMaxDeadline);
   lifecycle.drain(kStart);
-  lifecycle.drain(kStart + 5s);  // a repeat does not begin anew
+  lifecycle.drain(kStart + 5s);  // a repeated command does not restart the drain
   EXPECT_FALSE(lifecycle.is_ready());
   EXPECT_TRUE(lifecycle.accepts_connections(kStart + 1h));
   EXPECT_FALSE(lifecycle.closes_after_response(kStart, kStart));
@@ -41,10 +41,10 @@
   EXPECT_FALSE(lifecycle.closes_idle_connections(kStart + 4s));
 }
 
-TEST(ListenerLifecycle, AcceptsForAWhileWhenItShutsDownAlone) {
+TEST(ListenerLifecycle, AcceptsBrieflyDuringShutdownWithoutSuccessor) {
   ListenerLifecycle lifecycle(kMaxDeadline);
   lifecycle.begin_shutdown(kStart, false);
-  lifecycle.drain(kStart + 100ms);  // changes nothing any more
+  lifecycle.drain(kStart + 100ms);  // has no effect on the shutdown
   EXPECT_FALSE(lifecycle.is_ready());
   EXPECT_TRUE(lifecycle.accepts_connections(kStart + 500ms));
   EXPECT_FALSE(lifecycle.accepts_connections(kStart + 1100ms));
@@ -53,7 +53,7 @@
   EXPECT_LT(lifecycle.response_deadline(), kStart + 3700ms);
 }
 
-TEST(ListenerLifecycle, LeavesClientsToItsSuccessorAtOnce) {
+TEST(ListenerLifecycle, StopsAcceptingAtOnceWithSuccessor) {
   ListenerLifecycle lifecycle(kMaxDeadline);
   lifecycle.begin_shutdown(kStart, true);
   EXPECT_TRUE(lifecycle.is_ready());
--- a/tests/proxy_rules.cpp
+++ b/tests/proxy_rules.cpp
@@ -1,4 +1,4 @@
-// One test with real sockets for each rule that the proxy must keep.
+// Tests of the proxy process over real sockets, one for each rule that the proxy must keep.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -20,7 +20,7 @@
       .count();
 }
 
-// Twice on one connection.
+// Forwards two requests and their responses on one client connection and one backend connection.
 TEST_F(ProxyRulesOneBackend, ForwardsRequestAndResponseUnchanged) {
   client.send(ProxyUnderTest::post("a1", "body"));
   TestConnection server = backend.accept();
@@ -45,7 +45,7 @@
   ASSERT_EQ(client.answer().body, "more");
 }
 
-// Rule 1: at its deadline, plus the slack, at the latest.
+// Rule 1: a request is answered by its deadline plus a slack, even if the backend never responds.
 TEST_F(ProxyRulesOneBackend, AnswersRequestThatBackendNeverAnswers) {
   client.send(ProxyUnderTest::get("a1", 200));
   TestConnection server = backend.accept();
@@ -55,7 +55,8 @@
   ASSERT_FALSE(server.fill());  // closed: HTTP/1.1 has no other way to cancel
 }
 
-// Rule 2: nor is it rejected, which would invite a retry.
+// Rule 2: a request that may have been executed is not retried by the proxy. It is not rejected
+// either, because a rejection invites the client to retry.
 TEST(ProxyRules, NeverRepeatsRequestThatMayHaveRun) {
   for (const bool answered : {false, true}) {
     const FakeListener backend;
@@ -66,29 +67,29 @@
       TestConnection server = backend.accept();
       server.request();
       if (answered) {
-        server.reply(503, "", "");  // without X-Never-Ran: it may have been executed
+        server.reply(503, "", "");  // without X-Never-Ran the request may have been executed
       }
-    }  // closes after the complete request
+    }  // closes after the complete request was received
     expect_status(client, 502);
     ASSERT_FALSE(backend.pending(0ms));
   }
 }
 
-// Only X-Never-Ran proves that a request was not executed, and so may be retried or rejected.
+// Only X-Never-Ran proves that a request was not executed and may be retried or rejected.
 TEST_F(ProxyRulesOneBackend, RejectsWithRetryAfterWhenBackendIsMarkedFull) {
   client.send(ProxyUnderTest::post("a1", "x", 250));
   TestConnection server = backend.accept();
   server.request();
   server.reply(503, "X-Never-Ran: 1\r\n", "");
   const http::Message answer = client.answer();
-  // About a fifth of the longest that clients honour.
+  // The delay is about a fifth of the longest that clients honour.
   const double retry_after_s = std::stod(*answer.headers.find("Retry-After"));
   ASSERT_EQ(answer.status, 503);
   ASSERT_GE(retry_after_s, 0.15);
   ASSERT_LE(retry_after_s, 0.45);
 }
 
-// Rule 3. Its idle connection is closed, too.
+// Rule 3: a draining backend receives no request, and its idle connection is closed.
 TEST(ProxyRules, SendsNothingToDrainingBackend) {
   const FakeListener first;
   const FakeListener second;
@@ -109,7 +110,7 @@
   ASSERT_FALSE(first.pending(0ms));
 }
 
-// Rule 4.
+// Rule 4: a backend in its slow start window receives fewer requests than a warm one.
 TEST(ProxyRules, SendsLessToBackendInSlowStart) {
   const FakeListener warm;
   const FakeListener cold;
@@ -120,16 +121,16 @@
     clients.push_back(proxy.client());
     clients.back().send(ProxyUnderTest::get("a" + std::to_string(i)));
   }
-  int at_warm = 0;
-  int at_cold = 0;
+  int warm_requests = 0;
+  int cold_requests = 0;
   std::vector<TestConnection> servers;
-  while (at_warm + at_cold < 24) {
+  while (warm_requests + cold_requests < 24) {
     ASSERT_TRUE(warm.pending(0ms) || cold.pending(0ms) || warm.pending(kTestTimeout));
     const bool is_warm = warm.pending(0ms);
     servers.push_back((is_warm ? warm : cold).accept());
-    ++(is_warm ? at_warm : at_cold);
+    ++(is_warm ? warm_requests : cold_requests);
   }
-  ASSERT_LT(at_cold * 4, at_warm);
+  ASSERT_LT(cold_requests * 4, warm_requests);
 }
 
 TEST(ProxyRules, ClosesAttemptWhenClientDisconnects) {
@@ -150,13 +151,13 @@
   TestConnection server = backend.accept();
   for (const char* id : {"a1", "a2"}) {
     ASSERT_EQ(*server.request().headers.find("X-Trace-Id"), id);
-    ASSERT_FALSE(server.readable(20ms));  // one at a time
+    ASSERT_FALSE(server.readable(20ms));  // requests are forwarded one at a time
     server.reply(200, "", id);
     ASSERT_EQ(client.answer().body, id);
   }
 }
 
-// Each is answered and its connection closed; the proxy goes on.
+// Each malformed request gets its status and has its connection closed, and the proxy stays ready.
 TEST(ProxyRules, RejectsMalformedRequests) {
   const FakeListener backend;
   const ProxyUnderTest proxy(single_backend_list(backend));
@@ -199,8 +200,8 @@
   ASSERT_EQ(proxy.ready(), 200);
 }
 
-// Also one that stops amid its request; and a crowd of silent clients that is larger than the
-// descriptors does not keep a new client waiting.
+// A client that stops within its request gets 408. Silent clients are disconnected, and more of
+// them than there are descriptors do not keep a new client waiting.
 TEST(ProxyRules, TimesOutSilentClients) {
   const FakeListener backend;
   const ProxyUnderTest proxy(single_backend_list(backend));
@@ -219,7 +220,7 @@
   }
 }
 
-// Also while silent clients keep connecting.
+// Idle clients are evicted for new ones even while silent clients keep connecting.
 TEST(ProxyRules, EvictsIdleClientsForNewOnes) {
   const FakeListener backend;
   const ProxyUnderTest proxy(single_backend_list(backend));
@@ -230,7 +231,7 @@
     idle.back().send("GET /health/ready HTTP/1.1\r\n\r\n");
     expect_status(idle.back(), 200);
   }
-  ::usleep(300'000);  // past the age up to which they are spared
+  ::usleep(300'000);  // beyond the age up to which idle clients are spared
   for (int i = 0; i < 60; ++i) {
     silent.push_back(proxy.client());
   }
@@ -242,7 +243,7 @@
   ASSERT_GE(closed, 10);
 }
 
-// The first request goes on.
+// A request with the trace id of an open one gets 409, and the open one is still answered.
 TEST(ProxyRules, RejectsTraceIdOfOpenRequest) {
   const FakeListener backend;
   const ProxyUnderTest proxy(single_backend_list(backend));
@@ -258,8 +259,8 @@
   ASSERT_FALSE(backend.pending(0ms));
 }
 
-// Bytes that begin no request show that the length before them was wrong, also where they come
-// late.
+// Bytes that cannot begin a request show that the stated length of the previous one was wrong, even
+// if they arrive after it was forwarded.
 TEST_F(ProxyRulesOneBackend, RejectsRequestFollowedByGarbage) {
   client.send(ProxyUnderTest::post("a1", "x"));
   TestConnection server = backend.accept();
@@ -269,7 +270,7 @@
   ASSERT_FALSE(server.fill());
 }
 
-// The attempt alone fails.
+// A malformed response fails its own request only: the proxy stays ready.
 TEST(ProxyRules, AnswersBadGatewayToMalformedResponses) {
   const FakeListener backend;
   const ProxyUnderTest proxy(single_backend_list(backend));
@@ -292,7 +293,7 @@
   ASSERT_EQ(proxy.ready(), 200);
 }
 
-// Long before the request's deadline.
+// A response that stalls is abandoned well before the request's deadline.
 TEST_F(ProxyRulesOneBackend, GivesUpResponseThatStallsBeforeItsEnd) {
   const auto sent = Clock::now();
   client.send(ProxyUnderTest::get("a1", 3000));
@@ -304,7 +305,7 @@
   ASSERT_LT(Clock::now() - sent, 2500ms);
 }
 
-// The connection is not used again.
+// A response that begins with an earlier request's trace id gets 502, and its connection is closed.
 TEST_F(ProxyRulesOneBackend, RejectsLeftoverOfEarlierResponse) {
   TestConnection server = exchange(client, backend, ProxyUnderTest::post("a1", "x"), "a1 first");
   client.send(ProxyUnderTest::post("a2", "x"));
@@ -327,16 +328,16 @@
   TestConnection server = exchange(client, backend, ProxyUnderTest::get("a1", 3000), "");
 }
 
-// A watch that sends nothing, not even empty lines, is opened again.
+// A watch on which nothing arrives, not even an empty line, is closed and opened again.
 TEST(ProxyRules, ReconnectsToSilentDiscovery) {
   ProxyUnderTest proxy("[]");
   proxy.watch_again();
   ASSERT_EQ(proxy.ready(), 200);
 }
 
-// SIGHUP: a faulty file changes nothing. A good one moves the watch at once, and requests the
-// complete list, as another discovery may count its versions otherwise. A shutdown still works
-// after it.
+// SIGHUP with an invalid configuration changes nothing. A valid one moves the watch at once and
+// requests the complete list, because another discovery may number its versions differently.
+// SIGTERM still works after a reload.
 TEST(ProxyRules, MovesWatchOnReload) {
   const FakeListener first;
   const FakeListener second;
@@ -346,7 +347,7 @@
   TestConnection client = proxy.client();
   TestConnection server = exchange(client, first, ProxyUnderTest::get("a1"), "1");
   proxy.list("[" + host_json("s-1", first.address(), "terminating") + "]", false);
-  ASSERT_FALSE(server.fill());  // the change has arrived
+  ASSERT_FALSE(server.fill());  // the list has been applied
   proxy.reconfigure(elsewhere.address());
   ASSERT_TRUE(proxy.watch_again(elsewhere).ends_with("from=0"));
   proxy.list("[" + host_json("s-2", second.address()) + "]", false);
@@ -356,7 +357,7 @@
   ASSERT_EQ(proxy.exit_status(), 0);
 }
 
-// A new backend at the address of a removed one.
+// A new backend at the address of a removed one must not use the removed one's connections.
 TEST_F(ProxyRulesOneBackend, SharesNoConnectionsAtReusedAddress) {
   TestConnection previous = exchange(client, backend, ProxyUnderTest::get("a1"), "");
   proxy.list("[" + host_json("s-1", backend.address(), "terminated") + "," +
@@ -366,7 +367,8 @@
   TestConnection server = exchange(client, backend, ProxyUnderTest::get("a2"), "new");
 }
 
-// While a request to it is in flight: its old connections carry no other request.
+// The connections of a backend that moves while a request is in flight, or restarts while its
+// connection is idle, are not used for further requests.
 TEST(ProxyRules, DropsConnectionsOfRestartedOrMovedBackend) {
   for (const bool moves : {true, false}) {
     const FakeListener first;
@@ -376,7 +378,7 @@
     client.send(ProxyUnderTest::get("a1"));
     TestConnection previous = first.accept();
     previous.request();
-    if (!moves) {  // its connection is idle when the restart becomes known
+    if (!moves) {  // the connection is idle when the restart becomes known
       previous.reply(200, "", "1");
       expect_status(client, 200);
     }
@@ -389,7 +391,7 @@
       TestConnection other = proxy.client();
       other.send(ProxyUnderTest::get("a2"));
       TestConnection server = second.accept();
-      server.request();  // so the list has arrived
+      server.request();  // shows that the list has been applied
       server.reply(200, "Connection: close\r\n", "2");
       expect_status(other, 200);
       previous.reply(200, "", "1");
@@ -401,7 +403,7 @@
   }
 }
 
-// Thousands of backends on one line.
+// The proxy accepts a list of thousands of backends on one line.
 TEST(ProxyRules, AcceptsLongEndpointList) {
   const FakeListener backend;
   ProxyUnderTest proxy("[]");
@@ -413,7 +415,7 @@
   TestConnection client = proxy.client();
   client.send(ProxyUnderTest::get("a1"));
   const auto end = Clock::now() + kTestTimeout;
-  // On a busy machine the list takes longer than a request is queued for it.
+  // On a busy machine the proxy may reject requests before it has applied the list.
   for (int i = 2; !backend.pending(10ms); ++i) {
     ASSERT_LT(Clock::now(), end);
     if (!client.readable(0ms)) {
@@ -428,7 +430,7 @@
   expect_status(client, 200);
 }
 
-// A request written to it would be reset.
+// A request written on a connection that the backend has closed would be reset.
 TEST_F(ProxyRulesOneBackend, DoesNotReuseConnectionThatBackendClosed) {
   client.send(ProxyUnderTest::post("a1", "x"));
   {
@@ -440,8 +442,8 @@
   TestConnection server = exchange(client, backend, ProxyUnderTest::post("a2", "x"), "fresh");
 }
 
-// SIGTERM: no longer ready; requests in flight and those that still come are answered, kept
-// connections go on for a while, then exit 0.
+// After SIGTERM the proxy is not ready, answers requests in flight and new ones, serves open
+// connections for a while, and then exits with 0.
 TEST(ProxyRules, ShutsDownGracefully) {
   const FakeListener backend;
   ProxyUnderTest proxy(single_backend_list(backend));
@@ -474,12 +476,12 @@
   ASSERT_EQ(proxy.exit_status(), 0);
 }
 
-// The client that has been idle longest is evicted.
+// If clients outnumber the descriptors, the client that has been idle longest is evicted.
 TEST(ProxyRules, ServesMoreClientsThanDescriptors) {
   const FakeListener backend;
   const ProxyUnderTest proxy(single_backend_list(backend));
   std::vector<TestConnection> clients;
-  for (int i = 0; i < 300; ++i) {  // the program may hold 256 descriptors
+  for (int i = 0; i < 300; ++i) {  // the process may hold 256 descriptors
     clients.push_back(proxy.client());
     clients.back().send("GET /health/ready HTTP/1.1\r\n\r\n");
     expect_status(clients.back(), 200);
--- a/tests/watch_stream_decoder_test.cpp
+++ b/tests/watch_stream_decoder_test.cpp
@@ -1,4 +1,4 @@
-// How a watch's bytes are split into objects and empty lines.
+// Splitting the data of a watch into objects and empty lines.
 #include "proxy/watch_stream_decoder.h"
 
 #include <gtest/gtest.h>
@@ -20,13 +20,13 @@
   bool operator==(const Decoded&) const = default;
 };
 
-// All tokens up to the first that is incomplete or invalid, that one included. `step`: bytes fed at
-// once.
+// Returns all tokens up to and including the first that is incomplete or invalid. Feeds `step`
+// bytes at a time.
 std::vector<Decoded> decode(std::string_view bytes, std::size_t step) {
   WatchStreamDecoder decoder(kMaxObjectBytes);
   std::vector<Decoded> decoded;
-  for (std::size_t at = 0; at < bytes.size(); at += step) {
-    decoder.feed(bytes.substr(at, step));
+  for (std::size_t offset = 0; offset < bytes.size(); offset += step) {
+    decoder.feed(bytes.substr(offset, step));
     for (;;) {
       std::string_view object;
       const Token token = decoder.next(object);
@@ -57,7 +57,7 @@
                                                      {}});
 }
 
-TEST(WatchStreamDecoder, TakesIndentedObjectAsOne) {
+TEST(WatchStreamDecoder, ReturnsIndentedObjectAsOneToken) {
   const std::string object = "{\n  \"a\":\n\n  [1]\n}";
   expect_decoded(object + "\n", {{Token::kObject, object}, {}});
 }
@@ -67,7 +67,7 @@
   expect_decoded(object, {{Token::kObject, object}, {}});
 }
 
-TEST(WatchStreamDecoder, RejectsWhatBeginsNoObject) {
+TEST(WatchStreamDecoder, RejectsBytesThatBeginNoObject) {
   expect_decoded("{}]", {{Token::kObject, "{}"}, {Token::kInvalid, ""}});
 }
 
