--- a/src/proxy/body_pipe.h
+++ b/src/proxy/body_pipe.h
@@ -80,7 +80,7 @@
     state_ = State::kComplete;
     data_available_.notify();
   }
-  /// Marks the body as never to be completed. Has no effect after finish().
+  /// Marks the body as incomplete for good. Has no effect after finish().
   void abort() {
     if (state_ == State::kOpen) {
       state_ = State::kAborted;
--- a/src/proxy/endpoint_watch_actor.cpp
+++ b/src/proxy/endpoint_watch_actor.cpp
@@ -97,7 +97,7 @@
   }
 }
 
-// Waits with jitter, because all proxies lose a failing discovery at the same moment.
+// Waits with jitter, because all proxies lose their watch at the same moment when discovery fails.
 Task<> EndpointWatchActor::back_off() {
   std::uniform_int_distribution<std::int64_t> backoff_ms(kMinBackoff.count(), kMaxBackoff.count());
   runtime::Wait wait(scheduler_);
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -33,8 +33,9 @@
   ASSERT_FALSE(backend.pending(50ms));
 }
 
-// After a gap without updates, a resync must end as soon as the watch has been read to its end,
-// even on the first watch, which requested the complete list.
+// After a gap in which the process did not run and discovery sent no update, the resync must end as
+// soon as the watch has been read to its end, even on the first watch, which requested the complete
+// list.
 TEST(Crossings, ResyncsAfterGapWithoutUpdates) {
   const FakeListener backend;
   ProxyUnderTest proxy(single_backend_list(backend));
@@ -169,7 +170,7 @@
   while (proxy.ready() != 503) {
     ::usleep(1000);
   }
-  // Accepted after SIGTERM, so the connection closes after a response.
+  // Accepted after SIGTERM, so without a pipelined request the connection closes after a response.
   TestConnection client = proxy.client();
   client.send(ProxyUnderTest::get("a1") + ProxyUnderTest::get("a2"));
   TestConnection server = backend.accept();
--- a/tests/proxy_rules.cpp
+++ b/tests/proxy_rules.cpp
@@ -200,8 +200,8 @@
   ASSERT_EQ(proxy.ready(), 200);
 }
 
-// A client that stops within its request gets 408. Silent clients are disconnected, and more of
-// them than there are descriptors do not keep a new client waiting.
+// A client that stops within its request gets 408. Silent clients are disconnected, and a new
+// client is served even if they outnumber the descriptors.
 TEST(ProxyRules, TimesOutSilentClients) {
   const FakeListener backend;
   const ProxyUnderTest proxy(single_backend_list(backend));
@@ -430,7 +430,8 @@
   expect_status(client, 200);
 }
 
-// A request written on a connection that the backend has closed would be reset.
+// The next request uses a new connection, because one written on a connection that the backend has
+// closed would be reset.
 TEST_F(ProxyRulesOneBackend, DoesNotReuseConnectionThatBackendClosed) {
   client.send(ProxyUnderTest::post("a1", "x"));
   {
