--- a/src/maintenance/command_result.h
+++ b/src/maintenance/command_result.h
@@ -1,4 +1,4 @@
-// What became of a command that was given to the voters, and its text for operators.
+// Results of commands submitted to the voters, and their reason codes.
 #pragma once
 
 #include <cstdint>
@@ -6,11 +6,12 @@
 
 namespace beechhill::maintenance {
 
-/// Results of MaintenanceStateMachine::apply(), and below those the ones of a command that was
-/// never applied.
+/// Result of a command. The values up to kUndecodable are returned by
+/// MaintenanceStateMachine::apply(); the later ones mean that the command was not applied, or that
+/// its outcome is unknown.
 enum class CommandResult : std::uint8_t {
   kApplied,
-  /// The state is already as the command would have it.
+  /// The state already has what the command asks for.
   kNothingToChange,
   kNoRequest,
   kIdIsTaken,
@@ -18,32 +19,35 @@
   kTooManyProxies,
   kUnknownRequest,
   kUnknownProxy,
-  /// Neither that request nor that machine, or no such command.
+  /// The request, the machine or the type of the command is unknown.
   kUnknown,
   kEnded,
-  /// The disruption budget forbids it.
+  /// The disruption budget or another precondition forbids the drain.
   kBudgetExceeded,
-  /// Of another workflow of that machine than the current one.
+  /// The command belongs to an earlier workflow of the machine, or the machine has no workflow.
   kOtherWorkflow,
   kOtherState,
   kOtherRequest,
   kPaused,
-  /// An entry of the log that this version cannot decode.
+  /// This version cannot decode the log entry.
   kUndecodable,
 
   kNotLeader,
-  /// The leader changed meanwhile: it may be applied or not.
+  /// The leader changed before the outcome was known: the command may have been applied or not.
   kLost,
-  /// No leader is known here.
+  /// This proxy knows no leader, the leader is not ready yet, or too many calls are being
+  /// forwarded.
   kNoLeader,
-  /// The leader did not answer in time.
+  /// The leader did not answer within ForwardedCalls::kCallTimeout.
   kNoAnswer,
 };
 
-/// The reason code on the wire and in operators' output, a string literal; empty for kApplied.
+/// Returns the reason code that is used on the wire and in operators' output, a string literal;
+/// empty for kApplied.
 const char* to_string(CommandResult result);
 
-/// Whether the command was not decided on, by its reason code: an operator may send it again.
+/// Whether the reason code means that the command may have been left undecided, so that the
+/// operator may send it again.
 bool is_retryable(std::string_view reason_code);
 
 }  // namespace beechhill::maintenance
--- a/src/maintenance/coordination_messages.cpp
+++ b/src/maintenance/coordination_messages.cpp
@@ -53,14 +53,14 @@
   return utilization;
 }
 
-ByteWriter begin(Type type) {
+ByteWriter begin_message(Type type) {
   ByteWriter writer;
   writer.number(type);
   return writer;
 }
 
 ByteWriter write(const LeaseRequest& message) {
-  ByteWriter writer = begin(Type::kLeaseRequest);
+  ByteWriter writer = begin_message(Type::kLeaseRequest);
   writer.number(message.number)
       .number(message.boot_id)
       .number(message.acknowledged_index)
@@ -98,7 +98,7 @@
 }
 
 ByteWriter write(const LeaseGrant& message) {
-  ByteWriter writer = begin(Type::kLeaseGrant);
+  ByteWriter writer = begin_message(Type::kLeaseGrant);
   writer.number(message.number).number(message.applied_index);
   write_permissions(writer, message.backend_permissions);
   write_permissions(writer, message.proxy_permissions);
@@ -113,7 +113,7 @@
 }
 
 ByteWriter write(const NotLeader& message) {
-  ByteWriter writer = begin(Type::kNotLeader);
+  ByteWriter writer = begin_message(Type::kNotLeader);
   writer.number(message.number).text(message.leader);
   return writer;
 }
@@ -124,7 +124,7 @@
 }
 
 ByteWriter write(const LeadershipCheck& message) {
-  ByteWriter writer = begin(Type::kLeadershipCheck);
+  ByteWriter writer = begin_message(Type::kLeadershipCheck);
   writer.number(message.term).number(message.round);
   return writer;
 }
@@ -135,7 +135,7 @@
 }
 
 ByteWriter write(const LeadershipConfirmation& message) {
-  ByteWriter writer = begin(Type::kLeadershipConfirmation);
+  ByteWriter writer = begin_message(Type::kLeadershipConfirmation);
   writer.number(message.term).number(message.round);
   return writer;
 }
@@ -146,13 +146,13 @@
 }
 
 ByteWriter write(const Submit& message) {
-  ByteWriter writer = begin(Type::kSubmit);
+  ByteWriter writer = begin_message(Type::kSubmit);
   writer.number(message.number).raw(encode(message.command));
   return writer;
 }
 
 ByteWriter write(const SubmitResult& message) {
-  ByteWriter writer = begin(Type::kSubmitResult);
+  ByteWriter writer = begin_message(Type::kSubmitResult);
   writer.number(message.number).number(message.accepted).text(message.reason);
   return writer;
 }
@@ -161,12 +161,12 @@
   message.number = reader.number<std::uint64_t>();
   message.accepted = reader.number<bool>();
   message.reason = reader.text(kMaxTextBytes);
-  // Whatever a later version adds.
+  // Ignores fields that a later version may append.
   reader.rest();
 }
 
 ByteWriter write(const Query& message) {
-  ByteWriter writer = begin(Type::kQuery);
+  ByteWriter writer = begin_message(Type::kQuery);
   writer.number(message.number).text(message.request);
   return writer;
 }
@@ -177,7 +177,7 @@
 }
 
 ByteWriter write(const QueryResult& message) {
-  ByteWriter writer = begin(Type::kQueryResult);
+  ByteWriter writer = begin_message(Type::kQueryResult);
   writer.number(message.number)
       .number(message.accepted)
       .raw(std::string_view(message.text).substr(0, kMaxQueryResultBytes));
@@ -191,7 +191,7 @@
 }
 
 ByteWriter write(const Readmission& message) {
-  ByteWriter writer = begin(Type::kReadmission);
+  ByteWriter writer = begin_message(Type::kReadmission);
   writer.number(message.generation);
   return writer;
 }
--- a/src/maintenance/coordination_messages.h
+++ b/src/maintenance/coordination_messages.h
@@ -1,5 +1,5 @@
-// The messages between proxies beside those of raft, as types and as bytes. Proxies of different
-// versions exchange them: no field may change its place or size.
+// Messages between proxies other than those of raft, and their encoding. Proxies of different
+// versions exchange these messages: no field may change its position or size.
 #pragma once
 
 #include <cstdint>
@@ -15,15 +15,15 @@
 
 namespace beechhill::maintenance {
 
-/// Zones whose utilization goes into one message.
+/// Maximum number of zones whose utilization one message carries.
 inline constexpr std::size_t kMaxReportedZones = 64;
 inline constexpr std::size_t kMaxDrainConfirmations = 1'000;
-/// Of the answer to a query.
+/// Maximum size of the answer to a query; longer answers are truncated.
 inline constexpr std::size_t kMaxQueryResultBytes = std::size_t{64} * 1024;
 
-/// On the wire.
+/// Message types as encoded on the wire: values must not change.
 enum class CoordinationMessageType : std::uint8_t {
-  /// Of no message.
+  /// Not used by any message.
   kNone,
   kLeaseRequest,
   kLeaseGrant,
@@ -37,19 +37,19 @@
   kReadmission,
 };
 
-/// The sender has nothing in flight to the machine under that workflow.
+/// States that the sender has no requests in flight to the machine of the workflow with this token.
 struct DrainConfirmation {
   std::string machine;
   FencingToken fencing_token = 0;
 };
 
-/// From a proxy to the leader: asks for a lease, and reports.
+/// Sent by a proxy to the leader to request a lease and to report its state.
 struct LeaseRequest {
-  /// Of the request, to tell its answer by.
+  /// Request number, repeated in the answer.
   std::uint64_t number = 0;
-  /// Differs between processes of one name.
+  /// Differs between processes that run under the same proxy name.
   std::uint64_t boot_id = 0;
-  /// Of the state that the proxy holds.
+  /// Log index of the replicated state that the proxy has received with its last lease.
   LogIndex acknowledged_index = 0;
   std::string zone;
   bool has_discovery_update = false;
@@ -59,29 +59,29 @@
   bool has_lost_storage = false;
   std::uint64_t served_requests = 0;
   std::uint64_t unserved_requests = 0;
-  /// Sent in whole millionths; of at most kMaxReportedZones.
+  /// Utilization by zone, from 0 to 1, sent in whole millionths; at most kMaxReportedZones zones.
   std::map<std::string, double> zone_utilization;
-  /// At most kMaxDrainConfirmations.
+  /// At most kMaxDrainConfirmations entries.
   std::vector<DrainConfirmation> drained;
 };
 
 /// The leader's answer to a LeaseRequest.
 struct LeaseGrant {
   std::uint64_t number = 0;
-  /// Of the state that the permissions are from.
+  /// Log index of the state from which the permissions were derived.
   LogIndex applied_index = 0;
   DispatchPermissionMap backend_permissions;
   DispatchPermissionMap proxy_permissions;
 };
 
-/// Answer to a LeaseRequest by a proxy that does not lead.
+/// Answer to a LeaseRequest by a proxy that is not the leader.
 struct NotLeader {
   std::uint64_t number = 0;
-  /// Empty: not known.
+  /// Name of the leader; empty if unknown.
   std::string leader;
 };
 
-/// From the leader to the other voters: whether they are still in its term.
+/// Sent by the leader to the other voters to check that they are still in its term.
 struct LeadershipCheck {
   std::uint64_t term = 0;
   std::uint64_t round = 0;
@@ -101,26 +101,26 @@
 struct SubmitResult {
   std::uint64_t number = 0;
   bool accepted = false;
-  /// A reason code.
+  /// Reason code; empty if the command was applied.
   std::string reason;
 };
 
 /// An operator's query, forwarded to the leader.
 struct Query {
   std::uint64_t number = 0;
-  /// Id of a request; empty: of all.
+  /// Id of the request to report on; empty for all requests.
   std::string request;
 };
 
 struct QueryResult {
   std::uint64_t number = 0;
   bool accepted = false;
-  /// JSON, or a reason code. Cut off after kMaxQueryResultBytes.
+  /// JSON, or a reason code if not accepted; at most kMaxQueryResultBytes.
   std::string text;
 };
 
-/// From the leader to a voter that has lost its storage: the generation as which it is to create a
-/// new one.
+/// Sent by the leader to a voter that has lost its storage: the generation for which that voter
+/// must create a new storage.
 struct Readmission {
   std::uint32_t generation = 0;
 };
@@ -130,7 +130,7 @@
                  Submit, SubmitResult, Query, QueryResult, Readmission>;
 
 std::string encode(const CoordinationMessage& message);
-/// Nothing where the bytes are no message of a known type.
+/// Returns nullopt if the bytes are not a valid message of a known type.
 std::optional<CoordinationMessage> decode_coordination_message(std::string_view bytes);
 
 }  // namespace beechhill::maintenance
--- a/src/maintenance/disruption_budget_check.cpp
+++ b/src/maintenance/disruption_budget_check.cpp
@@ -49,13 +49,16 @@
   const std::uint32_t zone_out = zone.out + unlisted_;
   const std::uint32_t cell_out = cell.out + unlisted_;
   if (out >= budget_.max_out) {
-    return "most_out: " + std::to_string(out) + " are out";
+    return "most_out: " + std::to_string(out) + " machines are out, limit " +
+           std::to_string(budget_.max_out);
   }
   if (zone_out >= budget_.max_out_per_zone) {
-    return "most_out_zone: " + std::to_string(zone_out) + " are out in " + machine.zone;
+    return "most_out_zone: " + std::to_string(zone_out) + " machines are out in zone " +
+           machine.zone + ", limit " + std::to_string(budget_.max_out_per_zone);
   }
   if (cell_out >= budget_.max_out_per_cell) {
-    return "most_out_cell: " + std::to_string(cell_out) + " are out in " + machine.cell;
+    return "most_out_cell: " + std::to_string(cell_out) + " machines are out in cell " +
+           machine.cell + ", limit " + std::to_string(budget_.max_out_per_cell);
   }
   return {};
 }
@@ -66,7 +69,8 @@
   if (remaining >= budget_.min_proxies_per_zone) {
     return {};
   }
-  return "least_proxies: " + std::to_string(remaining) + " would be left in " + machine.zone;
+  return "least_proxies: " + std::to_string(remaining) + " proxies would remain in zone " +
+         machine.zone + ", minimum " + std::to_string(budget_.min_proxies_per_zone);
 }
 
 std::string DisruptionBudgetCheck::capacity_violation(const Machine& machine, const Scope& zone,
@@ -74,17 +78,17 @@
   const std::uint32_t removed = serves(machine) ? 1 : 0;
   const double removed_capacity = removed > 0 ? machine.relative_capacity : 0;
   if (!has_reserve(total_, removed_capacity)) {
-    return "reserve: what would be left does not bear the load with the reserve";
+    return "reserve: the remaining capacity would not carry the load plus the reserve";
   }
   if (!has_reserve(zone, removed_capacity)) {
-    return "reserve: what would be left in " + machine.zone +
-           " does not bear its load with the reserve";
+    return "reserve: the remaining capacity of zone " + machine.zone +
+           " would not carry its load plus the reserve";
   }
   if (budget_.preserve_last_in_zone && zone.serving == removed) {
-    return "keep_zone: the last in " + machine.zone;
+    return "keep_zone: last machine in service in zone " + machine.zone;
   }
   if (budget_.preserve_last_in_cell && cell.serving == removed) {
-    return "keep_cell: the last in " + machine.cell;
+    return "keep_cell: last machine in service in cell " + machine.cell;
   }
   return {};
 }
--- a/src/maintenance/disruption_budget_check.h
+++ b/src/maintenance/disruption_budget_check.h
@@ -1,4 +1,4 @@
-// Whether one more machine may be taken out of service within the disruption budget.
+// Checks whether one more machine may be taken out of service within the disruption budget.
 #pragma once
 
 #include <cstdint>
@@ -10,9 +10,9 @@
 
 namespace beechhill::maintenance {
 
-/// Sums the capacity of all machines of one role once, in time linear in machines and workflows,
-/// and then answers for each of them in logarithmic time. What it was made from must outlive it
-/// unchanged.
+/// Sums up the capacity of all machines of one role at construction, in time linear in machines and
+/// workflows; each check then takes logarithmic time. The constructor's arguments must outlive the
+/// object and stay unchanged.
 class DisruptionBudgetCheck {
  public:
   DisruptionBudgetCheck(const DisruptionBudget& budget, Role role,
@@ -20,22 +20,23 @@
                         const std::map<std::string, MaintenanceWorkflow>& workflows,
                         const std::map<std::string, double>& zone_utilization);
 
-  /// The bound that forbids taking `machine`, one of the listed machines of that role without a
-  /// workflow: its operators' name and the figures, for people. Empty: none does.
+  /// Returns the budget limit that forbids taking `machine` out, as the limit's name in the
+  /// settings followed by the figures, for display; empty if no limit forbids it. `machine` must be
+  /// one of the listed machines of the role and must not have a workflow.
   std::string violation(const Machine& machine) const;
 
  private:
-  /// Sums over all machines of a scope: everything, a zone or a cell.
+  /// Sums over the machines of one scope: the whole role, a zone or a cell.
   struct Scope {
-    /// With a workflow.
+    /// Machines with a workflow.
     std::uint32_t out = 0;
-    /// Up, warm and without a workflow; and their capacity.
+    /// Machines that are up, warm and without a workflow, and their total relative capacity.
     std::uint32_t serving = 0;
     double serving_capacity = 0;
-    /// Capacity that the present load takes.
+    /// Capacity that the current load requires.
     double needed_capacity = 0;
   };
-  using CellKey = std::pair<std::string, std::string>;  // zone, cell
+  using CellKey = std::pair<std::string, std::string>;  // Zone and cell.
 
   bool serves(const Machine& machine) const;
   std::string count_violation(const Machine& machine, const Scope& zone, const Scope& cell) const;
@@ -49,7 +50,8 @@
   Scope total_;
   std::map<std::string, Scope> zones_;
   std::map<CellKey, Scope> cells_;
-  /// With a workflow, and not listed any more: they count as out in every scope.
+  /// Workflows whose machine is no longer listed. They count as out in every scope, because the
+  /// zone and cell of the machine are unknown.
   std::uint32_t unlisted_ = 0;
 };
 
--- a/src/maintenance/forwarded_calls.cpp
+++ b/src/maintenance/forwarded_calls.cpp
@@ -21,7 +21,7 @@
 }
 
 void ForwardedCalls::expire(Time now) {
-  // Callbacks may add calls: they run after the map is left alone.
+  // Callbacks may add calls, so they run after the map has been updated.
   std::vector<ResponseCallback> expired;
   std::erase_if(calls_, [&](auto& entry) {
     if (now < entry.second.deadline) {
--- a/src/maintenance/forwarded_calls.h
+++ b/src/maintenance/forwarded_calls.h
@@ -1,4 +1,4 @@
-// Operators' calls that this proxy has forwarded to the leader and that wait for its answer.
+// Operators' calls that this proxy has forwarded to the leader and that are waiting for its answer.
 #pragma once
 
 #include <cstdint>
@@ -12,23 +12,23 @@
 
 struct OperatorResponse {
   bool accepted = false;
-  /// Of a query, JSON; of a command, a reason code, empty where it was applied.
+  /// For a query, the JSON answer; for a command, the reason code, empty if it was applied.
   std::string text;
 };
 using ResponseCallback = std::function<void(const OperatorResponse& response)>;
 
-/// At most kMaxCalls at a time, each for kCallTimeout.
+/// Holds at most kMaxCalls calls, each for at most kCallTimeout.
 class ForwardedCalls {
  public:
   static constexpr std::size_t kMaxCalls = 32;
   static constexpr Duration kCallTimeout{2'000'000};
 
   bool full() const { return calls_.size() >= kMaxCalls; }
-  /// Returns the number to tell the answer by. Must not be full.
+  /// Adds a call and returns its number, which the answer repeats. Must not be called when full().
   std::uint64_t add(Time now, ResponseCallback callback);
-  /// Ignored where no call of that number waits.
+  /// Runs the callback of the call with this number; ignored if there is no such call.
   void complete(std::uint64_t number, const OperatorResponse& response);
-  /// Answers those that have waited too long with kNoAnswer.
+  /// Answers calls older than kCallTimeout with kNoAnswer.
   void expire(Time now);
 
  private:
--- a/src/maintenance/incident_detector.cpp
+++ b/src/maintenance/incident_detector.cpp
@@ -8,17 +8,18 @@
 namespace beechhill::maintenance {
 namespace {
 
-// Half and twice of each paused the same days of the simulation.
-// Of all proxies.
+// Fraction of all proxies without a valid lease above which an incident is reported.
 constexpr double kSilentProxyRatio = 0.25;
-// Of the listed machines, without those that have a workflow.
+// Fractions of the listed machines, in total and per zone, that are down without having a workflow,
+// above which an incident is reported.
 constexpr double kDownMachineRatio = 0.1;
 constexpr double kLostZoneRatio = 0.5;
-// Of all requests, below the usual.
-constexpr double kGoodputFall = 0.1;
-// Of the moving average, in seconds.
-constexpr double kAveragingTime = 60;
-// Fewer requests between two looks tell nothing.
+// Drop of the served fraction of requests below its moving average above which an incident is
+// reported.
+constexpr double kMaxGoodputDrop = 0.1;
+// Time constant of the moving average of the served fraction, in seconds.
+constexpr double kAveragingTimeSeconds = 60;
+// Minimum number of requests between two checks; the served fraction of fewer is not significant.
 constexpr std::uint64_t kMinRequests = 50;
 
 struct MachineCounts {
@@ -43,7 +44,7 @@
   if (incident.empty()) {
     incident = machines_down(state, view);
   }
-  return incident.empty() ? goodput_fall(now, proxies) : incident;
+  return incident.empty() ? goodput_drop(now, proxies) : incident;
 }
 
 std::string IncidentDetector::silent_proxies(Time now, const MaintenanceStateMachine& state,
@@ -79,19 +80,19 @@
          std::to_string(static_cast<int>(total.all));
 }
 
-std::string IncidentDetector::goodput_fall(Time now, ProxyTracker& proxies) {
+std::string IncidentDetector::goodput_drop(Time now, ProxyTracker& proxies) {
   const auto [served, unserved] = proxies.take_request_counts();
   const std::uint64_t requests = served + unserved;
   if (requests < kMinRequests) {
     return {};
   }
   const double served_ratio = static_cast<double>(served) / static_cast<double>(requests);
-  if (served_ratio < usual_served_ratio_ - kGoodputFall) {
+  if (served_ratio < usual_served_ratio_ - kMaxGoodputDrop) {
     return "goodput: " + std::to_string(static_cast<int>(100 * served_ratio)) + " of 100 served";
   }
   const std::chrono::duration<double> elapsed = now - std::exchange(averaged_at_, now);
   usual_served_ratio_ +=
-      (served_ratio - usual_served_ratio_) * std::min(1.0, elapsed.count() / kAveragingTime);
+      (served_ratio - usual_served_ratio_) * std::min(1.0, elapsed.count() / kAveragingTimeSeconds);
   return {};
 }
 
--- a/src/maintenance/incident_detector.h
+++ b/src/maintenance/incident_detector.h
@@ -1,4 +1,4 @@
-// Whether something is wrong with the whole that makes this no time to take machines out.
+// Detects incidents in the cluster during which no further machines may be taken out of service.
 #pragma once
 
 #include <string>
@@ -9,12 +9,12 @@
 
 namespace beechhill::maintenance {
 
-/// Free of I/O and clocks.
+/// Performs no I/O and reads no clock.
 class IncidentDetector {
  public:
-  /// Forgets the usual success ratio: this proxy has become the leader.
+  /// Resets the usual success ratio. Must be called when this proxy becomes the leader.
   void reset(Time now);
-  /// The incident at `now`, its name and figures for operators; empty: none.
+  /// Returns the incident at `now`, as its name and figures for operators; empty if there is none.
   std::string detect(Time now, const MaintenanceStateMachine& state, const LocalView& view,
                      ProxyTracker& proxies);
 
@@ -22,9 +22,9 @@
   static std::string silent_proxies(Time now, const MaintenanceStateMachine& state,
                                     const ProxyTracker& proxies);
   static std::string machines_down(const MaintenanceStateMachine& state, const LocalView& view);
-  std::string goodput_fall(Time now, ProxyTracker& proxies);
+  std::string goodput_drop(Time now, ProxyTracker& proxies);
 
-  /// Part of the requests that are served, as a moving average.
+  /// Moving average of the fraction of requests that are served.
   double usual_served_ratio_ = 1;
   Time averaged_at_{0};
 };
--- a/src/maintenance/leader_proposals.h
+++ b/src/maintenance/leader_proposals.h
@@ -1,4 +1,4 @@
-// The leader's own proposals, each of which is in flight at most once.
+// Proposals that the leader makes on its own; each is in flight at most once.
 #pragma once
 
 #include <functional>
@@ -9,19 +9,20 @@
 
 namespace beechhill::maintenance {
 
-/// What is referred to must outlive it; callbacks of proposals in flight refer to it.
+/// The constructor's arguments must outlive the object, and the object must outlive `raft`'s
+/// pending proposals, whose callbacks refer to it.
 class LeaderProposals {
  public:
   LeaderProposals(RaftNode& raft, std::function<Seconds()> unix_time)
       : raft_(raft), unix_time_(std::move(unix_time)) {}
 
-  /// Forgets what is in flight: this proxy has become the leader.
+  /// Clears the set of proposals in flight. Must be called when this proxy becomes the leader.
   void reset() { in_flight_.clear(); }
-  /// Proposes the command at the present Unix time.
+  /// Proposes the command with the current Unix time.
   void propose(Command command, RaftNode::ProposalCallback done = {});
-  /// As propose(), unless a command with that key is in flight.
+  /// Like propose(), but does nothing while a command with the same key is in flight.
   void propose_once(const std::string& key, Command command);
-  /// propose_once() of a command about a proxy, and a machine's workflow where one is given.
+  /// Like propose_once(), for a command about a proxy and, if given, a machine's workflow.
   void propose_once(CommandType type, const std::string& proxy, const std::string& machine = {},
                     FencingToken fencing_token = 0);
   bool in_flight(const std::string& key) const { return in_flight_.contains(key); }
--- a/src/maintenance/leadership_check.h
+++ b/src/maintenance/leadership_check.h
@@ -1,5 +1,6 @@
-// Whether this voter still leads: a majority of the voters must confirm its term in a round that
-// began after what depends on it was asked for. As raft's read index does for reads.
+// Checks that this voter is still the leader: a majority of the voters must confirm its term in a
+// round that began after the operation that depends on it was requested. This is the read index
+// technique of raft, applied to leases.
 #pragma once
 
 #include <cstdint>
@@ -11,20 +12,20 @@
 
 namespace beechhill::maintenance {
 
-/// One round at a time. Free of I/O and clocks.
+/// Runs one round at a time. Performs no I/O and reads no clock.
 class LeadershipCheckRounds {
  public:
   LeadershipCheckRounds(std::string self, Duration timeout)
       : self_(std::move(self)), timeout_(timeout) {}
 
-  /// Of the latest round, which may be over.
+  /// Number of the latest round, which may have ended.
   std::uint64_t round() const { return round_; }
   bool in_progress() const { return in_progress_; }
   bool timed_out(Time now) const { return in_progress_ && now >= deadline_; }
 
-  /// Begins the next round, with this voter's own confirmation.
+  /// Begins the next round. This voter itself counts as confirmed.
   void begin(Time now);
-  /// Ignored where `round` is not the one in progress.
+  /// Records a confirmation; ignored if `round` is not the round in progress.
   void confirm(const std::string& voter, std::uint64_t round);
   bool has_majority(const std::vector<Voter>& voters) const;
   void end() { in_progress_ = false; }
--- a/src/maintenance/lease_client.cpp
+++ b/src/maintenance/lease_client.cpp
@@ -6,11 +6,12 @@
 namespace beechhill::maintenance {
 namespace {
 
-// Requests per lease, so that some may be lost; and more of them while machines are on their way
-// out, since the others wait for what each request acknowledges.
+// Lease requests per lease duration, so that the loss of some does not end the lease. While any
+// machine has a workflow the rate is kDrainingRequestFactor times higher, because drains wait for
+// the state that each request acknowledges.
 constexpr int kRequestsPerLease = 5;
 constexpr int kDrainingRequestFactor = 4;
-// With more unanswered ones another voter is asked.
+// With more unanswered requests than this, the proxy asks another voter.
 constexpr std::size_t kMaxUnansweredRequests = 2;
 
 }  // namespace
@@ -78,16 +79,17 @@
   if (request == outstanding_.end() || grant.applied_index < held_index_) {
     return;
   }
-  // Counted from when it was asked for: the answer's way does not lengthen it.
+  // The lease starts when the request was sent, so that network delay does not extend it.
   lease_expiry_ = std::max(lease_expiry_, request->second + settings_.lease_duration);
   outstanding_.erase(outstanding_.begin(), std::next(request));
   has_held_lease_ = true;
   held_index_ = grant.applied_index;
   permissions_ = grant.backend_permissions;
-  const auto own = grant.proxy_permissions.find(settings_.self);
+  const auto own_permission = grant.proxy_permissions.find(settings_.self);
   self_drain_ = std::nullopt;
-  if (own != grant.proxy_permissions.end() && own->second.dispatch_forbidden) {
-    self_drain_ = own->second.fencing_token;
+  if (own_permission != grant.proxy_permissions.end() &&
+      own_permission->second.dispatch_forbidden) {
+    self_drain_ = own_permission->second.fencing_token;
   }
 }
 
@@ -95,9 +97,9 @@
   if (!outstanding_.contains(answer.number)) {
     return;
   }
-  const bool other = answer.leader != leader_;
+  const bool is_other_leader = answer.leader != leader_;
   redirect(answer);
-  if (!leader_.empty() && other) {
+  if (!leader_.empty() && is_other_leader) {
     next_request_at_ = now;
   }
 }
--- a/src/maintenance/lease_client.h
+++ b/src/maintenance/lease_client.h
@@ -1,4 +1,4 @@
-// A proxy's lease: asks the leader for it, and holds the permissions that come with it.
+// Client side of leases: requests leases from the leader and holds the permissions that they carry.
 #pragma once
 
 #include <cstdint>
@@ -11,39 +11,44 @@
 
 namespace beechhill::maintenance {
 
-/// Free of I/O and clocks. `settings` must outlive it.
+/// Performs no I/O and reads no clock. `settings` must outlive the object.
 class LeaseClient {
  public:
-  /// `first_voter`: position, modulo their count, of the voter to ask first.
+  /// `first_voter` is the index, modulo the number of voters, of the voter to ask first.
   LeaseClient(Time now, const CoordinatorSettings& settings, std::uint64_t boot_id,
               std::size_t first_voter);
 
-  /// When next_request() is to be called.
+  /// Time at which next_request() must be called next.
   Time next_request_at() const { return next_request_at_; }
   void request_at(Time time) { next_request_at_ = time; }
-  /// The next request, for the proxy leader(). `known_leader`: by raft, empty where unknown.
+  /// Returns the next request, to be sent to the proxy leader(). `known_leader` is the leader known
+  /// to raft; empty if unknown.
   LeaseRequest next_request(Time now, const LocalView& view, bool has_lost_storage,
                             const std::string& known_leader);
 
-  /// Ignored where it answers no outstanding request, or an older state than the one held.
+  /// Accepts a lease. Ignored if it answers no outstanding request, or if its state is older than
+  /// the one held.
   void handle(const LeaseGrant& grant);
-  /// Asks again at once where another leader is named.
+  /// Redirects requests to the leader that the answer names; if it differs from the proxy asked so
+  /// far, the next request is due at once.
   void handle(Time now, const NotLeader& answer);
-  /// As handle(NotLeader) for a request to this proxy itself, without asking again before its time.
+  /// Like handle(NotLeader), for a request that this proxy sent to itself, but does not make the
+  /// next request due earlier.
   void redirect(const NotLeader& answer);
 
-  /// The proxy that it asks; empty before the first request and where the last one knew none.
+  /// Name of the proxy to which requests are sent; empty before the first request, and after an
+  /// answer that named no leader.
   const std::string& leader() const { return leader_; }
   bool has_held_lease() const { return has_held_lease_; }
-  /// Whether this proxy itself is to be taken out of service.
+  /// Whether this proxy must drain itself because it is being taken out of service.
   bool is_self_out() const { return self_drain_.has_value(); }
-  /// As last granted.
+  /// Permissions of the last lease.
   const DispatchPermissionMap& permissions() const { return permissions_; }
 
-  /// Until when new work may be sent to the machine: Time::max() without end, Time::min() not at
-  /// all.
+  /// Time until which new requests may be sent to the machine; Time::max() if unlimited,
+  /// Time::min() if none may be sent.
   Time dispatch_permitted_until(Time now, const std::string& machine) const;
-  /// Until when anything may be sent to any machine.
+  /// Time until which requests may be sent to any machine at all.
   Time serving_permitted_until(Time now) const;
 
  private:
@@ -57,12 +62,12 @@
   std::string leader_;
   std::size_t next_voter_;
   std::uint64_t next_number_ = 1;
-  /// When each outstanding request was sent, by its number.
+  /// Send time of each outstanding request, by request number.
   std::map<std::uint64_t, Time> outstanding_;
 
   LogIndex held_index_ = 0;
   DispatchPermissionMap permissions_;
-  /// Of the workflow that takes this proxy out.
+  /// Token of the workflow that takes this proxy out of service, if there is one.
   std::optional<FencingToken> self_drain_;
   bool has_held_lease_ = false;
   Time lease_expiry_ = Time::min();
--- a/src/maintenance/lease_granter.cpp
+++ b/src/maintenance/lease_granter.cpp
@@ -5,7 +5,7 @@
 namespace beechhill::maintenance {
 namespace {
 
-// A check without a majority after so many heartbeats is repeated.
+// Heartbeat intervals after which a check without a majority is repeated.
 constexpr int kCheckTimeoutHeartbeats = 3;
 constexpr std::size_t kMaxQueuedRequests = 2 * kMaxProxies;
 
--- a/src/maintenance/lease_granter.h
+++ b/src/maintenance/lease_granter.h
@@ -1,5 +1,5 @@
-// The leader's side of leases: queues the requests, and grants them once a leadership check that
-// began later has succeeded.
+// Leader's side of leases: queues lease requests and grants each of them once a leadership check
+// that began after its arrival has succeeded.
 #pragma once
 
 #include <cstdint>
@@ -14,30 +14,31 @@
 
 namespace beechhill::maintenance {
 
-/// Sends a message to the proxy of that name, which may be this one.
+/// Sends a message to the proxy with the given name, which may be this proxy.
 using MessageSender = std::function<void(const std::string& to, CoordinationMessage message)>;
 
-/// What is referred to must outlive it.
+/// The constructor's arguments must outlive the object.
 class LeaseGranter {
  public:
   LeaseGranter(const CoordinatorSettings& settings, const RaftNode& raft,
                const MaintenanceStateMachine& state_machine, ProxyTracker& proxies,
                MessageSender send);
 
-  /// Forgets what is queued: this proxy has become the leader.
+  /// Clears the queue. Must be called when this proxy becomes the leader.
   void reset();
-  /// After a pause of the process a round in progress proves nothing.
+  /// Abandons the round in progress. Must be called after the process was suspended, since
+  /// confirmations from before the suspension prove nothing.
   void abandon_check() { check_.end(); }
   void enqueue(Time now, const std::string& proxy, std::uint64_t request_number);
   void handle(const std::string& from, const LeadershipConfirmation& confirmation);
-  /// Grants what may be granted, and begins or repeats a leadership check for the rest.
+  /// Grants the requests whose check has succeeded, and begins or repeats a check for the others.
   void tick(Time now);
 
  private:
   struct QueuedRequest {
     std::string proxy;
     std::uint64_t number = 0;
-    /// The first round that began after the request.
+    /// The first round that begins after the request has arrived.
     std::uint64_t required_round = 0;
   };
 
--- a/src/maintenance/libraft_conversions.h
+++ b/src/maintenance/libraft_conversions.h
@@ -1,5 +1,5 @@
-// Between libraft's C structures and ours. What is made for libraft lives on libraft's heap, and
-// libraft frees it.
+// Conversions between libraft's C structures and the types of this package. Structures made for
+// libraft are allocated on libraft's heap and are freed by libraft.
 #pragma once
 
 #include <optional>
@@ -16,25 +16,26 @@
 
 namespace beechhill::maintenance {
 
-/// The id that libraft knows an address by. Never 0, which is no server.
+/// Returns the id by which libraft knows an address. Never 0, which libraft uses for no server.
 raft_id server_id(const std::string& address);
 
 /// Throws std::bad_alloc.
 raft_buffer make_buffer(std::string_view content);
 std::string_view content_of(const raft_buffer& buffer);
 
-/// Initializes `configuration`.
+/// Initializes `configuration` with the given servers.
 void make_configuration(raft_configuration& configuration, const std::vector<RaftServer>& servers);
 std::vector<RaftServer> servers_of(const raft_configuration& configuration);
 
-/// Null for none. All entries share one batch, as libraft requires. Throws std::bad_alloc.
+/// Returns null for an empty vector. All entries share one batch, as libraft requires. Throws
+/// std::bad_alloc.
 raft_entry* make_entries(const std::vector<LogEntry>& entries);
 std::vector<LogEntry> entries_of(const raft_entry* entries, unsigned count);
 
 raft_snapshot* make_snapshot(const RaftSnapshot& snapshot);
 RaftSnapshot snapshot_of(const raft_snapshot& snapshot);
 
-/// Nothing for a type that this version of the protocol does not have.
+/// Returns nullopt for message types that this version of the protocol does not have.
 std::optional<RaftMessageBody> body_of(const raft_message& message);
 /// Sets the type and the arguments of `message`. `body` must not be StorageRolledBack.
 void make_message(raft_message& message, const RaftMessageBody& body);
--- a/src/maintenance/maintenance_codec.cpp
+++ b/src/maintenance/maintenance_codec.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Reals are stored as whole millionths, so that equal values have equal bytes.
+// Real numbers are stored as whole millionths, so that equal values have equal encodings.
 constexpr double kRealScale = 1e6;
 
 void write_real(ByteWriter& writer, double value) {
--- a/src/maintenance/maintenance_codec.h
+++ b/src/maintenance/maintenance_codec.h
@@ -1,5 +1,6 @@
-// Binary form of the data of maintenance, shared by the commands of the replicated log and the
-// snapshots of the state machine. Stored and sent: no field may change its place or size.
+// Binary encoding of maintenance data, shared by the commands of the replicated log and the
+// snapshots of the state machine. The encoding is stored on disk and sent between proxies: no field
+// may change its position or size.
 #pragma once
 
 #include <set>
@@ -11,8 +12,8 @@
 
 namespace beechhill::maintenance {
 
-/// Texts with a count before them. A reader bounds the count by the bytes that are left, and each
-/// text by kMaxTextBytes.
+/// Writes the number of texts and then the texts. When reading, the number is bounded by the bytes
+/// that remain, and the size of each text by kMaxTextBytes.
 void write_texts(base::ByteWriter& writer, const std::set<std::string>& texts);
 std::set<std::string> read_texts(base::ByteReader& reader);
 
@@ -23,10 +24,10 @@
 DisruptionBudget read_budget(base::ByteReader& reader);
 
 void write_workflow(base::ByteWriter& writer, const MaintenanceWorkflow& workflow);
-/// The state may be out of range: the caller checks it.
+/// Does not check that the state is in range; the caller must.
 MaintenanceWorkflow read_workflow(base::ByteReader& reader);
 
-/// Machines, in the order of their ids, and utilization by zone.
+/// Writes the machines in order of their ids, and the utilization by zone.
 void write_observations(base::ByteWriter& writer, const std::map<std::string, Machine>& machines,
                         const std::map<std::string, double>& zone_utilization);
 void read_observations(base::ByteReader& reader, std::vector<Machine>& machines,
--- a/src/maintenance/maintenance_commands.cpp
+++ b/src/maintenance/maintenance_commands.cpp
@@ -54,7 +54,7 @@
   read_observations(reader, command.machines, command.zone_utilization);
   command.removed_machines = read_texts(reader);
   command.incident = reader.text(kMaxTextBytes);
-  const bool known_type = command.type <= CommandType::kCallBack;
+  const bool known_type = command.type <= CommandType::kAbortDrain;
   if (!reader.done() || !known_type || command.machines.size() > kMaxMachines) {
     return std::nullopt;
   }
--- a/src/maintenance/maintenance_commands.h
+++ b/src/maintenance/maintenance_commands.h
@@ -1,4 +1,4 @@
-// Commands of the replicated log, from operators and from the leader, and their binary form.
+// Commands of the replicated log, submitted by operators and by the leader, and their encoding.
 #pragma once
 
 #include <cstdint>
@@ -13,18 +13,19 @@
 
 namespace beechhill::maintenance {
 
-/// Stored and sent as a number: new types go to the end.
+/// Stored and sent as a number: new types are appended at the end.
 enum class CommandType : std::uint8_t {
-  // Operators'.
+  // Commands of operators.
   kSubmitRequest,
   kApproveRequest,
   kHoldRequest,
   kResumeRequest,
   kCancelRequest,
   kCompleteWork,
-  /// That proxy is off for good, or sends nothing: its confirmation is not waited for.
+  /// Declares that a proxy is shut down for good or cannot be reached, so that drains do not wait
+  /// for its confirmation.
   kForgetProxy,
-  // The leader's.
+  // Commands of the leader.
   kSetDisruptionBudget,
   kUpdateObservations,
   kAdvanceTime,
@@ -34,22 +35,23 @@
   kStartDrain,
   kConfirmDrained,
   kMarkOut,
-  /// The machine is warm again: its workflow is over.
-  kMarkWarming,
-  /// Ends a workflow before the machine is out; it is tried again later.
-  kCallBack,
+  /// Ends the workflow of a machine that is warm again.
+  kCompleteWorkflow,
+  /// Ends a workflow before the machine is out of service; the drain is retried later.
+  kAbortDrain,
 };
 
-/// Whether operators may send it.
+/// Whether operators may submit commands of this type.
 constexpr bool is_operator_command(CommandType type) {
   return type <= CommandType::kForgetProxy;
 }
 
-/// One entry of the log. Which fields count depends on the type; the others are empty.
+/// One entry of the replicated log. The type determines which fields are used; the others are
+/// empty.
 struct Command {
   CommandType type = CommandType::kUpdateObservations;
   Seconds issued_at = 0;
-  /// Of a request.
+  /// Id of a request.
   std::string id;
   std::string machine;
   std::string proxy;
@@ -58,20 +60,20 @@
   std::optional<Request> request;
   std::optional<DisruptionBudget> disruption_budget;
 
-  // Of kUpdateObservations.
-  /// New or changed since the last such command.
+  // The following fields belong to kUpdateObservations.
+  /// Machines that are new or changed since the last such command.
   std::vector<Machine> machines;
-  /// Ids that are not listed any more.
+  /// Ids of machines that are no longer listed.
   std::set<std::string> removed_machines;
-  /// Of each zone's capacity, from 0 to 1.
+  /// Utilization of each zone's capacity, from 0 to 1.
   std::map<std::string, double> zone_utilization;
-  /// Empty: none.
+  /// Name and figures of the current incident; empty if there is none.
   std::string incident;
 };
 
-/// Machines are written in the order of their ids, each id once.
+/// Encodes the machines in order of their ids, each id once.
 std::string encode(const Command& command);
-/// Nothing where the bytes are not a whole command or exceed a bound.
+/// Returns nullopt if the bytes are not one complete command or exceed a limit.
 std::optional<Command> decode(std::string_view bytes);
 
 }  // namespace beechhill::maintenance
--- a/src/maintenance/maintenance_coordinator.cpp
+++ b/src/maintenance/maintenance_coordinator.cpp
@@ -13,7 +13,7 @@
   return {false, to_string(result)};
 }
 
-// The same command sent twice is accepted twice.
+// Repeating a command is not an error: a command that changes nothing is accepted as well.
 OperatorResponse response_to(CommandResult result) {
   const bool accepted =
       result == CommandResult::kApplied || result == CommandResult::kNothingToChange;
@@ -30,7 +30,7 @@
       unix_time_(std::move(unix_time)),
       now_(now),
       next_tick_(now),
-      // The seed, so that not all proxies ask the same voter first.
+      // The seed selects the voter to ask first, so that proxies do not all ask the same one.
       lease_(now, settings_, boot_id, static_cast<std::size_t>(seed)) {
   if (storage == nullptr) {
     return;
@@ -42,7 +42,7 @@
       [this](const std::string& to, CoordinationMessage message) { send(to, std::move(message)); });
 }
 
-// ---- Time
+// ---- Ticks and permissions
 
 void MaintenanceCoordinator::tick(Time now) {
   now_ = now;
--- a/src/maintenance/maintenance_coordinator.h
+++ b/src/maintenance/maintenance_coordinator.h
@@ -1,7 +1,7 @@
-// One proxy's part in maintenance: its lease and the permissions that come with it, operators'
-// calls, and on a voter the replicated log and what its leader does. Free of I/O and clocks; its
-// times are of a monotonic clock, but for those called Unix time. docs/design/maintenance.md weighs
-// the design and gives the invariants.
+// Maintenance on one proxy: its lease and the permissions that it carries, operators' calls, and,
+// on a voter, the replicated log and the duties of the leader. Performs no I/O and reads no clock;
+// times are of a monotonic clock unless they are called Unix time. docs/design/maintenance.md
+// discusses the design and states the invariants.
 #pragma once
 
 #include <cstdint>
@@ -22,29 +22,31 @@
 
 namespace beechhill::maintenance {
 
-/// What a message belongs to.
+/// Protocol to which a message belongs.
 enum class Channel : std::uint8_t { kRaft, kCoordination };
 
 /// Not thread-safe.
 class MaintenanceCoordinator {
  public:
-  /// `storage`: of a voter, and `voter_generation` the one that it was created for; null on other
-  /// proxies, and on a voter that has lost it. `boot_id` differs between processes of one name.
-  /// `unix_time` is only compared with the windows of requests. What is referred to must outlive
-  /// it. Throws as RaftNode().
+  /// `storage` is the storage of a voter, created for the generation `voter_generation`; null on
+  /// proxies that do not vote and on a voter that has lost its storage. `boot_id` differs between
+  /// processes that run under the same name. `unix_time` is only compared with the maintenance
+  /// windows of requests. Objects that are referred to must outlive the coordinator. Throws what
+  /// RaftNode's constructor throws.
   MaintenanceCoordinator(Time now, CoordinatorSettings settings, RaftStorage* storage,
                          std::uint32_t voter_generation, std::uint64_t boot_id, std::uint64_t seed,
                          std::function<Seconds()> unix_time);
   MaintenanceCoordinator(const MaintenanceCoordinator&) = delete;
   MaintenanceCoordinator& operator=(const MaintenanceCoordinator&) = delete;
 
-  /// To be called at next_tick(), or when the storage has become more durable.
+  /// Must be called at next_tick(), and when records of the storage have become durable.
   void tick(Time now);
   Time next_tick() const { return next_tick_; }
-  /// A message of the proxy `from`. Malformed and unknown ones are ignored.
+  /// Handles a message from the proxy `from`. Malformed and unknown messages are ignored.
   void receive(Time now, const std::string& from, Channel channel, std::string_view bytes);
   void update_local_view(LocalView view) { view_ = std::move(view); }
-  /// The process did not run for a while: the leader may have been replaced meanwhile.
+  /// Must be called when the process resumes after a suspension, in which the leader may have been
+  /// replaced.
   void on_resume(Time now);
 
   struct Outgoing {
@@ -57,22 +59,23 @@
 
   // ---- Permissions of this proxy
 
-  /// Until when new work may be sent to the machine: Time::max() without end, Time::min() not at
-  /// all.
+  /// Time until which new requests may be sent to the machine; Time::max() if unlimited,
+  /// Time::min() if none may be sent.
   Time dispatch_permitted_until(const std::string& machine) const;
-  /// Until when anything may be sent to any machine.
+  /// Time until which requests may be sent to any machine at all.
   Time serving_permitted_until() const;
-  /// Of machines with a workflow, as last granted.
+  /// Permissions of machines with a workflow, as last granted.
   const DispatchPermissionMap& dispatch_permissions() const { return lease_.permissions(); }
-  /// Whether this proxy itself is to be taken out of service.
+  /// Whether this proxy must drain itself because it is being taken out of service.
   bool is_self_out() const { return lease_.is_self_out(); }
   bool has_held_lease() const { return lease_.has_held_lease(); }
 
   // ---- Operators
 
-  /// Applies the command, here or at the leader. `done` may be called before this returns.
+  /// Applies the command if this proxy is the leader, otherwise forwards it to the leader. `done`
+  /// may be called before this returns.
   void submit_command(Time now, Command command, ResponseCallback done);
-  /// The status of all requests, or of one and why it does not go on, as JSON.
+  /// Passes `done` the status of all requests as JSON, or that of one request and why it waits.
   void query(Time now, const std::string& request, ResponseCallback done);
 
   // ---- Voters
@@ -81,12 +84,12 @@
   const MaintenanceStateMachine& state_machine() const { return state_machine_; }
   std::vector<Voter> voters() const { return raft_ ? raft_->voters() : std::vector<Voter>{}; }
   bool is_voter() const { return raft_ != nullptr; }
-  /// The storage has failed.
+  /// Whether the storage has failed.
   bool halted() const { return raft_ && raft_->halted(); }
-  /// The storage is an older copy: it must not be used any more.
+  /// Whether the storage is an older copy, which must not be used any more.
   bool rolled_back() const { return raft_ && raft_->rolled_back(); }
-  /// On a voter without usable storage: the generation as which it may create a new one, and be
-  /// made anew with that.
+  /// On a voter without usable storage: the generation for which it may create a new storage, after
+  /// which the coordinator must be constructed again with that storage.
   std::optional<std::uint32_t> readmitted() const { return readmitted_; }
 
  private:
@@ -117,7 +120,7 @@
   Time next_tick_;
   LeaseClient lease_;
   ForwardedCalls calls_;
-  /// Both on voters only.
+  /// Null on proxies that are not voters.
   std::unique_ptr<RaftNode> raft_;
   std::unique_ptr<MaintenanceLeader> leader_;
   std::optional<std::uint32_t> readmitted_;
--- a/src/maintenance/maintenance_leader.cpp
+++ b/src/maintenance/maintenance_leader.cpp
@@ -5,8 +5,9 @@
 namespace beechhill::maintenance {
 namespace {
 
-// Of a lease, after an election: by then the proxies have reported once.
-constexpr int kFirstReportFraction = 5;
+// The first report after an election is made after the lease duration divided by this number, by
+// which time every proxy has sent a lease request.
+constexpr int kFirstReportDivisor = 5;
 
 }  // namespace
 
@@ -49,8 +50,9 @@
   proxies_.reset(now);
   leases_.reset();
   proposals_.reset();
-  observations_.reset(now, now + settings_.lease_duration / kFirstReportFraction);
-  // The budget of this proxy's operator file; and the first command of its term.
+  observations_.reset(now, now + settings_.lease_duration / kFirstReportDivisor);
+  // Replicates the disruption budget of this proxy's operator file. As the first command of the new
+  // term it also commits all entries of earlier terms.
   Command command;
   command.type = CommandType::kSetDisruptionBudget;
   command.disruption_budget = settings_.disruption_budget;
@@ -75,7 +77,7 @@
     workflows_.confirm_drained(from, confirmation);
   }
   if (!state_machine_.proxies().contains(from) && !request.is_shutting_down) {
-    // Its next request is granted.
+    // The lease is granted on the proxy's next request, once the proxy has been added.
     return proposals_.propose_once(CommandType::kAddProxy, from);
   }
   leases_.enqueue(now, from, request.number);
@@ -92,7 +94,8 @@
   if (raft_.joining_generation(voter) == 0) {
     raft_.readmit(voter);
   }
-  // At each request: the message may be lost, and the change of the configuration waits for it.
+  // Repeated at each request, because the message may be lost and the configuration change waits
+  // for the voter.
   if (const std::uint32_t generation = raft_.joining_generation(voter)) {
     send_(voter, Readmission{generation});
   }
--- a/src/maintenance/maintenance_leader.h
+++ b/src/maintenance/maintenance_leader.h
@@ -1,4 +1,4 @@
-// What the leader does beside raft: grants leases, reports observations and drives workflows.
+// Duties of the leader beyond raft: grants leases, reports observations and drives workflows.
 #pragma once
 
 #include <functional>
@@ -10,7 +10,8 @@
 
 namespace beechhill::maintenance {
 
-/// Exists on every voter and is idle where another one leads. What is referred to must outlive it.
+/// Exists on every voter and does nothing while another voter leads. The constructor's arguments
+/// must outlive the object.
 class MaintenanceLeader {
  public:
   MaintenanceLeader(const CoordinatorSettings& settings, RaftNode& raft,
@@ -20,9 +21,10 @@
   void tick(Time now, const LocalView& view);
   void on_resume() { leases_.abandon_check(); }
 
-  /// Whether it leads and a command of its own term is applied: it knows every earlier one then.
+  /// Whether this voter leads and has applied a command of its own term, and with it every earlier
+  /// command.
   bool is_ready() const { return raft_.is_leader() && ready_; }
-  /// On a leader that is ready.
+  /// Handles a lease request; is_ready() must hold.
   void handle(Time now, const std::string& from, const LeaseRequest& request);
   void handle(const std::string& from, const LeadershipConfirmation& confirmation);
 
--- a/src/maintenance/maintenance_model.h
+++ b/src/maintenance/maintenance_model.h
@@ -1,7 +1,7 @@
-// The data of maintenance: machines, operators' requests to take machines out of service, the
-// workflow that one machine goes through, and the disruption budget that bounds how many may be out
-// at a time. Plain values without behaviour of their own; who changes them is
-// maintenance_state_machine.h.
+// Data model of maintenance: machines, operators' requests to take machines out of service, the
+// workflow that each machine goes through, and the disruption budget, which limits how many
+// machines may be out at a time. The state machine in maintenance_state_machine.h changes these
+// values.
 #pragma once
 
 #include <cstddef>
@@ -12,18 +12,18 @@
 
 namespace beechhill::maintenance {
 
-/// Unix time, or a duration, in whole seconds: operators plan in minutes.
+/// Unix time, or a duration, in whole seconds.
 using Seconds = std::int64_t;
 /// Position of a command in the replicated log.
 using LogIndex = std::uint64_t;
-/// Identifies one workflow of a machine. Later workflows have higher tokens; 0 is none.
+/// Identifies one workflow of a machine. Later workflows have higher tokens; 0 means none.
 using FencingToken = std::uint64_t;
 
-/// Requests that are open or ended within the last day.
+/// Maximum number of requests that are open or were submitted within the last day.
 inline constexpr std::size_t kMaxRequests = 200;
 inline constexpr std::size_t kMaxMachines = 4'000;
 inline constexpr std::size_t kMaxProxies = 1'000;
-/// Of any name, id or reason, in a command and on the wire.
+/// Maximum size of any name, id or reason, in commands and on the wire.
 inline constexpr std::size_t kMaxTextBytes = 200;
 
 enum class Role : std::uint8_t { kBackend, kProxy };
@@ -34,13 +34,13 @@
   std::string cell;
   std::string instance_type;
   Role role = Role::kBackend;
-  /// Work that it can do, relative to the other machines of its tier.
+  /// Capacity relative to the other machines of the same tier.
   double relative_capacity = 1;
-  /// Listed, in service and not excluded by an operator.
+  /// Whether the machine is listed, in service and not excluded by an operator.
   bool up = true;
-  /// False during its slow start.
+  /// False during the machine's slow start.
   bool warm = true;
-  /// When its present process started, as the endpoint list has it.
+  /// Start time of the machine's current process, as given by the endpoint list.
   std::int64_t started_at = 0;
   bool operator==(const Machine&) const = default;
 };
@@ -55,99 +55,100 @@
   bool matches(const Machine& machine) const;
 };
 
-/// An operator's request to take the selected machines out of service, each of them once.
+/// An operator's request to take each of the selected machines out of service once.
 struct Request {
   std::string id;
   MachineSelector selector;
   std::uint32_t max_concurrent = 1;
-  /// Expected, of the work on one machine; 0: unknown.
+  /// Expected duration of the work on one machine; 0 if unknown.
   Seconds work_duration = 0;
-  /// Unix times; 0: unbounded.
+  /// Maintenance window as Unix times; 0 means unbounded.
   Seconds not_before = 0;
   Seconds not_after = 0;
   std::int32_t priority = 0;
   std::string requested_by;
   std::string reason;
 
-  // The state machine's own: ignored in a submitted request.
+  // The following fields are set by the state machine and ignored in a submitted request.
   bool approved = false;
   bool on_hold = false;
   bool cancelled = false;
-  /// All machines that it selects are done.
+  /// Whether work on all selected machines is complete.
   bool ended = false;
   Seconds requested_at = 0;
   std::set<std::string> completed_machines;
-  /// Machines whose drain was called back, and when they may be tried again.
+  /// Machines whose drain was aborted, and the time at which it may be retried.
   std::map<std::string, Seconds> deferred_until;
 
   bool open() const { return !cancelled && !ended; }
 };
 
-/// State of one machine's workflow. From kAnnounced on the machine counts as out of service.
+/// State of one machine's workflow. In all states the machine counts as out of service.
 enum class WorkflowState : std::uint8_t {
-  /// Proxies learn that the machine is next and still send to it, as long as they hold a lease.
+  /// Proxies learn that the machine is about to be drained; those that hold a lease still send to
+  /// it.
   kAnnounced,
-  /// Proxies send nothing new, and confirm once nothing of theirs is in flight there.
+  /// Proxies send no new requests to the machine, and confirm once they have none in flight to it.
   kDraining,
-  /// Every proxy has confirmed.
+  /// Every proxy has confirmed the drain.
   kDrained,
-  /// Operators may work on it.
+  /// Operators may work on the machine.
   kOut,
-  /// In service again, during its slow start.
+  /// The machine is in service again, in its slow start.
   kWarming,
 };
 
-/// The state's name in operators' output, a string literal.
+/// Returns the state's name in operators' output, a string literal.
 const char* name(WorkflowState state);
 
 struct MaintenanceWorkflow {
-  /// Ids.
+  /// Ids of the request and the machine.
   std::string request;
   std::string machine;
   FencingToken fencing_token = 0;
   WorkflowState state = WorkflowState::kAnnounced;
-  /// Of the command that led to this state.
+  /// Log index of the command that led to the current state.
   LogIndex state_index = 0;
   Seconds state_since = 0;
-  /// Machine::started_at of the process that was taken out.
+  /// Machine::started_at of the process that was taken out of service.
   std::int64_t started_at = 0;
   /// Proxies that have confirmed the drain.
   std::set<std::string> confirmed_proxies;
 };
 
-/// Bounds on what may be out of service together. Replicated, so that all voters decide by the same
-/// figures.
+/// Limits on how many machines may be out of service at the same time. The budget is replicated so
+/// that all voters decide by the same values.
 struct DisruptionBudget {
-  /// Capacity that must remain in service beyond what the load needs, as a part of that.
+  /// Capacity that must remain in service in excess of what the load requires, as a fraction of it.
   double capacity_reserve = 0.25;
   std::uint32_t max_out = 1;
   std::uint32_t max_out_per_zone = 1;
   std::uint32_t max_out_per_cell = 1;
-  /// Never take the last machine of a zone or cell: it holds the deduplication state of requests
-  /// with an idempotency key.
+  /// Whether the last machine of a zone or cell is never taken out, because it holds the
+  /// deduplication state of requests with an idempotency key.
   bool preserve_last_in_zone = false;
   bool preserve_last_in_cell = false;
   std::uint32_t min_proxies_per_zone = 1;
-  /// After so long in a state before kOut the drain is called back.
+  /// A drain that stays longer than this in any state before kOut is aborted.
   Seconds drain_timeout = 60;
-  /// How long a machine that was called back is left alone.
+  /// Delay before an aborted drain is retried.
   Seconds deferral = 60;
-  /// A request's priority rises by one for each interval that it has waited.
+  /// Waiting time after which the priority of a request rises by one.
   Seconds priority_aging_interval = 600;
-  /// Without an incident, before the pause that one caused ends.
+  /// Time without an incident after which the pause caused by the last incident ends.
   Seconds quiet_period = 30;
   bool needs_approval = true;
   bool operator==(const DisruptionBudget&) const = default;
 };
 
-/// Whether proxies may send new work to a machine that has a workflow.
+/// Whether, and under which condition, proxies may send new requests to a machine with a workflow.
 struct DispatchPermission {
   bool dispatch_forbidden = false;
-  /// Only proxies that hold a lease may send.
+  /// Whether only proxies that hold a lease may send to the machine.
   bool lease_required = false;
   FencingToken fencing_token = 0;
 };
-/// By machine id.
+/// Permissions by machine id.
 using DispatchPermissionMap = std::map<std::string, DispatchPermission>;
 
 }  // namespace beechhill::maintenance
--- a/src/maintenance/maintenance_planner.cpp
+++ b/src/maintenance/maintenance_planner.cpp
@@ -8,7 +8,7 @@
 namespace beechhill::maintenance {
 namespace {
 
-std::string joined(const std::vector<std::string>& names) {
+std::string join(const std::vector<std::string>& names) {
   std::string text;
   for (const std::string& name : names) {
     text += (text.empty() ? "" : ", ") + name;
@@ -37,7 +37,7 @@
   const bool timed_out =
       state_.time() > workflow.state_since + state_.disruption_budget().drain_timeout;
   if (workflow.state < WorkflowState::kOut && (timed_out || state_.paused())) {
-    return add(CommandType::kCallBack);
+    return add(CommandType::kAbortDrain);
   }
   switch (workflow.state) {
     case WorkflowState::kAnnounced:
@@ -58,7 +58,7 @@
     case WorkflowState::kWarming: {
       const auto machine = state_.machines().find(workflow.machine);
       if (machine != state_.machines().end() && machine->second.up && machine->second.warm) {
-        add(CommandType::kMarkWarming);
+        add(CommandType::kCompleteWorkflow);
       }
       break;
     }
@@ -82,7 +82,7 @@
       }
       starved = starved || (has_aged(*request) && request->not_before <= now);
     }
-    // Later requests would take its turn for ever.
+    // Serving later requests first could starve this one forever.
     const bool window_over = request->not_after != 0 && request->not_after < now;
     if (starved && !state_.paused() && !window_over) {
       return;
@@ -124,17 +124,18 @@
     return "not approved";
   }
   if (request.on_hold) {
-    return "held by staff";
+    return "on hold";
   }
   if (request.not_before > now) {
-    return "its window is not open yet";
+    return "the maintenance window has not begun";
   }
   if (request.not_after > 0 && request.not_after < now) {
-    return "its window is over";
+    return "the maintenance window is over";
   }
   if (state_.paused()) {
-    return "an incident: " + (state_.incident().empty() ? "it is over, and the calm after it is not"
-                                                        : state_.incident());
+    return "paused by an incident: " + (state_.incident().empty()
+                                            ? "over, but the quiet period after it is not"
+                                            : state_.incident());
   }
   return {};
 }
@@ -142,21 +143,22 @@
 std::string MaintenancePlanner::machine_blocking_reason(const Request& request,
                                                         const Machine& machine) const {
   if (!request.selector.matches(machine) || request.completed_machines.contains(machine.id)) {
-    return "not of this request";
+    return machine.id + " is not selected by this request or already done";
   }
   const auto deferred = request.deferred_until.find(machine.id);
   if (deferred != request.deferred_until.end() && deferred->second > state_.time()) {
-    return machine.id + " was called back and is put off";
+    return machine.id + ": drain was aborted, retry is deferred";
   }
   const auto& workflows = state_.workflows();
   if (const auto workflow = workflows.find(machine.id); workflow != workflows.end()) {
-    return machine.id + " is in work for " + workflow->second.request;
+    return machine.id + " already has a workflow for request " + workflow->second.request;
   }
-  const auto own = std::count_if(workflows.begin(), workflows.end(), [&request](const auto& entry) {
-    return entry.second.request == request.id;
-  });
-  if (own >= request.max_concurrent) {
-    return "at_once: " + std::to_string(own) + " of this request are out";
+  const auto out_count =
+      std::count_if(workflows.begin(), workflows.end(),
+                    [&request](const auto& entry) { return entry.second.request == request.id; });
+  if (out_count >= request.max_concurrent) {
+    return "at_once: " + std::to_string(out_count) + " machines of this request are out, limit " +
+           std::to_string(request.max_concurrent);
   }
   return {};
 }
@@ -189,7 +191,7 @@
                                          const AcknowledgedIndexes& acknowledged) const {
   std::string line = workflow.machine + " is " + name(workflow.state);
   if (workflow.state <= WorkflowState::kDraining) {
-    const std::string awaited = joined(state_.awaited_proxies(workflow, acknowledged));
+    const std::string awaited = join(state_.awaited_proxies(workflow, acknowledged));
     return awaited.empty() ? line : line + ", waiting for " + awaited;
   }
   if (workflow.state != WorkflowState::kOut) {
@@ -198,10 +200,10 @@
   const auto machine = state_.machines().find(workflow.machine);
   if (machine != state_.machines().end() && machine->second.up &&
       machine->second.started_at > workflow.started_at) {
-    line += ", and has started again since: done?";
+    line += ", and its process has restarted since: if the work is done, report it";
   }
   if (request.work_duration > 0 && state_.time() > workflow.state_since + request.work_duration) {
-    line += ", longer than expected";
+    line += ", longer than the expected duration of the work";
   }
   return line;
 }
@@ -225,7 +227,7 @@
     }
   }
   if (!any_candidate && lines.empty()) {
-    lines.emplace_back("no machine of the list matches it");
+    lines.emplace_back("no listed machine matches the selector");
   }
   if (!any_unblocked) {
     lines.insert(lines.end(), reasons.begin(), reasons.end());
@@ -236,7 +238,7 @@
       return;
     }
     if (has_aged(*earlier)) {
-      lines.push_back("waits behind " + earlier->id + ", which has waited longer");
+      lines.push_back("waits for request " + earlier->id + ", which is served first");
       return;
     }
   }
--- a/src/maintenance/maintenance_planner.h
+++ b/src/maintenance/maintenance_planner.h
@@ -1,5 +1,5 @@
-// What is to happen next by the replicated state: the leader's next commands, and for operators why
-// a request does not go on.
+// Derives from the replicated state the leader's next commands and, for operators, the reasons why
+// a request waits.
 #pragma once
 
 #include <cstdint>
@@ -11,27 +11,29 @@
 
 namespace beechhill::maintenance {
 
-/// A pure view of a state machine, which must outlive it unchanged. Cheap to make.
+/// A read-only view of a state machine, which must outlive the planner and stay unchanged. Cheap to
+/// construct.
 class MaintenancePlanner {
  public:
   explicit MaintenancePlanner(const MaintenanceStateMachine& state) : state_(state) {}
 
-  /// Commands that the state calls for, of which at most one announces a drain: each announcement
-  /// changes what the next may be. Their time is that of the state. Requests go by priority, aged
-  /// by the time that they have waited, and then by age; a request that has waited longer than one
-  /// aging interval is not overtaken.
+  /// Returns the commands that are due, with the time of the state. At most one of them announces a
+  /// drain, because each announcement changes which drains are allowed next. Requests are served by
+  /// priority, which rises with waiting time, and then in order of submission. A request that has
+  /// waited for more than one aging interval is not overtaken.
   std::vector<Command> next_commands(const AcknowledgedIndexes& acknowledged) const;
 
-  /// Why a request does not go on, a line for each reason; empty: nothing blocks it.
+  /// Returns the reasons why a request waits, one line each; empty if nothing blocks it.
   std::vector<std::string> explain(const std::string& request,
                                    const AcknowledgedIndexes& acknowledged) const;
 
-  /// Why the machine's drain may not be announced now for that request; empty: it may.
+  /// Returns why the drain of the machine may not be announced now for the request; empty if it
+  /// may.
   std::string blocking_reason(const Request& request, const Machine& machine) const;
 
  private:
-  /// The command that moves the workflow on, if any is due. An empty proxy confirms for those that
-  /// were removed while they were waited for.
+  /// Adds the command that advances the workflow, if one is due. In kConfirmDrained the proxy is
+  /// left empty: that command completes a drain whose remaining awaited proxies have been removed.
   void add_workflow_command(const MaintenanceWorkflow& workflow,
                             const AcknowledgedIndexes& acknowledged,
                             std::vector<Command>& commands) const;
@@ -49,11 +51,11 @@
   void explain_waiting_machines(const Request& request, std::vector<std::string>& lines) const;
 
   DisruptionBudgetCheck budget_check(Role role) const;
-  /// A machine of the list that the request has yet to take.
+  /// Whether the request selects the machine and the machine is neither done nor in a workflow.
   bool is_candidate(const Request& request, const Machine& machine) const;
   bool has_aged(const Request& request) const;
   std::int64_t aged_priority(const Request& request) const;
-  /// Open and approved requests, the one to serve first in front.
+  /// Open, approved requests that are not on hold, in the order in which they are served.
   std::vector<const Request*> requests_by_priority() const;
 
   const MaintenanceStateMachine& state_;
--- a/src/maintenance/maintenance_state_machine.cpp
+++ b/src/maintenance/maintenance_state_machine.cpp
@@ -13,14 +13,14 @@
 
 namespace {
 
-// Operators still look up yesterday's requests.
+// Ended requests are kept for a day after their submission, so that operators can look them up.
 constexpr Seconds kEndedRequestRetention = 86'400;
 
 }  // namespace
 
 CommandResult MaintenanceStateMachine::apply(LogIndex index, const Command& command) {
   applied_index_ = std::max(applied_index_, index);
-  // Clocks step, and leaders change: time never goes back here.
+  // Clocks may step and leaders change, so the time is kept from going backwards.
   time_ = std::max(time_, command.issued_at);
   switch (command.type) {
     case CommandType::kSubmitRequest:
@@ -51,23 +51,24 @@
     case CommandType::kCompleteWork:
     case CommandType::kStartDrain:
     case CommandType::kMarkOut:
-    case CommandType::kMarkWarming:
-    case CommandType::kCallBack:
+    case CommandType::kCompleteWorkflow:
+    case CommandType::kAbortDrain:
       return advance_workflow(command);
   }
   return CommandResult::kUnknown;
 }
 
-// A request with the id of an earlier one by the same operator is that request, sent again.
+// A request with the same id and machines as an earlier one, by the same operator, is a repetition
+// and changes nothing.
 CommandResult MaintenanceStateMachine::submit_request(const Command& command) {
   if (!command.request || command.request->id.empty()) {
     return CommandResult::kNoRequest;
   }
   const auto existing = requests_.find(command.request->id);
   if (existing != requests_.end()) {
-    const bool same = existing->second.selector.ids == command.request->selector.ids &&
-                      existing->second.requested_by == command.request->requested_by;
-    return same ? CommandResult::kNothingToChange : CommandResult::kIdIsTaken;
+    const bool is_repetition = existing->second.selector.ids == command.request->selector.ids &&
+                               existing->second.requested_by == command.request->requested_by;
+    return is_repetition ? CommandResult::kNothingToChange : CommandResult::kIdIsTaken;
   }
   if (requests_.size() >= kMaxRequests) {
     return CommandResult::kTooManyRequests;
@@ -106,7 +107,7 @@
   }
   *flag = value;
   if (command.type == CommandType::kHoldRequest || command.type == CommandType::kCancelRequest) {
-    call_back_workflows_of(command.id);
+    abort_drains_of(command.id);
   }
   end_completed_requests();
   return CommandResult::kApplied;
@@ -145,7 +146,7 @@
 }
 
 bool MaintenanceStateMachine::has_work_left(const Request& request) const {
-  // Without any observation nothing is known of what it selects.
+  // Before the first observation it is not known which machines the request selects.
   if (machines_.empty()) {
     return true;
   }
@@ -159,10 +160,12 @@
                      [&request](const auto& entry) { return entry.second.request == request.id; });
 }
 
-// Ends requests whose machines are all done, and forgets those that ended long ago.
+// Ends requests whose machines are all done, and deletes ended requests after
+// kEndedRequestRetention.
 void MaintenanceStateMachine::end_completed_requests() {
   for (auto& [id, request] : requests_) {
-    // One that has selected no machine yet stays open: the list may be behind.
+    // A request without a completed machine stays open, because the endpoint list may not show the
+    // selected machines yet.
     if (request.open() && !request.completed_machines.empty() && !has_work_left(request)) {
       request.ended = true;
     }
@@ -185,7 +188,7 @@
     const MaintenanceWorkflow& workflow, const AcknowledgedIndexes& acknowledged) const {
   const Role role = role_of(workflow);
   const auto is_awaited = [&](const std::string& proxy) {
-    // What is in flight in a proxy only the proxy itself knows.
+    // Only a proxy itself knows which requests it has in flight.
     if (role == Role::kProxy && proxy != workflow.machine) {
       return false;
     }
--- a/src/maintenance/maintenance_state_machine.h
+++ b/src/maintenance/maintenance_state_machine.h
@@ -1,7 +1,7 @@
-// The replicated state of maintenance: requests, the proxies that take part, the observations that
-// the leader committed, and the workflow of each machine. Changed by committed commands alone, so
-// that all replicas that applied the same commands hold the same state. Free of I/O and clocks: its
-// time is that of the commands. docs/design/maintenance.md gives the invariants.
+// The replicated state of maintenance: requests, participating proxies, the observations committed
+// by the leader, and the workflow of each machine. Only committed commands change the state, so all
+// replicas that applied the same commands hold the same state. Performs no I/O and reads no clock:
+// time comes from the commands. docs/design/maintenance.md states the invariants.
 #pragma once
 
 #include <map>
@@ -16,42 +16,42 @@
 
 namespace beechhill::maintenance {
 
-/// For each proxy, the log index that it has acknowledged; 0 for one that is missing.
+/// Log index acknowledged by each proxy; a proxy that is missing has acknowledged index 0.
 using AcknowledgedIndexes = std::map<std::string, LogIndex>;
 
-/// Not thread-safe. Every operation is a pure function of the state and its arguments.
+/// Not thread-safe. Results depend only on the state and the arguments.
 class MaintenanceStateMachine {
  public:
-  /// Applies the committed command at `index`, which grows by one or more from call to call.
+  /// Applies the committed command at `index`, which must increase from call to call.
   CommandResult apply(LogIndex index, const Command& command);
 
-  /// Permissions of the machines of `role` that have a workflow before kWarming.
+  /// Permissions for the machines of `role` whose workflow has not reached kWarming.
   DispatchPermissionMap dispatch_permissions(Role role) const;
 
   LogIndex applied_index() const { return applied_index_; }
-  /// The latest time of any command.
+  /// The latest time of all applied commands.
   Seconds time() const { return time_; }
-  /// Requests and workflows by request id and by machine id.
+  /// Requests by request id, and workflows by machine id.
   const std::map<std::string, Request>& requests() const { return requests_; }
   const std::map<std::string, MaintenanceWorkflow>& workflows() const { return workflows_; }
   const std::set<std::string>& proxies() const { return proxies_; }
   const DisruptionBudget& disruption_budget() const { return budget_; }
   const std::map<std::string, Machine>& machines() const { return machines_; }
   const std::map<std::string, double>& zone_utilization() const { return zone_utilization_; }
-  /// During an incident and its quiet period no machine is taken out.
+  /// Whether an incident or the quiet period after one forbids taking machines out.
   bool paused() const { return time_ < paused_until_; }
   const std::string& incident() const { return incident_; }
 
-  /// Of the machine that the workflow is about.
+  /// Role of the workflow's machine.
   Role role_of(const MaintenanceWorkflow& workflow) const;
-  /// Proxies that the workflow waits for: in kAnnounced those that have not acknowledged its index,
-  /// later those that have not confirmed the drain.
+  /// Proxies for which the workflow waits: in kAnnounced, those that have not acknowledged the log
+  /// index of that state; in later states, those that have not confirmed the drain.
   std::vector<std::string> awaited_proxies(const MaintenanceWorkflow& workflow,
                                            const AcknowledgedIndexes& acknowledged) const;
 
   std::string snapshot() const;
-  /// Replaces the state by that of a snapshot. False, with the state unchanged, where the bytes are
-  /// none.
+  /// Replaces the state with that of a snapshot. Returns false and leaves the state unchanged if
+  /// the bytes are not a valid snapshot.
   bool restore(std::string_view bytes);
 
  private:
@@ -63,15 +63,15 @@
   void end_completed_requests();
   bool has_work_left(const Request& request) const;
 
-  // Transitions of a workflow, in workflow_transitions.cpp.
+  // Workflow transitions, defined in workflow_transitions.cpp.
   CommandResult announce_drain(const Command& command);
   CommandResult advance_workflow(const Command& command);
   CommandResult mark_out(MaintenanceWorkflow& workflow);
   CommandResult confirm_drained(const Command& command);
   CommandResult change_state(MaintenanceWorkflow& workflow, WorkflowState from, WorkflowState to);
   void complete_workflow(const std::string& machine);
-  void call_back_workflow(const std::string& machine);
-  void call_back_workflows_of(const std::string& request);
+  void abort_drain(const std::string& machine);
+  void abort_drains_of(const std::string& request);
 
   LogIndex applied_index_ = 0;
   Seconds time_ = 0;
--- a/src/maintenance/observation_reporter.cpp
+++ b/src/maintenance/observation_reporter.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr Duration kReportInterval{1'000'000};
-// In one command; the rest follows in the next ones.
+// Maximum number of machines in one command; further changes follow in later commands.
 constexpr std::size_t kMaxMachinesPerReport = 400;
-// Smaller changes of a zone's utilization are not reported.
+// Change of a zone's utilization up to which it is not reported.
 constexpr double kUtilizationStep = 0.05;
 constexpr const char* kProposalKey = "observations";
 
@@ -62,7 +62,8 @@
     proxy.role = Role::kProxy;
     proxy.up = now <= status.lease_expiry && !status.is_shutting_down;
     proxy.warm = status.has_discovery_update;
-    // Differs between processes, as a start time does. Halved to fit a signed number.
+    // The boot id stands in for a start time, since it also differs between processes. It is halved
+    // to fit a signed integer.
     proxy.started_at = static_cast<std::int64_t>(status.boot_id >> 1);
     observed[name] = std::move(proxy);
   }
--- a/src/maintenance/observation_reporter.h
+++ b/src/maintenance/observation_reporter.h
@@ -1,4 +1,4 @@
-// Brings what the leader observes into the replicated state: the endpoint list, the load, the
+// Commits the leader's observations to the replicated state: the endpoint list, utilization,
 // proxies and incidents.
 #pragma once
 
@@ -10,25 +10,27 @@
 
 namespace beechhill::maintenance {
 
-/// What is referred to must outlive it.
+/// The constructor's arguments must outlive the object.
 class ObservationReporter {
  public:
   ObservationReporter(const MaintenanceStateMachine& state, ProxyTracker& proxies,
                       LeaderProposals& proposals)
       : state_(state), proxies_(proxies), proposals_(proposals) {}
 
-  /// This proxy has become the leader: the first report is at `first_report`.
+  /// Must be called when this proxy becomes the leader. `first_report` is the time of the first
+  /// report.
   void reset(Time now, Time first_report);
-  /// Proposes an update where something changed, once a second at most; without any, an advance of
-  /// the state's time where something waits for that.
+  /// At most once a second, proposes an update if observations have changed. If nothing changed but
+  /// requests or workflows are open, proposes to advance the time of the state.
   void tick(Time now, const LocalView& view);
-  /// As of the last report; empty: none.
+  /// The incident of the last report; empty if there was none.
   const std::string& incident() const { return incident_; }
 
  private:
   std::map<std::string, Machine> observed_machines(Time now, const LocalView& view) const;
   void add_machine_changes(const std::map<std::string, Machine>& observed, Command& update) const;
-  /// Whether the utilization differs enough to be reported; else the replicated one is kept.
+  /// Adds the average utilization of each zone. If no zone changed enough to be reported, keeps the
+  /// replicated values and returns false.
   bool add_utilization(Command& update) const;
   bool has_open_work() const;
 
--- a/src/maintenance/operator_commands.cpp
+++ b/src/maintenance/operator_commands.cpp
@@ -9,12 +9,12 @@
 namespace beechhill::maintenance {
 namespace {
 
-// Unix time, in the year 5138.
+// Upper bound of times and durations: a Unix time in the year 5138.
 constexpr Seconds kMaxSeconds = 100'000'000'000;
 constexpr std::int64_t kMaxConcurrent = 10'000;
 constexpr std::int64_t kMaxPriority = 1'000;
 
-/// Takes parameters one by one, keeps the first error, and finds those that nobody took.
+/// Reads parameters by key, keeps the first error, and detects parameters that are never read.
 class QueryReader {
  public:
   QueryReader(const std::map<std::string, std::string>& query, std::string& error)
@@ -23,7 +23,7 @@
   std::string text(const char* key) {
     std::string value = unbounded_text(key);
     if (value.size() > kMaxTextBytes) {
-      fail(key, "too long");
+      fail(key, "longer than " + std::to_string(kMaxTextBytes) + " bytes");
     }
     return value;
   }
@@ -52,22 +52,22 @@
     const char* const end = value.data() + value.size();
     const auto [stop, status] = std::from_chars(value.data(), end, parsed);
     if (status != std::errc{} || stop != end || parsed < min || parsed > max) {
-      fail(key, "not a number in its bounds");
+      fail(key, "not an integer from " + std::to_string(min) + " to " + std::to_string(max));
     }
     return parsed;
   }
 
-  void fail(const std::string& key, const char* what) {
+  void fail(const std::string& key, const std::string& problem) {
     if (error_.empty()) {
-      error_ = key + ": " + what;
+      error_ = key + ": " + problem;
     }
   }
 
-  /// Whether all was well, and nothing is left over.
-  bool finish() {
+  /// Returns whether there was no error and all parameters have been read.
+  bool all_read() {
     for (const auto& [key, value] : query_) {
       if (!known_keys_.contains(key)) {
-        fail(key, "unknown");
+        fail(key, "unknown parameter");
       }
     }
     return error_.empty();
@@ -92,12 +92,12 @@
 Role read_role(QueryReader& reader) {
   const std::string role = reader.text("role");
   if (!role.empty() && role != "backend" && role != "proxy") {
-    reader.fail("role", "backend or proxy");
+    reader.fail("role", "neither backend nor proxy");
   }
   return role == "proxy" ? Role::kProxy : Role::kBackend;
 }
 
-// The list as a whole may be longer than any text.
+// The size limit kMaxTextBytes applies to each id, not to the whole list.
 std::set<std::string> read_machines(QueryReader& reader) {
   const std::string list = reader.unbounded_text("machines");
   std::string_view left = list;
@@ -106,7 +106,8 @@
     const std::string_view id = left.substr(0, left.find(','));
     left.remove_prefix(std::min(left.size(), id.size() + 1));
     if (id.empty() || id.size() > kMaxTextBytes) {
-      reader.fail("machines", "not ids with commas between");
+      reader.fail("machines", "not a list of machine ids of 1 to " + std::to_string(kMaxTextBytes) +
+                                  " bytes, separated by commas");
     }
     ids.emplace(id);
   }
@@ -132,7 +133,7 @@
       static_cast<std::int32_t>(reader.number("priority", 0, -kMaxPriority, kMaxPriority));
   if (request.selector.ids.empty() && request.selector.zone.empty() &&
       request.selector.cell.empty() && request.selector.instance_type.empty()) {
-    reader.fail("machines", "missing, and no zone, cell or kind either");
+    reader.fail("machines", "missing; at least one of machines, zone, cell and kind is required");
   }
   return request;
 }
@@ -144,7 +145,8 @@
                                               std::string& error) {
   const auto type = command_type(verb);
   if (!type) {
-    error = "unknown call";
+    error = "unknown command \"" + verb +
+            "\"; request, approve, hold, resume, cancel, done and forget are accepted";
     return std::nullopt;
   }
   QueryReader reader(query, error);
@@ -162,7 +164,7 @@
   if (command.type == CommandType::kSubmitRequest) {
     command.request = read_request(reader, command);
   }
-  return reader.finish() ? std::optional(std::move(command)) : std::nullopt;
+  return reader.all_read() ? std::optional(std::move(command)) : std::nullopt;
 }
 
 }  // namespace beechhill::maintenance
--- a/src/maintenance/operator_commands.h
+++ b/src/maintenance/operator_commands.h
@@ -1,4 +1,4 @@
-// Operators' calls about maintenance, as the admin server receives them, made into commands. No
+// Parses operators' maintenance calls, as received by the admin server, into commands. Performs no
 // I/O.
 #pragma once
 
@@ -10,8 +10,9 @@
 
 namespace beechhill::maintenance {
 
-/// `verb`: request, approve, hold, resume, cancel, done or forget; `query`: the call's decoded
-/// parameters. Where they are wrong, nothing, and `error` names what is, for people.
+/// `verb` is request, approve, hold, resume, cancel, done or forget; `query` has the decoded
+/// parameters of the call. If they are invalid, returns nullopt and sets `error` to a message for
+/// the operator.
 std::optional<Command> parse_operator_command(const std::string& verb,
                                               const std::map<std::string, std::string>& query,
                                               std::string& error);
--- a/src/maintenance/proxy_tracker.cpp
+++ b/src/maintenance/proxy_tracker.cpp
@@ -17,7 +17,7 @@
 void ProxyTracker::update(Time now, const std::string& proxy, const LeaseRequest& request) {
   ProxyStatus& status = proxies_[proxy];
   if (status.boot_id != request.boot_id) {
-    // A lease of the process before may still be in force.
+    // A lease of the previous process may still be valid.
     const Time lease_expiry = status.lease_expiry;
     status = ProxyStatus{};
     status.boot_id = request.boot_id;
@@ -53,15 +53,16 @@
 }
 
 Time ProxyTracker::lease_expiry(const std::string& proxy) const {
-  // Of leases that another leader granted nothing is known but the longest that they can last.
-  const Time earlier_leaders = leader_since_ + max_lease();
+  // Leases granted by earlier leaders are unknown, so the longest possible one is assumed.
+  const Time earlier_leases_expiry = leader_since_ + max_lease();
   const auto found = proxies_.find(proxy);
   if (found == proxies_.end()) {
-    return earlier_leaders;
+    return earlier_leases_expiry;
   }
-  // A proxy that asked just now is about to get a lease: it is not silent.
+  // A proxy whose request has just arrived is about to receive a lease.
   const ProxyStatus& status = found->second;
-  return std::max({earlier_leaders, status.lease_expiry, status.last_request_at + max_lease()});
+  return std::max(
+      {earlier_leases_expiry, status.lease_expiry, status.last_request_at + max_lease()});
 }
 
 bool ProxyTracker::is_drained_by_expiry(Time now, const std::string& proxy) const {
--- a/src/maintenance/proxy_tracker.h
+++ b/src/maintenance/proxy_tracker.h
@@ -1,5 +1,5 @@
-// What the leader knows of each proxy by its lease requests, and which leases may still be in
-// force.
+// What the leader knows about each proxy from its lease requests, and until when its leases may be
+// valid.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 struct ProxyStatus {
   std::uint64_t boot_id = 0;
   LogIndex acknowledged_index = 0;
-  /// Of the last lease that this leader granted.
+  /// Latest expiry of the leases granted by this leader, allowing for clock drift.
   Time lease_expiry{0};
   Time last_request_at{0};
   std::string zone;
@@ -27,15 +27,15 @@
   std::uint64_t unserved_requests = 0;
 };
 
-/// Free of I/O and clocks. `settings` must outlive it.
+/// Performs no I/O and reads no clock. `settings` must outlive the object.
 class ProxyTracker {
  public:
   explicit ProxyTracker(const CoordinatorSettings& settings) : settings_(settings) {}
 
-  /// Forgets all proxies: this one has become the leader at `now`.
+  /// Clears all proxies. Must be called when this proxy becomes the leader, at `now`.
   void reset(Time now);
 
-  /// Whether `proxy` is known or may become so within kMaxProxies.
+  /// Whether `proxy` is known, or may be added without exceeding kMaxProxies.
   bool accepts(const std::string& proxy) const;
   void update(Time now, const std::string& proxy, const LeaseRequest& request);
   void record_grant(Time now, const std::string& proxy);
@@ -43,18 +43,19 @@
   const std::map<std::string, ProxyStatus>& proxies() const { return proxies_; }
   AcknowledgedIndexes acknowledged_indexes() const;
 
-  /// Upper bound of the end of any lease that the proxy may hold.
+  /// Upper bound of the expiry of any lease that the proxy may hold.
   Time lease_expiry(const std::string& proxy) const;
-  /// Whether the proxy's lease ended so long ago that nothing sent under it is in flight any more.
+  /// Whether the proxy's lease expired so long ago that no request sent under it is still in
+  /// flight.
   bool is_drained_by_expiry(Time now, const std::string& proxy) const;
-  /// Whether the proxy has stopped serving, by itself at its shutdown or by the isolation timeout.
+  /// Whether the proxy has stopped serving, either at its shutdown or by the isolation timeout.
   bool has_stopped_serving(Time now, const std::string& proxy) const;
 
   struct RequestCounts {
     std::uint64_t served = 0;
     std::uint64_t unserved = 0;
   };
-  /// Requests of all proxies since the last call.
+  /// Returns the number of requests of all proxies since the last call.
   RequestCounts take_request_counts();
 
  private:
@@ -63,7 +64,7 @@
   const CoordinatorSettings& settings_;
   Time leader_since_{0};
   std::map<std::string, ProxyStatus> proxies_;
-  /// As of the last take_request_counts().
+  /// Request counts at the last take_request_counts().
   std::map<std::string, RequestCounts> counted_;
 };
 
--- a/src/maintenance/raft_codec.h
+++ b/src/maintenance/raft_codec.h
@@ -1,5 +1,5 @@
-// Binary form of log entries and of a raft configuration, in records on disk and in messages alike.
-// No field may change its place or size.
+// Binary encoding of log entries and of raft configurations, used in records on disk and in
+// messages. No field may change its position or size.
 #pragma once
 
 #include <cstddef>
@@ -10,12 +10,12 @@
 
 namespace beechhill::maintenance {
 
-/// Without their count, whose size differs between records and messages.
+/// Does not write the number of entries, whose size differs between records and messages.
 void write_entries(base::ByteWriter& writer, const std::vector<LogEntry>& entries);
-/// Reads `count` entries, or as many as there are.
+/// Reads `count` entries, or fewer if the input ends earlier.
 std::vector<LogEntry> read_entries(base::ByteReader& reader, std::size_t count);
 
-/// With their count; at most 255.
+/// Also writes the number of servers, at most 255.
 void write_servers(base::ByteWriter& writer, const std::vector<RaftServer>& servers);
 std::vector<RaftServer> read_servers(base::ByteReader& reader);
 
--- a/src/maintenance/raft_messages.cpp
+++ b/src/maintenance/raft_messages.cpp
@@ -130,7 +130,7 @@
 }
 
 void read(ByteReader& reader, StorageRolledBack&) {
-  // Whatever a later version adds.
+  // Ignores fields that a later version may append.
   reader.rest();
 }
 
--- a/src/maintenance/raft_messages.h
+++ b/src/maintenance/raft_messages.h
@@ -1,6 +1,6 @@
-// The messages between voters, as types and as bytes. All but the last are those of the raft paper
-// with the extensions of libraft (pre-vote, leadership transfer). Proxies of different versions
-// exchange them: no field may change its place or size.
+// Messages between voters and their encoding: those of the raft paper with the extensions of
+// libraft (pre-vote, leadership transfer), and StorageRolledBack. Proxies of different versions
+// exchange these messages: no field may change its position or size.
 #pragma once
 
 #include <cstdint>
@@ -15,12 +15,12 @@
 
 namespace beechhill::maintenance {
 
-/// More entries do not go into one message; the receiver asks for what follows.
+/// Maximum number of entries in one message. Further entries are sent in later messages.
 inline constexpr std::size_t kMaxEntriesPerMessage = 64;
 
-/// On the wire; up to kTimeoutNow as libraft numbers them.
+/// Message types as encoded on the wire; values up to kTimeoutNow are those of libraft.
 enum class RaftMessageType : std::uint8_t {
-  /// Of no message.
+  /// Not used by any message.
   kNone = 0,
   kAppendEntries = 1,
   kAppendEntriesResult = 2,
@@ -36,13 +36,13 @@
   std::uint64_t prev_log_index = 0;
   std::uint64_t prev_log_term = 0;
   std::uint64_t leader_commit = 0;
-  /// At most kMaxEntriesPerMessage.
+  /// At most kMaxEntriesPerMessage entries.
   std::vector<LogEntry> entries;
 };
 
 struct AppendEntriesResult {
   std::uint64_t term = 0;
-  /// Index that was rejected; 0: none.
+  /// Index of the rejected entry; 0 if none was rejected.
   std::uint64_t rejected = 0;
   std::uint64_t last_log_index = 0;
 };
@@ -57,7 +57,7 @@
 };
 
 struct RequestVoteResult {
-  /// Whether the vote that this answers was a pre-vote, as libraft numbers it.
+  /// Whether the vote that is answered was a pre-vote, numbered as in libraft.
   enum class PreVote : std::uint8_t { kUnknown, kTrue, kFalse };
 
   std::uint64_t term = 0;
@@ -80,8 +80,8 @@
   std::uint64_t last_log_term = 0;
 };
 
-/// The sender has seen more records of the receiver's storage than it has now: the header's count
-/// says how many.
+/// Tells the receiver that the sender has seen more records of the receiver's storage than that
+/// storage has now. The header holds the number of records seen.
 struct StorageRolledBack {};
 
 using RaftMessageBody =
@@ -89,23 +89,26 @@
                  InstallSnapshot, TimeoutNow, StorageRolledBack>;
 
 struct RaftMessageHeader {
-  /// "name#generation" of each.
+  /// Addresses of the form "name#generation".
   std::string from;
   std::string to;
-  /// Records that the sender's storage has had so far; in StorageRolledBack, the receiver's.
+  /// Number of records ever appended to the sender's storage; in StorageRolledBack, to the
+  /// receiver's.
   std::uint64_t appended_records = 0;
-  /// May be unknown here.
+  /// May be a type that this version does not know.
   RaftMessageType type = RaftMessageType::kAppendEntries;
 };
 
 RaftMessageType type_of(const RaftMessageBody& body);
 
-/// The header's type is taken from the body.
+/// Takes the message type from the body, not from the header.
 std::string encode(const RaftMessageHeader& header, const RaftMessageBody& body);
 
-/// Reads the header and leaves `reader` at the body. Nothing where there is no whole header.
+/// Reads the header and leaves `reader` at the start of the body. Returns nullopt if the header is
+/// incomplete.
 std::optional<RaftMessageHeader> decode_raft_header(base::ByteReader& reader);
-/// Reads the rest. Nothing where it is not one whole body of that type.
+/// Reads the rest of the message. Returns nullopt if that is not exactly one body of the given
+/// type.
 std::optional<RaftMessageBody> decode_raft_body(RaftMessageType type, base::ByteReader& reader);
 
 }  // namespace beechhill::maintenance
--- a/src/maintenance/raft_node.cpp
+++ b/src/maintenance/raft_node.cpp
@@ -14,17 +14,17 @@
 
 namespace {
 
-// Entries of some hundred bytes each: a snapshot is taken after so many, and so many of those
-// before it are kept for followers that lag a little.
+// Number of entries, of some hundred bytes each, after which a snapshot is taken, and number of
+// entries before the snapshot that are kept for followers slightly behind.
 constexpr unsigned kSnapshotThreshold = 512;
 constexpr unsigned kSnapshotTrailing = 64;
 constexpr std::size_t kMaxPendingProposals = 256;
-// Beyond that the oldest are dropped, as on any network.
+// With more queued messages the oldest are dropped; raft tolerates lost messages.
 constexpr std::size_t kMaxOutgoing = 1'024;
 constexpr std::uint32_t kMaxGeneration = 1'000'000'000;
-// Callbacks may queue further ones: a bound on how many run at a time.
+// Limits on the callbacks run at a time, because callbacks may queue further ones.
 constexpr int kMaxCallbacksPerTick = 1'000;
-constexpr int kMaxCallbacksAtEnd = 10'000;
+constexpr int kMaxCallbacksAtShutdown = 10'000;
 
 unsigned milliseconds(Duration duration) {
   return static_cast<unsigned>(duration / std::chrono::milliseconds(1));
@@ -53,7 +53,7 @@
   for (const std::string& name : voters) {
     servers.push_back({Voter{name, 1}.address(), RAFT_VOTER});
   }
-  // The same entry on every voter, whatever the order of their settings.
+  // Sorted, so that all voters write the same entry whatever the order in their settings.
   std::sort(servers.begin(), servers.end(),
             [](const RaftServer& a, const RaftServer& b) { return a.address < b.address; });
   raft_configuration configuration;
@@ -62,14 +62,15 @@
   const int error = raft_configuration_encode(&configuration, &encoded);
   raft_configuration_close(&configuration);
   if (error != 0) {
-    throw std::runtime_error(raft_strerror(error));
+    throw std::runtime_error(std::string("raft: cannot encode the initial configuration: ") +
+                             raft_strerror(error));
   }
   const LogEntry entry{1, RAFT_CHANGE, std::string(content_of(encoded))};
   raft_free(encoded.base);
   return {LogRecord::set_term(1), LogRecord::append(1, {entry})};
 }
 
-// ---- Start and end
+// ---- Start and shutdown
 
 void RaftNode::Impl::start(const RaftTiming& timing) {
   const std::string address = self_.address();
@@ -84,7 +85,7 @@
 
 void RaftNode::Impl::check(int error) {
   if (error != 0) {
-    throw std::runtime_error(std::string("agreement: ") + raft_strerror(error) + ": " +
+    throw std::runtime_error(std::string("raft: ") + raft_strerror(error) + ": " +
                              raft_errmsg(&raft_));
   }
 }
@@ -93,8 +94,9 @@
   for (auto& [key, proposal] : proposals_) {
     proposal->done = {};
   }
-  // Outstanding requests complete while libraft is still running. Nothing of it is sent.
-  for (int i = 0; i < kMaxCallbacksAtEnd && !(deferred_.empty() && writes_.empty()); ++i) {
+  // Completes outstanding requests while libraft is still running. Messages queued by their
+  // callbacks are never sent.
+  for (int i = 0; i < kMaxCallbacksAtShutdown && !(deferred_.empty() && writes_.empty()); ++i) {
     if (!deferred_.empty()) {
       run_first_deferred();
     } else {
@@ -103,7 +105,7 @@
   }
   raft_close(&raft_, [](struct raft*) {});
   cancel_callbacks();
-  // Only now: until its requests have completed, libraft's log is in use.
+  // libraft's log is in use until its requests have completed, so the close callback runs last.
   if (on_closed_) {
     on_closed_(&io_);
   }
@@ -150,8 +152,9 @@
   if (on_receive_ == nullptr) {
     return;
   }
-  // A storage only grows: one that has fewer records than before was replaced by an older copy, and
-  // its voter may have forgotten a vote.
+  // The number of records of a storage never decreases. A peer with fewer records than before runs
+  // on an older copy of its storage and may have forgotten a vote, so its message is dropped and
+  // the peer is notified.
   PeerStorage& known = peer_storages_[sender->name];
   if (sender->generation < known.generation) {
     return;
@@ -301,8 +304,9 @@
   return configured;
 }
 
-// In three changes: the next generation is added, so that the name stays known; the one that lost
-// its storage is removed; and then the next one may vote.
+// Readmission takes three configuration changes: adding the next generation as a non-voter, so that
+// the name stays configured; removing the generation that lost its storage; and making the next
+// generation a voter.
 std::uint32_t RaftNode::Impl::readmit(const std::string& name) {
   if (!is_leader() || change_in_progress_ || name == self_.name) {
     return 0;
--- a/src/maintenance/raft_node.h
+++ b/src/maintenance/raft_node.h
@@ -1,6 +1,6 @@
-// One voter of the replicated log: libraft's core, given our clock, network and storage, so that
-// the same code runs in the simulation and in the program. Nothing is sent before the records that
-// it rests on are durable.
+// One voter of the replicated log: the core of libraft with our clock, network and storage, so that
+// the simulation and the program run the same code. A message is sent only after the records that
+// it depends on are durable.
 #pragma once
 
 #include <functional>
@@ -19,20 +19,22 @@
 
 struct Voter {
   std::string name;
-  /// Grows when the voter has lost its storage: for raft it is a new server then.
+  /// Incremented when the voter has lost its storage, since raft must then treat it as a new
+  /// server.
   std::uint32_t generation = 1;
   /// "name#generation".
   std::string address() const { return name + "#" + std::to_string(generation); }
 };
-/// Nothing where `address` is none that Voter::address() makes.
+/// Returns nullopt if `address` is not of the form made by Voter::address().
 std::optional<Voter> parse_voter(std::string_view address);
 
-/// What each voter's storage begins with when the cluster is created: a first entry with the
-/// configuration of all voters, given by name. Throws std::runtime_error where libraft refuses it.
+/// Returns the initial records of every voter's storage when the cluster is created: a first entry
+/// with the configuration of all voters, which are given by name. Throws std::runtime_error if
+/// libraft rejects the configuration.
 std::vector<LogRecord> initial_records(const std::vector<std::string>& voters);
 
 struct RaftTiming {
-  /// Shortest time without contact to a leader before a follower becomes a candidate.
+  /// Minimum time without contact to a leader before a follower becomes a candidate.
   Duration election_timeout{1'000'000};
   Duration heartbeat_interval{200'000};
 };
@@ -40,55 +42,55 @@
 /// Not thread-safe.
 class RaftNode {
  public:
-  /// `storage` and `state_machine` must outlive it; the state machine is empty. Throws
-  /// std::runtime_error where libraft refuses what is stored.
+  /// `storage` and `state_machine` must outlive the node; the state machine must be empty. Throws
+  /// std::runtime_error if libraft rejects the stored state.
   RaftNode(Time now, const Voter& self, RaftStorage& storage,
            MaintenanceStateMachine& state_machine, const RaftTiming& timing, std::uint64_t seed);
   ~RaftNode();
   RaftNode(const RaftNode&) = delete;
   RaftNode& operator=(const RaftNode&) = delete;
 
-  /// Advances the clock and completes what the storage has made durable. To be called at
-  /// next_tick(), or whenever the storage has become more durable.
+  /// Advances the clock and completes operations whose records have become durable. Must be called
+  /// at next_tick(), and whenever records of the storage have become durable.
   void tick(Time now);
   Time next_tick() const;
-  /// A message of another voter. Malformed and unknown ones are ignored.
+  /// Handles a message from another voter. Malformed and unknown messages are ignored.
   void receive(Time now, std::string_view bytes);
 
   struct Outgoing {
-    /// A voter's name.
+    /// Name of the voter to send to.
     std::string to;
     std::string bytes;
   };
-  /// Removes and returns the messages whose records are durable.
+  /// Removes and returns the messages that depend only on durable records.
   std::vector<Outgoing> take_outgoing();
 
   bool is_leader() const;
-  /// Name of the leader that this voter follows; empty: none is known.
+  /// Name of the leader that this voter follows; empty if unknown.
   std::string leader() const;
   std::uint64_t term() const;
-  /// Whether its storage has failed: it takes no part any more.
+  /// Whether the storage has failed. The node then takes no further part in the protocol.
   bool halted() const;
-  /// Whether another voter has seen more records of this storage than it has: it must not be used
-  /// any more.
+  /// Whether another voter has seen more records of this storage than the storage has now, so that
+  /// the storage must not be used any more.
   bool rolled_back() const;
   std::vector<Voter> voters() const;
 
-  /// Called with the result of the applied command, or with kNotLeader or kLost.
+  /// Receives the result of the applied command, or kNotLeader or kLost.
   using ProposalCallback = std::function<void(CommandResult result)>;
-  /// Proposes a command. `done` may be called before propose() returns; when the node is destroyed
-  /// first it is not called.
+  /// Proposes a command. `done` may be called before propose() returns; it is not called if the
+  /// node is destroyed before the outcome is known.
   void propose(const Command& command, ProposalCallback done = {});
   std::size_t pending_proposals() const;
 
-  /// On the leader: begins the next change of the configuration that lets the voter `name`, which
-  /// has lost its storage, take part again as its next generation. Several changes are needed, one
-  /// at a time. Returns that generation, or 0 where another change is in progress or no voter has
-  /// that name.
+  /// Begins the next configuration change that readmits the voter `name` as its next generation
+  /// after it has lost its storage. Readmission needs several changes, one at a time. Returns that
+  /// generation, or 0 if this node is not the leader, another change is in progress or no voter has
+  /// the name.
   std::uint32_t readmit(const std::string& name);
-  /// The generation of `name` that does not vote yet; 0: none.
+  /// Returns the generation of `name` that has no vote yet; 0 if there is none.
   std::uint32_t joining_generation(const std::string& name) const;
-  /// Names whose readmission needs further changes.
+  /// Names of the voters whose readmission needs further configuration changes.
   std::vector<std::string> pending_readmissions() const;
 
  private:
--- a/src/maintenance/raft_node_impl.h
+++ b/src/maintenance/raft_node_impl.h
@@ -1,4 +1,4 @@
-// Internals of RaftNode, for raft_node.cpp and raft_node_io.cpp alone.
+// Internals of RaftNode, included only by raft_node.cpp and raft_node_io.cpp.
 #pragma once
 
 #include <cstdint>
@@ -16,8 +16,8 @@
 
 namespace beechhill::maintenance {
 
-/// Gives libraft its I/O and state machine. Callbacks that libraft waits for are never called from
-/// within one of its own calls: they are queued, and run by run_callbacks().
+/// Provides libraft with I/O and a state machine. Callbacks that libraft waits for are never called
+/// within a call of libraft: they are queued and run by run_callbacks().
 class RaftNode::Impl {
  public:
   Impl(Time now, const Voter& self, RaftStorage& storage, MaintenanceStateMachine& state_machine,
@@ -55,12 +55,12 @@
     Voter voter;
     int role = 0;
   };
-  /// Servers whose address is a voter's, in the order of the configuration.
+  /// Servers whose address has the form of a voter's, in the order of the configuration.
   std::vector<ConfiguredVoter> configuration() const;
 
  private:
   struct PendingMessage {
-    /// Records that must be durable before it may be sent.
+    /// Number of records that must be durable before the message may be sent.
     std::uint64_t required_records = 0;
     Outgoing message;
   };
@@ -73,14 +73,14 @@
     Impl* impl = nullptr;
     ProposalCallback done;
   };
-  /// The most that was seen of another voter's storage.
+  /// The highest generation and number of records seen of another voter's storage.
   struct PeerStorage {
     std::uint32_t generation = 0;
     std::uint64_t appended_records = 0;
   };
 
-  static Impl& of(raft_io* io) { return *static_cast<Impl*>(io->impl); }
-  static Impl& of(raft_fsm* fsm) { return *static_cast<Impl*>(fsm->data); }
+  static Impl& impl_of(raft_io* io) { return *static_cast<Impl*>(io->impl); }
+  static Impl& impl_of(raft_fsm* fsm) { return *static_cast<Impl*>(fsm->data); }
 
   void set_io_callbacks();
   void set_fsm_callbacks();
@@ -88,7 +88,7 @@
   void stop();
   void check(int error);
 
-  // raft_io, in the order of its members.
+  // Callbacks of raft_io, in the order of its members.
   static int load(raft_io* io, raft_term* term, raft_id* vote, raft_snapshot** snapshot,
                   raft_index* first_index, raft_entry** entries, size_t* count);
   static int start_io(raft_io* io, unsigned tick_ms, raft_io_tick_cb tick, raft_io_recv_cb recv);
@@ -102,7 +102,7 @@
   static int random_between(raft_io* io, int min, int max);
   static int run_async_work(raft_io* io, raft_io_async_work* request, raft_io_async_work_cb done);
 
-  // raft_fsm.
+  // Callbacks of raft_fsm.
   static int apply(raft_fsm* fsm, const raft_buffer* buffer, void** result);
   static int take_snapshot(raft_fsm* fsm, raft_buffer* buffers[], unsigned* count);
   static int restore(raft_fsm* fsm, raft_buffer* buffer);
@@ -129,7 +129,7 @@
 
   raft_io io_{};
   raft_fsm fsm_{};
-  // Mutable: getters of libraft take it without const.
+  // Mutable because libraft's getters take a pointer to non-const.
   mutable struct raft raft_{};
   raft_io_tick_cb on_tick_ = nullptr;
   raft_io_recv_cb on_receive_ = nullptr;
--- a/src/maintenance/raft_storage.h
+++ b/src/maintenance/raft_storage.h
@@ -1,6 +1,6 @@
-// What a voter must not forget: its term, its vote, the log and the last snapshot. As records of
-// each change with their binary form, the state that they add up to, the interface of a storage for
-// them, and a storage in memory for simulations.
+// Durable state of a voter: its term, its vote, the log and the last snapshot. Defines the records
+// of changes and their encoding, the state that results from them, the storage interface, and a
+// storage in memory for simulations.
 #pragma once
 
 #include <cstdint>
@@ -12,45 +12,45 @@
 
 namespace beechhill::maintenance {
 
-/// Longest "name#generation", in bytes.
+/// Maximum size of an address "name#generation", in bytes.
 inline constexpr std::size_t kMaxVoterAddressBytes = 80;
 
 /// A member of the raft configuration.
 struct RaftServer {
-  /// "name#generation".
+  /// Address of the form "name#generation".
   std::string address;
-  /// As libraft numbers it: RAFT_STANDBY, RAFT_VOTER or RAFT_SPARE.
+  /// Role as numbered by libraft: RAFT_STANDBY, RAFT_VOTER or RAFT_SPARE.
   int role = 0;
   bool operator==(const RaftServer&) const = default;
 };
 
 struct LogEntry {
   std::uint64_t term = 0;
-  /// As libraft numbers it.
+  /// Entry type as numbered by libraft.
   std::uint16_t type = 0;
   std::string data;
   bool operator==(const LogEntry&) const = default;
 };
 
 struct RaftSnapshot {
-  /// Of the last entry that it replaces.
+  /// Index of the last entry that the snapshot replaces.
   std::uint64_t index = 0;
   std::uint64_t term = 0;
-  /// Of the entry that made the configuration.
+  /// Index of the entry that holds the configuration.
   std::uint64_t configuration_index = 0;
   std::vector<RaftServer> servers;
   std::string data;
 };
 
-/// One change of the durable state.
+/// One change of the durable state, as it is stored.
 struct LogRecord {
-  /// Stored as a number.
+  /// Stored as a number: values must not change.
   enum class RecordType : std::uint8_t { kTerm, kVote, kAppend, kTruncate, kSnapshot };
 
   RecordType type = RecordType::kTerm;
-  /// kTerm: the term. kVote: id of the candidate. kAppend: index of the first entry, 0 for the next
-  /// one. kTruncate: index of the first entry to remove. kSnapshot: how many entries before its
-  /// index to keep; 0 removes the whole log.
+  /// kTerm: the term. kVote: id of the candidate. kAppend: index of the first entry; 0 appends
+  /// after the last one. kTruncate: index of the first entry to remove. kSnapshot: number of
+  /// entries to keep before the snapshot's index; 0 removes the whole log.
   std::uint64_t value = 0;
   std::vector<LogEntry> entries;
   std::optional<RaftSnapshot> snapshot;
@@ -71,44 +71,44 @@
 };
 
 std::string encode(const LogRecord& record);
-/// Nothing where the bytes are not one whole record.
+/// Returns nullopt if the bytes are not exactly one record.
 std::optional<LogRecord> decode_record(std::string_view bytes);
 
-/// The state that the records so far add up to.
+/// The state that results from applying all records.
 struct DurableState {
   std::uint64_t term = 0;
-  /// Id of the candidate that it voted for in this term; 0: none.
+  /// Id of the candidate voted for in this term; 0 if none.
   std::uint64_t vote = 0;
-  /// Of entries.front(), or of the entry that will be the first.
+  /// Index of entries.front(), or of the next entry if there are none.
   std::uint64_t first_index = 1;
   std::vector<LogEntry> entries;
   std::optional<RaftSnapshot> snapshot;
 
   void apply(const LogRecord& record);
-  /// The shortest sequence of records that adds up to this state.
+  /// Returns the shortest sequence of records that produces this state.
   std::vector<LogRecord> records() const;
 
  private:
   void apply_snapshot(const RaftSnapshot& taken, std::uint64_t trailing_entries);
 };
 
-/// Where a voter's records go. Its user calls it from one thread.
+/// Stores a voter's records. All functions must be called from the same thread.
 class RaftStorage {
  public:
   virtual ~RaftStorage() = default;
-  /// As loaded, with everything that was appended since, durable or not.
+  /// The loaded state with all records appended since, whether durable or not.
   virtual const DurableState& state() const = 0;
-  /// Accepts the record without waiting for the disk. Returns appended_records().
+  /// Appends the record without waiting for the disk. Returns appended_records().
   virtual std::uint64_t append(LogRecord record) = 0;
-  /// Records appended since this storage was created, by all processes that had it.
+  /// Number of records ever appended to this storage, by all processes that have used it.
   virtual std::uint64_t appended_records() const = 0;
-  /// How many of these would survive a crash now.
+  /// Number of records that would survive a crash now.
   virtual std::uint64_t durable_records() = 0;
-  /// Whether it could not write. It never becomes more durable after that.
+  /// Whether a write has failed. No further records become durable after that.
   virtual bool failed() = 0;
 };
 
-/// A storage in memory whose crashes and failures a simulation decides.
+/// Storage in memory whose crashes and failures are triggered by a simulation.
 class MemoryRaftStorage : public RaftStorage {
  public:
   const DurableState& state() const override { return state_; }
@@ -117,10 +117,10 @@
   std::uint64_t durable_records() override { return durable_; }
   bool failed() override { return failed_; }
 
-  /// Whether records become durable only by sync().
+  /// If set, records become durable only when sync() is called.
   bool lazy = false;
   void sync();
-  /// Forgets what is not durable.
+  /// Discards all records that are not durable.
   void crash();
   void fail() { failed_ = true; }
 
--- a/src/maintenance/status_json.h
+++ b/src/maintenance/status_json.h
@@ -1,4 +1,4 @@
-// The state of maintenance for operators, as JSON.
+// Status of maintenance for operators, as JSON.
 #pragma once
 
 #include <string>
@@ -7,9 +7,9 @@
 
 namespace beechhill::maintenance {
 
-/// All requests and workflows; or, where `request` is the id of one, that one and why it does not
-/// go on. `incident`: what the leader observes now, which may not be committed yet. Ends with a
-/// newline.
+/// Reports all requests and workflows, or, if `request` is not empty, the request with that id, its
+/// workflows and why it waits. `incident` is the one that the leader observes now, which may not be
+/// committed yet. The text ends with a newline.
 std::string status_json(const MaintenanceStateMachine& state,
                         const AcknowledgedIndexes& acknowledged, const std::string& request,
                         const std::string& incident);
--- a/src/maintenance/workflow_driver.h
+++ b/src/maintenance/workflow_driver.h
@@ -1,5 +1,5 @@
-// Moves workflows on: the leader's commands that follow from the replicated state and from what it
-// knows of the proxies.
+// Advances workflows by proposing the leader's commands that follow from the replicated state and
+// from the lease requests of the proxies.
 #pragma once
 
 #include "maintenance/leader_proposals.h"
@@ -7,20 +7,20 @@
 
 namespace beechhill::maintenance {
 
-/// What is referred to must outlive it.
+/// The constructor's arguments must outlive the object.
 class WorkflowDriver {
  public:
   WorkflowDriver(const MaintenanceStateMachine& state, const ProxyTracker& proxies, RaftNode& raft,
                  LeaderProposals& proposals)
       : state_(state), proxies_(proxies), raft_(raft), proposals_(proposals) {}
 
-  /// Records a proxy's confirmation that it has nothing in flight to a machine.
+  /// Proposes to commit a proxy's confirmation that it has no requests in flight to a machine.
   void confirm_drained(const std::string& proxy, const DrainConfirmation& confirmation);
-  /// Confirms on behalf of proxies whose lease has run out.
+  /// Confirms drains on behalf of proxies whose lease has expired.
   void confirm_expired_leases(Time now);
   void remove_stopped_proxies(Time now);
   void continue_readmissions();
-  /// Proposes the next commands, once everything proposed before is decided.
+  /// Proposes the next commands if no earlier proposal is pending.
   void propose_next_commands();
 
  private:
--- a/src/maintenance/workflow_transitions.cpp
+++ b/src/maintenance/workflow_transitions.cpp
@@ -1,4 +1,4 @@
-// The transitions of a machine's workflow, in the order of its states.
+// Transitions of a machine's workflow, in the order of its states.
 #include <utility>
 
 #include "maintenance/maintenance_planner.h"
@@ -6,7 +6,8 @@
 
 namespace beechhill::maintenance {
 
-// The budget is checked again: what held when the leader proposed it may not hold any more.
+// Checks the budget again, because the state may have changed since the leader proposed the
+// command.
 CommandResult MaintenanceStateMachine::announce_drain(const Command& command) {
   const auto request = requests_.find(command.id);
   const auto machine = machines_.find(command.machine);
@@ -27,8 +28,8 @@
   return CommandResult::kApplied;
 }
 
-// Commands of an earlier workflow of the machine have another fencing token and change
-// nothing. Token 0, as in operators' commands, is of any.
+// Ignores commands of an earlier workflow of the machine, which have another fencing token. Token
+// 0, as in operators' commands, matches any workflow.
 CommandResult MaintenanceStateMachine::advance_workflow(const Command& command) {
   const auto found = workflows_.find(command.machine);
   if (found == workflows_.end() ||
@@ -43,22 +44,22 @@
     case CommandType::kMarkOut:
       return paused() ? CommandResult::kPaused : mark_out(workflow);
     case CommandType::kCompleteWork:
-      // By the operator's command alone: a start that the list shows late may be one from before
-      // the work.
+      // Only the operator's command completes the work: a restart that the endpoint list shows with
+      // a delay may have happened before the work.
       return workflow.request != command.id
                  ? CommandResult::kOtherRequest
                  : change_state(workflow, WorkflowState::kOut, WorkflowState::kWarming);
-    case CommandType::kMarkWarming:
+    case CommandType::kCompleteWorkflow:
       if (workflow.state != WorkflowState::kWarming) {
         return CommandResult::kOtherState;
       }
       complete_workflow(command.machine);
       return CommandResult::kApplied;
-    case CommandType::kCallBack:
+    case CommandType::kAbortDrain:
       if (workflow.state >= WorkflowState::kOut) {
         return CommandResult::kOtherState;
       }
-      call_back_workflow(command.machine);
+      abort_drain(command.machine);
       return CommandResult::kApplied;
     default:
       return CommandResult::kUnknown;
@@ -84,7 +85,8 @@
 }
 
 CommandResult MaintenanceStateMachine::mark_out(MaintenanceWorkflow& workflow) {
-  // Set in any state, as earlier versions do: replicas of both must hold the same state.
+  // Updated even if the transition is rejected, as earlier versions do, so that replicas of
+  // different versions hold the same state.
   if (const auto machine = machines_.find(workflow.machine); machine != machines_.end()) {
     workflow.started_at = machine->second.started_at;
   }
@@ -113,7 +115,7 @@
   end_completed_requests();
 }
 
-void MaintenanceStateMachine::call_back_workflow(const std::string& machine) {
+void MaintenanceStateMachine::abort_drain(const std::string& machine) {
   const auto workflow = workflows_.find(machine);
   const auto request = requests_.find(workflow->second.request);
   if (request != requests_.end()) {
@@ -123,8 +125,9 @@
   end_completed_requests();
 }
 
-// Operators end the work on machines that are out already.
-void MaintenanceStateMachine::call_back_workflows_of(const std::string& request) {
+// Aborts the drains of a request. Machines that are already out stay out until operators end the
+// work.
+void MaintenanceStateMachine::abort_drains_of(const std::string& request) {
   std::vector<std::string> machines;
   for (const auto& [machine, workflow] : workflows_) {
     if (workflow.request == request && workflow.state < WorkflowState::kOut) {
@@ -132,7 +135,7 @@
     }
   }
   for (const std::string& machine : machines) {
-    call_back_workflow(machine);
+    abort_drain(machine);
   }
 }
 
--- a/tests/cluster_maintenance_test.cpp
+++ b/tests/cluster_maintenance_test.cpp
@@ -1,6 +1,6 @@
-// Processes of the program that take machines out of service together, before fake backends and
-// with faults between them. Judged by what reached the backends (nothing may reach one that is
-// out), by the clients' answers and by the operators' own count.
+// Runs proxy processes that coordinate maintenance in front of fake backends, with injected faults.
+// Checks that no request reaches a backend that is out, that the disruption budget is kept
+// according to the operators' own count, and that clients receive correct responses.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -14,9 +14,9 @@
 namespace beechhill::test {
 namespace {
 
-// Five processes, three of them voters, before eight backends. To take all of these out once takes
-// some ten seconds.
-constexpr const char* kDay = R"(
+// Five proxies, three of them voters, in front of eight backends. Taking every backend out once
+// takes about ten seconds.
+constexpr const char* kScenario = R"(
 length = "18s"
 warm_up = "1s"
 [load]
@@ -59,23 +59,25 @@
 )";
 
 emulator::Scenario scenario_with(const std::string& faults, const std::string& group = "") {
-  std::string text = kDay + faults;
+  std::string text = kScenario + faults;
   text.insert(text.find("voters = 3"), group);
-  return emulator::read_scenario(config::parse_toml(text, "day"), "day");
+  return emulator::read_scenario(config::parse_toml(text, "scenario"), "scenario");
 }
 
 void print_summary(const testbed::LoadTestResult& run) {
-  std::fprintf(stderr,
-               "asked %llu goodput %.3f excused %llu out %u at once %u open %u sent to out %llu "
-               "ended %.1f s\n%s%s\n",
-               static_cast<unsigned long long>(run.asked), run.result["goodput"].asDouble(),
-               static_cast<unsigned long long>(run.excused), run.taken_out, run.max_backends_out,
-               run.open_requests, static_cast<unsigned long long>(run.attempts_during_maintenance),
-               std::chrono::duration<double>(run.maintenance_completed_at).count(),
-               run.violation_text.c_str(), run.last_maintenance_status.c_str());
+  std::fprintf(
+      stderr,
+      "requests %llu, goodput %.3f, excused %llu, backends taken out %u, at most %u together, "
+      "open maintenance requests %u, attempts during maintenance %llu, completed after "
+      "%.1f s\n%s%s\n",
+      static_cast<unsigned long long>(run.asked), run.result["goodput"].asDouble(),
+      static_cast<unsigned long long>(run.excused), run.taken_out, run.max_backends_out,
+      run.open_requests, static_cast<unsigned long long>(run.attempts_during_maintenance),
+      std::chrono::duration<double>(run.maintenance_completed_at).count(),
+      run.violation_text.c_str(), run.last_maintenance_status.c_str());
 }
 
-testbed::LoadTestResult play(const emulator::Scenario& scenario) {
+testbed::LoadTestResult run_and_check(const emulator::Scenario& scenario) {
   testbed::LoadTestResult run = testbed::run_load_test(scenario, PROXY_PROGRAM);
   print_summary(run);
   EXPECT_EQ(run.attempts_during_maintenance, 0u);
@@ -90,64 +92,66 @@
 
 TEST(ClusterMaintenance, TakesEveryBackendOutOnce) {
   const emulator::Scenario scenario = scenario_with("");
-  const testbed::LoadTestResult run = play(scenario);
+  const testbed::LoadTestResult run = run_and_check(scenario);
   EXPECT_EQ(run.open_requests, 0u);
   EXPECT_GE(run.taken_out, 8u);
   EXPECT_GT(run.result["goodput"].asDouble(), 0.95);
 }
 
-// One after another, whichever leads.
+// The three voters crash one after another, so that the leader is among them.
 TEST(ClusterMaintenance, StaysSafeWhenVotersCrash) {
-  play(scenario_with(fault("proxy_crash", "3s", "1s", "proxies = 1\nfirst = 0") +
-                         fault("proxy_crash", "5s", "1s", "proxies = 1\nfirst = 1") +
-                         fault("proxy_crash", "7s", "1s", "proxies = 1\nfirst = 2"),
-                     "work = \"300ms\"\n"));
+  run_and_check(scenario_with(fault("proxy_crash", "3s", "1s", "proxies = 1\nfirst = 0") +
+                                  fault("proxy_crash", "5s", "1s", "proxies = 1\nfirst = 1") +
+                                  fault("proxy_crash", "7s", "1s", "proxies = 1\nfirst = 2"),
+                              "work = \"300ms\"\n"));
 }
 
 TEST(ClusterMaintenance, StaysSafeWhenAllVotersRestart) {
-  play(scenario_with(fault("proxy_crash", "4s", "300ms", "proxies = 3\nfirst = 0")));
+  run_and_check(scenario_with(fault("proxy_crash", "4s", "300ms", "proxies = 3\nfirst = 0")));
 }
 
-// First a follower, then a voter resumes with permissions of long ago.
+// A proxy that is no voter, and later a voter, resume with permissions that have expired.
 TEST(ClusterMaintenance, StaysSafeWhenAProcessResumes) {
-  play(scenario_with(fault("proxy_stop", "3s", "5s", "proxies = 1\nfirst = 4") +
-                     fault("proxy_stop", "9s", "3s", "proxies = 1\nfirst = 0")));
+  run_and_check(scenario_with(fault("proxy_stop", "3s", "5s", "proxies = 1\nfirst = 4") +
+                              fault("proxy_stop", "9s", "3s", "proxies = 1\nfirst = 0")));
 }
 
-// Lost, duplicated, late and out of order all the time.
+// Datagrams between proxies are lost, duplicated, delayed and reordered during the whole run.
 TEST(ClusterMaintenance, StaysSafeWhenDatagramsAreDisturbed) {
-  play(scenario_with(fault("talk_spoil", "1s", "15s", "factor = 0.15\ndelay = \"40ms\"")));
+  run_and_check(scenario_with(fault("talk_spoil", "1s", "15s", "factor = 0.15\ndelay = \"40ms\"")));
 }
 
-// One proxy is cut off both ways with its clients' traffic, another receives nothing, and nothing
-// of a third arrives.
+// One proxy is isolated from its peers in both directions, another receives no datagrams, and no
+// datagrams of a third arrive. Clients still reach all of them.
 TEST(ClusterMaintenance, StaysSafeInPartitions) {
-  play(scenario_with(fault("talk_cut", "2500ms", "3s", "proxies = 1\nfirst = 4") +
-                     fault("talk_cut", "6s", "2s", "proxies = 1\nfirst = 3\nway = \"back\"") +
-                     fault("talk_cut", "9s", "2s", "proxies = 1\nfirst = 0\nway = \"there\"")));
+  run_and_check(
+      scenario_with(fault("talk_cut", "2500ms", "3s", "proxies = 1\nfirst = 4") +
+                    fault("talk_cut", "6s", "2s", "proxies = 1\nfirst = 3\nway = \"back\"") +
+                    fault("talk_cut", "9s", "2s", "proxies = 1\nfirst = 0\nway = \"there\"")));
 }
 
-// An isolated proxy that stops serving is not waited for; it serves again with its next lease.
+// Maintenance does not wait for an isolated proxy that has stopped serving. That proxy serves again
+// once it receives its next lease.
 TEST(ClusterMaintenance, StaysSafeWithAnIsolationTimeout) {
-  play(scenario_with(fault("talk_cut", "2500ms", "8s", "proxies = 1\nfirst = 4"),
-                     "isolated_after = \"1s\"\n"));
+  run_and_check(scenario_with(fault("talk_cut", "2500ms", "8s", "proxies = 1\nfirst = 4"),
+                              "isolated_after = \"1s\"\n"));
 }
 
 TEST(ClusterMaintenance, StaysSafeWhenAVoterLosesItsStorage) {
-  play(scenario_with(fault("proxy_crash", "3s", "800ms", "proxies = 1\nfirst = 1") +
-                     fault("state_lost", "3400ms", "100ms", "proxies = 1\nfirst = 1")));
+  run_and_check(scenario_with(fault("proxy_crash", "3s", "800ms", "proxies = 1\nfirst = 1") +
+                              fault("state_lost", "3400ms", "100ms", "proxies = 1\nfirst = 1")));
 }
 
 TEST(ClusterMaintenance, StaysSafeWhenAVotersStorageIsRolledBack) {
-  play(scenario_with(fault("state_old", "2s", "3400ms", "proxies = 1\nfirst = 2") +
-                     fault("proxy_crash", "5s", "800ms", "proxies = 1\nfirst = 2")));
+  run_and_check(scenario_with(fault("state_old", "2s", "3400ms", "proxies = 1\nfirst = 2") +
+                              fault("proxy_crash", "5s", "800ms", "proxies = 1\nfirst = 2")));
 }
 
-// A drain, a backend's crash and a proxy's planned end.
-TEST(ClusterMaintenance, StaysSafeBesideOrdinaryFaults) {
-  play(scenario_with(fault("drain", "3s", "2s", "nodes = 1") +
-                     fault("crash", "6s", "1s", "nodes = 1") +
-                     fault("proxy_end", "8s", "1500ms", "proxies = 1\nfirst = 3")));
+// A discovery drain, a backend crash and a graceful shutdown of a proxy happen during maintenance.
+TEST(ClusterMaintenance, StaysSafeDuringOrdinaryFaults) {
+  run_and_check(scenario_with(fault("drain", "3s", "2s", "nodes = 1") +
+                              fault("crash", "6s", "1s", "nodes = 1") +
+                              fault("proxy_end", "8s", "1500ms", "proxies = 1\nfirst = 3")));
 }
 
 }  // namespace
--- a/tests/maintenance_simulation_test.cpp
+++ b/tests/maintenance_simulation_test.cpp
@@ -1,5 +1,4 @@
-// Maintenance as a whole, under faults in simulated time: MaintenanceCoordinator with everything
-// below it.
+// Tests MaintenanceCoordinator and everything below it under faults, in simulated time.
 #include "emulator/maintenance_simulation.h"
 
 #include <gtest/gtest.h>
@@ -20,8 +19,8 @@
 using emulator::MaintenanceSimulationSpec;
 using emulator::SeededBug;
 
-// A request for all backends.
-Command submit(const std::string& id, std::uint32_t max_concurrent = 1) {
+// Makes a command that requests maintenance of all backends.
+Command make_submission(const std::string& id, std::uint32_t max_concurrent = 1) {
   Command command;
   command.type = CommandType::kSubmitRequest;
   command.request.emplace();
@@ -45,15 +44,16 @@
   return spec;
 }
 
-// Sent three times, until it is accepted: it counts once.
+// Sends the same request three times, since it is lost while there is no leader. Repetitions of an
+// accepted request change nothing.
 void submit_all(MaintenanceSimulation& simulation, std::size_t at) {
   for (int i = 0; i < 3; ++i) {
-    simulation.order(at, submit("all", 2));
+    simulation.order(at, make_submission("all", 2));
     simulation.run(500ms);
   }
 }
 
-// Whether there is a leader, and all requests have ended.
+// Whether there is a leader and all requests have ended.
 bool is_done(const MaintenanceSimulation& simulation) {
   return simulation.leader() && simulation.open_requests().empty();
 }
@@ -87,7 +87,7 @@
   EXPECT_GT(simulation.calls(), 3'000u);
 }
 
-TEST(MaintenanceCoordinator, GoesOnAfterTheLeaderCrashes) {
+TEST(MaintenanceCoordinator, ContinuesAfterTheLeaderCrashes) {
   MaintenanceSimulation simulation(make_spec());
   simulation.run(3s);
   submit_all(simulation, 4);
@@ -100,7 +100,7 @@
   expect_no_violation(simulation);
 }
 
-TEST(MaintenanceCoordinator, GoesOnAfterAllVotersRestart) {
+TEST(MaintenanceCoordinator, ContinuesAfterAllVotersRestart) {
   MaintenanceSimulation simulation(make_spec());
   simulation.run(3s);
   submit_all(simulation, 4);
@@ -115,7 +115,8 @@
   expect_no_violation(simulation);
 }
 
-// By what they last held; machines that were announced to them they leave aside.
+// With two of three voters down, proxies continue to serve with the permissions that they last
+// received. Only machines whose drain was announced need a valid lease, and here there are none.
 TEST(MaintenanceCoordinator, ServesWithoutAQuorum) {
   MaintenanceSimulation simulation(make_spec());
   simulation.run(3s);
@@ -129,7 +130,8 @@
   EXPECT_EQ(simulation.calls_kept_back(), withheld);
 }
 
-// Nobody could tell it what is out; once there is a leader it serves.
+// A proxy that starts while no voter runs cannot learn which machines are out, so it sends no
+// requests until a new leader grants it a lease.
 TEST(MaintenanceCoordinator, SendsNothingAfterAStartWithoutALease) {
   MaintenanceSimulation simulation(make_spec());
   simulation.run(3s);
@@ -148,36 +150,39 @@
   EXPECT_TRUE(simulation.coordinator(5).has_held_lease());
 }
 
-// After 30 s it still holds what it held before, and does not act on it.
+// A proxy that was suspended for 30 s still has the permissions from before and must not act on
+// them. Checked for a voter (0) and for a proxy that is no voter (4).
 TEST(MaintenanceCoordinator, StaysSafeWhenAProxyResumes) {
-  for (std::size_t i : {std::size_t{0}, std::size_t{4}}) {
+  for (std::size_t proxy : {std::size_t{0}, std::size_t{4}}) {
     MaintenanceSimulation simulation(make_spec());
     simulation.run(3s);
     submit_all(simulation, 3);
-    simulation.suspend(i);
+    simulation.suspend(proxy);
     simulation.run(30s);
-    simulation.resume(i);
+    simulation.resume(proxy);
     EXPECT_TRUE(ends_within(simulation, 180s));
     expect_no_violation(simulation);
   }
 }
 
-// One proxy serves on alone. With an isolation timeout work goes on without it; else it waits, and
-// the proxy is named.
+// Proxy 5 is partitioned from the others and continues to serve. With an isolation timeout,
+// maintenance continues without it; otherwise maintenance waits, and the explanation names the
+// proxy.
 TEST(MaintenanceCoordinator, StaysSafeInAPartition) {
-  for (const bool ends : {false, true}) {
+  for (const bool has_isolation_timeout : {false, true}) {
     MaintenanceSimulationSpec spec = make_spec();
-    if (ends) {
+    if (has_isolation_timeout) {
       spec.isolation_timeout = 4s;
     }
     MaintenanceSimulation simulation(spec);
     simulation.run(3s);
-    simulation.set_link_filter([](std::size_t a, std::size_t b) { return (a == 5) == (b == 5); });
+    simulation.set_link_filter(
+        [](std::size_t from, std::size_t to) { return (from == 5) == (to == 5); });
     simulation.run(500ms);
     submit_all(simulation, 3);
     simulation.run(30s);
-    EXPECT_EQ(simulation.taken_out() > 0, ends);
-    if (!ends) {
+    EXPECT_EQ(simulation.taken_out() > 0, has_isolation_timeout);
+    if (!has_isolation_timeout) {
       const auto reasons = explain_all(simulation);
       EXPECT_NE(reasons.front().find("proxy-5"), std::string::npos) << reasons.front();
     }
@@ -206,7 +211,7 @@
     const auto leader = simulation.leader();
     ASSERT_TRUE(leader);
     EXPECT_GT(simulation.coordinator(1).state_machine().applied_index(), 5u);
-    // The new generation and one other voter are a majority.
+    // The next generation of voter 1 forms a majority with one other voter.
     const std::size_t other = *leader == 2 ? 0 : 2;
     simulation.kill(other);
     simulation.run(10s);
@@ -222,7 +227,7 @@
   }
 }
 
-TEST(MaintenanceCoordinator, GoesOnWithoutAVoterWhoseDiskFails) {
+TEST(MaintenanceCoordinator, ContinuesWithoutAVoterWhoseDiskFails) {
   MaintenanceSimulation simulation(make_spec());
   simulation.run(3s);
   submit_all(simulation, 4);
@@ -259,9 +264,9 @@
   expect_no_violation(simulation);
 }
 
-// Each request ends, or it is explained why it waits. `beechhill-testbed simulate-maintenance`
-// plays as many plans as are asked for.
-TEST(MaintenanceCoordinator, HoldsItsInvariantsUnderDrawnFaultPlans) {
+// Under random fault plans the invariants hold, and every request ends or has an explanation why it
+// waits. The command `beechhill-testbed simulate-maintenance` runs larger numbers of such plans.
+TEST(MaintenanceCoordinator, HoldsItsInvariantsUnderRandomFaultPlans) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     const emulator::MaintenanceRun run = emulator::run_drawn_maintenance(seed, 4);
     EXPECT_EQ(run.verdict.all(), 0u) << "seed " << seed << "\n" << run.plan << run.verdict.text;
@@ -270,7 +275,8 @@
   }
 }
 
-// The workflows of two machines with three voters: one fault of one of them, at one time.
+// The exploration tests inject one of these faults into one of three voters, at each time step of
+// the workflows of two machines.
 enum class VoterFault { kCrash, kSuspend, kPartition, kNothingReceived };
 constexpr std::array kVoterFaults{VoterFault::kCrash, VoterFault::kSuspend, VoterFault::kPartition,
                                   VoterFault::kNothingReceived};
@@ -319,16 +325,17 @@
   return simulation.leader()
              ? status_json(simulation.coordinator(*simulation.leader()).state_machine(), {}, "both",
                            "")
-             : " nobody leads";
+             : "no leader";
 }
 
-// The violations. Without a bug any of them fails the test, as does a request that does not end.
+// Returns the number of invariant violations. Without a seeded bug the test fails on any violation,
+// and on a request that does not end.
 std::uint64_t explore_fault(SeededBug bug, Duration at, VoterFault fault, std::size_t voter) {
-  SCOPED_TRACE(testing::Message() << "fault " << static_cast<int>(fault) << " of " << voter
-                                  << " at " << at.count());
+  SCOPED_TRACE(testing::Message() << "fault " << static_cast<int>(fault) << " of voter " << voter
+                                  << " at " << at.count() << " us");
   MaintenanceSimulation simulation(exploration_spec(bug));
   simulation.run(2s);
-  simulation.order(simulation.leader().value_or(0), submit("both"));
+  simulation.order(simulation.leader().value_or(0), make_submission("both"));
   simulation.run(at);
   begin_fault(simulation, fault, voter);
   simulation.run(13s);
@@ -342,7 +349,7 @@
   return simulation.verdict().all();
 }
 
-// Of the first fault that leads to any violation.
+// Returns the number of violations of the first fault that leads to any, or 0.
 std::uint64_t explore(SeededBug bug, Duration interval) {
   for (Duration at{0}; at < Duration(9s); at += interval) {
     for (const VoterFault fault : kVoterFaults) {
--- a/tests/maintenance_state_machine_test.cpp
+++ b/tests/maintenance_state_machine_test.cpp
@@ -1,4 +1,4 @@
-// The replicated state of maintenance, and the planner that decides what comes next.
+// Tests MaintenanceStateMachine together with MaintenancePlanner, which decides its next commands.
 #include "maintenance/maintenance_state_machine.h"
 
 #include <gtest/gtest.h>
@@ -14,68 +14,68 @@
 
 using namespace maintenance;
 
-Command submit(const std::string& id, std::set<std::string> machines,
-               std::uint32_t max_concurrent = 1, std::int32_t priority = 0) {
-  Command c;
-  c.type = CommandType::kSubmitRequest;
-  c.request.emplace();
-  c.request->id = id;
-  c.request->requested_by = "ana";
-  c.request->reason = "kernel";
-  c.request->selector.ids = std::move(machines);
-  c.request->max_concurrent = max_concurrent;
-  c.request->priority = priority;
-  return c;
+Command make_submission(const std::string& id, std::set<std::string> machines,
+                        std::uint32_t max_concurrent = 1, std::int32_t priority = 0) {
+  Command command;
+  command.type = CommandType::kSubmitRequest;
+  command.request.emplace();
+  command.request->id = id;
+  command.request->requested_by = "ana";
+  command.request->reason = "kernel";
+  command.request->selector.ids = std::move(machines);
+  command.request->max_concurrent = max_concurrent;
+  command.request->priority = priority;
+  return command;
 }
 
-Command command(CommandType type, const std::string& id, const std::string& machine = {},
-                const std::string& proxy = {}, FencingToken token = 0) {
-  Command c;
-  c.type = type;
-  c.id = id;
-  c.machine = machine;
-  c.proxy = proxy;
-  c.fencing_token = token;
-  return c;
+Command make_command(CommandType type, const std::string& id, const std::string& machine = {},
+                     const std::string& proxy = {}, FencingToken token = 0) {
+  Command command;
+  command.type = type;
+  command.id = id;
+  command.machine = machine;
+  command.proxy = proxy;
+  command.fencing_token = token;
+  return command;
 }
 
-// A replica with four machines in each of two zones, half used, and two proxies.
+// A replica that knows two zones of four machines each and two proxies.
 struct Replica {
-  explicit Replica(const DisruptionBudget& bounds = {}) {
-    Command c;
-    c.type = CommandType::kSetDisruptionBudget;
-    c.disruption_budget = bounds;
-    apply(c);
-    for (const char* p : {"p-1", "p-2"}) {
-      apply(command(CommandType::kAddProxy, {}, {}, p));
+  explicit Replica(const DisruptionBudget& budget = {}) {
+    Command command;
+    command.type = CommandType::kSetDisruptionBudget;
+    command.disruption_budget = budget;
+    apply(command);
+    for (const char* proxy : {"p-1", "p-2"}) {
+      apply(make_command(CommandType::kAddProxy, {}, {}, proxy));
     }
     observe();
   }
   void observe(double utilization = 0.4, const std::string& incident = {}) {
-    Command c;
-    c.type = CommandType::kUpdateObservations;
-    c.zone_utilization = {{"a", utilization}, {"b", utilization}};
-    c.incident = incident;
+    Command command;
+    command.type = CommandType::kUpdateObservations;
+    command.zone_utilization = {{"a", utilization}, {"b", utilization}};
+    command.incident = incident;
     for (int i = 0; i < 8; ++i) {
-      Machine m;
-      m.id = "m-" + std::to_string(i);
-      m.zone = i < 4 ? "a" : "b";
-      m.cell = "c" + std::to_string(i / 2);
-      m.instance_type = i % 2 ? "x" : "y";
-      if (changed.contains(m.id)) {
-        m = changed[m.id];
+      Machine machine;
+      machine.id = "m-" + std::to_string(i);
+      machine.zone = i < 4 ? "a" : "b";
+      machine.cell = "c" + std::to_string(i / 2);
+      machine.instance_type = i % 2 ? "x" : "y";
+      if (overrides.contains(machine.id)) {
+        machine = overrides[machine.id];
       }
-      c.machines.push_back(m);
+      command.machines.push_back(machine);
     }
-    apply(c);
+    apply(command);
   }
-  CommandResult apply(Command c) {
-    c.issued_at = time;
-    // As from the log.
-    const auto read = decode(encode(c));
-    return state.apply(++index, read.value());
+  CommandResult apply(Command command) {
+    command.issued_at = time;
+    // Encoded and decoded, as a command read from the log is.
+    const auto decoded = decode(encode(command));
+    return state.apply(++index, decoded.value());
   }
-  // Applies the first of the commands that are due, and returns it.
+  // Applies the first command that is due, if any, and returns it.
   std::optional<Command> apply_next() {
     const auto next = MaintenancePlanner(state).next_commands(acknowledged);
     if (next.empty()) {
@@ -92,42 +92,45 @@
     return all;
   }
   void acknowledge_all() { acknowledged = {{"p-1", index}, {"p-2", index}}; }
-  // Takes the next machine through all states up to kOut, and returns its id.
+  // Advances the next machine's workflow to kOut and returns the machine's id.
   std::string take_one_out() {
     const auto announced = apply_next();
     acknowledge_all();
     apply_next();
     const FencingToken token = state.workflows().at(announced->machine).fencing_token;
-    for (const char* p : {"p-1", "p-2"}) {
-      apply(command(CommandType::kConfirmDrained, {}, announced->machine, p, token));
+    for (const char* proxy : {"p-1", "p-2"}) {
+      apply(make_command(CommandType::kConfirmDrained, {}, announced->machine, proxy, token));
     }
     apply_next();
     return announced->machine;
   }
-  WorkflowState workflow_state(const std::string& m) { return state.workflows().at(m).state; }
+  WorkflowState workflow_state(const std::string& machine) {
+    return state.workflows().at(machine).state;
+  }
 
   MaintenanceStateMachine state;
   LogIndex index = 0;
   Seconds time = 1'000'000;
   AcknowledgedIndexes acknowledged;
-  std::map<std::string, Machine> changed;
+  std::map<std::string, Machine> overrides;
 };
 
 DisruptionBudget budget_without_approval() {
-  DisruptionBudget b;
-  b.needs_approval = false;
-  return b;
+  DisruptionBudget budget;
+  budget.needs_approval = false;
+  return budget;
 }
 
 TEST(MaintenanceStateMachine, MovesOneMachineThroughItsWorkflow) {
   Replica replica;
-  EXPECT_EQ(replica.apply(submit("r", {"m-1"})), CommandResult::kApplied);
+  EXPECT_EQ(replica.apply(make_submission("r", {"m-1"})), CommandResult::kApplied);
   EXPECT_FALSE(replica.apply_next());
   EXPECT_EQ(replica.explain("r"), "not approved\n");
-  EXPECT_EQ(replica.apply(command(CommandType::kApproveRequest, "r")), CommandResult::kApplied);
+  EXPECT_EQ(replica.apply(make_command(CommandType::kApproveRequest, "r")),
+            CommandResult::kApplied);
   EXPECT_EQ(replica.apply_next()->type, CommandType::kAnnounceDrain);
   EXPECT_TRUE(replica.state.dispatch_permissions(Role::kBackend).at("m-1").lease_required);
-  // Not before all proxies have acknowledged it.
+  // The drain does not start before all proxies have acknowledged the announcement.
   EXPECT_FALSE(replica.apply_next());
   replica.acknowledged = {{"p-1", replica.index}};
   EXPECT_EQ(replica.explain("r"), "m-1 is announced, waiting for p-2\n");
@@ -135,234 +138,238 @@
   EXPECT_EQ(replica.apply_next()->type, CommandType::kStartDrain);
   EXPECT_TRUE(replica.state.dispatch_permissions(Role::kBackend).at("m-1").dispatch_forbidden);
   const FencingToken token = replica.state.workflows().at("m-1").fencing_token;
-  EXPECT_EQ(replica.apply(command(CommandType::kConfirmDrained, {}, "m-1", "p-1", token + 1)),
+  EXPECT_EQ(replica.apply(make_command(CommandType::kConfirmDrained, {}, "m-1", "p-1", token + 1)),
             CommandResult::kOtherWorkflow);
-  EXPECT_EQ(replica.apply(command(CommandType::kConfirmDrained, {}, "m-1", "p-1", token)),
+  EXPECT_EQ(replica.apply(make_command(CommandType::kConfirmDrained, {}, "m-1", "p-1", token)),
             CommandResult::kApplied);
   EXPECT_EQ(replica.explain("r"), "m-1 is evacuating, waiting for p-2\n");
-  EXPECT_EQ(replica.apply(command(CommandType::kConfirmDrained, {}, "m-1", "p-2", token)),
+  EXPECT_EQ(replica.apply(make_command(CommandType::kConfirmDrained, {}, "m-1", "p-2", token)),
             CommandResult::kApplied);
   EXPECT_EQ(replica.workflow_state("m-1"), WorkflowState::kDrained);
   EXPECT_EQ(replica.apply_next()->type, CommandType::kMarkOut);
-  EXPECT_EQ(replica.apply(command(CommandType::kCompleteWork, "r", "m-1")),
+  EXPECT_EQ(replica.apply(make_command(CommandType::kCompleteWork, "r", "m-1")),
             CommandResult::kApplied);
   EXPECT_EQ(replica.workflow_state("m-1"), WorkflowState::kWarming);
-  // It serves again, and counts as out until it is warm.
+  // A warming machine receives requests, but its workflow is not complete until it is warm.
   EXPECT_TRUE(replica.state.dispatch_permissions(Role::kBackend).empty());
-  EXPECT_EQ(replica.apply_next()->type, CommandType::kMarkWarming);
+  EXPECT_EQ(replica.apply_next()->type, CommandType::kCompleteWorkflow);
   EXPECT_TRUE(replica.state.requests().at("r").ended);
 }
 
 TEST(MaintenanceStateMachine, CountsARequestSentTwiceOnce) {
   Replica replica;
-  EXPECT_EQ(replica.apply(submit("r", {"m-1"})), CommandResult::kApplied);
-  EXPECT_EQ(replica.apply(submit("r", {"m-1"})), CommandResult::kNothingToChange);
-  EXPECT_EQ(replica.apply(submit("r", {"m-2"})), CommandResult::kIdIsTaken);
+  EXPECT_EQ(replica.apply(make_submission("r", {"m-1"})), CommandResult::kApplied);
+  EXPECT_EQ(replica.apply(make_submission("r", {"m-1"})), CommandResult::kNothingToChange);
+  EXPECT_EQ(replica.apply(make_submission("r", {"m-2"})), CommandResult::kIdIsTaken);
   EXPECT_EQ(replica.state.requests().size(), 1u);
 }
 
 TEST(MaintenanceStateMachine, NamesTheBoundThatBlocksARequest) {
-  const auto reason = [](DisruptionBudget b, double utilization,
+  const auto reason = [](DisruptionBudget budget, double utilization,
                          const std::function<void(Replica&)>& before = {}) {
-    b.needs_approval = false;
-    Replica replica(b);
+    budget.needs_approval = false;
+    Replica replica(budget);
     replica.observe(utilization);
     if (before) {
       before(replica);
     }
-    replica.apply(submit("r", {"m-1"}));
+    replica.apply(make_submission("r", {"m-1"}));
     EXPECT_FALSE(replica.apply_next().has_value());
     const std::string lines = replica.explain("r");
     return lines.substr(0, lines.find_first_of(":\n"));
   };
-  const auto other_out = [](const std::string& m) {
-    return [m](Replica& replica) {
-      replica.apply(submit("other", {m}));
+  const auto other_out = [](const std::string& machine) {
+    return [machine](Replica& replica) {
+      replica.apply(make_submission("other", {machine}));
       replica.take_one_out();
     };
   };
-  DisruptionBudget many;
-  many.max_out = 4;
-  many.max_out_per_zone = 4;
-  many.max_out_per_cell = 4;
+  DisruptionBudget four_out;
+  four_out.max_out = 4;
+  four_out.max_out_per_zone = 4;
+  four_out.max_out_per_cell = 4;
   EXPECT_EQ(reason({}, 0.4, other_out("m-7")), "most_out");
-  DisruptionBudget b = many;
-  b.max_out_per_zone = 1;
-  EXPECT_EQ(reason(b, 0.4, other_out("m-3")), "most_out_zone");
-  b = many;
-  b.max_out_per_cell = 1;
-  EXPECT_EQ(reason(b, 0.4, other_out("m-0")), "most_out_cell");
-  EXPECT_EQ(reason(many, 0.7), "reserve");  // 0.7 x 1.25 of four, three left
-  b = many;
-  b.preserve_last_in_cell = true;
-  EXPECT_EQ(reason(b, 0.1, other_out("m-0")), "keep_cell");
-  EXPECT_EQ(reason(many, 0.4, [](Replica& replica) { replica.observe(0.4, "goodput"); }),
-            "an incident");
-  // A cold successor counts as out until it is warm.
-  EXPECT_EQ(reason(many, 0.55,
+  DisruptionBudget budget = four_out;
+  budget.max_out_per_zone = 1;
+  EXPECT_EQ(reason(budget, 0.4, other_out("m-3")), "most_out_zone");
+  budget = four_out;
+  budget.max_out_per_cell = 1;
+  EXPECT_EQ(reason(budget, 0.4, other_out("m-0")), "most_out_cell");
+  // The load with the reserve needs 0.7 x 1.25 x 4 = 3.5 machines, and three would remain.
+  EXPECT_EQ(reason(four_out, 0.7), "reserve");
+  budget = four_out;
+  budget.preserve_last_in_cell = true;
+  EXPECT_EQ(reason(budget, 0.1, other_out("m-0")), "keep_cell");
+  EXPECT_EQ(reason(four_out, 0.4, [](Replica& replica) { replica.observe(0.4, "goodput"); }),
+            "paused by an incident");
+  // A machine in its slow start does not count as capacity in service.
+  EXPECT_EQ(reason(four_out, 0.55,
                    [](Replica& replica) {
                      Machine cold;
                      cold.id = "m-2";
                      cold.zone = "a";
                      cold.warm = false;
-                     replica.changed["m-2"] = cold;
+                     replica.overrides["m-2"] = cold;
                      replica.observe(0.55);
                    }),
             "reserve");
 }
 
 TEST(MaintenanceStateMachine, CountsCapacityNotMachines) {
-  DisruptionBudget b = budget_without_approval();
-  Replica replica(b);
+  DisruptionBudget budget = budget_without_approval();
+  Replica replica(budget);
   Machine wide;
   wide.id = "m-1";
   wide.zone = "a";
   wide.relative_capacity = 5;
-  replica.changed["m-1"] = wide;
+  replica.overrides["m-1"] = wide;
   replica.observe(0.5);
-  replica.apply(submit("wide", {"m-1"}));
-  // Three of eight units of capacity would be left, four are needed.
+  replica.apply(make_submission("wide", {"m-1"}));
+  // Without m-1 three of eight units of capacity would remain, but the load requires four.
   EXPECT_FALSE(replica.apply_next());
-  replica.apply(submit("small", {"m-2"}));
+  replica.apply(make_submission("small", {"m-2"}));
   EXPECT_EQ(replica.apply_next()->machine, "m-2");
 }
 
-TEST(MaintenanceStateMachine, CallsBackAndPausesDuringAnIncident) {
-  DisruptionBudget b = budget_without_approval();
-  b.max_out = 3;
-  b.max_out_per_zone = 3;
-  Replica replica(b);
-  replica.apply(submit("r", {"m-0", "m-2", "m-4"}, 3));
+TEST(MaintenanceStateMachine, AbortsDrainsAndPausesDuringAnIncident) {
+  DisruptionBudget budget = budget_without_approval();
+  budget.max_out = 3;
+  budget.max_out_per_zone = 3;
+  Replica replica(budget);
+  replica.apply(make_submission("r", {"m-0", "m-2", "m-4"}, 3));
   const std::string out = replica.take_one_out();
   const std::string announced = replica.apply_next()->machine;
   replica.observe(0.4, "zone_lost: b");
-  EXPECT_EQ(replica.apply_next()->type, CommandType::kCallBack);
+  EXPECT_EQ(replica.apply_next()->type, CommandType::kAbortDrain);
   EXPECT_FALSE(replica.state.workflows().contains(announced));
-  // Operators may be working on it.
+  // A workflow in kOut is not aborted, because operators may be working on the machine.
   EXPECT_EQ(replica.workflow_state(out), WorkflowState::kOut);
   EXPECT_FALSE(replica.apply_next());
   replica.observe(0.4);
-  // During the quiet period.
+  // No drain is announced during the quiet period.
   EXPECT_FALSE(replica.apply_next());
-  replica.time += b.quiet_period + b.deferral + 1;
+  replica.time += budget.quiet_period + budget.deferral + 1;
   replica.observe(0.4);
   EXPECT_EQ(replica.apply_next()->type, CommandType::kAnnounceDrain);
 }
 
 TEST(MaintenanceStateMachine, HoldsCancelsAndResumesRequests) {
   Replica replica(budget_without_approval());
-  replica.apply(submit("r", {"m-0", "m-1"}));
+  replica.apply(make_submission("r", {"m-0", "m-1"}));
   const std::string first = replica.apply_next()->machine;
-  EXPECT_EQ(replica.apply(command(CommandType::kHoldRequest, "r")), CommandResult::kApplied);
+  EXPECT_EQ(replica.apply(make_command(CommandType::kHoldRequest, "r")), CommandResult::kApplied);
   EXPECT_TRUE(replica.state.workflows().empty());
   EXPECT_FALSE(replica.apply_next());
-  EXPECT_EQ(replica.apply(command(CommandType::kResumeRequest, "r")), CommandResult::kApplied);
+  EXPECT_EQ(replica.apply(make_command(CommandType::kResumeRequest, "r")), CommandResult::kApplied);
   replica.time += 61;
   replica.observe();
   EXPECT_EQ(replica.apply_next()->machine, first);
-  EXPECT_EQ(replica.apply(command(CommandType::kCancelRequest, "r")), CommandResult::kApplied);
+  EXPECT_EQ(replica.apply(make_command(CommandType::kCancelRequest, "r")), CommandResult::kApplied);
   EXPECT_TRUE(replica.state.workflows().empty() &&
               replica.state.dispatch_permissions(Role::kBackend).empty());
-  EXPECT_EQ(replica.apply(command(CommandType::kApproveRequest, "r")), CommandResult::kEnded);
+  EXPECT_EQ(replica.apply(make_command(CommandType::kApproveRequest, "r")), CommandResult::kEnded);
 }
 
-TEST(MaintenanceStateMachine, CallsBackADrainThatTimesOutAndRetries) {
+TEST(MaintenanceStateMachine, AbortsADrainThatTimesOutAndRetries) {
   Replica replica(budget_without_approval());
-  replica.apply(submit("r", {"m-0"}));
+  replica.apply(make_submission("r", {"m-0"}));
   replica.apply_next();
   replica.acknowledge_all();
   replica.apply_next();
   replica.time += replica.state.disruption_budget().drain_timeout + 1;
   replica.observe();
-  EXPECT_EQ(replica.apply_next()->type, CommandType::kCallBack);
-  EXPECT_EQ(replica.explain("r"), "m-0 was called back and is put off\n");
+  EXPECT_EQ(replica.apply_next()->type, CommandType::kAbortDrain);
+  EXPECT_EQ(replica.explain("r"), "m-0: drain was aborted, retry is deferred\n");
   replica.time += replica.state.disruption_budget().deferral + 1;
   replica.observe();
   const auto again = replica.apply_next();
   EXPECT_EQ(again->type, CommandType::kAnnounceDrain);
-  // Confirmations of the earlier workflow do not count for this one.
+  // The new workflow has a new token, so that confirmations of the aborted one do not count.
   EXPECT_GT(replica.state.workflows().at("m-0").fencing_token, 1u);
 }
 
 TEST(MaintenanceStateMachine, DoesNotAwaitAForgottenProxy) {
   Replica replica(budget_without_approval());
-  replica.apply(submit("r", {"m-0"}));
+  replica.apply(make_submission("r", {"m-0"}));
   replica.apply_next();
   replica.acknowledge_all();
   replica.apply_next();
-  replica.apply(command(CommandType::kConfirmDrained, {}, "m-0", "p-1",
-                        replica.state.workflows().at("m-0").fencing_token));
-  EXPECT_EQ(replica.apply(command(CommandType::kForgetProxy, {}, {}, "p-2")),
+  replica.apply(make_command(CommandType::kConfirmDrained, {}, "m-0", "p-1",
+                             replica.state.workflows().at("m-0").fencing_token));
+  EXPECT_EQ(replica.apply(make_command(CommandType::kForgetProxy, {}, {}, "p-2")),
             CommandResult::kApplied);
   replica.apply_next();
   EXPECT_EQ(replica.workflow_state("m-0"), WorkflowState::kDrained);
 }
 
 TEST(MaintenanceStateMachine, DoesNotStarveAnOldRequest) {
-  DisruptionBudget b = budget_without_approval();
-  Replica replica(b);
-  replica.apply(submit("urgent", {"m-0", "m-1", "m-2", "m-3"}, 1, 3));
-  replica.apply(submit("patient", {"m-4"}));
+  DisruptionBudget budget = budget_without_approval();
+  Replica replica(budget);
+  replica.apply(make_submission("urgent", {"m-0", "m-1", "m-2", "m-3"}, 1, 3));
+  replica.apply(make_submission("patient", {"m-4"}));
   EXPECT_EQ(replica.take_one_out(), "m-0");
-  // Both age alike, so the patient one stays behind until the urgent one has ended.
-  replica.time += 4 * b.priority_aging_interval;
-  replica.apply(submit("late", {"m-5"}, 1, 3));
-  replica.apply(command(CommandType::kCompleteWork, "urgent", "m-0"));
+  // Both requests age alike, so the urgent one keeps its higher priority.
+  replica.time += 4 * budget.priority_aging_interval;
+  replica.apply(make_submission("late", {"m-5"}, 1, 3));
+  replica.apply(make_command(CommandType::kCompleteWork, "urgent", "m-0"));
   replica.observe();
-  EXPECT_EQ(replica.apply_next()->type, CommandType::kMarkWarming);
-  // Of the urgent one, before the late one of the same priority.
+  EXPECT_EQ(replica.apply_next()->type, CommandType::kCompleteWorkflow);
+  // The urgent request precedes the late one, which has the same initial priority but is younger.
   EXPECT_EQ(replica.apply_next()->machine, "m-1");
-  replica.apply(command(CommandType::kCancelRequest, "urgent"));
-  // Aged past the late one.
+  replica.apply(make_command(CommandType::kCancelRequest, "urgent"));
+  // The patient request has aged past the priority of the late one.
   EXPECT_EQ(replica.apply_next()->machine, "m-4");
 }
 
 TEST(MaintenanceStateMachine, KeepsTheLastProxyOfAZone) {
-  DisruptionBudget b = budget_without_approval();
-  b.min_proxies_per_zone = 1;
-  Replica replica(b);
-  Command c;
-  c.type = CommandType::kUpdateObservations;
+  DisruptionBudget budget = budget_without_approval();
+  budget.min_proxies_per_zone = 1;
+  Replica replica(budget);
+  Command command;
+  command.type = CommandType::kUpdateObservations;
   for (const char* id : {"p-1", "p-2"}) {
-    Machine m;
-    m.id = id;
-    m.zone = "a";
-    m.role = Role::kProxy;
-    c.machines.push_back(m);
+    Machine machine;
+    machine.id = id;
+    machine.zone = "a";
+    machine.role = Role::kProxy;
+    command.machines.push_back(machine);
   }
-  replica.apply(c);
-  Command submission = submit("r", {"p-1", "p-2"}, 2);
+  replica.apply(command);
+  Command submission = make_submission("r", {"p-1", "p-2"}, 2);
   submission.request->selector.role = Role::kProxy;
   replica.apply(submission);
   EXPECT_EQ(replica.apply_next()->machine, "p-1");
-  // The workflow of a proxy waits for that proxy alone.
+  // The workflow of a proxy waits only for that proxy itself.
   replica.acknowledged = {{"p-1", replica.index}};
   EXPECT_EQ(replica.apply_next()->type, CommandType::kStartDrain);
   EXPECT_FALSE(replica.apply_next());
   EXPECT_EQ(replica.state.dispatch_permissions(Role::kProxy).size(), 1u);
 }
 
+// Truncated snapshots are rejected. Randomly corrupted ones are rejected, or restore a state whose
+// own snapshot is valid; decoding them as commands must not crash.
 TEST(MaintenanceStateMachine, RestoresSnapshotsCompletelyOrNotAtAll) {
   Replica replica(budget_without_approval());
-  replica.apply(submit("r", {"m-0", "m-1"}));
+  replica.apply(make_submission("r", {"m-0", "m-1"}));
   replica.take_one_out();
-  const std::string good = replica.state.snapshot();
-  MaintenanceStateMachine read;
-  ASSERT_TRUE(read.restore(good));
-  EXPECT_EQ(read.snapshot(), good);
-  EXPECT_EQ(status_json(read, {}, "r", ""), status_json(replica.state, {}, "r", ""));
-  for (std::size_t i = 0; i < good.size(); ++i) {
-    EXPECT_FALSE(MaintenanceStateMachine().restore(good.substr(0, i)));
+  const std::string valid = replica.state.snapshot();
+  MaintenanceStateMachine restored;
+  ASSERT_TRUE(restored.restore(valid));
+  EXPECT_EQ(restored.snapshot(), valid);
+  EXPECT_EQ(status_json(restored, {}, "r", ""), status_json(replica.state, {}, "r", ""));
+  for (std::size_t i = 0; i < valid.size(); ++i) {
+    EXPECT_FALSE(MaintenanceStateMachine().restore(valid.substr(0, i)));
   }
   std::mt19937 random(5);
   for (int i = 0; i < 20'000; ++i) {
-    std::string bad = good;
-    for (unsigned n = 1 + random() % 3; n > 0; --n) {
-      bad[random() % bad.size()] = static_cast<char>(random());
+    std::string corrupted = valid;
+    for (unsigned changes = 1 + random() % 3; changes > 0; --changes) {
+      corrupted[random() % corrupted.size()] = static_cast<char>(random());
     }
-    MaintenanceStateMachine damaged;
-    EXPECT_TRUE(!damaged.restore(bad) || MaintenanceStateMachine().restore(damaged.snapshot()));
-    decode(bad);
+    MaintenanceStateMachine restored;
+    EXPECT_TRUE(!restored.restore(corrupted) ||
+                MaintenanceStateMachine().restore(restored.snapshot()));
+    decode(corrupted);
   }
 }
 
--- a/tests/operator_commands_test.cpp
+++ b/tests/operator_commands_test.cpp
@@ -1,4 +1,4 @@
-// Operators' calls about maintenance, and the reason codes that answer them.
+// Tests the parsing of operators' maintenance calls, and the reason codes in their answers.
 #include "maintenance/operator_commands.h"
 
 #include <gtest/gtest.h>
@@ -44,18 +44,22 @@
 
 TEST(OperatorCommands, NamesWhatIsWrong) {
   EXPECT_EQ(error_of("request", {{"id", "r"}}),
-            "machines: missing, and no zone, cell or kind either");
+            "machines: missing; at least one of machines, zone, cell and kind is required");
   EXPECT_EQ(error_of("request", {{"id", "r"}, {"zone", "a"}, {"colour", "red"}}),
-            "colour: unknown");
-  EXPECT_TRUE(
-      error_of("request", {{"id", "r"}, {"zone", "a"}, {"at_once", "0"}}).starts_with("at_once"));
-  EXPECT_TRUE(error_of("request", {{"id", "r"}, {"machines", "a,,b"}}).starts_with("machines"));
+            "colour: unknown parameter");
+  EXPECT_EQ(error_of("request", {{"id", "r"}, {"zone", "a"}, {"at_once", "0"}}),
+            "at_once: not an integer from 1 to 10000");
+  EXPECT_EQ(error_of("request", {{"id", "r"}, {"machines", "a,,b"}}),
+            "machines: not a list of machine ids of 1 to 200 bytes, separated by commas");
   EXPECT_EQ(error_of("done", {{"id", "r"}}), "machine: missing");
-  EXPECT_EQ(error_of("dance", {}), "unknown call");
+  EXPECT_EQ(
+      error_of("dance", {}),
+      "unknown command \"dance\"; request, approve, hold, resume, cancel, done and forget are "
+      "accepted");
 }
 
-// They travel between proxies of different versions, and operators' scripts read them.
-TEST(OperatorCommands, KeepsItsReasonCodes) {
+// Proxies of different versions exchange the reason codes, and operators' scripts read them.
+TEST(OperatorCommands, KeepsReasonCodesStable) {
   const std::vector<std::string> expected{"",
                                           "nothing_to_change",
                                           "no_request",
@@ -81,7 +85,7 @@
   }
 }
 
-TEST(OperatorCommands, MayBeSentAgainWhereNothingWasDecided) {
+TEST(OperatorCommands, AllowsRetryingUndecidedCommands) {
   for (const char* code : {"not_leader", "lost", "no_leader", "no_answer"}) {
     EXPECT_TRUE(maintenance::is_retryable(code)) << code;
   }
--- a/tests/raft_format_test.cpp
+++ b/tests/raft_format_test.cpp
@@ -71,7 +71,7 @@
 
 TEST(RaftFormat, ReencodesEveryCommandOfTheVersionBefore) {
   const auto messages = golden_messages("command");
-  EXPECT_EQ(types_of(messages), range(0, static_cast<int>(CommandType::kCallBack)));
+  EXPECT_EQ(types_of(messages), range(0, static_cast<int>(CommandType::kAbortDrain)));
   for (const GoldenMessage& message : messages) {
     SCOPED_TRACE(message.type);
     const auto command = decode(message.bytes);
