--- a/src/maintenance/coordinator_settings.h
+++ b/src/maintenance/coordinator_settings.h
@@ -42,7 +42,7 @@
   return duration + duration / 50;
 }
 
-/// What this proxy observes without the help of others.
+/// State that this proxy observes locally.
 struct LocalView {
   /// Machines of the endpoint list.
   std::vector<Machine> machines;
--- a/src/maintenance/lease_granter.cpp
+++ b/src/maintenance/lease_granter.cpp
@@ -7,6 +7,7 @@
 
 // Heartbeat intervals after which a check without a majority is repeated.
 constexpr int kCheckTimeoutHeartbeats = 3;
+// With more queued lease requests the oldest is dropped; proxies repeat their requests.
 constexpr std::size_t kMaxQueuedRequests = 2 * kMaxProxies;
 
 }  // namespace
--- a/src/maintenance/libraft_conversions.h
+++ b/src/maintenance/libraft_conversions.h
@@ -19,7 +19,7 @@
 /// Returns the id by which libraft knows an address. Never 0, which libraft uses for no server.
 raft_id server_id(const std::string& address);
 
-/// Throws std::bad_alloc.
+/// Copies `content` to libraft's heap. Throws std::bad_alloc.
 raft_buffer make_buffer(std::string_view content);
 std::string_view content_of(const raft_buffer& buffer);
 
--- a/src/maintenance/observation_reporter.cpp
+++ b/src/maintenance/observation_reporter.cpp
@@ -10,7 +10,7 @@
 constexpr Duration kReportInterval{1'000'000};
 // Maximum number of machines in one command; further changes follow in later commands.
 constexpr std::size_t kMaxMachinesPerReport = 400;
-// Change of a zone's utilization up to which it is not reported.
+// Changes of a zone's utilization up to this size are not reported.
 constexpr double kUtilizationStep = 0.05;
 constexpr const char* kProposalKey = "observations";
 
--- a/src/maintenance/raft_node.h
+++ b/src/maintenance/raft_node.h
@@ -85,8 +85,8 @@
 
   /// Begins the next configuration change that readmits the voter `name` as its next generation
   /// after it has lost its storage. Readmission needs several changes, one at a time. Returns that
-  /// generation, or 0 if this node is not the leader, another change is in progress or no voter has
-  /// the name.
+  /// generation, or 0 if no change was begun: this node is not the leader, `name` is this node or
+  /// no voter, another change is in progress, or libraft rejects the change.
   std::uint32_t readmit(const std::string& name);
   /// Returns the generation of `name` that has no vote yet; 0 if there is none.
   std::uint32_t joining_generation(const std::string& name) const;
