--- a/src/maintenance/lease_granter.cpp
+++ b/src/maintenance/lease_granter.cpp
@@ -5,8 +5,9 @@
 namespace beechhill::maintenance {
 namespace {
 
-// A check without a majority after so many heartbeats is repeated.
+// Heartbeat intervals after which a check without a majority is repeated.
 constexpr int kCheckTimeoutHeartbeats = 3;
+// With more queued lease requests the oldest is dropped; proxies repeat their requests.
 constexpr std::size_t kMaxQueuedRequests = 2 * kMaxProxies;
 
 }  // namespace
