--- a/src/membership/datagram_authenticator.cpp
+++ b/src/membership/datagram_authenticator.cpp
@@ -7,9 +7,9 @@
 namespace beechhill::membership {
 namespace {
 
-// Payloads kept for each receiver: a probe, and what was sent with it.
-constexpr std::size_t kKeptPayloads = 2;
-// The shortest datagram that is looked at: a magic number of 4 bytes and a MAC.
+// Payloads kept for each receiver: the latest probe and the message sent with it.
+constexpr std::size_t kMaxKeptPayloads = 2;
+// Minimum size of a datagram that is verified: a magic number of 4 bytes and a MAC.
 constexpr std::size_t kMinDatagramBytes = 4 + kMacBytes;
 
 DatagramAuthenticator::VerifyResult rejected(RejectionReason reason) {
@@ -30,7 +30,7 @@
   OutboundSession& session = outbound_session(to);
   std::string datagram = sign_with_nonce(session.session_nonce, channel, payload);
   session.latest_payloads.emplace_back(channel, std::move(payload));
-  if (session.latest_payloads.size() > kKeptPayloads) {
+  if (session.latest_payloads.size() > kMaxKeptPayloads) {
     session.latest_payloads.pop_front();
   }
   return datagram;
@@ -44,8 +44,8 @@
   return bytes;
 }
 
-// Only members' addresses are used, so there are as many sessions at the most; should there be more
-// addresses, all sessions begin anew.
+// Only addresses of members are passed in, so at most kMaxMembers sessions are expected. If there
+// are ever more addresses, all sessions are dropped and established again, which bounds memory.
 DatagramAuthenticator::OutboundSession& DatagramAuthenticator::outbound_session(
     const std::string& address) {
   if (outbound_sessions_.size() >= kMaxMembers && !outbound_sessions_.contains(address)) {
@@ -80,7 +80,8 @@
   InboundSession& session = inbound_sessions_[decoded->sender];
   const std::uint64_t nonce = decoded->session_nonce;
   if (nonce != 0 && decoded->boot_id == session.pending_boot_id && nonce == session.pending_nonce) {
-    // The process has shown the nonce, so it runs now: its predecessor's session is over.
+    // The process has proved that it received the nonce, so it is running now and replaces the
+    // sender's previous process.
     session = InboundSession{decoded->boot_id, nonce, {}, 0, 0};
   }
   if (nonce == 0 || decoded->boot_id != session.boot_id || nonce != session.session_nonce) {
@@ -96,7 +97,7 @@
   return result;
 }
 
-// The receiver at `from` wants a new nonce: the latest payloads are sent again with it.
+// The receiver at `from` requires a new nonce: the latest payloads are sent again with that nonce.
 DatagramAuthenticator::VerifyResult DatagramAuthenticator::accept_hello(const std::string& from,
                                                                         std::string_view payload) {
   const std::optional<SessionHello> hello = decode_hello(payload);
@@ -114,7 +115,8 @@
   return result;
 }
 
-// A hello that tells the process `boot_id` of a sender its nonce, drawn anew for a new process.
+// Returns a hello that gives the sender's process `boot_id` its session nonce. A process without a
+// nonce gets a newly drawn one.
 std::string DatagramAuthenticator::hello_for(InboundSession& session, std::uint64_t boot_id) {
   if (session.pending_boot_id != boot_id || session.pending_nonce == 0) {
     session.pending_boot_id = boot_id;
--- a/src/membership/datagram_authenticator.h
+++ b/src/membership/datagram_authenticator.h
@@ -1,7 +1,8 @@
-// Proves that a datagram was sent by a member and is not a replay: a keyed MAC over all of it, a
-// counter with a replay window, and a session nonce that the receiver draws for each process of a
-// sender. A captured datagram is rejected also by a receiver that has restarted since, and
-// independently of clocks. Sans I/O. docs/design/membership.md compares the alternatives.
+// Verifies that a datagram was sent by a member and is not a replay. Every datagram carries a keyed
+// MAC, a counter that is checked against a replay window, and a session nonce that the receiver
+// draws for each process of a sender. The nonce makes a receiver reject captured datagrams even
+// after its own restart, without relying on clocks. Performs no I/O. docs/design/membership.md
+// compares the alternatives.
 #pragma once
 
 #include <cstdint>
@@ -22,36 +23,38 @@
 
 /// Why a datagram was rejected.
 enum class RejectionReason {
-  /// Too short for a datagram, or longer than kMaxDatagramBytes.
+  /// Shorter than the minimum, or longer than kMaxDatagramBytes.
   kSize,
-  /// The MAC was made with none of the keys, or the datagram was altered.
+  /// The MAC was made with none of the known keys, or the datagram was altered.
   kMac,
-  /// Another format or version.
+  /// The datagram has an unknown format or version.
   kFormat,
-  /// The sender has no name, or this process's own.
+  /// The sender's name is empty or equals this process's own name.
   kSenderName,
-  /// A malformed hello, or one for another process.
+  /// The hello is malformed or is addressed to another process.
   kHello,
-  /// Datagrams of kMaxMembers senders have been accepted already.
+  /// Datagrams from kMaxMembers different senders have been accepted already.
   kTooManySenders,
-  /// The sender has yet to show the session nonce. A hello with the nonce is among the replies.
+  /// The datagram does not carry the current session nonce. The replies include a hello with the
+  /// nonce.
   kSessionNonce,
-  /// The counter has been seen already, or is too old.
+  /// The counter value was accepted before, or is older than the replay window.
   kReplay,
 };
 
 /// Signs and verifies the datagrams of one process. Not thread-safe.
 class DatagramAuthenticator {
  public:
-  /// `boot_id`: of this process, drawn at its start. `seed`: of the session nonces; it must not be
-  /// known to others.
+  /// `boot_id` identifies this process and is drawn at its start. `seed` initializes the generator
+  /// of session nonces and must be kept secret.
   DatagramAuthenticator(MacKeys keys, std::string name, std::uint64_t boot_id, std::uint64_t seed);
 
-  /// Replaces the keys. Sessions stay.
+  /// Replaces the keys. Existing sessions are kept.
   void change_keys(MacKeys keys) { keys_ = std::move(keys); }
 
-  /// A datagram for the member at address `to`. `payload` has at most kMaxPayloadBytes. The latest
-  /// payloads to an address are kept, to be sent again where the receiver asks for a new session.
+  /// Returns a signed datagram for the member at address `to`. `payload` has at most
+  /// kMaxPayloadBytes. The latest payloads for each address are kept, because they are sent again
+  /// when the receiver requests a new session.
   std::string sign(const std::string& to, Channel channel, std::string payload);
 
   struct VerifiedPayload {
@@ -60,27 +63,28 @@
     Channel channel = Channel::kHello;
     std::string payload;
   };
-  /// A hello yields neither a payload nor a rejection.
+  /// The outcome of verify(). A hello yields neither a payload nor a rejection.
   struct VerifyResult {
     std::optional<VerifiedPayload> verified;
-    /// Datagrams to be sent to where this one came from.
+    /// Datagrams to be sent to the address that the verified datagram came from.
     std::vector<std::string> replies;
     std::optional<RejectionReason> rejection;
   };
-  /// Verifies a datagram that came from address `from`.
+  /// Verifies a datagram that was received from address `from`.
   VerifyResult verify(const std::string& from, std::string_view datagram);
 
  private:
-  /// The sessions of a sender, by which this process receives.
+  /// The established and the pending session of one sender.
   struct InboundSession {
     std::uint64_t boot_id = 0;
     std::uint64_t session_nonce = 0;
     ReplayWindow window;
-    /// A process that has yet to show the nonce drawn for it; 0: none.
+    /// The boot id and nonce of a process that has not yet sent the nonce back; a nonce of 0 means
+    /// that none is pending.
     std::uint64_t pending_boot_id = 0;
     std::uint64_t pending_nonce = 0;
   };
-  /// The session with a receiver, in which this process sends.
+  /// The session in which this process sends to one receiver.
   struct OutboundSession {
     std::uint64_t session_nonce = 0;
     std::deque<std::pair<Channel, std::string>> latest_payloads;
@@ -96,9 +100,9 @@
   const std::uint64_t boot_id_;
   std::mt19937_64 random_;
   std::uint64_t counter_ = 0;
-  /// By the sender's name.
+  /// Keyed by the sender's name.
   std::map<std::string, InboundSession> inbound_sessions_;
-  /// By the receiver's address.
+  /// Keyed by the receiver's address.
   std::map<std::string, OutboundSession> outbound_sessions_;
 };
 
--- a/src/membership/datagram_codec.cpp
+++ b/src/membership/datagram_codec.cpp
@@ -9,7 +9,7 @@
 using base::ByteReader;
 using base::ByteWriter;
 
-// The format and its version.
+// Identifies the format and its version.
 constexpr std::string_view kMagic = "BHT1";
 
 std::uint32_t magic_number() {
--- a/src/membership/datagram_codec.h
+++ b/src/membership/datagram_codec.h
@@ -1,5 +1,5 @@
-// The wire format of datagrams among proxies: a header, a payload and a MAC over both.
-// tests/membership_codec_test.cpp holds golden bytes.
+// The wire format of datagrams between proxies: a header, a payload and a MAC over both.
+// tests/membership_codec_test.cpp checks it against golden bytes.
 #pragma once
 
 #include <cstdint>
@@ -9,9 +9,9 @@
 
 namespace beechhill::membership {
 
-/// What a payload belongs to; its value goes on the wire.
+/// The protocol that a payload belongs to. The values are part of the wire format.
 enum class Channel : std::uint8_t {
-  /// A SessionHello of the authenticator itself.
+  /// A SessionHello, used by DatagramAuthenticator itself.
   kHello,
   /// A membership message.
   kSwim,
@@ -21,39 +21,41 @@
   kCoordination,
 };
 
-/// Fits into the MTU of every common link, so that no datagram is fragmented.
+/// Maximum size of a datagram, which fits into the MTU of common links and so avoids IP
+/// fragmentation.
 inline constexpr std::size_t kMaxDatagramBytes = 1'400;
-/// Of a datagram's payload, whatever the sender's name.
+/// Maximum size of a datagram's payload in bytes, for the longest sender name.
 inline constexpr std::size_t kMaxPayloadBytes = 1'250;
 
 /// A datagram without its MAC.
 struct Datagram {
   /// The sender's name.
   std::string sender;
-  /// Of the sender's process.
+  /// Identifies the sender's process.
   std::uint64_t boot_id = 0;
-  /// Counts the datagrams of the process, from 1.
+  /// Counts the datagrams that the process has sent, starting at 1.
   std::uint64_t counter = 0;
-  /// Drawn by the receiver for this process of the sender; 0 where the sender has none yet.
+  /// The nonce that the receiver drew for the sender's process; 0 before the sender has received
+  /// one.
   std::uint64_t session_nonce = 0;
   Channel channel = Channel::kHello;
   std::string payload;
 };
 
-/// The payload on Channel::kHello: the nonce that the addressed process has to show from now on.
+/// The payload on Channel::kHello: the nonce that the addressed process must use from now on.
 struct SessionHello {
-  /// Of the process that the nonce was drawn for.
+  /// Identifies the process that the nonce was drawn for.
   std::uint64_t boot_id = 0;
   std::uint64_t session_nonce = 0;
 };
 
 std::string encode(const Datagram& datagram);
-/// The inverse of encode(). Empty where `bytes` are truncated or of another format. The sender's
-/// name may be empty.
+/// The inverse of encode(). Returns nothing if `bytes` are truncated or in another format. The
+/// sender's name may be empty.
 std::optional<Datagram> decode_datagram(std::string_view bytes);
 
 std::string encode(const SessionHello& hello);
-/// The inverse of encode(). Empty where `bytes` have another size.
+/// The inverse of encode(). Returns nothing if `bytes` have the wrong size.
 std::optional<SessionHello> decode_hello(std::string_view bytes);
 
 }  // namespace beechhill::membership
--- a/src/membership/dissemination_queue.cpp
+++ b/src/membership/dissemination_queue.cpp
@@ -5,7 +5,8 @@
 namespace beechhill::membership {
 namespace {
 
-// The paper's lambda; docs/design/membership.md was measured with it.
+// The parameter lambda of the SWIM paper. docs/design/membership.md gives measurements with this
+// value.
 constexpr unsigned kTransmissionFactor = 3;
 
 }  // namespace
--- a/src/membership/dissemination_queue.h
+++ b/src/membership/dissemination_queue.h
@@ -1,5 +1,5 @@
-// Updates that wait to be disseminated: each is piggybacked on a bounded number of messages, the
-// least often sent ones first (SWIM, section 4.1).
+// A queue of membership updates to disseminate. Each update is piggybacked on a bounded number of
+// messages, and the updates sent least often go first (SWIM, section 4.1).
 #pragma once
 
 #include <map>
@@ -12,18 +12,19 @@
 
 namespace beechhill::membership {
 
-/// At most one update for each member, the latest.
+/// Holds at most one update for each member, the latest.
 class DisseminationQueue {
  public:
-  /// Queues `update` anew, in place of an earlier one about the same member.
+  /// Queues `update` with no transmissions counted, replacing an earlier update about the same
+  /// member.
   void enqueue(const MemberUpdate& update);
 
-  /// Appends updates to `message` until the next one does not fit, leaving out those about the
-  /// members `excluded_a` and `excluded_b`. Returns the names of the members they are about.
+  /// Appends updates to `message` until the next one does not fit. Skips updates about the members
+  /// `excluded_a` and `excluded_b`. Returns the names of the members whose updates were appended.
   std::vector<std::string> piggyback(Message& message, const std::string& excluded_a,
                                      const std::string& excluded_b) const;
-  /// Counts one transmission of each named member's update, if it is queued; one that has been sent
-  /// `max_transmissions` times is removed.
+  /// Counts one transmission of the queued update of each member in `members`, and removes updates
+  /// that have been sent `max_transmissions` times.
   void count_transmissions(const std::vector<std::string>& members, unsigned max_transmissions);
 
  private:
@@ -33,12 +34,12 @@
   };
 
   std::map<std::string, QueuedUpdate> updates_;
-  /// Transmissions and name of each queued update, in the order of sending.
+  /// The transmission count and member name of each queued update, in sending order.
   std::set<std::pair<unsigned, std::string>> order_;
 };
 
-/// How often an update is sent by each member: lambda times the logarithm of the cluster's size.
-/// `known_members`: the other members in the table.
+/// Returns how many times each member sends an update: lambda times the logarithm of the cluster
+/// size. `known_members` is the number of other members in the table.
 unsigned max_transmissions(std::size_t known_members);
 
 }  // namespace beechhill::membership
--- a/src/membership/indirect_probe_relay.cpp
+++ b/src/membership/indirect_probe_relay.cpp
@@ -6,7 +6,7 @@
 namespace beechhill::membership {
 namespace {
 
-// Bounds memory and the traffic that requests can cause; further requests are not answered.
+// Limits memory and the traffic that ping requests can cause. Further requests are ignored.
 constexpr std::size_t kMaxIndirectProbes = 64;
 
 }  // namespace
--- a/src/membership/indirect_probe_relay.h
+++ b/src/membership/indirect_probe_relay.h
@@ -1,5 +1,5 @@
-// The indirect probes that this process carries out for others: it pings a member on behalf of a
-// requester, and passes the ack on or sends a nack where none came in time.
+// The indirect probes that this process performs for other members: it pings a member on behalf of
+// a requester, then forwards the ack, or sends a nack if no ack arrives in time.
 #pragma once
 
 #include <cstdint>
@@ -17,26 +17,26 @@
   std::string requester_address;
   /// The member that is pinged.
   std::string subject;
-  /// Of the requester's probe.
+  /// Sequence number of the requester's probe.
   std::uint64_t requester_sequence_number = 0;
-  /// When the requester is sent a nack, if no ack has come.
+  /// Time at which the requester is sent a nack if no ack has arrived.
   Time nack_at{0};
   bool nacked = false;
 };
 
-/// The indirect probes under way, by the sequence number of the ping that was sent for them.
+/// The indirect probes in progress, keyed by the sequence number of the ping sent for each.
 class IndirectProbeRelay {
  public:
-  /// Whether no further request may be accepted.
+  /// Whether the limit on concurrent indirect probes is reached, so that add() must not be called.
   bool full() const;
   void add(std::uint64_t sequence_number, IndirectProbe probe);
-  /// An ack has come: removes and returns the probe that it belongs to, if any.
+  /// Removes and returns the probe that the ack of ping `sequence_number` belongs to, if any.
   std::optional<IndirectProbe> complete(std::uint64_t sequence_number);
-  /// The probes for which a nack is due; each is returned once.
+  /// Returns the probes for which a nack is due; each probe is returned once.
   std::vector<IndirectProbe> take_nacks_due(Time now);
-  /// Removes the probes whose nack was due at least `age` ago. Until then a late ack is passed on.
+  /// Removes the probes whose nack was due at least `age` ago. Late acks are forwarded until then.
   void expire(Time now, Duration age);
-  /// When the next nack is due.
+  /// Returns when the next nack is due, or nothing if none is pending.
   std::optional<Time> next_nack() const;
   void clear() { probes_.clear(); }
 
--- a/src/membership/mac_keys.cpp
+++ b/src/membership/mac_keys.cpp
@@ -24,7 +24,8 @@
   const int error =
       sodium_hex2bin(key.data(), key.size(), line.data(), line.size(), nullptr, &size, &end);
   if (error != 0 || size != key.size() || end != line.data() + line.size()) {
-    throw std::invalid_argument("a key is 64 hexadecimal digits on a line of its own");
+    throw std::invalid_argument(
+        "invalid key line: expected exactly 64 hexadecimal digits, one key per line");
   }
   return key;
 }
@@ -44,7 +45,8 @@
     }
   }
   if (keys.empty() || keys.size() > kMaxKeys) {
-    throw std::invalid_argument("one key, or two while they change");
+    throw std::invalid_argument("found " + std::to_string(keys.size()) +
+                                " keys: expected one, or two during a key rotation");
   }
   return keys;
 }
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -1,5 +1,5 @@
-// The other members of the cluster as this process knows them, and the digest and pages by which
-// anti-entropy compares and copies tables.
+// The other members of the cluster as this process knows them. Anti-entropy compares tables by
+// their digest and copies them page by page.
 #pragma once
 
 #include <cstdint>
@@ -15,10 +15,10 @@
 
 namespace beechhill::membership {
 
-/// Another member, by the latest update about it.
+/// Another member, as described by the latest update about it.
 struct Member {
   MemberUpdate update;
-  /// When it entered its state.
+  /// When the member entered its current state.
   Time state_since{0};
 };
 
@@ -27,49 +27,50 @@
   std::string name;
   MemberState from = MemberState::kAlive;
   MemberState to = MemberState::kAlive;
-  /// It is another process than before.
+  /// The member's boot id changed: another process now runs under its name.
   bool restarted = false;
-  /// It was not in the table before.
+  /// The member was not in the table before.
   bool joined = false;
 };
 
-/// The part of a table's digest that `update` stands for. A suspicion counts as alive: it is not
-/// something that all members have to agree on.
+/// Returns the contribution of `update` to a table's digest. A suspect member is hashed as alive,
+/// because members need not agree on suspicions.
 std::uint64_t digest_of(const MemberUpdate& update);
 
-/// The members apart from this process, by name.
+/// The members other than this process, keyed by name.
 class MemberTable {
  public:
   const std::map<std::string, Member>& members() const { return members_; }
-  /// Null where there is none of that name. Valid until the member is forgotten.
+  /// Returns null if there is no member of that name. The pointer is valid until the member is
+  /// removed.
   const Member* find(const std::string& name) const;
   bool contains(const std::string& name) const { return members_.contains(name); }
-  /// The update of a member that is in the table.
+  /// Returns the update of a member, which must be in the table.
   const MemberUpdate& update_of(const std::string& name) const;
 
-  /// The members that are alive or suspect. O(n).
+  /// The number of members that are alive or suspect. O(n).
   std::size_t active_count() const;
-  /// Whether no further member may be added.
+  /// Whether the table has reached kMaxMembers, so that no member may be added.
   bool full() const { return members_.size() + 1 >= kMaxMembers; }
 
-  /// Stores `update` as the latest about its member, and records a change of state.
+  /// Stores `update` as the latest about its member and records any change of state.
   void set(Time now, const MemberUpdate& update);
   /// Removes the members that have been dead or left for at least `age`.
   void forget_inactive(Time now, Duration age);
 
-  /// Equal for two tables whose members have equal states, suspicions aside: the exclusive or of
-  /// digest_of() over all members.
+  /// The exclusive or of digest_of() over all members. Two tables have equal digests if their
+  /// members have equal states, ignoring suspicions.
   std::uint64_t digest() const { return digest_; }
-  /// One page of the table: the members whose names sort after `after`, as many as fit into a
-  /// message. Stateless: the next page starts where this one ended.
+  /// Returns one page of the table: the members whose names sort after `after`, as many as fit into
+  /// a message. The caller requests the next page with the last name of this one.
   std::vector<MemberUpdate> page_after(const std::string& after) const;
 
-  /// At most `count` distinct members that satisfy `predicate`, drawn by `random`. O(n).
+  /// Returns at most `count` distinct members that satisfy `predicate`, chosen at random. O(n).
   std::vector<std::string> sample(std::size_t count,
                                   const std::function<bool(const Member&)>& predicate,
                                   std::mt19937_64& random) const;
 
-  /// The changes since the last call.
+  /// Returns the changes since the last call.
   std::vector<MemberChange> take_changes() { return std::exchange(changes_, {}); }
 
  private:
--- a/src/membership/message.cpp
+++ b/src/membership/message.cpp
@@ -3,7 +3,7 @@
 namespace beechhill::membership {
 namespace {
 
-// Encoded size of an update apart from its texts: three lengths of 2 bytes, the state, the
+// Encoded size of an update without its strings: three string lengths of 2 bytes, the state, the
 // incarnation and the boot id.
 constexpr std::size_t kFixedUpdateBytes = 3 * 2 + 1 + 4 + 8;
 
--- a/src/membership/message.h
+++ b/src/membership/message.h
@@ -1,4 +1,5 @@
-// The messages of the membership protocol, and the order among updates about one member.
+// The messages of the membership protocol, and the rule for which of two updates about a member
+// takes precedence.
 #pragma once
 
 #include <cstdint>
@@ -7,74 +8,79 @@
 
 namespace beechhill::membership {
 
-/// Members in a cluster, this process included.
+/// Maximum number of members in a cluster, including this process.
 inline constexpr std::size_t kMaxMembers = 2'000;
-/// Updates that are piggybacked on one message.
+/// Maximum number of updates piggybacked on one message.
 inline constexpr std::size_t kMaxUpdatesPerMessage = 12;
-/// Encoded bytes of the updates of one message, so that it fits into one datagram.
+/// Maximum encoded size, in bytes, of the updates in one message, so that the message fits into one
+/// datagram.
 inline constexpr std::size_t kMaxUpdateBytes = 1'100;
-/// Bytes of a member's name.
+/// Maximum size of a member's name in bytes.
 inline constexpr std::size_t kMaxNameBytes = 48;
 
-/// The state of a member. A dead member failed to answer; one that left announced it. Either may
-/// rejoin with a higher incarnation.
+/// The state of a member. A dead member failed to answer probes; a member that left announced it.
+/// Either may rejoin with a higher incarnation.
 enum class MemberState : std::uint8_t { kAlive, kSuspect, kDead, kLeft };
 
 /// The lower-case name of `state`, for logs and status pages.
 const char* name(MemberState state);
 
-/// Whether a member in `state` takes part in the protocol: it is alive or suspect.
+/// Whether a member in `state` participates in the protocol, which means that it is alive or
+/// suspect.
 bool is_active(MemberState state);
 
-/// What one member claims about another, or about itself.
+/// A statement by one member about the state of another, or about its own.
 struct MemberUpdate {
   std::string name;
   /// IPv4 address and port.
   std::string address;
   MemberState state = MemberState::kAlive;
-  /// Incremented by the member itself alone. Of two updates the one with the higher number holds.
+  /// Incremented only by the member itself. The update with the higher incarnation takes
+  /// precedence.
   std::uint32_t incarnation = 0;
-  /// Drawn by a process at its start: a different one means that the member restarted.
+  /// Drawn by a process at its start, so that a changed value indicates a restart.
   std::uint64_t boot_id = 0;
-  /// Of a suspicion: the member that raised or confirmed it.
+  /// The member that raised or confirmed the suspicion; empty in other states.
   std::string suspected_by;
 
   bool operator==(const MemberUpdate&) const = default;
 };
 
-/// Whether `update` replaces `known`: by a higher incarnation or, within one, by a worse state.
+/// Whether `update` replaces `known`: it has a higher incarnation or, at equal incarnations, a
+/// state later in MemberState.
 bool supersedes(const MemberUpdate& update, const MemberUpdate& known);
 
-/// The type of a message; its value goes on the wire.
+/// The type of a message. The values are part of the wire format.
 enum class MessageType : std::uint8_t {
   kPing,
-  /// Asks the receiver to ping `subject`: an indirect probe.
+  /// Asks the receiver to ping `subject` (an indirect probe).
   kPingRequest,
   kAck,
-  /// The receiver of a ping request got no ack from `subject` in time, but is reachable itself.
+  /// Sent by the receiver of a ping request that got no ack from `subject` in time. It shows that
+  /// the requester itself is not cut off.
   kNack,
-  /// Asks for the members whose names sort after `subject`.
+  /// Requests the members whose names sort after `subject`.
   kSyncRequest,
-  /// A page of the member table. An empty page is the last one.
+  /// One page of the member table. An empty page marks the end.
   kSyncResponse,
 };
 
-/// A message of the protocol. Each one fits into one datagram.
+/// A protocol message, which always fits into one datagram.
 struct Message {
   MessageType type = MessageType::kPing;
-  /// Of the ping that the message is part of; 0 for anti-entropy syncs.
+  /// Identifies the ping that the message belongs to; 0 for anti-entropy syncs.
   std::uint64_t sequence_number = 0;
-  /// The member that a ping request is about, or the name after which a sync page starts.
+  /// The member that a ping request concerns, or the name after which a sync page starts.
   std::string subject;
   /// The sender's SwimNode::digest().
   std::uint64_t digest = 0;
   std::vector<MemberUpdate> updates;
 };
 
-/// Whether `update` still fits into `message`.
+/// Whether `update` fits into the remaining space of `message`.
 bool fits(const Message& message, const MemberUpdate& update);
 
-/// A message to be sent.
+/// A message to be sent, with its destination.
 struct Outgoing {
   /// The destination's address.
   std::string to;
--- a/src/membership/message_codec.cpp
+++ b/src/membership/message_codec.cpp
@@ -8,9 +8,9 @@
 using base::ByteReader;
 using base::ByteWriter;
 
-// "255.255.255.255:65535"
+// Length of the longest address, "255.255.255.255:65535".
 constexpr std::size_t kMaxAddressBytes = 21;
-// A sender adds the destination's own state and its own to the piggybacked updates.
+// Besides the piggybacked updates, a sender includes the destination's state and its own.
 constexpr std::size_t kMaxDecodedUpdates = kMaxUpdatesPerMessage + 2;
 
 void encode_update(ByteWriter& writer, const MemberUpdate& update) {
--- a/src/membership/message_codec.h
+++ b/src/membership/message_codec.h
@@ -1,5 +1,6 @@
-// Encoding of membership messages. The bytes are a wire format: proxies of different versions run
-// beside each other. tests/membership_codec_test.cpp holds golden bytes of each message type.
+// The wire format of membership messages. It must stay compatible, since proxies of different
+// versions run in the same cluster. tests/membership_codec_test.cpp checks it against golden bytes
+// for each message type.
 #pragma once
 
 #include <optional>
@@ -10,11 +11,12 @@
 
 namespace beechhill::membership {
 
-/// The bytes of `message`, for a payload on Channel::kSwim.
+/// Returns the encoded `message`, to be sent as a payload on Channel::kSwim.
 std::string encode(const Message& message);
 
-/// The inverse of encode(). Empty where `bytes` are truncated, have a trailer, or hold an unknown
-/// type or state, an update without a name, or more updates or longer texts than are ever sent.
+/// The inverse of encode(). Returns nothing if `bytes` are truncated, have trailing bytes, or
+/// contain an unknown type or state, an update without a name, too many updates or an overlong
+/// string.
 std::optional<Message> decode(std::string_view bytes);
 
 }  // namespace beechhill::membership
--- a/src/membership/payload_fragments.cpp
+++ b/src/membership/payload_fragments.cpp
@@ -11,10 +11,10 @@
 
 // A fragment's header: the payload's id, the fragment's index and the number of fragments.
 constexpr std::size_t kHeaderBytes = 8 + 2 + 2;
-// Reserved beside the header.
+// Unused bytes left in each fragment's payload as a safety margin.
 constexpr std::size_t kSpareBytes = 4;
 constexpr std::size_t kFragmentBytes = kMaxPayloadBytes - kHeaderBytes - kSpareBytes;
-// About 300 kB, several times the largest payload that is ever sent.
+// Limits a payload to about 300 kB, several times the largest payload that is ever sent.
 constexpr std::size_t kMaxFragments = 256;
 
 }  // namespace
--- a/src/membership/payload_fragments.h
+++ b/src/membership/payload_fragments.h
@@ -1,4 +1,4 @@
-// Fragmentation of payloads that are longer than a datagram, and their reassembly.
+// Splits payloads that exceed the size of a datagram into fragments and reassembles them.
 #pragma once
 
 #include <cstdint>
@@ -10,22 +10,22 @@
 
 namespace beechhill::membership {
 
-/// Splits `payload` into fragments of at most kMaxPayloadBytes. `payload_id` differs from that of
-/// any other payload of this sender. Empty where the payload is longer than about 300 kB.
+/// Splits `payload` into fragments of at most kMaxPayloadBytes. `payload_id` must be unique among
+/// the sender's payloads. Returns an empty vector if the payload is longer than about 300 kB.
 std::vector<std::string> split_payload(std::uint64_t payload_id, std::string_view payload);
 
-/// Reassembles the fragments of each sender's latest payload. Fragments may arrive in any order; a
-/// payload of which one is lost is dropped as soon as the sender's next one begins.
+/// Reassembles the fragments of each sender's latest payload. Fragments may arrive in any order. An
+/// incomplete payload is dropped when a fragment of the sender's next payload arrives.
 class PayloadAssembler {
  public:
-  /// Takes a fragment from `sender`. Returns the payload where it is complete now.
+  /// Adds a fragment received from `sender`. Returns the payload if this fragment completes it.
   std::optional<std::string> add(const std::string& sender, std::string_view fragment);
 
  private:
   struct PartialPayload {
     std::uint64_t payload_id = 0;
     std::size_t count = 0;
-    /// Those received so far, by index.
+    /// The fragments received so far, keyed by index.
     std::map<std::size_t, std::string> fragments;
   };
 
--- a/src/membership/probe_schedule.h
+++ b/src/membership/probe_schedule.h
@@ -1,6 +1,6 @@
-// Whom this process probes, when, and how patiently: the round-robin order of SWIM (section 4.3)
-// and Lifeguard's local health multiplier, which slows the probes of a process that is itself
-// impaired.
+// Selects the member to probe next and scales the probe interval: SWIM's randomized round-robin
+// order (section 4.3), and Lifeguard's local health multiplier, which slows the probes of a process
+// that is itself impaired.
 #pragma once
 
 #include <cstdint>
@@ -14,49 +14,49 @@
 
 namespace beechhill::membership {
 
-/// Bound of LocalHealth::penalty(): probes are at most nine times slower.
+/// Maximum of LocalHealth::penalty(). The probe interval grows to at most nine times its base.
 inline constexpr unsigned kMaxLocalHealthPenalty = 8;
 
-/// Lifeguard's local health multiplier: a score of how impaired this process is, by the answers
-/// that it missed and the suspicions that it had to refute.
+/// Lifeguard's local health multiplier: a score of how impaired this process is, derived from
+/// missed acks and nacks and from suspicions that this process had to refute.
 class LocalHealth {
  public:
-  /// 0 where the process is healthy, up to kMaxLocalHealthPenalty.
+  /// 0 if the process is healthy, and at most kMaxLocalHealthPenalty.
   unsigned penalty() const { return penalty_; }
-  /// Raises or lowers the penalty within its bounds.
+  /// Adds `delta` to the penalty, clamped to its bounds.
   void adjust(int delta);
-  /// `interval` times the local health multiplier, 1 + penalty().
+  /// Returns `interval` times the local health multiplier, 1 + penalty().
   Duration scale(Duration interval) const { return interval * (1 + penalty_); }
 
  private:
   unsigned penalty_ = 0;
 };
 
-/// The order of probes: all active members once in each round, in a new random order each time, so
-/// that each is probed within two rounds.
+/// The probe order: every active member once per round, in a new random order each round, so that
+/// the time between two probes of a member is less than two rounds.
 class ProbeRound {
  public:
-  /// The next member to probe; empty where none is active.
+  /// Returns the next member to probe, or nothing if no member is active.
   std::optional<std::string> next(const MemberTable& table, std::mt19937_64& random);
 
  private:
-  /// Still to be probed in this round; the next one stands last.
+  /// The members not yet probed in this round; the next one is at the back.
   std::vector<std::string> pending_;
 };
 
-/// The probe under way.
+/// The probe in progress.
 struct Probe {
   std::string member;
   std::uint64_t sequence_number = 0;
-  /// Where no ack has come by then, indirect probes are started.
+  /// Indirect probes are started if no ack has arrived by this time.
   Time direct_deadline{0};
   bool acked = false;
   bool indirect_started = false;
-  /// Members that were asked for an indirect probe, and how many of those sent a nack.
+  /// The number of members asked for an indirect probe, and the number of nacks received from them.
   unsigned helpers = 0;
   unsigned nacks = 0;
 
-  /// Whether it waits for its direct deadline.
+  /// Whether the probe is still waiting for the ack of its direct ping.
   bool awaits_direct_ack() const { return !acked && !indirect_started; }
 };
 
--- a/src/membership/replay_window.h
+++ b/src/membership/replay_window.h
@@ -5,12 +5,13 @@
 
 namespace beechhill::membership {
 
-/// Accepts each number once. Numbers may arrive out of order by less than kSize.
+/// Accepts each number at most once. Numbers may arrive out of order by less than kSize.
 class ReplayWindow {
  public:
   static constexpr std::uint64_t kSize = 64;
 
-  /// Whether `number` is new; records it. False also for one that the window has passed.
+  /// Returns whether `number` is new, and records it. Returns false for numbers older than the
+  /// window.
   bool accept(std::uint64_t number) {
     if (number > highest_) {
       const std::uint64_t advance = number - highest_;
@@ -29,7 +30,7 @@
 
  private:
   std::uint64_t highest_ = 0;
-  /// Bit i: highest_ - i has been accepted.
+  /// Bit i is set if highest_ - i has been accepted.
   std::uint64_t seen_ = 0;
 };
 
--- a/src/membership/suspicion_tracker.cpp
+++ b/src/membership/suspicion_tracker.cpp
@@ -6,12 +6,14 @@
 namespace beechhill::membership {
 namespace {
 
-// From the paper (alpha, beta and K); docs/design/membership.md was measured with them.
-// The shortest timeout, in probe intervals times the decimal logarithm of the cluster's size.
+// The three constants below are alpha, beta and K of the Lifeguard paper; docs/design/membership.md
+// gives measurements with these values.
+
+// Shortest timeout, in probe intervals times the decimal logarithm of the cluster size.
 constexpr double kMinTimeoutIntervals = 4;
-// How many times longer the timeout is before anybody has confirmed the suspicion.
+// Ratio of the timeout of an unconfirmed suspicion to the shortest timeout.
 constexpr double kUnconfirmedFactor = 6;
-// Confirmations after which the timeout is the shortest.
+// Number of confirmations at which the timeout reaches its minimum.
 constexpr std::size_t kMaxConfirmations = 3;
 
 }  // namespace
@@ -21,7 +23,8 @@
       kMinTimeoutIntervals *
       std::max(1.0, std::log10(static_cast<double>(inputs.known_members) + 1));
   const std::size_t confirmations = accusers > 0 ? accusers - 1 : 0;
-  // Neither this process nor the suspect can confirm: in a cluster of two nobody can.
+  // The accuser and the suspect cannot confirm the suspicion, so it has no confirmations in a
+  // cluster of two.
   const std::size_t possible_confirmations =
       std::min(kMaxConfirmations, inputs.active_members > 2 ? inputs.active_members - 2 : 0);
   double factor = 1;
--- a/src/membership/suspicion_tracker.h
+++ b/src/membership/suspicion_tracker.h
@@ -1,5 +1,5 @@
-// Suspicions and their timeouts: Lifeguard's dynamic suspicion timeout (Dadgar, Phillips, Currey
-// 2018, section IV-B).
+// Tracks suspicions and their timeouts, using Lifeguard's dynamic suspicion timeout (Dadgar,
+// Phillips, Currey 2018, section IV-B).
 #pragma once
 
 #include <cstdint>
@@ -13,36 +13,37 @@
 
 namespace beechhill::membership {
 
-/// What a suspicion's timeout depends on.
+/// The inputs of suspicion_timeout() that all suspicions share.
 struct SuspicionTimeoutInputs {
   Duration probe_interval{0};
-  /// The other members in the table, whatever their state.
+  /// The number of other members in the table, in any state.
   std::size_t known_members = 0;
-  /// Those of them that are alive or suspect.
+  /// The number of other members that are alive or suspect.
   std::size_t active_members = 0;
 };
 
-/// How long a suspicion raised by `accusers` members lasts before it becomes a death. It grows with
-/// the logarithm of the cluster's size, and shrinks logarithmically as others confirm it.
+/// Returns how long a suspicion raised by `accusers` members lasts before the member is declared
+/// dead. The timeout grows with the logarithm of the cluster size and shrinks with the logarithm of
+/// the number of confirmations.
 Duration suspicion_timeout(const SuspicionTimeoutInputs& inputs, std::size_t accusers);
 
-/// The suspicions that this process holds, each with the members that raised or confirmed it.
+/// The current suspicions of this process, each with the members that raised or confirmed it.
 class SuspicionTracker {
  public:
-  /// Records that `accuser` suspects `member`, and starts the timeout where nobody did. Returns
-  /// whether this is a confirmation to be passed on: a new accuser, and not more of them than
-  /// shorten the timeout.
+  /// Records that `accuser` suspects `member`, and starts the timeout if `member` was not suspected
+  /// yet. Returns whether the accusation should be disseminated: the accuser is new, and more
+  /// confirmations would still shorten the timeout.
   bool add(Time now, const std::string& member, const std::string& accuser);
-  /// The suspicion of `member` is refuted or has become a death.
+  /// Removes the suspicion of `member`, after it was refuted or the member was declared dead.
   void clear(const std::string& member) { suspicions_.erase(member); }
-  /// All timeouts start anew, as after a pause of this process.
+  /// Restarts all timeouts, as after a pause of this process.
   void restart_timeouts(Time now);
 
-  /// The members whose timeout is over.
+  /// Returns the members whose timeout has expired.
   std::vector<std::string> expired(Time now, const SuspicionTimeoutInputs& inputs) const;
-  /// When the first timeout ends; empty where there is no suspicion.
+  /// Returns when the first timeout expires, or nothing if there are no suspicions.
   std::optional<Time> next_expiry(const SuspicionTimeoutInputs& inputs) const;
-  /// The first members, by name and at most `max_count`, of which `accuser` is an accuser.
+  /// Returns up to `max_count` members that `accuser` suspects, in order of name.
   std::vector<std::string> suspected_by(const std::string& accuser, std::size_t max_count) const;
 
  private:
--- a/src/membership/swim_node.cpp
+++ b/src/membership/swim_node.cpp
@@ -7,22 +7,23 @@
 namespace beechhill::membership {
 namespace {
 
-// Pure numbers; the table in docs/design/membership.md was measured with them.
-// Members that are asked for an indirect probe (the paper's k).
+// docs/design/membership.md gives measurements with the values of the constants below.
+
+// Members asked for an indirect probe (k in the SWIM paper).
 constexpr std::size_t kIndirectProbes = 3;
-// Members that are told at once that this one leaves.
+// Members that are notified immediately when this member leaves.
 constexpr std::size_t kLeaveFanout = 4;
-// Suspects that are pinged in each interval, so that they can refute.
+// Suspects pinged in each probe interval, so that they learn of the suspicion and can refute it.
 constexpr std::size_t kSuspectPings = 3;
-// The direct ack of a probe is awaited for this part of an interval.
+// The direct ack of a probe must arrive within a third of a probe interval.
 constexpr int kDirectProbeDivisor = 3;
-// The first probe after a start or a resume, and the nack of an indirect probe, come within this
-// part of an interval.
-constexpr int kQuarterInterval = 4;
-// In every eighth interval an inactive member or a seed is pinged, so that a healed partition is
-// found.
+// The first probe after a start or resume, and the nack of an indirect probe, are sent within a
+// quarter of a probe interval.
+constexpr int kQuarterIntervalDivisor = 4;
+// Every eighth probe interval one inactive member or seed is pinged, which reconnects the two sides
+// of a healed partition.
 constexpr std::uint64_t kReconnectIntervals = 8;
-// Where digests differ, the whole table is requested in every thirtieth interval.
+// If digests differ, the complete table is requested in every thirtieth probe interval.
 constexpr std::uint64_t kSyncIntervals = 30;
 
 bool is_active_member(const Member& member) {
@@ -44,11 +45,11 @@
       random_(seed),
       next_probe_(now),
       next_tick_(now) {
-  // Processes often start together: jitter spreads their probes.
+  // Jitter spreads the probes of processes that start at the same time.
   if (settings_.probe_interval > Duration{0}) {
     const auto interval = static_cast<std::uint64_t>(settings_.probe_interval.count());
     const auto jitter = static_cast<std::int64_t>(random_() % interval);
-    next_probe_ = now + Duration(jitter / kQuarterInterval);
+    next_probe_ = now + Duration(jitter / kQuarterIntervalDivisor);
     next_tick_ = next_probe_;
   }
   has_contact_ =
@@ -90,11 +91,12 @@
   }
 }
 
-// Whatever others claim about this member is answered by a higher incarnation. So is a claim about
-// an earlier process of its name.
+// Refutes a claim by others about this member, or about an earlier process of the same name, by
+// disseminating a higher incarnation.
 void SwimNode::refute(const MemberUpdate& update) {
   const bool about_this_process = update.boot_id == boot_id_;
-  // A death counts also where its news arrives after a suspicion has been refuted.
+  // A death is counted even if the update about it arrives after this member has refuted the
+  // suspicion that preceded it.
   if (about_this_process && update.state == MemberState::kDead &&
       update.incarnation >= uncounted_death_incarnation_) {
     ++times_declared_dead_;
@@ -127,7 +129,7 @@
   if (!suspicions_.add(now, member, accuser)) {
     return;
   }
-  // Each confirmation is disseminated, too: it shortens the timeout elsewhere.
+  // Confirmations are disseminated too, because they shorten the timeout at other members.
   MemberUpdate confirmation = table_.update_of(member);
   confirmation.suspected_by = accuser;
   dissemination_.enqueue(confirmation);
@@ -137,7 +139,7 @@
   return {settings_.probe_interval, table_.members().size(), table_.active_count()};
 }
 
-// Suspicions that were not refuted in time become deaths.
+// Declares members dead whose suspicion was not refuted in time.
 void SwimNode::expire_suspicions(Time now) {
   for (const std::string& member : suspicions_.expired(now, suspicion_timeout_inputs())) {
     MemberUpdate death = table_.update_of(member);
@@ -200,7 +202,7 @@
     return;
   }
   const std::uint64_t sequence_number = next_sequence_number_++;
-  const Time nack_at = now + settings_.probe_interval / kQuarterInterval;
+  const Time nack_at = now + settings_.probe_interval / kQuarterIntervalDivisor;
   relay_.add(sequence_number,
              {address, message.subject, message.sequence_number, nack_at, /*nacked=*/false});
   send(table_.update_of(message.subject).address, ping(sequence_number), message.subject, out);
@@ -221,9 +223,9 @@
   }
 }
 
-// Whether to request the sender's table: it differs, and this member has just made contact, or its
-// turn has come. While many members start together nobody knows all of them yet: a young member
-// also asks after 1, 2, 4, 8 and 16 intervals.
+// Whether to request the sender's table. The digests must differ, and contact must be new or a
+// periodic sync due. While many members start at the same time, none has a complete table yet, so
+// syncs are also due 1, 2, 4, 8 and 16 intervals after the start.
 bool SwimNode::sync_due(const Message& message, bool had_contact) const {
   if (message.type != MessageType::kAck || message.digest == digest()) {
     return false;
@@ -234,8 +236,8 @@
 
 // ---- Sent messages
 
-// The destination's own state comes first where others doubt it, so that it can refute; then the
-// sender's, then whatever is to be disseminated.
+// Fills in the digest and the updates. If the destination is not known to be alive, its own state
+// comes first, so that it can refute that. The sender's state and the queued updates follow.
 void SwimNode::piggyback(Message& message, const std::string& to) {
   message.digest = digest();
   const Member* destination = table_.find(to);
@@ -315,7 +317,8 @@
   relay_.expire(now, settings_.probe_interval);
 }
 
-// Lifeguard's buddy system: on a lossy network a suspect must learn of the suspicion quickly.
+// Lifeguard's buddy system: pinging a suspect directly makes sure that it learns of the suspicion
+// quickly even on a lossy network.
 void SwimNode::notify_suspects(std::vector<Outgoing>& out) {
   for (const std::string& member : suspicions_.suspected_by(name_, kSuspectPings)) {
     ping_member(member, out);
@@ -358,7 +361,8 @@
     local_health_.adjust(-1);
     return;
   }
-  // Helpers that sent neither ack nor nack hint that it is this process that is cut off or slow.
+  // A helper that sends neither an ack nor a nack indicates that this process is the one that is
+  // slow or disconnected.
   const unsigned missed_nacks = probe.helpers - std::min(probe.helpers, probe.nacks);
   local_health_.adjust(static_cast<int>(missed_nacks));
   const Member* member = table_.find(probe.member);
@@ -374,7 +378,7 @@
   suspect(now, probe.member, name_);
 }
 
-// After a partition has healed, members of both sides find each other by these pings.
+// Pings an inactive member or a seed, so that the two sides of a healed partition find each other.
 void SwimNode::probe_inactive_or_seed(std::vector<Outgoing>& out) {
   const std::vector<std::string> inactive =
       sample(1, [](const Member& member) { return !is_active_member(member); });
@@ -396,14 +400,14 @@
 void SwimNode::on_resume(Time now, std::vector<Outgoing>& out) {
   probe_.reset();
   relay_.clear();
-  // Refutations may have been missed during the pause.
+  // Refutations may have been missed while the process was paused.
   suspicions_.restart_timeouts(now);
   contact_sequence_number_ = next_sequence_number_;
   has_contact_ = table_.members().empty();
   for (const std::string& member : sample(kIndirectProbes, is_active_member)) {
     ping_member(member, out);
   }
-  next_probe_ = now + settings_.probe_interval / kQuarterInterval;
+  next_probe_ = now + settings_.probe_interval / kQuarterIntervalDivisor;
   update_next_tick();
 }
 
--- a/src/membership/swim_node.h
+++ b/src/membership/swim_node.h
@@ -1,8 +1,8 @@
 // Cluster membership and failure detection: SWIM (Das, Gupta, Motivala 2002) with suspicion,
-// incarnations, indirect probes and updates piggybacked on probes, and with Lifeguard's local
-// health multiplier and dynamic suspicion timeout (Dadgar, Phillips, Currey 2018). Sans I/O: time
-// and received messages come in, messages to be sent go out. docs/design/membership.md compares
-// the alternatives.
+// incarnations, indirect probes and updates piggybacked on probes, extended by Lifeguard's local
+// health multiplier and dynamic suspicion timeout (Dadgar, Phillips, Currey 2018). Performs no I/O:
+// the caller passes in the time and received messages, and sends the returned messages.
+// docs/design/membership.md compares the alternatives.
 #pragma once
 
 #include <cstdint>
@@ -25,56 +25,59 @@
 namespace beechhill::membership {
 
 struct SwimSettings {
-  /// Between two probes by one member, while it is healthy.
+  /// Time between two probes by a member whose local health is unimpaired.
   Duration probe_interval{1'000'000};
-  /// Members that are dead or left are removed from the table after this time.
+  /// Members that have been dead or left for this long are removed from the table.
   Duration forget_after{3'600'000'000};
-  /// Addresses at which other members may be found.
+  /// Addresses at which this member tries to reach the cluster.
   std::vector<std::string> seed_addresses;
 };
 
 /// One member's view of the cluster. Deterministic: equal inputs and seeds give equal outputs. Not
-/// thread-safe. Times passed in never decrease. Every function that takes `out` appends to it the
-/// messages to be sent; those may be lost, duplicated or reordered.
+/// thread-safe. The times passed in must not decrease. Functions with a parameter `out` append to
+/// it the messages to be sent; messages may be lost, duplicated or reordered.
 class SwimNode {
  public:
-  /// `name` and `address`: this process, as the other members reach it. `boot_id`: drawn anew by
-  /// each process. `seed`: of the random choices.
+  /// `name` and `address` identify this process to the other members. `boot_id` must be drawn anew
+  /// by each process. `seed` initializes the random choices.
   SwimNode(Time now, SwimSettings settings, std::uint64_t seed, std::string name,
            std::string address, std::uint64_t boot_id);
 
-  /// Handles a message. The caller has verified that the member `from` sent it; `address` is where
-  /// it came from.
+  /// Handles a message that the caller has verified to be sent by the member `from`. `address` is
+  /// the source address of the message.
   void receive(Time now, const std::string& from, const std::string& address,
                const Message& message, std::vector<Outgoing>& out);
-  /// Starts and ends probes and ends suspicions. To be called at next_tick() or later.
+  /// Starts and finishes probes, and expires suspicions. Must be called at next_tick() or later.
   void tick(Time now, std::vector<Outgoing>& out);
-  /// When tick() is due. It may change with each call of another function.
+  /// Time at which tick() is due. Any other non-const function may change it.
   Time next_tick() const { return next_tick_; }
-  /// The process did not run for a while: its table may be old, and others may have declared it
-  /// dead. To be called before any message that arrived meanwhile.
+  /// Handles a resume after the process was paused: its table may be outdated, and others may have
+  /// declared it dead. Must be called before receive() for any message that arrived during the
+  /// pause.
   void on_resume(Time now, std::vector<Outgoing>& out);
-  /// Announces that this member leaves. After it, the node only replies.
+  /// Announces that this member leaves. Afterwards the node only replies to messages.
   void leave(Time now, std::vector<Outgoing>& out);
 
-  /// Whether another member has answered since the start or the last on_resume(), so that this one
-  /// would know if it had been declared dead. Always true where there are no other members.
+  /// Whether another member has answered since the start or the last on_resume(), so that this
+  /// member would have learned if it had been declared dead. Always true if there are no other
+  /// members.
   bool has_contact() const { return has_contact_; }
-  /// Lifeguard's score of how impaired this process is; 0 is healthy.
+  /// Lifeguard's score of how impaired this process is; 0 means healthy.
   unsigned local_health_penalty() const { return local_health_.penalty(); }
   /// This member's own incarnation.
   std::uint32_t incarnation() const { return incarnation_; }
-  /// How often this member learned that it had been declared dead. Each time, whatever it was
-  /// granted before is void.
+  /// How many times this member learned that it had been declared dead. Each time invalidates any
+  /// lease or permission granted to it before.
   std::uint64_t times_declared_dead() const { return times_declared_dead_; }
 
-  /// The other members by name, those that are dead or left included.
+  /// The other members keyed by name, including those that are dead or left.
   const std::map<std::string, Member>& members() const { return table_.members(); }
-  /// The other members that are alive or suspect. O(n).
+  /// The number of other members that are alive or suspect. O(n).
   std::size_t alive_members() const { return table_.active_count(); }
-  /// Equal for two members whose tables agree, suspicions aside; each counts itself.
+  /// A digest that includes this member. Members whose tables agree, ignoring suspicions, have
+  /// equal digests.
   std::uint64_t digest() const { return table_.digest() ^ digest_of(self()); }
-  /// The changes since the last call.
+  /// Returns the changes since the last call.
   std::vector<MemberChange> take_changes() { return table_.take_changes(); }
 
  private:
@@ -95,7 +98,7 @@
   void handle_ack(const Message& message, std::vector<Outgoing>& out);
   bool sync_due(const Message& message, bool had_contact) const;
 
-  // Sent messages. `to` names the member at `address`; it is empty where that is not known.
+  // Sent messages. `to` names the member at `address`; it is empty if the name is not known.
   void piggyback(Message& message, const std::string& to);
   void send(const std::string& address, Message message, const std::string& to,
             std::vector<Outgoing>& out);
@@ -126,10 +129,10 @@
   std::uint32_t incarnation_ = 0;
   bool left_ = false;
   bool has_contact_ = false;
-  /// An ack of this ping or a later one establishes contact.
+  /// An ack of a ping with this or a higher sequence number establishes contact.
   std::uint64_t contact_sequence_number_ = 0;
   std::uint64_t times_declared_dead_ = 0;
-  /// Deaths of this incarnation and later ones are not counted yet.
+  /// A death is counted only if its incarnation is at least this one, so that each is counted once.
   std::uint32_t uncounted_death_incarnation_ = 0;
 
   MemberTable table_;
@@ -141,7 +144,7 @@
   std::optional<Probe> probe_;
   IndirectProbeRelay relay_;
   std::uint64_t next_sequence_number_ = 1;
-  /// Probe intervals since the start, at their scaled length.
+  /// Number of probe intervals since the start, at their scaled length.
   std::uint64_t intervals_ = 0;
   Time next_probe_;
   Time next_tick_;
--- a/tests/datagram_authenticator_test.cpp
+++ b/tests/datagram_authenticator_test.cpp
@@ -1,4 +1,5 @@
-// The authenticator of datagrams: sessions, replays, key rotation, and reassembly of payloads.
+// Tests DatagramAuthenticator: sessions, replay protection, key rotation, and reassembly of
+// payloads.
 #include "membership/datagram_authenticator.h"
 
 #include <gtest/gtest.h>
@@ -25,13 +26,13 @@
   return parse_keys(std::string(64, first) + "\n" + std::string(64, second) + "\n");
 }
 
-// Two members, and the exchange of datagrams between them.
+// Two members that exchange datagrams.
 class Pair {
  public:
   Pair(MacKeys keys_a, MacKeys keys_b)
       : a(std::move(keys_a), "one", 11, 1), b(std::move(keys_b), "two", 22, 2) {}
 
-  // Sends `datagram` and the replies that it causes, both ways. Returns the payloads that
+  // Delivers `datagram` and then all replies in both directions. Returns the payloads that
   // `receiver` verified.
   static Payloads exchange(DatagramAuthenticator& sender, DatagramAuthenticator& receiver,
                            std::string datagram) {
@@ -92,21 +93,22 @@
   pair.send_to_b("x");
   const std::string captured = pair.a.sign("to", Channel::kSwim, "y");
   const std::string later = pair.a.sign("to", Channel::kSwim, "z");
-  // Reordering is accepted.
+  // Datagrams that arrive out of order are accepted.
   EXPECT_TRUE(pair.b.verify("from", later).verified);
   EXPECT_TRUE(pair.b.verify("from", captured).verified);
   EXPECT_EQ(pair.b.verify("from", captured).rejection, RejectionReason::kReplay);
   EXPECT_EQ(pair.b.verify("from", later).rejection, RejectionReason::kReplay);
-  // A restarted receiver has no counters, but it has not drawn that session nonce.
+  // A restarted receiver has no counters, but it rejects a session nonce that it has not drawn.
   DatagramAuthenticator restarted_b(keys('a'), "two", 23, 3);
   EXPECT_EQ(restarted_b.verify("from", captured).rejection, RejectionReason::kSessionNonce);
-  // Once a restarted sender has a session, its predecessor's is over.
+  // Once a restarted sender has established a session, the session of its previous process is
+  // invalid.
   DatagramAuthenticator restarted_a(keys('a'), "one", 12, 4);
   EXPECT_EQ(Pair::exchange(restarted_a, pair.b, restarted_a.sign("to", Channel::kSwim, "new")),
             Payloads{"new"});
   EXPECT_EQ(pair.b.verify("from", pair.a.sign("to", Channel::kSwim, "old")).rejection,
             RejectionReason::kSessionNonce);
-  // A session is with one receiver only.
+  // A session is valid for one receiver only.
   DatagramAuthenticator third(keys('a'), "three", 33, 5);
   EXPECT_EQ(third.verify("from", later).rejection, RejectionReason::kSessionNonce);
 }
@@ -147,7 +149,7 @@
   for (std::size_t i = 0; i + 1 < fragments.size(); ++i) {
     EXPECT_FALSE(assembler.add("m", fragments[i])) << i;
   }
-  // A duplicate completes nothing.
+  // A duplicate fragment does not complete the payload.
   EXPECT_FALSE(assembler.add("m", fragments.front()));
   EXPECT_EQ(assembler.add("m", fragments.back()), payload);
 }
--- a/tests/membership_codec_test.cpp
+++ b/tests/membership_codec_test.cpp
@@ -1,6 +1,7 @@
-// The wire formats of membership: golden bytes of every message type and of a signed exchange, and
-// what the decoders reject. The golden bytes were written by the first released version of the
-// formats: proxies of different versions run beside each other, so they never change.
+// Tests the wire formats of membership against golden bytes of every message type and of a signed
+// exchange, and tests that the decoders reject malformed input. The golden bytes were written by
+// the first released version. They must never change, because proxies of different versions run in
+// the same cluster.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -127,7 +128,8 @@
   }
 }
 
-// Fixed keys, boot ids and seeds of the session nonces give a fixed exchange.
+// An exchange of datagrams that is reproducible because the keys, the boot ids and the seeds of the
+// session nonces are fixed.
 class GoldenExchange : public testing::Test {
  protected:
   static constexpr const char* kAddressA = "192.0.2.1:7946";
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,4 +1,4 @@
-// The membership state machine in a simulated cluster.
+// Tests the membership state machine in a simulated cluster.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -54,13 +54,14 @@
   }
   EXPECT_EQ(simulation.traffic().false_deaths, 0u);
   simulation.kill(7);
-  // Before any other member noticed.
+  // The restart happens before any other member has noticed the death.
   simulation.start(7);
   simulation.start(5);
   simulation.run(20s);
   EXPECT_TRUE(simulation.agreed());
   EXPECT_EQ(state_seen_by(simulation, 0, 7), MemberState::kAlive);
-  // All others, apart from those to which the restarted member introduced itself as new.
+  // The five members that ran throughout see both restarts. Members 5 and 7 may see each other as
+  // new instead.
   EXPECT_GE(simulation.traffic().restarts_seen, 10u);
 }
 
@@ -103,8 +104,8 @@
   EXPECT_EQ(simulation.traffic().false_deaths, 0u);
 }
 
-// Lifeguard's local health: a member with a bad link slows its probes, and its suspicions do not
-// become deaths of the others.
+// Lifeguard's local health multiplier: a member with a lossy link must slow its probes, so that its
+// suspicions do not lead to other members being declared dead.
 TEST(Membership, MemberWithABadLinkRaisesItsLocalHealthPenalty) {
   constexpr std::size_t kImpaired = 11;
   GossipSimulation simulation(spec(12));
@@ -138,13 +139,13 @@
 TEST(Membership, IndirectProbesBypassACutLink) {
   GossipSimulation simulation(spec(6));
   ASSERT_TRUE(converges_within(simulation, 10s));
-  // The link between members 0 and 1, in both directions.
+  // Cuts the link between members 0 and 1 in both directions.
   simulation.cut([](std::size_t from, std::size_t to) { return from + to != 1; });
   simulation.run(300s);
   EXPECT_EQ(simulation.traffic().false_deaths, 0u);
 }
 
-// Injects one random fault, or starts a killed member.
+// Injects one random fault, or restarts a killed member.
 void inject_random_fault(GossipSimulation& simulation, std::mt19937_64& random) {
   const std::size_t members = simulation.size();
   const std::size_t i = random() % members;
@@ -168,7 +169,7 @@
           [split](std::size_t from, std::size_t to) { return (from < split) == (to < split); });
       break;
     default:
-      // In one direction.
+      // Cuts one direction only.
       simulation.cut(
           [split](std::size_t from, std::size_t to) { return from < split || to >= split; });
       break;
