--- a/src/cluster/disk_raft_storage.cpp
+++ b/src/cluster/disk_raft_storage.cpp
@@ -22,7 +22,8 @@
 namespace beechhill::maintenance {
 namespace {
 
-// At the end of the process: a disk that hangs does not hold it up for longer.
+// Time limit for pending writes at the end of the process, so that a hanging disk does not block
+// it.
 constexpr std::chrono::milliseconds kStopTimeout{500};
 
 std::string file_path(const std::string& directory, const std::string& name) {
@@ -38,12 +39,12 @@
     throw RaftStorageError(lock_path, std::strerror(errno));
   }
   if (::flock(fd.get(), LOCK_EX | LOCK_NB) < 0) {
-    throw RaftStorageError(lock_path, "another process has it");
+    throw RaftStorageError(lock_path, "locked by another process");
   }
   return fd;
 }
 
-// Where the name cannot be changed the next start finds the file again, and sets it aside then.
+// If the rename fails, the file stays and is found and rejected again at the next start.
 void rename_aside(const std::string& path, std::string_view reason) {
   static_cast<void>(std::rename(path.c_str(), (path + ".aside").c_str()));
   log::warning("agreement_set_aside", {{"reason", reason}});
@@ -94,7 +95,7 @@
   const std::string path = file_path(directory, voter.name);
   net::FileDescriptor lock = lock_file(path);
   if (std::filesystem::exists(path)) {
-    throw RaftStorageError(path, "there is one already");
+    throw RaftStorageError(path, "cannot create the storage: the file exists already");
   }
   DurableState state;
   for (const LogRecord& record : records) {
--- a/src/cluster/disk_raft_storage.h
+++ b/src/cluster/disk_raft_storage.h
@@ -1,4 +1,4 @@
-// A voter's storage in one file on a durable disk.
+// Stores a voter's Raft state in one file on a durable disk.
 #pragma once
 
 #include <memory>
@@ -13,31 +13,32 @@
 
 namespace beechhill::maintenance {
 
-/// The storage cannot be used: its directory, another process that has it, or one that exists
-/// already.
+/// Thrown if the storage cannot be used: its directory is not accessible, another process has
+/// locked it, or the file to be created exists already.
 class RaftStorageError : public std::runtime_error {
  public:
   RaftStorageError(const std::string& path, const std::string& reason)
       : std::runtime_error(path + ": " + reason) {}
 };
 
-/// Locked against other processes as long as it exists. Its records are durable some time after
-/// append(), in their order.
+/// Holds an exclusive lock on the storage during its lifetime. append() returns before a record is
+/// durable; records become durable in the order in which they were appended.
 class DiskRaftStorage : public RaftStorage {
  public:
-  /// The storage of the voter `name`. Null where there is none, or where its file is damaged: that
-  /// is renamed and logged then. Throws RaftStorageError.
+  /// Opens the storage of the voter `name`. Returns null if it does not exist or its file is
+  /// damaged; a damaged file is renamed and logged. Throws RaftStorageError.
   static std::unique_ptr<DiskRaftStorage> open(const std::string& directory,
                                                const std::string& name);
-  /// Creates the storage of a voter that has none, with the given records. Throws RaftStorageError.
+  /// Creates the storage of a voter that has none, containing `records`. Throws RaftStorageError.
   static std::unique_ptr<DiskRaftStorage> create(const std::string& directory, const Voter& voter,
                                                  const std::vector<LogRecord>& records);
-  /// Waits a moment for what is not durable yet.
+  /// Waits up to 500 ms for records that are not durable yet.
   ~DiskRaftStorage() override;
   DiskRaftStorage(const DiskRaftStorage&) = delete;
   DiskRaftStorage& operator=(const DiskRaftStorage&) = delete;
 
-  /// Renames the file of a storage that is an older copy. Nothing is written after that.
+  /// Renames the file of a storage that was restored from an older copy. Nothing is written
+  /// afterwards.
   void set_aside();
 
   const Voter& voter() const { return voter_; }
--- a/src/cluster/gossip_actor.cpp
+++ b/src/cluster/gossip_actor.cpp
@@ -17,16 +17,17 @@
 namespace {
 
 constexpr std::size_t kInboxCapacity = 1'024;
-// Datagrams that are received in one turn, so that other actors have theirs.
+// Limit on the datagrams received per turn, so that other actors on the thread get to run.
 constexpr int kDatagramsPerTurn = 64;
-// A process that misses two probes in a row may have been declared suspect.
+// Gap between two turns that counts as a pause. A process that misses two probes in a row may have
+// been declared suspect.
 constexpr int kResumeGapIntervals = 2;
 
-// From the system, not from the configuration's seed: session nonces must not be predictable, and
-// boot ids must differ between two starts.
+// Returns random bits from the operating system instead of the configured seed: session nonces must
+// be unpredictable, and boot ids must differ between two starts.
 std::uint64_t random_bits() {
   if (sodium_init() < 0) {
-    throw std::runtime_error("libsodium cannot be used");
+    throw std::runtime_error("libsodium could not be initialized");
   }
   std::uint64_t bits = 0;
   randombytes_buf(&bits, sizeof bits);
@@ -64,7 +65,7 @@
     runtime::Wait wait(scheduler_);
     wait.readable(socket_.io());
     wait.notified(inbox_.arrived());
-    // The socket is edge-triggered: it does not report again what is left in it.
+    // The socket is edge-triggered and does not report the datagrams that are still queued.
     wait.until(runtime::to_point(more_datagrams ? now() : swim_.next_tick()));
     co_await wait;
   }
@@ -128,7 +129,7 @@
       verified.sender + "/" + std::to_string(static_cast<int>(verified.channel));
   std::optional<std::string> payload = assembler_.add(source, verified.payload);
   if (payload) {
-    // A payload that cannot be taken is lost, as datagrams may be.
+    // A payload that the handler cannot accept is dropped; senders must tolerate loss anyway.
     handlers_.on_payload(
         PayloadReceived{std::move(verified.sender), verified.channel, std::move(*payload)});
   }
@@ -172,7 +173,7 @@
   for (const MemberChange& change : swim_.take_changes()) {
     const bool suspicion_refuted = change.from == MemberState::kSuspect &&
                                    change.to == MemberState::kAlive && !change.restarted;
-    // Suspicions come and go by themselves: nothing for an operator to see.
+    // Suspicions resolve without an operator's action, so they are not logged.
     if (change.to == MemberState::kSuspect || suspicion_refuted) {
       continue;
     }
--- a/src/cluster/gossip_actor.h
+++ b/src/cluster/gossip_actor.h
@@ -1,6 +1,6 @@
-// The actor that connects this process to the other proxies. Sole owner of the gossip socket, the
-// authenticator and the membership state machine; other actors send and receive payloads through
-// mailboxes.
+// The actor that connects this process to the other proxies. It is the sole owner of the gossip
+// socket, the authenticator and the membership state machine. Other actors send and receive
+// payloads through mailboxes.
 #pragma once
 
 #include <cstdint>
@@ -17,8 +17,8 @@
 
 namespace beechhill::membership {
 
-/// Sends a payload to a member. Best effort: it is dropped where the member is not known, and may
-/// be lost, duplicated or reordered like any datagram.
+/// Sends a payload to a member. Delivery is best effort: the payload is dropped if the member is
+/// unknown, and may be lost, duplicated or reordered like any datagram.
 struct SendPayload {
   /// The member's name.
   std::string to;
@@ -26,7 +26,7 @@
   std::string payload;
 };
 
-/// Replaces the MAC keys, as after a reload.
+/// Replaces the MAC keys, for example after a configuration reload.
 struct ReplaceKeys {
   MacKeys keys;
 };
@@ -42,11 +42,11 @@
   std::string payload;
 };
 
-/// The process did not run for a while. Comes before any payload that arrived meanwhile.
+/// The process was paused. Delivered before any payload that arrived during the pause.
 struct ProcessResumed {};
 
-/// Where received payloads and resumes go. Each may be empty. A handler returns false where it
-/// could not take the event, which is then dropped.
+/// Receivers of payloads and resume events. Each may be empty. A handler returns false if it could
+/// not accept the event, which is then dropped.
 struct GossipHandlers {
   std::function<bool(PayloadReceived)> on_payload;
   std::function<bool(ProcessResumed)> on_resume;
@@ -55,9 +55,9 @@
 /// Runs on the event loop thread.
 class GossipActor {
  public:
-  /// Listens on `listen`; the other members reach it at `advertise`, or where that is empty at the
-  /// address it listens on. Throws std::system_error where it cannot listen, and
-  /// std::runtime_error where libsodium cannot be used.
+  /// Listens on `listen`. The other members send to `advertise` or, if that is empty, to the
+  /// address that the socket is bound to. Throws std::system_error if the socket cannot be bound,
+  /// and std::runtime_error if libsodium cannot be initialized.
   GossipActor(runtime::Scheduler& scheduler, SwimSettings settings, const sockaddr_in& listen,
               const std::string& advertise, const std::string& name, MacKeys keys,
               GossipHandlers handlers = {});
@@ -65,10 +65,10 @@
   GossipMailbox& inbox() { return inbox_; }
   /// Runs until it is cancelled.
   runtime::Task<> run();
-  /// Announces at once that this member leaves. To be called at the process's end.
+  /// Announces immediately that this member leaves. Must be called when the process ends.
   void leave();
   const SwimNode& membership() const { return swim_; }
-  /// Of this process, drawn at its start.
+  /// Identifies this process; drawn at its start.
   std::uint64_t boot_id() const { return boot_id_; }
   /// Datagrams that failed verification.
   std::uint64_t rejected_datagrams() const { return rejected_datagrams_; }
@@ -91,7 +91,7 @@
   const std::uint64_t boot_id_;
   DatagramAuthenticator authenticator_;
   SwimNode swim_;
-  /// A longer time between two turns of run() is taken for a pause of the process.
+  /// A longer interval between two turns of run() is treated as a pause of the process.
   const Duration resume_gap_;
   PayloadAssembler assembler_;
   const GossipHandlers handlers_;
--- a/src/cluster/maintenance_actor.cpp
+++ b/src/cluster/maintenance_actor.cpp
@@ -13,14 +13,14 @@
 
 namespace {
 
-// As many as the datagrams of a common fault.
+// Large enough for the datagrams that arrive at the same time in a common fault.
 constexpr std::size_t kInboxCapacity = 1'024;
 constexpr int kMaxMessagesPerRound = 64;
 constexpr Duration kObservationInterval{200'000};
-// While something is being written.
+// Poll interval while records are not durable yet.
 constexpr Duration kDiskPollInterval{5'000};
 constexpr Duration kMinWait{1'000};
-// So that raft's random numbers differ from others that are drawn by the boot id.
+// Makes the random numbers of Raft differ from others that are seeded with the boot id.
 constexpr std::uint64_t kRaftSeedMask = 0x9e3779b97f4a7c15ULL;
 
 constexpr int kOk = 200;
@@ -108,7 +108,7 @@
   Time wake_up = std::min(coordinator_->next_tick(), next_observation_);
   for (const auto& [machine, end] : published_machines_) {
     if (end > now()) {
-      // A permission that lapses is published at once.
+      // A permission that expires must be published immediately.
       wake_up = std::min(wake_up, end);
     }
   }
@@ -182,7 +182,7 @@
         is_raft ? membership::Channel::kRaft : membership::Channel::kCoordination,
         std::move(message.bytes)});
     if (!gossip_.post(std::move(payload))) {
-      // Lost as on any network: raft and the lease client send again.
+      // Equivalent to loss on the network: Raft and the lease client retransmit.
       log::dropped_message("maintenance_payload");
     }
   }
--- a/src/cluster/maintenance_actor.h
+++ b/src/cluster/maintenance_actor.h
@@ -1,5 +1,5 @@
-// Runs this proxy's maintenance coordinator: carries its messages to and from the other proxies,
-// its records to the disk, and its permissions to the actor that decides on requests.
+// Runs this proxy's maintenance coordinator. Exchanges its messages with the other proxies, writes
+// its records to disk, and publishes its permissions to the actor that decides on requests.
 #pragma once
 
 #include <functional>
@@ -16,15 +16,15 @@
 
 namespace beechhill::maintenance {
 
-/// An operator's command. The reply is 200 where it was applied, 409 with a reason code where it
-/// was rejected, and 503 where it was not decided on.
+/// A command from an operator. The reply has status 200 if the command was applied, 409 and a
+/// reason code if it was rejected, and 503 if no decision was made.
 struct SubmitCommand {
   Command command;
   std::shared_ptr<runtime::PendingTextReply> reply;
 };
-/// An operator's query; the reply is JSON.
+/// A query from an operator. The reply is JSON.
 struct QueryStatus {
-  /// Id of a request; empty: all.
+  /// Id of a maintenance request; empty selects all requests.
   std::string request;
   std::shared_ptr<runtime::PendingTextReply> reply;
 };
@@ -32,12 +32,13 @@
                                         SubmitCommand, QueryStatus>;
 using MaintenanceMailbox = runtime::Mailbox<MaintenanceMessage>;
 
-/// Sole owner of the coordinator and its storage. Runs on the scheduler's thread.
+/// The sole owner of the coordinator and its storage. Runs on the scheduler's thread.
 class MaintenanceActor {
  public:
-  /// `observe` returns what this proxy sees; `set_draining` is called with true when this proxy is
-  /// to accept no clients any more, and with false when it may again. What is referred to must
-  /// outlive the actor. Throws RaftStorageError on a voter whose directory cannot be used.
+  /// `observe` returns this proxy's current view. `set_draining` is called with true when this
+  /// proxy must stop accepting clients, and with false when it may accept them again. Referenced
+  /// objects must outlive the actor. Throws RaftStorageError on a voter whose storage directory
+  /// cannot be used.
   MaintenanceActor(runtime::Scheduler& scheduler, CoordinatorSettings settings,
                    std::string storage_directory, std::uint64_t boot_id,
                    membership::GossipMailbox& gossip, proxy::DecisionMailbox& decisions,
@@ -53,7 +54,7 @@
   void on(SubmitCommand& message);
   void on(QueryStatus& message);
   void take_messages();
-  /// A voter without usable storage goes on as any other proxy until the leader readmits it.
+  /// A voter without usable storage acts as a non-voting proxy until the leader readmits it.
   void check_storage();
   void create_storage(std::uint32_t generation);
   void send_messages();
@@ -72,13 +73,14 @@
   const std::function<void(bool)> set_draining_;
   MaintenanceMailbox inbox_;
   std::unique_ptr<DiskRaftStorage> storage_;
-  /// Refers to the storage.
+  /// Holds a pointer to `storage_`.
   std::unique_ptr<MaintenanceCoordinator> coordinator_;
   Time next_observation_{0};
-  /// As last published: until when each machine with a workflow may get new work.
+  /// The permissions last published: for each machine in maintenance, the time until which new
+  /// requests may be sent to it.
   std::map<std::string, Time> published_machines_;
   Time published_serving_ = Time::min();
-  /// As last reported.
+  /// The states last reported.
   bool was_self_out_ = false;
   bool was_leader_ = false;
   bool halt_logged_ = false;
--- a/src/cluster/maintenance_cli.cpp
+++ b/src/cluster/maintenance_cli.cpp
@@ -54,13 +54,13 @@
 }
 
 struct Reply {
-  /// An HTTP status code; 0: none came.
+  /// HTTP status code; 0 if no valid response was received.
   int status = 0;
   std::string body;
 };
 
-runtime::Task<> exchange(runtime::Scheduler& scheduler, sockaddr_in server, std::string request,
-                         Reply& reply) {
+runtime::Task<> send_request(runtime::Scheduler& scheduler, sockaddr_in server, std::string request,
+                             Reply& reply) {
   const auto deadline = Clock::now() + kCallTimeout;
   const std::unique_ptr<net::Stream> stream =
       co_await net::Stream::connect(scheduler, server, deadline);
@@ -84,27 +84,30 @@
   scheduler.stop();
 }
 
-// Prints the answer. Returns the exit code.
-int call(const std::string& server, const std::string& method, const std::string& target) {
+// Sends the request and prints the response. Returns the exit code.
+int call_admin_server(const std::string& server, const std::string& method,
+                      const std::string& target) {
   const auto address = net::parse_address(server);
   if (!address) {
-    std::fprintf(stderr, "beechhill: --door: not an IPv4 address and a port: %s\n", server.c_str());
+    std::fprintf(stderr, "beechhill: --door: expected an IPv4 address and a port, got: %s\n",
+                 server.c_str());
     return kExitUsage;
   }
   Reply reply;
   runtime::Scheduler scheduler;
-  scheduler.spawn(exchange(scheduler, *address,
-                           http::write_request(method, target, server, "Connection: close\r\n", ""),
-                           reply));
+  scheduler.spawn(send_request(
+      scheduler, *address, http::write_request(method, target, server, "Connection: close\r\n", ""),
+      reply));
   scheduler.run();
   if (reply.status == 200) {
     std::fwrite(reply.body.data(), 1, reply.body.size(), stdout);
     return kExitDone;
   }
   if (reply.status == 0) {
-    std::fprintf(stderr, "beechhill: no answer from %s\n", server.c_str());
+    std::fprintf(stderr, "beechhill: no valid response from %s\n", server.c_str());
   } else {
-    std::fprintf(stderr, "beechhill: refused (%d): %s\n", reply.status, reply.body.c_str());
+    std::fprintf(stderr, "beechhill: command rejected with HTTP status %d: %s\n", reply.status,
+                 reply.body.c_str());
   }
   return kExitFailed;
 }
@@ -112,7 +115,7 @@
 // ---- The subcommands
 
 struct Options {
-  /// Address of the admin server.
+  /// IPv4 address and port of the admin server.
   std::string server;
   std::string id;
   std::string role = "backend";
@@ -163,17 +166,18 @@
   return target;
 }
 
-// Creates the storage of a voter. Returns the exit code.
+// Creates the storage of `voter`. Returns the exit code.
 int create_storage(const std::string& operator_file, const std::string& voter) {
   try {
     const config::OperatorSettings settings = config::load_operator_settings(operator_file);
     const auto& voters = settings.maintenance.voters;
     if (std::find(voters.begin(), voters.end(), voter) == voters.end()) {
-      throw std::runtime_error(voter + " is none of maintenance.voters");
+      throw std::runtime_error(voter + " is not listed in maintenance.voters of " + operator_file);
     }
     DiskRaftStorage::create(settings.maintenance.storage_directory, Voter{voter, 1},
                             initial_records(voters));
-    std::printf("founded: %s, one of %zu voters\n", voter.c_str(), voters.size());
+    std::printf("created the storage of voter %s, one of %zu voters\n", voter.c_str(),
+                voters.size());
     return kExitDone;
   } catch (const std::exception& error) {
     std::fprintf(stderr, "beechhill: %s\n", error.what());
@@ -181,7 +185,7 @@
   }
 }
 
-/// Adds the subcommands, all of which share one set of options.
+/// Adds the subcommands, which share one set of options.
 class SubcommandBuilder {
  public:
   SubcommandBuilder(CLI::App& parent, OptionsPtr options, int& exit_code)
@@ -189,41 +193,46 @@
 
   void add_request() {
     Options& options = *options_;
-    CLI::App& command = add_call("request", "Ask for machines to be taken out, once each");
+    CLI::App& command = add_call(
+        "request", "Request the maintenance of machines; each is taken out of service once");
     command
-        .add_option("id", options.id, "Of the request: the same one sent again is the same request")
+        .add_option("id", options.id,
+                    "Id of the request; sending an id again does not create a second request")
         ->required();
-    command.add_option("--role", options.role, "Whose machines")
+    command.add_option("--role", options.role, "Role of the machines")
         ->check(CLI::IsMember({"backend", "proxy"}))
         ->capture_default_str();
-    command.add_option("--machines", options.machines, "Their ids, with commas between");
-    command.add_option("--zone", options.zone, "Or all of a zone");
-    command.add_option("--cell", options.cell, "Or of a cell");
-    command.add_option("--kind", options.kind, "Or of a kind");
+    command.add_option("--machines", options.machines, "Ids of the machines, separated by commas");
+    command.add_option("--zone", options.zone, "Select all machines of a zone");
+    command.add_option("--cell", options.cell, "Select all machines of a cell");
+    command.add_option("--kind", options.kind, "Select all machines of a kind");
     command
-        .add_option("--at-once", options.max_concurrent, "So many of them at a time, at the most")
+        .add_option("--at-once", options.max_concurrent,
+                    "Maximum number of machines out of service at the same time")
         ->check(CLI::Range(1u, 10'000u))
         ->capture_default_str();
     command.add_option("--length", options.work_duration,
-                       "Seconds that the work on one is expected to take");
-    command.add_option("--not-before", options.not_before, "Unix time");
-    command.add_option("--not-after", options.not_after, "Unix time");
-    command.add_option("--priority", options.priority, "Higher goes first")
+                       "Expected duration of the work on one machine, in seconds");
+    command.add_option("--not-before", options.not_before,
+                       "Earliest start, in seconds of Unix time");
+    command.add_option("--not-after", options.not_after, "Latest start, in seconds of Unix time");
+    command.add_option("--priority", options.priority, "Requests of higher priority start first")
         ->check(CLI::Range(-1'000, 1'000));
-    command.add_option("--by", options.operator_name, "Who asks")->capture_default_str();
-    command.add_option("--why", options.reason, "What for");
+    command.add_option("--by", options.operator_name, "Name of the operator")
+        ->capture_default_str();
+    command.add_option("--why", options.reason, "Reason for the maintenance");
     on_run(command, "PUT", request_target);
   }
 
   void add_list() {
-    CLI::App& command = add_call(
-        "list", "All requests, the machines in work, and the proxies that have a part in it");
+    CLI::App& command =
+        add_call("list", "List all requests, the machines in maintenance and the proxies involved");
     on_run(command, "GET", [](const Options&) { return std::string("/api/maintenance"); });
   }
 
   void add_explain() {
-    CLI::App& command = add_call("explain", "Why a request does not go on");
-    command.add_option("id", options_->id, "Of the request")->required();
+    CLI::App& command = add_call("explain", "Explain why a request makes no progress");
+    command.add_option("id", options_->id, "Id of the request")->required();
     on_run(command, "GET", [](const Options& options) {
       return "/api/maintenance?id=" + percent_encoded(options.id);
     });
@@ -231,8 +240,9 @@
 
   void add_request_change(const std::string& verb, const char* description) {
     CLI::App& command = add_call(verb, description);
-    command.add_option("id", options_->id, "Of the request")->required();
-    command.add_option("--by", options_->operator_name, "Who says so")->capture_default_str();
+    command.add_option("id", options_->id, "Id of the request")->required();
+    command.add_option("--by", options_->operator_name, "Name of the operator")
+        ->capture_default_str();
     on_run(command, "PUT", [verb](const Options& options) {
       return "/api/maintenance/" + verb + "?id=" + percent_encoded(options.id) +
              "&by=" + percent_encoded(options.operator_name);
@@ -240,9 +250,10 @@
   }
 
   void add_done() {
-    CLI::App& command = add_call("done", "The work on a machine is over, and it runs again");
-    command.add_option("id", options_->id, "Of the request")->required();
-    command.add_option("machine", options_->machine, "Its id")->required();
+    CLI::App& command = add_call(
+        "done", "Report that the work on a machine is finished and that the machine runs again");
+    command.add_option("id", options_->id, "Id of the request")->required();
+    command.add_option("machine", options_->machine, "Id of the machine")->required();
     on_run(command, "PUT", [](const Options& options) {
       return "/api/maintenance/done?id=" + percent_encoded(options.id) +
              "&machine=" + percent_encoded(options.machine);
@@ -250,9 +261,10 @@
   }
 
   void add_forget() {
-    CLI::App& command =
-        add_call("forget", "A proxy is off and sends nothing: the others need not wait for it");
-    command.add_option("proxy", options_->proxy, "Its name")->required();
+    CLI::App& command = add_call("forget",
+                                 "Declare that a proxy is shut down and sends nothing, so that the "
+                                 "others do not wait for it");
+    command.add_option("proxy", options_->proxy, "Name of the proxy")->required();
     on_run(command, "PUT", [](const Options& options) {
       return "/api/maintenance/forget?proxy=" + percent_encoded(options.proxy);
     });
@@ -260,11 +272,13 @@
 
   void add_found() {
     CLI::App* const command = parent_.add_subcommand(
-        "found", "Make the storage of a voter, once, when the group is founded");
-    command->add_option("--operator", options_->operator_file, "Its operator file")
+        "found", "Create the storage of a voter, once, when the group is first set up");
+    command->add_option("--operator", options_->operator_file, "Path of the voter's operator file")
         ->required()
         ->envname("BEECHHILL_OPERATOR");
-    command->add_option("--name", options_->voter, "Its name")->required()->envname("GW_NAME");
+    command->add_option("--name", options_->voter, "Name of the voter")
+        ->required()
+        ->envname("GW_NAME");
     command->callback([options = options_, &exit_code = exit_code_] {
       exit_code = create_storage(options->operator_file, options->voter);
     });
@@ -275,7 +289,7 @@
     CLI::App* const command = parent_.add_subcommand(name, description);
     command
         ->add_option("--door", options_->server,
-                     "The operators' door of any proxy, an address and a port")
+                     "IPv4 address and port of the admin server of any proxy")
         ->required();
     return *command;
   }
@@ -284,7 +298,7 @@
               std::function<std::string(const Options&)> target) {
     command.callback(
         [options = options_, &exit_code = exit_code_, method, target = std::move(target)] {
-          exit_code = call(options->server, method, target(*options));
+          exit_code = call_admin_server(options->server, method, target(*options));
         });
   }
 
@@ -301,16 +315,18 @@
     options->operator_name = user;
   }
   CLI::App* const command = app.add_subcommand(
-      "maintenance", "Take machines out for work, in the order that the proxies settle");
+      "maintenance", "Take machines out of service for maintenance, as coordinated by the proxies");
   command->require_subcommand(1);
   SubcommandBuilder subcommands(*command, options, exit_code);
   subcommands.add_request();
   subcommands.add_list();
   subcommands.add_explain();
-  subcommands.add_request_change("approve", "Let it begin");
-  subcommands.add_request_change("hold", "Stop it; what is not out yet is called back");
-  subcommands.add_request_change("resume", "Let it go on");
-  subcommands.add_request_change("cancel", "End it; what is not out yet is called back");
+  subcommands.add_request_change("approve", "Approve a request, so that it can start");
+  subcommands.add_request_change(
+      "hold", "Suspend a request and recall machines that are not out of service yet");
+  subcommands.add_request_change("resume", "Resume a suspended request");
+  subcommands.add_request_change(
+      "cancel", "End a request and recall machines that are not out of service yet");
   subcommands.add_done();
   subcommands.add_forget();
   subcommands.add_found();
--- a/src/cluster/raft_log_file.cpp
+++ b/src/cluster/raft_log_file.cpp
@@ -12,7 +12,8 @@
 
 constexpr std::string_view kMagic = "BHAGREE1";
 constexpr std::size_t kFrameHeaderBytes = sizeof(std::uint32_t) + sizeof(std::uint64_t);
-// Payloads that are checked in search of a sound record behind a damaged one.
+// Limit on the total payload bytes whose checksums are computed in the search for a valid frame
+// after a damaged one.
 constexpr std::size_t kMaxSearchedBytes = std::size_t{256} * 1024 * 1024;
 
 std::uint64_t checksum(std::string_view payload) {
@@ -25,7 +26,8 @@
   return writer.bytes();
 }
 
-// The payload of the whole frame at `position`, which moves behind it; or nothing.
+// Returns the payload of the complete frame at `position` and advances `position` past the frame.
+// Returns nothing, and leaves `position` unchanged, if there is no valid frame.
 std::optional<std::string_view> read_frame(std::string_view file, std::size_t& position) {
   base::ByteReader reader(file.substr(position));
   const auto size = reader.number<std::uint32_t>();
@@ -48,7 +50,8 @@
   return frame(writer.bytes());
 }
 
-// Fills in the voter and the count of earlier records.
+// Sets `file.voter` and `file.appended_records`. Returns false if the header is not that of the
+// voter `name`.
 bool read_file_header(std::string_view payload, const std::string& name, RaftLogFile& file) {
   if (!payload.starts_with(kMagic)) {
     return false;
@@ -63,8 +66,8 @@
   return true;
 }
 
-// Whether there is a whole frame behind `position`, where there is none. Also where the search
-// would take too long to tell.
+// Whether a valid frame may follow after `position`, at which there is none. Also returns true if
+// the search exceeds kMaxSearchedBytes without a result.
 bool may_have_later_frame(std::string_view file, std::size_t position) {
   std::size_t searched = 0;
   for (std::size_t start = position + 1; start + kFrameHeaderBytes < file.size(); ++start) {
--- a/src/cluster/raft_log_file.h
+++ b/src/cluster/raft_log_file.h
@@ -1,8 +1,9 @@
-// The file that a voter's storage keeps: its format, and writing it so that it survives a crash.
+// The format of the file in which a voter stores its Raft state.
 //
-// A file is a sequence of frames: a size (4 bytes), an XXH64 checksum (8 bytes) and the payload.
-// The first payload tells whose file it is and how many records came before those that follow; each
-// of the others is one LogRecord. Later versions read the files of earlier ones.
+// A file is a sequence of frames, each consisting of the payload size (4 bytes), an XXH64 checksum
+// (8 bytes) and the payload. The first payload is a header with the voter's address and the number
+// of records that precede those in the file. Every other payload is one LogRecord. Later versions
+// must read the files of earlier ones.
 #pragma once
 
 #include <cstddef>
@@ -16,26 +17,28 @@
 
 namespace beechhill::maintenance {
 
-/// Larger files are not read.
+/// Maximum size of a file in bytes; a larger file is treated as damaged.
 inline constexpr std::size_t kMaxRaftLogFileBytes = std::size_t{64} * 1024 * 1024;
 
-/// A record as it is appended to the file.
+/// Returns the encoded frame of one record, to be appended to the file.
 std::string encode_frame(const LogRecord& record);
-/// A whole file that holds `state` in as few records as possible.
+/// Returns the content of a complete file that holds `state` in as few records as possible.
 std::string encode_file(const Voter& voter, const DurableState& state,
                         std::uint64_t appended_records);
 
 struct RaftLogFile {
   Voter voter;
   DurableState state;
-  /// Since the storage was created, those that snapshots replaced included.
+  /// Number of records appended since the storage was created, including those replaced by
+  /// snapshots.
   std::uint64_t appended_records = 0;
-  /// What follows them was being written at a crash.
+  /// Size of the valid prefix. The bytes after it belong to a write that a crash interrupted.
   std::size_t valid_bytes = 0;
 };
 
-/// Nothing where the file is not that of the voter `name`, or is damaged before its end: what the
-/// damaged record held may have been relied on. A torn last record is no damage.
+/// Returns nothing if the file does not belong to the voter `name`, or is damaged before its end,
+/// because the voter may already have acted on the damaged record. A torn last record is not
+/// treated as damage.
 std::optional<RaftLogFile> decode_file(std::string_view bytes, const std::string& name);
 
 }  // namespace beechhill::maintenance
--- a/src/cluster/raft_log_writer.cpp
+++ b/src/cluster/raft_log_writer.cpp
@@ -72,7 +72,8 @@
   changed_.notify_all();
 }
 
-// Everything that waits is one write and one sync, up to the next that replaces the file.
+// Combines consecutive appends into one write and one sync, stopping at the next write that
+// replaces the file.
 RaftLogWriter::Write RaftLogWriter::take_batch() {
   Write batch = std::move(queue_.front());
   queue_.pop_front();
--- a/src/cluster/raft_log_writer.h
+++ b/src/cluster/raft_log_writer.h
@@ -1,5 +1,5 @@
-// Writes a voter's file on a thread of its own: a slow disk delays raft's messages, never a
-// request.
+// Writes a voter's file on a separate thread, so that a slow disk delays Raft messages but never a
+// client's request.
 #pragma once
 
 #include <chrono>
@@ -15,27 +15,28 @@
 
 namespace beechhill::maintenance {
 
-/// Thread-safe. Shared with its thread, which may outlive the owner by one write to a disk that
-/// hangs.
+/// Thread-safe. Ownership is shared with the writer thread, which may outlive the owner by one
+/// write if the disk hangs.
 class RaftLogWriter {
  public:
   struct Write {
     std::string bytes;
-    /// Records that are durable once this is.
+    /// Total number of records that are durable after this write.
     std::uint64_t records = 0;
-    /// Whether `bytes` are a whole new file; else they are appended.
+    /// If true, `bytes` are the content of a new file that replaces the current one; otherwise they
+    /// are appended.
     bool replaces_file = false;
   };
 
-  /// Starts the thread. `durable_records`: of the file at `path` as it is.
+  /// Starts the thread. `durable_records` is the number of records in the existing file at `path`.
   static std::shared_ptr<RaftLogWriter> start(std::string path, std::uint64_t durable_records);
 
   void submit(Write write);
   std::uint64_t durable_records() const;
-  /// Whether a write has failed, or fail() was called: nothing is written after that.
+  /// Whether a write has failed or fail() was called. Nothing is written afterwards.
   bool failed() const;
   void fail();
-  /// Ends the thread after what was submitted; waits for that up to `timeout`.
+  /// Ends the thread after all submitted writes, and waits up to `timeout` for that.
   void stop(std::chrono::milliseconds timeout);
 
  private:
@@ -47,7 +48,7 @@
   std::error_code write(const Write& batch);
 
   const std::string path_;
-  /// Open for appending. The thread's own.
+  /// Open for appending. Accessed only by the writer thread.
   net::FileDescriptor file_;
 
   mutable std::mutex mutex_;
--- a/tests/disk_raft_storage_test.cpp
+++ b/tests/disk_raft_storage_test.cpp
@@ -1,4 +1,4 @@
-// A voter's storage on a real disk: restarts, damage and failures.
+// Tests a voter's storage on a real disk: restarts, damaged files and disk failures.
 #include "cluster/disk_raft_storage.h"
 
 #include <gtest/gtest.h>
@@ -45,7 +45,7 @@
   const TemporaryDirectory directory_;
 };
 
-TEST_F(DiskRaftStorageTest, IsNoneBeforeItIsCreated) {
+TEST_F(DiskRaftStorageTest, OpenReturnsNullBeforeCreation) {
   EXPECT_FALSE(DiskRaftStorage::open(directory_.path, "v"));
 }
 
@@ -54,7 +54,7 @@
   EXPECT_THROW(DiskRaftStorage::open(directory_.path, "v"), RaftStorageError);
 }
 
-TEST_F(DiskRaftStorageTest, OutlastsItsProcess) {
+TEST_F(DiskRaftStorageTest, SurvivesRestarts) {
   {
     const auto storage = DiskRaftStorage::create(directory_.path, {"v", 3}, {entries(1, 2)});
     storage->append(LogRecord::set_term(7));
@@ -72,9 +72,9 @@
     EXPECT_EQ(storage->state().vote, 42u);
     EXPECT_EQ(storage->state().entries.size(), 4u);
     appended = storage->appended_records();
-    // The first term among them.
+    // The count includes the record of the initial term.
     EXPECT_EQ(appended, 6u);
-    // The file is made anew, and its count goes on.
+    // A snapshot replaces the file; the count of appended records continues.
     storage->append(LogRecord::take_snapshot(1, RaftSnapshot{4, 1, 1, {{"v#3", 1}}, "content"}));
     storage->append(entries(0, 1));
     wait_until_durable(*storage);
@@ -100,7 +100,7 @@
     good_ = read_file(directory_.file(kFile));
   }
 
-  // How many entries are read from a file with that content.
+  // Returns the number of entries read from a file with content `bytes`, or kSetAside.
   int entries_with(const std::string& bytes) const {
     std::filesystem::remove(directory_.file(kFile) + ".aside");
     std::ofstream(directory_.file(kFile), std::ios::binary | std::ios::trunc) << bytes;
@@ -111,15 +111,15 @@
   std::string good_;
 };
 
-TEST_F(DamagedRaftStorageTest, CutsATornEnd) {
+TEST_F(DamagedRaftStorageTest, TruncatesATornLastRecord) {
   EXPECT_EQ(entries_with(good_), 3);
-  // No message rests on what was being written.
+  // The torn record can be dropped: it was never durable, so no message depended on it.
   EXPECT_EQ(entries_with(good_.substr(0, good_.size() - 5)), 2);
 }
 
-TEST_F(DamagedRaftStorageTest, IsSetAsideWithSoundRecordsBehindTheDamage) {
+TEST_F(DamagedRaftStorageTest, IsSetAsideIfValidRecordsFollowTheDamage) {
   std::string damaged = good_;
-  // In the second of four records.
+  // Damages the second of four records.
   damaged[good_.size() / 2] ^= 8;
   EXPECT_EQ(entries_with(damaged), kSetAside);
   EXPECT_TRUE(std::filesystem::exists(directory_.file(kFile) + ".aside"));
@@ -134,10 +134,10 @@
   }
 }
 
-TEST_F(DiskRaftStorageTest, FailsWhenItsDiskDoes) {
+TEST_F(DiskRaftStorageTest, ReportsADiskFailure) {
   const auto storage = DiskRaftStorage::create(directory_.path, {"v", 1}, {entries(1, 1)});
   std::filesystem::remove(directory_.file(kFile));
-  // Cannot be opened to write.
+  // A directory at the file's path makes opening it for writing fail.
   std::filesystem::create_directory(directory_.file(kFile));
   storage->append(entries(0, 1));
   const auto deadline = Clock::now() + kTestTimeout;
--- a/tests/raft_format_test.cpp
+++ b/tests/raft_format_test.cpp
@@ -1,5 +1,6 @@
-// Bytes of the version before issue 30, on disk and on the wire: data/raft/README.md tells how they
-// were made. They must be read as they were meant, and encoded again to the same bytes.
+// Tests that bytes written by an earlier version, on disk and on the wire, are decoded to the
+// expected values and encoded again to the same bytes. data/raft/README.md describes how the bytes
+// were generated.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -69,7 +70,7 @@
   return numbers;
 }
 
-TEST(RaftFormat, ReencodesEveryCommandOfTheVersionBefore) {
+TEST(RaftFormat, ReencodesEveryCommandOfThePreviousVersion) {
   const auto messages = golden_messages("command");
   EXPECT_EQ(types_of(messages), range(0, static_cast<int>(CommandType::kCallBack)));
   for (const GoldenMessage& message : messages) {
@@ -93,7 +94,7 @@
   }
 }
 
-TEST(RaftFormat, ReadsTheFieldsOfCommandsOfTheVersionBefore) {
+TEST(RaftFormat, ReadsTheFieldsOfCommandsOfThePreviousVersion) {
   std::map<CommandType, Command> commands;
   for (const GoldenMessage& message : golden_messages("command")) {
     const Command command = decode(message.bytes).value();
@@ -137,7 +138,7 @@
   EXPECT_EQ(update.incident, "zone_lost: a");
 }
 
-TEST(RaftFormat, ReencodesEveryRaftMessageOfTheVersionBefore) {
+TEST(RaftFormat, ReencodesEveryRaftMessageOfThePreviousVersion) {
   const auto messages = golden_messages("raft");
   std::set<int> types = range(1, 6);
   types.insert(static_cast<int>(RaftMessageType::kStorageRolledBack));
@@ -158,7 +159,7 @@
   }
 }
 
-TEST(RaftFormat, ReadsTheSnapshotOfAMessageOfTheVersionBefore) {
+TEST(RaftFormat, ReadsTheSnapshotOfAMessageOfThePreviousVersion) {
   std::size_t snapshots = 0;
   for (const GoldenMessage& message : golden_messages("raft")) {
     base::ByteReader reader(message.bytes);
@@ -179,7 +180,7 @@
   EXPECT_GT(snapshots, 0u);
 }
 
-TEST(RaftFormat, ReencodesEveryCoordinationMessageOfTheVersionBefore) {
+TEST(RaftFormat, ReencodesEveryCoordinationMessageOfThePreviousVersion) {
   const auto messages = golden_messages("coordination");
   EXPECT_EQ(types_of(messages), range(1, 10));
   for (const GoldenMessage& message : messages) {
@@ -246,7 +247,7 @@
   }
 }
 
-TEST(RaftFormat, OpensStoragesOfTheVersionBefore) {
+TEST(RaftFormat, OpensStoragesOfThePreviousVersion) {
   const auto storages = expected_storages();
   ASSERT_EQ(storages.size(), 2u);
   for (const ExpectedStorage& expected : storages) {
@@ -264,10 +265,11 @@
   }
 }
 
-TEST(RaftFormat, ReadsTheStateInStoragesOfTheVersionBefore) {
+TEST(RaftFormat, ReadsTheStateInStoragesOfThePreviousVersion) {
   const auto storages = expected_storages();
   ASSERT_EQ(storages.size(), 2u);
-  // All but the configuration are commands, of which the last were truncated.
+  // All entries after the first, which is the configuration, are commands, one of each type in
+  // order. Later entries were truncated.
   const DurableState& log_only = storages[0].state;
   ASSERT_EQ(log_only.entries.size(), 18u);
   for (std::size_t i = 1; i < log_only.entries.size(); ++i) {
@@ -286,8 +288,8 @@
   EXPECT_EQ(workflow.confirmed_proxies, std::set<std::string>{"p-3"});
 }
 
-// A raft node that starts on such a storage takes its term, its voters and its snapshot from it.
-TEST(RaftFormat, RestartsFromAStorageOfTheVersionBefore) {
+// A Raft node that starts with such a storage must restore its term, voters and snapshot.
+TEST(RaftFormat, RestartsFromAStorageOfThePreviousVersion) {
   const TemporaryDirectory directory;
   std::filesystem::copy(kData + "/beechhill-voter-b.agreement", directory.path);
   const auto storage = DiskRaftStorage::open(directory.path, "voter-b");
