--- a/src/hot_restart/hot_restart_actor.cpp
+++ b/src/hot_restart/hot_restart_actor.cpp
@@ -16,14 +16,15 @@
 
 namespace {
 
-// A command at one process must take effect in the others within 1 s.
+// Interval between synchronizations. A command at one process must take effect in the others within
+// one second.
 constexpr std::chrono::milliseconds kSyncInterval = 50ms;
-// Until readiness is published, which the predecessor and the platform wait for.
+// Interval used until readiness is published, because the predecessor and the platform wait for it.
 constexpr std::chrono::milliseconds kStartupSyncInterval = 5ms;
-// For the owner to execute a command. Operators get their answer within 1 s, the time to store
-// the command included.
+// Time limit for the owning actor to execute a command. Operators must get their response within
+// one second, including the time to store the command.
 constexpr std::chrono::milliseconds kOwnerTimeout = 600ms;
-// For another process to release the directory's lock.
+// Time limit for acquiring the directory's lock from another process.
 constexpr std::chrono::milliseconds kLockTimeout = 150ms;
 constexpr std::chrono::milliseconds kLockRetryInterval = 5ms;
 constexpr std::size_t kInboxCapacity = 64;
@@ -91,7 +92,8 @@
   if (post_to_owner(command, owner_reply)) {
     status = co_await runtime::await_reply(scheduler_, owner_reply, kOwnerTimeout);
   }
-  // Executed here; an answer of 200 means that the other processes will follow.
+  // The command has been executed in this process. Status 200 also promises that the other
+  // processes will follow, so the command must be stored first.
   if (directory_ && status == kOk) {
     const bool stored = co_await store(command);
     if (!stored) {
@@ -116,8 +118,8 @@
   return false;
 }
 
-// Returns false where the lock was not free in time, or the disk failed. `command` must outlive the
-// task.
+// Stores the command for the other processes. Returns false if the lock could not be acquired in
+// time or the disk failed. `command` must outlive the task.
 Task<bool> HotRestartActor::store(const OperatorCommand& command) {
   const TimePoint deadline = Clock::now() + kLockTimeout;
   try {
@@ -137,13 +139,14 @@
   co_return true;
 }
 
-// What this process's actors have already executed changes nothing there.
+// Posts the changes of the shared state to this process's actors. Changes that the actors have
+// already executed have no effect.
 void HotRestartActor::forward_state_changes() {
   const SharedState& current = directory_->state();
   const bool exclusions_posted = post_exclusion_changes(current);
   const bool drain_posted = post_drain_change(current);
   if (!exclusions_posted || !drain_posted) {
-    // Every change since `forwarded_state_` is posted again after the next one.
+    // All changes since `forwarded_state_` are posted again after the next change of the state.
     log::dropped_message("handover");
     return;
   }
--- a/src/hot_restart/hot_restart_actor.h
+++ b/src/hot_restart/hot_restart_actor.h
@@ -1,5 +1,6 @@
-// The actor between operators' commands, the actors of this process that execute them, and the
-// other processes of this proxy: a command at one process takes effect in all.
+// The actor that makes an operator's command at one process take effect in all processes of the
+// proxy: it passes commands to the actors that execute them and shares them with the other
+// processes.
 #pragma once
 
 #include <cstdint>
@@ -14,10 +15,11 @@
 
 struct OperatorCommand {
   StateChange change = StateChange::kExclude;
-  /// Of kExclude and kInclude.
+  /// The backend concerned by kExclude and kInclude.
   std::string backend_id;
-  /// Completed with 200 once the command is executed here and stored for the other processes; else
-  /// with the owner's status, or 503.
+  /// Completed with 200 once the command has been executed in this process and stored for the
+  /// others. Otherwise completed with the status of the actor that executes the command, or with
+  /// 503.
   std::shared_ptr<runtime::PendingReply> reply;
 };
 using OperatorCommandMailbox = runtime::Mailbox<OperatorCommand>;
@@ -25,18 +27,20 @@
 /// Runs on the scheduler's thread.
 class HotRestartActor {
  public:
-  /// What this process publishes about itself.
+  /// The status that this process publishes to the others.
   struct ProcessStatus {
-    /// It accepts clients.
+    /// Whether the process accepts clients.
     bool ready = false;
-    /// File descriptors that its connections hold.
+    /// Number of file descriptors in use, including the reserve of the process.
     std::uint32_t descriptors = 0;
   };
-  /// Called at each synchronization with the status of the other processes; returns this process's.
+  /// Called at each synchronization with the status of the other processes. Returns the status of
+  /// this process.
   using StatusExchange =
       std::function<ProcessStatus(const SharedStateDirectory::ProcessGroupStatus&)>;
 
-  /// `directory` is null where there are no other processes. References must outlive the actor.
+  /// `directory` is null if the proxy has only this process. Referenced objects must outlive the
+  /// actor.
   HotRestartActor(runtime::Scheduler& scheduler, std::unique_ptr<SharedStateDirectory> directory,
                   proxy::DecisionMailbox& decisions, proxy::ListenerMailbox& listener,
                   StatusExchange exchange_status);
@@ -44,11 +48,13 @@
   OperatorCommandMailbox& inbox() { return inbox_; }
   runtime::Task<> run();
 
-  /// Whether the other processes can see that this one is ready. If it reported readiness earlier,
-  /// its predecessor would end as if it had no successor.
+  /// Whether the other processes can see that this one is ready. Readiness must not be reported to
+  /// the platform earlier: the platform could then stop the predecessor, which would shut down as
+  /// if it had no successor.
   bool readiness_published() const { return !directory_ || readiness_published_; }
 
-  /// Reads the directory, at a planned end: whether a later process accepts the clients.
+  /// Reads the directory and returns whether a later process accepts clients. Called at a planned
+  /// shutdown.
   bool has_successor();
 
  private:
@@ -68,7 +74,7 @@
   StatusExchange exchange_status_;
   OperatorCommandMailbox inbox_;
   bool readiness_published_ = false;
-  /// The shared state as this process's actors have it.
+  /// The shared state as last forwarded to this process's actors.
   SharedState forwarded_state_;
 };
 
--- a/src/hot_restart/process_liveness_lock.cpp
+++ b/src/hot_restart/process_liveness_lock.cpp
@@ -12,7 +12,7 @@
 ProcessLivenessLock::ProcessLivenessLock(const std::string& path)
     : file_(storage::open_file(path, O_RDWR | O_CREAT | O_TRUNC)) {
   if (!file_ || !storage::try_lock(file_)) {
-    throw std::system_error(storage::last_error(), "lock " + path);
+    throw std::system_error(storage::last_error(), "cannot open or lock " + path);
   }
 }
 
--- a/src/hot_restart/process_liveness_lock.h
+++ b/src/hot_restart/process_liveness_lock.h
@@ -1,6 +1,6 @@
-// One process's file in the shared directory. The process holds a lock on it for as long as it
-// lives, so that the kernel tells the others whether it is alive, however it ended; the file's
-// content is what it publishes about itself.
+// A file in the shared directory that shows whether its process is alive. The process holds a lock
+// on the file, which the kernel releases however the process ends. The content of the file is the
+// status that the process publishes.
 #pragma once
 
 #include <cstdint>
@@ -14,25 +14,26 @@
 
 class ProcessLivenessLock {
  public:
-  /// The file's content, in the machine's own byte order: all its readers are on this machine.
+  /// The content of the file, in native byte order, since all readers are on the same machine.
   struct Status {
-    /// 1 where the process accepts clients, else 0.
+    /// 1 if the process accepts clients, otherwise 0.
     std::uint32_t ready = 0;
-    /// File descriptors that its connections hold.
+    /// Number of file descriptors in use, including the reserve of the process.
     std::uint32_t descriptors = 0;
   };
   static_assert(sizeof(Status) == 8 && std::is_trivially_copyable_v<Status>);
 
-  /// Holds no lock.
+  /// Creates an object that holds no lock.
   ProcessLivenessLock() = default;
-  /// Creates or empties the file and locks it. Throws std::system_error where either fails.
+  /// Creates or truncates the file and locks it. Throws std::system_error on failure.
   explicit ProcessLivenessLock(const std::string& path);
 
-  /// Returns false, with errno set, where the status could not be written.
+  /// Returns false and sets errno if the status could not be written.
   bool publish(Status status);
 
-  /// Returns the status of the process whose file is at `path`, or nothing where there is none or
-  /// it is not alive. A process that has published nothing yet has Status's defaults.
+  /// Returns the status of the process whose file is at `path`, or nothing if the file does not
+  /// exist or its process is not alive. Returns a default Status if the process has not published
+  /// one yet.
   static std::optional<Status> read_if_alive(const std::string& path);
 
  private:
--- a/src/hot_restart/shared_state.h
+++ b/src/hot_restart/shared_state.h
@@ -1,5 +1,5 @@
-// What the processes of one proxy share over a hot restart: the stored format, and how changes are
-// applied. Free of I/O.
+// The state that the processes of one proxy share during a hot restart: the stored format, and the
+// changes to it. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -11,9 +11,9 @@
 namespace beechhill::hot_restart {
 
 struct SharedState {
-  /// Of the process that started last; the first is 1.
+  /// Generation of the process that started last; the first process has generation 1.
   std::uint64_t generation = 0;
-  /// Clients are sent away.
+  /// Whether an operator has drained the proxy, so that it accepts no clients.
   bool drained = false;
   /// Ids of the backends that operators have excluded.
   std::set<std::string> excluded_backends;
@@ -21,18 +21,18 @@
   bool operator==(const SharedState&) const = default;
 };
 
-/// An operator's change. It is applied to the state as it is stored, never to a copy that a process
-/// holds: so changes at two processes cannot undo each other.
+/// A change requested by an operator. Changes are applied to the stored state and never to a
+/// process's copy of it, so that concurrent changes by two processes are both kept.
 enum class StateChange { kExclude, kInclude, kDrain, kResume };
 
-/// Applies `change`. `backend_id` matters to kExclude and kInclude only. Idempotent.
+/// Applies `change`. `backend_id` is used by kExclude and kInclude only. Idempotent.
 void apply(SharedState& state, StateChange change, const std::string& backend_id);
 
-/// Returns the state as checksummed JSON (config/checksummed_json.h). An id may hold any bytes that
-/// a JSON text can.
+/// Returns the state as checksummed JSON (config/checksummed_json.h). Backend ids may contain any
+/// bytes that JSON strings can hold.
 std::string encode(const SharedState& state);
 
-/// Returns the complete state, or nothing where `text` is torn, damaged or of another kind or
+/// Returns the complete state, or nothing if `text` is torn, damaged or of another format or
 /// version.
 std::optional<SharedState> decode(std::string_view text);
 
--- a/src/hot_restart/shared_state_directory.cpp
+++ b/src/hot_restart/shared_state_directory.cpp
@@ -17,14 +17,17 @@
 namespace beechhill::hot_restart {
 namespace {
 
-// Generations that may still be alive: older processes have long ended.
+// Number of generations whose processes may still be alive. Processes of older generations are
+// assumed to have ended.
 constexpr std::uint64_t kMaxLiveGenerations = 8;
 constexpr std::size_t kMaxStateBytes = std::size_t{4} * 1024 * 1024;
-// While starting; a holder keeps the lock for one read and one write.
+// Attempts to acquire the lock at startup, 5 ms apart. A holder keeps the lock for one read and one
+// write.
 constexpr int kMaxLockAttempts = 200;
 constexpr std::chrono::milliseconds kLockRetryInterval{5};
 
-// A process's name may contain '/', a file's may not.
+// Returns the common prefix of the paths of all files. Replaces '/', which is valid in a process
+// name but not in a file name.
 std::string make_path_prefix(const std::string& path, std::string process_name) {
   std::replace(process_name.begin(), process_name.end(), '/', '_');
   return path + "/beechhill-" + process_name;
@@ -66,14 +69,14 @@
     std::this_thread::sleep_for(kLockRetryInterval);
   }
   throw std::system_error(std::make_error_code(std::errc::resource_unavailable_try_again),
-                          "lock " + path_prefix_ + ".lock");
+                          "cannot lock " + path_prefix_ + ".lock");
 }
 
 std::optional<net::FileDescriptor> SharedStateDirectory::try_lock() const {
   const std::string path = path_prefix_ + ".lock";
   net::FileDescriptor file = storage::open_file(path, O_RDWR | O_CREAT);
   if (!file) {
-    throw std::system_error(storage::last_error(), "open " + path);
+    throw std::system_error(storage::last_error(), "cannot open " + path);
   }
   if (!storage::try_lock(file)) {
     return std::nullopt;
@@ -91,15 +94,17 @@
 
 void SharedStateDirectory::read_state() {
   const std::string path = state_path();
-  // Taken before the text: a state that is replaced in between is read again at the next refresh.
+  // Taken before the text is read, so that a state replaced in between is read again by the next
+  // refresh().
   version_ = stored_version();
   const std::optional<std::string> text = storage::read_file(path, kMaxStateBytes);
   if (!text) {
-    return;  // this is the first process
+    return;  // no process has stored a state yet
   }
   std::optional<SharedState> stored = decode(*text);
   if (!stored) {
-    // This process's state stays valid; no other process is to read the damaged one again.
+    // The damaged file is renamed so that no process reads it again. This process keeps its own
+    // state.
     (void)std::rename(path.c_str(), (path + ".faulty").c_str());
     log::warning("handover_set_aside", {{"file", std::string_view(path)}});
     return;
@@ -110,11 +115,11 @@
 
 void SharedStateDirectory::write_state() {
   const std::string path = state_path();
-  // Shared by running processes only, so nothing has to survive a crash of the machine.
+  // The state is shared only by running processes, so it need not survive a crash of the machine.
   const std::error_code error =
       storage::replace_file(path, encode(state_), storage::Durability::kProcessCrash);
   if (error) {
-    throw std::system_error(error, "replace " + path);
+    throw std::system_error(error, "cannot replace " + path);
   }
   version_ = stored_version();
 }
--- a/src/hot_restart/shared_state_directory.h
+++ b/src/hot_restart/shared_state_directory.h
@@ -1,8 +1,8 @@
-// The directory that the processes of one proxy share: the state, replaced by rename under a lock,
-// and a liveness file for each process.
+// The directory that the processes of one proxy share. It contains the shared state, which is
+// replaced by rename under a lock, and one liveness file per process.
 //
-// Errors: the constructor and try_apply() throw std::system_error where the disk fails; a state
-// that is damaged is no error but set aside, with a line in the log.
+// Errors: the constructor and try_apply() throw std::system_error if the disk fails. A damaged
+// state is not an error: its file is renamed and a warning is logged.
 #pragma once
 
 #include <cstdint>
@@ -15,45 +15,45 @@
 
 namespace beechhill::hot_restart {
 
-/// One process's view of the directory. Used by one thread; calls block on the local disk.
+/// One process's view of the directory. Must be used by one thread. Calls block on the local disk.
 class SharedStateDirectory {
  public:
-  /// What the other processes have published.
+  /// The combined published status of the other processes.
   struct ProcessGroupStatus {
-    /// Number of the other processes that are alive.
+    /// Number of other processes that are alive.
     int alive = 0;
-    /// A process of a later generation is alive and accepts clients.
+    /// Whether a process of a later generation is alive and accepts clients.
     bool successor = false;
-    /// A process of an earlier generation is alive.
+    /// Whether a process of an earlier generation is alive.
     bool predecessor = false;
-    /// Descriptors that all of them hold, as last published.
+    /// Total number of file descriptors held by the other processes, as last published.
     std::uint32_t descriptors = 0;
   };
 
   /// Joins the processes that share `path` under `process_name`, as the next generation. Waits up
-  /// to a second for the lock. Throws std::system_error where files cannot be written or locked.
+  /// to 1 s for the lock. Throws std::system_error if a file cannot be written or locked.
   SharedStateDirectory(const std::string& path, const std::string& process_name);
 
-  /// As last read or written.
+  /// Returns the state as last read or written by this process.
   const SharedState& state() const { return state_; }
 
-  /// Reads the state again where it has been replaced since. Returns true where it was replaced:
-  /// state() may have changed.
+  /// Reads the state if its file was replaced since the last access. Returns whether it was, in
+  /// which case state() may have changed.
   bool refresh();
 
-  /// Applies one change under the lock. Returns false where another process holds the lock: to be
-  /// tried again. Throws std::system_error where the state cannot be written.
+  /// Applies one change under the lock. Returns false if another process holds the lock, in which
+  /// case the caller should retry. Throws std::system_error if the state cannot be written.
   bool try_apply(StateChange change, const std::string& backend_id);
 
-  /// Publishes to the other processes whether this one accepts clients, and how many descriptors
-  /// it holds. A failure is logged.
+  /// Publishes to the other processes whether this one accepts clients, and the number of file
+  /// descriptors that it holds. A failure is logged.
   void publish(bool ready, std::uint32_t descriptors);
 
-  /// O(1): looks at the last few generations only.
+  /// Returns the combined status of the other processes. Examines a bounded number of generations.
   ProcessGroupStatus process_group_status() const;
 
  private:
-  /// Identifies one version of the state's file: each replacement is a new file.
+  /// Identifies one version of the state file. Each replacement creates a new file.
   struct FileVersion {
     std::uint64_t inode = 0;
     std::int64_t modified_s = 0;
@@ -70,12 +70,12 @@
   void read_state();
   void write_state();
 
-  /// What all the files' paths begin with.
+  /// The common prefix of the paths of all files in the directory.
   const std::string path_prefix_;
   SharedState state_;
-  /// Of the stored state that `state_` was read from or written to.
+  /// Version of the state file that `state_` was last read from or written to.
   std::optional<FileVersion> version_;
-  /// This process's.
+  /// Generation of this process.
   std::uint64_t generation_ = 0;
   ProcessLivenessLock liveness_lock_;
 };
--- a/src/snapshot/async_snapshot_writer.cpp
+++ b/src/snapshot/async_snapshot_writer.cpp
@@ -26,9 +26,10 @@
   Queue(std::string file_path, DurableWrite durable_write)
       : path(std::move(file_path)), write(std::move(durable_write)) {}
 
-  // The thread's body: writes until `stopping`, and then what is still pending.
+  // Runs on the writer thread until `stopping` is set, and then writes a snapshot that is still
+  // pending.
   void run();
-  // Logs the first failure, and the first success after it.
+  // Logs the first failure of a series, and the first success after it.
   void log_outcome(std::error_code error);
 
   const std::string path;
@@ -36,7 +37,7 @@
 
   std::mutex mutex;
   std::condition_variable changed;
-  // All below are guarded by `mutex`.
+  // The members below are guarded by `mutex`.
   std::optional<Snapshot> pending;
   bool stopping = false;
   bool idle = true;
@@ -64,7 +65,7 @@
 
 void AsyncSnapshotWriter::Queue::log_outcome(std::error_code error) {
   const bool failed = static_cast<bool>(error);
-  // While stopping, this thread may outlive the log.
+  // While stopping, nothing is logged, because this thread may outlive the log.
   if (!stopping && failed && !failing) {
     log::warning("snapshot_lost", {{"error", std::string_view(error.message())}});
   }
--- a/src/snapshot/async_snapshot_writer.h
+++ b/src/snapshot/async_snapshot_writer.h
@@ -1,5 +1,5 @@
-// Writes snapshots on a thread of its own, so that a disk that is slow or full costs snapshots and
-// never a request.
+// Writes snapshots on a separate thread, so that a slow or full disk can lose snapshots but never
+// delays a request.
 #pragma once
 
 #include <functional>
@@ -11,33 +11,34 @@
 
 namespace beechhill::snapshot {
 
-/// Replaces the file at `path` by `text`, so that after a crash either the old or the new content
-/// is there, complete. Called on the writer's thread; may block.
+/// Replaces the file at `path` with `text` so that either the old or the new content is complete
+/// after a crash. Called on the writer thread and may block.
 using DurableWrite =
     std::function<std::error_code(const std::string& path, const std::string& text)>;
 
-/// The DurableWrite for a disk: storage::replace_file with Durability::kMachineCrash.
+/// A DurableWrite that uses storage::replace_file with Durability::kMachineCrash.
 std::error_code write_durably(const std::string& path, const std::string& text);
 
-/// Writes the newest of the snapshots that it is given. Logs `snapshot_lost` when writes begin to
-/// fail and `snapshot_kept` when they succeed again. Used by one thread.
+/// Writes the latest snapshot passed to write(). Logs `snapshot_lost` when writes start to fail and
+/// `snapshot_kept` when they succeed again. Must be used by one thread.
 class AsyncSnapshotWriter {
  public:
-  /// Starts the thread, which writes to `path` by `write`.
+  /// Starts the thread, which calls `write` to replace the file at `path`.
   AsyncSnapshotWriter(std::string path, DurableWrite write);
-  /// Waits 300 ms at most for pending and running writes. A write that takes longer is abandoned
-  /// to its thread, which ends by itself.
+  /// Waits at most 300 ms for pending and running writes. The thread finishes a longer write by
+  /// itself and then ends.
   ~AsyncSnapshotWriter();
   AsyncSnapshotWriter(const AsyncSnapshotWriter&) = delete;
   AsyncSnapshotWriter& operator=(const AsyncSnapshotWriter&) = delete;
 
-  /// Hands `snapshot` to the thread and returns at once. Replaces one that is still pending.
+  /// Queues `snapshot` and returns immediately. Replaces a queued snapshot that is not being
+  /// written yet.
   void write(Snapshot snapshot);
 
  private:
   struct Queue;
 
-  /// Shared with the thread, which may outlive this object by one write to a disk that hangs.
+  /// Shared with the thread, which may outlive this object by one write if the disk hangs.
   std::shared_ptr<Queue> queue_;
 };
 
--- a/src/snapshot/snapshot.cpp
+++ b/src/snapshot/snapshot.cpp
@@ -11,27 +11,30 @@
 
 constexpr int kFormat = 2;
 constexpr const char* kMagic = "beechhill-snapshot";
-// Load reports are no more precise than this.
+// Significant digits of stored statistics; load reports are no more precise.
 constexpr int kSignificantDigits = 6;
 
-// Load and neighbours of a backend change over minutes, its hardware over days.
+// Time constant of the exponential decay of statistics. The load of a backend and of its neighbours
+// changes within minutes; its hardware, within days.
 constexpr Duration kDecayTime{60'000'000};
-// A hundredth of a report or response; what is below has no influence on a decision.
+// Smallest weight of a report or response that is kept; a lower weight has no influence on
+// decisions.
 constexpr double kMinWeight = 0.01;
 
-// The balancer's own smoothing never holds more than five reports and seven responses, and counts
-// no latency ratio beyond kMaxLatencyRatio. Larger values are damage.
+// Plausibility limits. The balancer's smoothing never holds a weight above five reports or seven
+// responses, and clamps latency ratios to kMaxLatencyRatio, so larger values indicate damage.
 constexpr double kMaxReportWeight = 10;
 constexpr double kMaxResponseWeight = 10;
 constexpr double kMaxLatencyRatio = 10;
-// The most that the balancer takes from a load report: a share of the processor, and requests a
-// second.
+// The maximum values that the balancer accepts from a load report: utilization as a fraction of the
+// processors, and requests per second.
 constexpr double kMaxUtilization = 8;
 constexpr double kMaxRate = 1e5;
 
-// Five times kDecayTime: less than a hundredth of the records is left.
+// Five times kDecayTime, after which less than a hundredth of the weight of the records remains.
 constexpr std::chrono::milliseconds kMaxAge{300'000};
-// Clocks are corrected in small steps: a snapshot from so little in the future counts as new.
+// Clock corrections can put the time of writing slightly into the future; such a snapshot is
+// accepted.
 constexpr std::chrono::milliseconds kClockTolerance{2'000};
 
 // Keys of the stored format.
--- a/src/snapshot/snapshot.h
+++ b/src/snapshot/snapshot.h
@@ -1,6 +1,6 @@
-// What a process has learned of its backends, kept for the next process of its name: the stored
-// format, and how much of an old snapshot still counts. Free of I/O and clocks.
-// docs/design/recovery.md says what is kept and why no more.
+// A snapshot of what a process has learned about its backends, for the next process of the same
+// name: the stored format, and the rules for using an old snapshot. Performs no I/O and reads no
+// clock. docs/design/recovery.md explains which data is stored.
 #pragma once
 
 #include <chrono>
@@ -16,69 +16,70 @@
 
 namespace beechhill::snapshot {
 
-/// What one backend's load reports and responses have shown.
+/// The statistics of one backend, from its load reports and responses.
 struct EndpointRecord {
   std::string host;
-  /// Unix time of the backend's start, as the endpoint list gave it; 0 where it did not.
+  /// Unix time at which the backend started, according to the endpoint list; 0 if unknown.
   std::chrono::milliseconds started_at{0};
-  /// Unix time at which `stats` were taken.
+  /// Unix time at which `stats` were recorded.
   std::chrono::milliseconds recorded_at{0};
   EndpointStats stats;
 };
 
 struct Snapshot {
-  /// Of the process that wrote it.
+  /// Name of the process that wrote the snapshot.
   std::string name;
-  /// Equal for processes whose settings agree in what the records depend on. Records that were
-  /// learned under other settings are void.
+  /// Equal for processes that agree in all settings that the records depend on. Records from a
+  /// process with a different fingerprint are not used.
   std::string settings_fingerprint;
-  /// Counts the processes of this name, from 1.
+  /// Counts the processes of this name, starting at 1.
   std::uint64_t incarnation = 0;
-  /// Unix time.
+  /// Unix time at which the snapshot was taken.
   std::chrono::milliseconds written_at{0};
   std::vector<EndpointRecord> records;
-  /// Ids of the backends that operators have excluded. An exclusion does not expire.
+  /// Ids of the backends that operators have excluded. Exclusions do not expire.
   std::set<std::string> excluded_backends;
 };
 
-/// Records beyond this number are not written; a snapshot with more of them is damaged.
+/// Maximum number of records. Further records are not written; a snapshot with more is rejected as
+/// damaged.
 inline constexpr std::size_t kMaxRecords = 10'000;
-/// A longer text is no snapshot.
+/// Maximum size of an encoded snapshot in bytes; a longer text is rejected as damaged.
 inline constexpr std::size_t kMaxSnapshotBytes = std::size_t{4} * 1024 * 1024;
 
-/// Returns the snapshot as checksummed JSON (config/checksummed_json.h). Statistics keep six
-/// significant digits.
+/// Returns the snapshot as checksummed JSON (config/checksummed_json.h). Statistics are rounded to
+/// six significant digits.
 std::string encode(const Snapshot& snapshot);
 
-/// Returns the complete snapshot, or nothing where `text` is torn, damaged, too long or of another
-/// kind or version.
+/// Returns the complete snapshot, or nothing if `text` is torn, damaged, too long or of another
+/// format or version.
 std::optional<Snapshot> decode(std::string_view text);
 
-/// Why the records of a stored snapshot may not be used.
+/// The reason why the records of a stored snapshot are not used.
 enum class RejectionReason {
-  /// decode() gave nothing.
+  /// decode() returned nothing.
   kDamaged,
   kOtherProcess,
   kOtherSettings,
-  /// Written later than the clock says that it is now.
+  /// The time of writing lies in the future by this machine's clock.
   kFromTheFuture,
   kTooOld,
 };
 
-/// Returns the reason as it stands in the log.
+/// Returns the text of `reason` in the log.
 const char* name(RejectionReason reason);
 
-/// Returns why the process `process_name` with the settings `settings_fingerprint` may not use the
-/// records at the Unix time `now`, or nothing where it may.
+/// Returns why the process `process_name` with the settings `settings_fingerprint` must not use the
+/// records at the Unix time `now`, or nothing if the records are usable.
 std::optional<RejectionReason> rejection_reason(const Snapshot& snapshot,
                                                 std::string_view process_name,
                                                 std::string_view settings_fingerprint,
                                                 std::chrono::milliseconds now);
 
-/// Returns statistics of the age `age`, reduced by exponential decay (a factor of e a minute).
-/// Returns nothing where the backend has restarted since, where less than a hundredth of a report
-/// or response is left, or where the values are beyond what the balancer itself ever holds. A
-/// negative age counts as zero.
+/// Returns `stats` reduced by exponential decay with a time constant of one minute, where `age` is
+/// the time since they were recorded; a negative age counts as zero. Returns nothing if the backend
+/// has restarted since, if less than a hundredth of a report or response remains, or if the values
+/// exceed what the balancer itself can hold.
 std::optional<EndpointStats> discounted(const EndpointStats& stats, Duration age, bool restarted);
 
 }  // namespace beechhill::snapshot
--- a/src/snapshot/snapshot_store.cpp
+++ b/src/snapshot/snapshot_store.cpp
@@ -14,7 +14,8 @@
 namespace beechhill::snapshot {
 namespace {
 
-// A process's name may contain '/', a file's may not.
+// Returns the path of the snapshot file. Replaces '/', which is valid in a process name but not in
+// a file name.
 std::string file_path(const std::string& directory, std::string process_name) {
   std::replace(process_name.begin(), process_name.end(), '/', '_');
   return directory + "/beechhill-" + process_name + ".snapshot";
@@ -26,13 +27,13 @@
     throw std::runtime_error(path + ": " + storage::last_error().message());
   }
   if (!storage::try_lock(file)) {
-    throw std::runtime_error(path + ": another process keeps it");
+    throw std::runtime_error(path + ".lock: locked by another process");
   }
   return file;
 }
 
 void set_aside(const std::string& path, RejectionReason reason) {
-  // A file that cannot be renamed is rejected again by the next process.
+  // If the rename fails, the next process reads the file and rejects it again.
   (void)std::rename(path.c_str(), (path + ".aside").c_str());
   log::warning("snapshot_set_aside", {{"reason", std::string_view(name(reason))}});
 }
@@ -49,10 +50,10 @@
 }
 
 std::optional<Snapshot> SnapshotStore::load(std::chrono::milliseconds now) {
-  // One byte more than a snapshot may have, so that a longer file is not taken for one.
+  // Reads one byte more than the maximum size, so that decode() detects a file that is too long.
   const std::optional<std::string> text = storage::read_file(path_, kMaxSnapshotBytes + 1);
   if (!text) {
-    return std::nullopt;  // the first process of this name
+    return std::nullopt;  // no process of this name has written a snapshot yet
   }
   std::optional<Snapshot> snapshot = decode(*text);
   if (!snapshot) {
--- a/src/snapshot/snapshot_store.h
+++ b/src/snapshot/snapshot_store.h
@@ -1,8 +1,8 @@
-// The snapshots of one process name, in a directory on a disk that outlasts the process: one file,
-// read once at the start and rewritten by a thread of its own.
+// Stores the snapshots of one process name in a directory on a disk that outlives the process.
+// There is one file, which is read once at the start and rewritten on a separate thread.
 //
-// Errors: the constructor throws std::runtime_error; damaged or unusable data is no error but set
-// aside, with its RejectionReason in the log.
+// Errors: the constructor throws std::runtime_error. Damaged or unusable data is not an error: its
+// file is renamed and the RejectionReason is logged.
 #pragma once
 
 #include <chrono>
@@ -18,21 +18,23 @@
 
 namespace beechhill::snapshot {
 
-/// Holds a lock on its name in the directory for as long as it exists. Used by one thread.
+/// Holds an exclusive lock on the process name in the directory during its lifetime. Must be used
+/// by one thread.
 class SnapshotStore {
  public:
-  /// Throws std::runtime_error where the directory cannot be used, or another process keeps
-  /// snapshots there under `process_name`. `settings_fingerprint`: see Snapshot.
+  /// Throws std::runtime_error if the directory cannot be used, or if another process stores
+  /// snapshots in it under `process_name`. `settings_fingerprint` is described at Snapshot.
   SnapshotStore(const std::string& directory, std::string process_name,
                 std::string settings_fingerprint, DurableWrite write = write_durably);
 
-  /// Returns what the last process left; blocks on the disk. Where the records may not be used at
-  /// the Unix time `now`, the file is renamed to "*.aside" and the reason logged; then only the
-  /// excluded backends of a complete snapshot of this name are returned.
+  /// Returns the snapshot of the last process; blocks on the disk. If the records may not be used
+  /// at the Unix time `now`, the file is renamed to "*.aside" and the reason is logged. In that
+  /// case only the excluded backends are returned, provided that the snapshot is complete and of
+  /// this process name.
   std::optional<Snapshot> load(std::chrono::milliseconds now);
 
-  /// Writes a snapshot that was taken at the Unix time `now`. Returns at once; replaces one that is
-  /// not being written yet.
+  /// Writes a snapshot taken at the Unix time `now`. Returns immediately. Replaces a queued
+  /// snapshot that is not being written yet.
   void save_async(std::vector<EndpointRecord> records, std::set<std::string> excluded_backends,
                   std::chrono::milliseconds now);
 
--- a/src/storage/file.cpp
+++ b/src/storage/file.cpp
@@ -25,7 +25,7 @@
     if (written < 0) {
       return last_error();
     }
-    if (written == 0) {  // no progress, and errno says nothing
+    if (written == 0) {  // write(2) made no progress and does not set errno
       return std::make_error_code(std::errc::io_error);
     }
     text.remove_prefix(static_cast<std::size_t>(written));
@@ -47,7 +47,7 @@
                                                  : write_all(file, text);
 }
 
-// Makes a rename in the directory durable.
+// Flushes the directory of `path`, which makes a rename in it durable.
 std::error_code flush_directory_of(const std::string& path) {
   const net::FileDescriptor directory =
       open_file(std::filesystem::path(path).parent_path().string(), O_RDONLY | O_DIRECTORY);
--- a/src/storage/file.h
+++ b/src/storage/file.h
@@ -1,8 +1,8 @@
-// Files in which a process keeps state: opened for the owner alone, locked, read up to a bound and
-// replaced atomically. Every call blocks.
+// Blocking operations on files in which a process stores its state: opening with owner-only access,
+// locking, bounded reads and atomic replacement.
 //
-// Errors: a function returns an empty value or a std::error_code of the generic category; none
-// throws but std::bad_alloc.
+// Errors: functions return an empty value or a std::error_code of the generic category. The only
+// exception thrown is std::bad_alloc.
 #pragma once
 
 #include <cstddef>
@@ -15,33 +15,33 @@
 
 namespace beechhill::storage {
 
-/// The calling thread's errno as an error code, for std::system_error and the log.
+/// Returns the calling thread's errno as an error code, for std::system_error and the log.
 std::error_code last_error();
 
-/// Opens `path` with open(2)'s `flags`. The descriptor is closed on exec, and a file that this
-/// creates belongs to its owner alone (mode 0600). Returns an empty descriptor, with errno set, on
-/// failure.
+/// Opens `path` with the `flags` of open(2). The descriptor is closed on exec, and a newly created
+/// file is accessible only to its owner (mode 0600). On failure returns an empty descriptor and
+/// sets errno.
 net::FileDescriptor open_file(const std::string& path, int flags);
 
-/// Takes an exclusive lock that lasts until the descriptor is closed, by the process's death at the
-/// latest. Returns false, with errno set, where another descriptor holds it; never waits.
+/// Acquires an exclusive lock, which is released when the descriptor is closed or the process ends.
+/// Returns false and sets errno if another descriptor holds the lock. Does not block.
 bool try_lock(const net::FileDescriptor& file);
 
-/// Returns the first `max_bytes` of a file, or nothing where it cannot be opened. A read error ends
-/// the text early: callers verify a checksum anyway.
+/// Returns up to `max_bytes` from the start of a file, or nothing if the file cannot be opened. A
+/// read error truncates the result; callers detect that because they verify a checksum.
 std::optional<std::string> read_file(const std::string& path, std::size_t max_bytes);
 
-/// Whether a file must survive a crash of the machine, or of the process only.
+/// The kind of crash that a file's content must survive.
 enum class Durability {
   kProcessCrash,
   kMachineCrash,
 };
 
-/// Writes all of `text` to an open file and flushes it to the disk.
+/// Writes all of `text` to an open file and flushes the file to the disk.
 std::error_code write_durably(const net::FileDescriptor& file, std::string_view text);
 
-/// Replaces the file at `path` by `text`: writes "<path>.new" beside it and renames that. After a
-/// crash that `durability` covers either the old or the new content is there, complete. For
+/// Replaces the file at `path` with `text` by writing "<path>.new" and renaming it. After a crash
+/// of the kind given by `durability`, either the old or the new content is complete. With
 /// Durability::kMachineCrash the file and its directory are flushed to the disk.
 std::error_code replace_file(const std::string& path, std::string_view text, Durability durability);
 
--- a/tests/fuzz_snapshot.cpp
+++ b/tests/fuzz_snapshot.cpp
@@ -1,5 +1,6 @@
-// A target for libFuzzer (clang++ -fsanitize=fuzzer): any bytes in a snapshot's file are read
-// completely or not at all. snapshot_test runs it with mutations of a good one.
+// A libFuzzer target (clang++ -fsanitize=fuzzer) that checks that decode() either rejects its input
+// or returns a snapshot that can be encoded and decoded again. snapshot_test also runs the target,
+// with mutations of a valid snapshot.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -11,7 +12,7 @@
   using beechhill::snapshot::encode;
   const auto snapshot = decode({reinterpret_cast<const char*>(data), size});
   if (snapshot && decode(encode(*snapshot))->records.size() != snapshot->records.size()) {
-    std::abort();  // what was read must be readable once it is written again
+    std::abort();  // encoding and decoding the snapshot again changed the number of records
   }
   return 0;
 }
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -1,5 +1,5 @@
-// Hot restarts of real processes: two at a time, on one inherited socket and with a directory that
-// they share.
+// Tests hot restarts with real processes: two at a time, which share an inherited listening socket
+// and a directory.
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 
@@ -18,7 +18,7 @@
 namespace beechhill::test {
 namespace {
 
-// Answers every request with its own id and the backend's name, after `delay`.
+// Answers each request with its trace id and the backend's name, after `delay`.
 class EchoBackend {
  public:
   explicit EchoBackend(std::string name, std::chrono::milliseconds delay = 0ms)
@@ -51,8 +51,8 @@
     }
   }
 
-  // Reads what has arrived and answers once the request is complete. Returns false at the
-  // connection's end.
+  // Reads the available bytes and answers the request once it is complete. Returns false if the
+  // connection was closed.
   bool serve(TestConnection& connection) const {
     if (!connection.fill()) {
       return false;
@@ -76,16 +76,16 @@
   std::thread thread_;
 };
 
-std::string hosts(const EchoBackend& only) {
-  return "[" + only.host() + "]";
+std::string hosts(const EchoBackend& backend) {
+  return "[" + backend.host() + "]";
 }
 
 std::string hosts(const EchoBackend& first, const EchoBackend& second) {
   return "[" + first.host() + "," + second.host() + "]";
 }
 
-// Sends one request on a new connection. Returns the name of the backend that served it, or
-// nothing where the answer was not the request's own.
+// Sends one request on a new connection. Returns the name of the backend that served it, or nothing
+// if the response does not belong to the request.
 std::optional<std::string> serving_backend(const ProxyUnderTest& proxy, const std::string& id) {
   TestConnection client = proxy.client();
   client.send(ProxyUnderTest::get(id));
@@ -101,8 +101,8 @@
   return proxy.call("GET", "/api/telemetry").body.find(field) != std::string::npos;
 }
 
-// Clients that send one request after another: half of them on a new connection each time, half on
-// one that they keep. Stopped and joined by the destructor.
+// Clients that send requests continuously. Half of them use a new connection for each request, the
+// others a persistent one. The destructor stops and joins them.
 class SteadyLoad {
  public:
   explicit SteadyLoad(const ProxyUnderTest& proxy) {
@@ -118,7 +118,7 @@
     }
   }
 
-  // False where no more than 50 requests are served within kTestTimeout.
+  // Returns whether more than 50 further requests are served within kTestTimeout.
   bool makes_progress() const {
     const int before = served_;
     return eventually([&] { return served_ > before + 50; });
@@ -161,7 +161,7 @@
   const SharedListener shared_;
 };
 
-// Two restarts in a row.
+// No request may fail while the process is replaced twice in a row under load.
 TEST_F(HotRestart, LosesNoRequest) {
   constexpr int kRestarts = 2;
   const EchoBackend backend("s-1", 2ms);
@@ -182,14 +182,15 @@
   EXPECT_TRUE(load.makes_progress());
 }
 
-// An operator's command at either process takes effect in both, and in the one that comes after.
+// An operator's command at either process must take effect in both processes and in a third one
+// that starts later.
 TEST_F(HotRestart, SharesOperatorCommandsBetweenProcesses) {
   const EchoBackend first("s-1");
   const EchoBackend second("s-2");
   ProxyUnderTest old(hosts(first, second), "[]", &shared_);
   ASSERT_EQ(old.call("PUT", "/api/exclude?target=s-1").status, 200);
   ASSERT_EQ(old.call("PUT", "/api/evacuate").status, 200);
-  ProxyUnderTest fresh(hosts(first, second), "[]", &shared_);  // ready, though drained
+  ProxyUnderTest fresh(hosts(first, second), "[]", &shared_);  // starts up although it is drained
   for (int n = 0; n < 6; ++n) {
     EXPECT_EQ(serving_backend(fresh, "a" + std::to_string(n)), "s-2");
     EXPECT_EQ(fresh.ready(), 503);
@@ -209,7 +210,7 @@
   EXPECT_EQ(last.ready(), 200);
 }
 
-// The old process serves on, and shuts down as one without a successor.
+// The old process must continue to serve, and must shut down like a process without a successor.
 TEST_F(HotRestart, SurvivesASuccessorThatIsKilledBeforeItIsReady) {
   const EchoBackend backend("s-1");
   ProxyUnderTest old(hosts(backend), "[]", &shared_);
@@ -219,10 +220,10 @@
     for (int n = 0; n < 4; ++n) {
       EXPECT_EQ(serving_backend(old, "a" + std::to_string(n)), "s-1");
     }
-  }  // killed
+  }  // the destructor kills the process
   old.signal(SIGTERM);
   ::usleep(200'000);
-  EXPECT_EQ(serving_backend(old, "late"), "s-1");  // it accepts for a while: nobody else does
+  EXPECT_EQ(serving_backend(old, "late"), "s-1");  // still accepts, because it has no successor
   EXPECT_EQ(old.exit_status(), 0);
 }
 
@@ -231,7 +232,7 @@
   auto old = std::make_unique<ProxyUnderTest>(hosts(backend), "[]", &shared_);
   ASSERT_EQ(old->call("PUT", "/api/evacuate").status, 200);
   const ProxyUnderTest fresh(hosts(backend), "[]", &shared_);
-  old.reset();  // killed
+  old.reset();  // kills the process
   EXPECT_EQ(fresh.call("GET", "/api/ready").status, 200);
   EXPECT_EQ(fresh.ready(), 503);
   EXPECT_EQ(fresh.call("PUT", "/api/rejoin").status, 200);
@@ -240,7 +241,8 @@
   }
 }
 
-// Service goes on meanwhile, and so does sharing.
+// A damaged state file must be renamed, at startup and while the process runs. Requests must be
+// served and commands stored afterwards.
 TEST_F(HotRestart, SetsADamagedStateAside) {
   const EchoBackend backend("s-1");
   const std::string state = shared_.folder + "/beechhill-t.state";
@@ -254,15 +256,15 @@
   EXPECT_TRUE(std::filesystem::exists(state));
 }
 
-// Runs the program with GW_FD=`descriptor` and, where `as_3` is not negative, that as descriptor 3.
-// Returns its exit status, or -1 where a signal ended it.
-int exit_status_with(const char* descriptor, int as_3) {
+// Runs the program with GW_FD=`descriptor`. If `inherited` is not negative, the program inherits it
+// as descriptor 3. Returns the exit status, or -1 if a signal ended the program.
+int exit_status_with(const char* descriptor, int inherited) {
   const pid_t pid = ::fork();
   if (pid == 0) {
     const std::string path = "/tmp/proxy_fd_" + std::to_string(::getpid());
     std::ofstream(path) << config_json("127.0.0.1:0", "127.0.0.1:1", "[]");
-    if (as_3 >= 0) {
-      ::dup2(as_3, 3);
+    if (inherited >= 0) {
+      ::dup2(inherited, 3);
     }
     ::close(2);
     ::setenv("GW_CONFIG", path.c_str(), 1);
@@ -277,14 +279,14 @@
   return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
-TEST(InheritedDescriptor, IsRefusedWhereItIsNoListeningSocket) {
+TEST(InheritedDescriptor, IsRejectedIfItIsNoListeningSocket) {
   const net::FileDescriptor not_listening(::socket(AF_INET, SOCK_STREAM, 0));
   const net::FileDescriptor datagrams(::socket(AF_INET, SOCK_DGRAM, 0));
   EXPECT_EQ(exit_status_with("3", not_listening.get()), 1);
   EXPECT_EQ(exit_status_with("3", datagrams.get()), 1);
 }
 
-TEST(InheritedDescriptor, IsRefusedWhereItIsNoOpenDescriptor) {
+TEST(InheritedDescriptor, IsRejectedIfItIsNoOpenDescriptor) {
   EXPECT_EQ(exit_status_with("300", -1), 1);
   EXPECT_EQ(exit_status_with("three", -1), 1);
   EXPECT_EQ(exit_status_with("-1", -1), 1);
--- a/tests/return_test.cpp
+++ b/tests/return_test.cpp
@@ -1,5 +1,6 @@
-// Several processes that are stopped together and continued: what each of them sends before and
-// after it has resynchronized with discovery, as the backends and discovery see it.
+// Tests several processes that are stopped and continued together: the requests and watches that
+// they send before and after they have resynchronized with discovery, as seen by the backends and
+// by discovery.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -13,12 +14,13 @@
 
 constexpr std::size_t kProcesses = 3;
 constexpr std::size_t kClientsPerProcess = 4;
-// Beyond the drain grace of 2 s, and less than a watch may be silent for (2.5 s).
+// Exceeds the drain grace (2 s), but not the time after which a silent watch is ended (2.5 s).
 constexpr std::chrono::microseconds kPauseBeyondTheDrainGrace = 2'200ms;
+// Exceeds the time (2.5 s) after which a silent watch is ended.
 constexpr std::chrono::microseconds kPauseBeyondTheWatchSilence = 3'200ms;
 
-// Processes in front of the same two backends, each with a discovery of its own and with clients
-// that keep their connections.
+// Processes in front of the same two backends. Each has its own discovery server and clients with
+// persistent connections.
 class PausedProcesses : public testing::Test {
  protected:
   PausedProcesses() {
@@ -30,7 +32,7 @@
         clients_.push_back(proxies_.back()->client());
       }
     }
-    // A client that has sent a request counts as active.
+    // A client counts as active after its first request.
     for (TestConnection& client : clients_) {
       client.send("GET /health/ready HTTP/1.1\r\nHost: t\r\n\r\n");
       expect_status(client, 200);
@@ -49,7 +51,7 @@
     }
   }
 
-  // Answers that many requests, each on a new connection.
+  // Answers `requests` requests, each on a new connection.
   static void serve(const FakeListener& backend, std::size_t requests) {
     for (std::size_t i = 0; i < requests; ++i) {
       TestConnection connection = backend.accept();
@@ -74,8 +76,9 @@
   std::vector<TestConnection> clients_;
 };
 
-// Requests and the update that drains a backend both wait when the processes continue, the requests
-// first. None may go to the draining backend: the update was sent more than its grace ago.
+// When the processes continue, both requests and the update that drains a backend are waiting, and
+// the requests arrived first. No request may go to the draining backend, because its drain grace
+// has expired since the update was sent.
 TEST_F(PausedProcesses, ReadUpdatesBeforeTheySendRequests) {
   signal_all(SIGSTOP);
   send_requests("a");
@@ -90,8 +93,9 @@
   EXPECT_FALSE(first_.pending(0ms));
 }
 
-// Each process asks for the complete list once.
-TEST_F(PausedProcesses, AskForTheCompleteListAfterALongPause) {
+// Each process must request the complete endpoint list exactly once after a pause that exceeds the
+// watch timeout.
+TEST_F(PausedProcesses, RequestTheCompleteListAfterALongPause) {
   signal_all(SIGSTOP);
   ::usleep(kPauseBeyondTheWatchSilence.count());
   signal_all(SIGCONT);
@@ -112,8 +116,9 @@
   EXPECT_FALSE(first_.pending(0ms));
 }
 
-// They use the list that they hold once the resync deadline has passed.
-TEST_F(PausedProcesses, GoOnWithoutDiscovery) {
+// Without an answer from discovery, the processes must use the endpoint list that they hold once
+// the resync deadline has passed.
+TEST_F(PausedProcesses, ContinueWithoutDiscovery) {
   signal_all(SIGSTOP);
   send_requests("a");
   ::usleep(kPauseBeyondTheWatchSilence.count());
--- a/tests/shared_state_test.cpp
+++ b/tests/shared_state_test.cpp
@@ -1,4 +1,4 @@
-// The state that processes share over a hot restart, and its directory.
+// Tests the state that processes share during a hot restart, and the directory that stores it.
 #include "hot_restart/shared_state.h"
 
 #include <fcntl.h>
@@ -43,7 +43,7 @@
   EXPECT_EQ(decode(encode(sample())), sample());
 }
 
-TEST(SharedState, IsRejectedWhenCutAnywhere) {
+TEST(SharedState, IsRejectedWhenTruncatedAnywhere) {
   const std::string text = encode(sample());
   for (std::size_t size = 0; size < text.size(); ++size) {
     EXPECT_FALSE(decode(text.substr(0, size))) << "cut to " << size << " bytes";
@@ -83,14 +83,14 @@
   EXPECT_TRUE(first.state().excluded_backends.contains("s-1"));
 }
 
-TEST_F(SharedStateDirectoryTest, TellsSuccessorsFromPredecessors) {
+TEST_F(SharedStateDirectoryTest, DistinguishesSuccessorsFromPredecessors) {
   SharedStateDirectory first(folder_.path, "t");
   EXPECT_EQ(first.process_group_status().alive, 0);
   {
     SharedStateDirectory second(folder_.path, "t");
     first.refresh();
     first.publish(true, 3);
-    EXPECT_FALSE(first.process_group_status().successor);  // not ready yet
+    EXPECT_FALSE(first.process_group_status().successor);  // the second process is not ready yet
     second.publish(true, 4);
     EXPECT_TRUE(first.process_group_status().successor);
     EXPECT_FALSE(first.process_group_status().predecessor);
@@ -120,7 +120,7 @@
   EXPECT_TRUE(std::filesystem::exists(file(".state.faulty")));
 }
 
-TEST_F(SharedStateDirectoryTest, ThrowsWhereTheDirectoryIsMissing) {
+TEST_F(SharedStateDirectoryTest, ThrowsIfTheDirectoryIsMissing) {
   EXPECT_THROW(SharedStateDirectory(folder_.path + "/missing", "t"), std::system_error);
 }
 
--- a/tests/snapshot_process_test.cpp
+++ b/tests/snapshot_process_test.cpp
@@ -1,5 +1,4 @@
-// Snapshots of real processes that are killed: what the next process of the same name does with
-// them.
+// Tests how a process uses the snapshot of a killed process of the same name, with real processes.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,7 +13,7 @@
 
 using snapshot::Snapshot;
 
-// Processes of one name, one after another, in front of a slow and a fast backend.
+// Runs consecutive processes of one name in front of a slow and a fast backend.
 class SnapshotProcessTest : public testing::Test {
  protected:
   ~SnapshotProcessTest() override { ::unsetenv("BEECHHILL_OPERATOR"); }
@@ -25,9 +24,10 @@
     ::setenv("BEECHHILL_OPERATOR", path.c_str(), 1);
   }
 
-  // Runs a process for 16 requests, one after another, and kills it. With `load_reports` the
-  // backends report their load, and the process ends once a snapshot of both is written; without,
-  // it knows only what it started with. Returns the number of requests to the slow backend.
+  // Starts a process, sends 16 requests one after another, and kills the process. If `load_reports`
+  // is true, the backends report their load, and the kill waits for a snapshot of both backends.
+  // Otherwise the process only has the statistics that it started with. Returns the number of
+  // requests to the slow backend.
   int requests_to_slow_backend(bool load_reports) {
     constexpr int kRequests = 16;
     const ProxyUnderTest proxy(hosts());
@@ -76,7 +76,7 @@
 
   std::string file() const { return folder_.file("beechhill-t.snapshot"); }
 
-  // The snapshot on disk; an empty one where there is none.
+  // Returns the snapshot on disk, or an empty one if there is none.
   Snapshot stored() const { return snapshot::decode(read_file(file())).value_or(Snapshot{}); }
 
   const TemporaryDirectory folder_;
@@ -84,9 +84,10 @@
   FakeListener fast_;
 };
 
-// A snapshot spares the slow backend from the first request on, several times in a row. A torn one
-// is set aside, and has no more effect than a lost one.
-TEST_F(SnapshotProcessTest, AKilledProcessLeavesItsStatisticsToTheNext) {
+// With a snapshot, a process avoids the slow backend from its first request. A torn snapshot must
+// be set aside and must have no more effect than a missing one. The counts are added up over three
+// rounds.
+TEST_F(SnapshotProcessTest, StatisticsSurviveAKill) {
   constexpr int kRounds = 3;
   configure_snapshots(folder_.path);
   int lost = 0;
@@ -108,8 +109,9 @@
   EXPECT_LT(3 * restored, 2 * torn);
 }
 
-// Even where everything else in the snapshot is too old; one call includes the backend again.
-TEST_F(SnapshotProcessTest, AnExclusionOutlastsAKill) {
+// An exclusion must be restored even if the rest of the snapshot is too old, and one call must
+// include the backend again.
+TEST_F(SnapshotProcessTest, ExclusionsSurviveAKill) {
   configure_snapshots(folder_.path);
   {
     const ProxyUnderTest proxy(hosts());
--- a/tests/snapshot_store_test.cpp
+++ b/tests/snapshot_store_test.cpp
@@ -1,4 +1,4 @@
-// Snapshots on disk: one file for each process name, and a writer that never blocks its caller.
+// Tests snapshots on disk: one file per process name, and a writer that does not block its caller.
 #include "snapshot/snapshot_store.h"
 
 #include <gtest/gtest.h>
@@ -22,17 +22,17 @@
   const TemporaryDirectory folder_;
 };
 
-TEST_F(SnapshotStoreTest, LocksOutASecondProcessOfTheSameName) {
+TEST_F(SnapshotStoreTest, RejectsASecondProcessOfTheSameName) {
   SnapshotStore store(folder_.path, "t", "f");
   EXPECT_FALSE(store.load(1000ms));
   EXPECT_THROW(SnapshotStore(folder_.path, "t", "f"), std::runtime_error);
 }
 
-TEST_F(SnapshotStoreTest, ThrowsWhereTheDirectoryIsMissing) {
+TEST_F(SnapshotStoreTest, ThrowsIfTheDirectoryIsMissing) {
   EXPECT_THROW(SnapshotStore(folder_.path + "/missing", "t", "f"), std::runtime_error);
 }
 
-TEST_F(SnapshotStoreTest, WritesWhatIsPendingWhenItEnds) {
+TEST_F(SnapshotStoreTest, DestructorWritesThePendingSnapshot) {
   {
     SnapshotStore store(folder_.path, "t", "f");
     store.save_async({{"s-1", 0ms, 900ms, {10, 0.5, 0, 0}}}, {"s-7"}, 1000ms);
@@ -71,7 +71,7 @@
   }
 }
 
-// A disk that hangs until it is released, and then is full.
+// A disk whose writes hang until they are released and then fail because the disk is full.
 struct HangingDisk {
   void wait_for_write(int number) const {
     const auto deadline = Clock::now() + kTestTimeout;
@@ -86,7 +86,7 @@
 };
 
 TEST_F(SnapshotStoreTest, NeverBlocksOnADiskThatHangs) {
-  // SharedListener: the store's thread may outlive the store.
+  // Ownership is shared because the writer thread may outlive the store.
   const auto disk = std::make_shared<HangingDisk>();
   {
     SnapshotStore store(folder_.path, "t", "f", [disk](const std::string&, const std::string&) {
@@ -97,11 +97,11 @@
     store.save_async({}, {}, 1ms);
     disk->wait_for_write(1);
     for (int i = 0; i < 1000; ++i) {
-      store.save_async({}, {}, 2ms);  // would hang here if it waited for the disk
+      store.save_async({}, {}, 2ms);  // this loop would block if save_async() waited for the disk
     }
     EXPECT_EQ(disk->writes, 1);
     disk->released.release();
-    disk->wait_for_write(2);  // only the newest of those that were pending
+    disk->wait_for_write(2);  // the second write is of the latest pending snapshot only
   }
   EXPECT_EQ(disk->writes, 2);
   disk->released.release(4);
--- a/tests/snapshot_test.cpp
+++ b/tests/snapshot_test.cpp
@@ -1,4 +1,4 @@
-// The snapshot format, and how much of an old snapshot still counts.
+// Tests the snapshot format and the rules for using an old snapshot.
 #include "snapshot/snapshot.h"
 
 #include <gtest/gtest.h>
@@ -60,13 +60,13 @@
   EXPECT_EQ(rejection("t", "z/1/ver", written_at_), RejectionReason::kOtherSettings);
 }
 
-TEST_F(SnapshotRejection, RejectsOtherTimes) {
+TEST_F(SnapshotRejection, RejectsFutureAndOldSnapshots) {
   EXPECT_EQ(rejection("t", "z/0/ver", written_at_ - 1min), RejectionReason::kFromTheFuture);
   EXPECT_EQ(rejection("t", "z/0/ver", written_at_ + 1h), RejectionReason::kTooOld);
 }
 
-// docs/operators/coming-back.md names them.
-TEST_F(SnapshotRejection, HasTheNamesThatOperatorsSee) {
+// docs/operators/coming-back.md documents these names, so they must not change.
+TEST_F(SnapshotRejection, ReasonsHaveTheDocumentedNames) {
   EXPECT_STREQ(name(RejectionReason::kDamaged), "not_whole");
   EXPECT_STREQ(name(RejectionReason::kOtherProcess), "another_process");
   EXPECT_STREQ(name(RejectionReason::kOtherSettings), "other_settings");
@@ -89,22 +89,23 @@
   EXPECT_FALSE(discounted(kStats, 10min, false));
 }
 
-TEST(DiscountedStats, AreVoidForARestartedBackend) {
+TEST(DiscountedStats, AreDiscardedForARestartedBackend) {
   EXPECT_FALSE(discounted(kStats, 0s, true));
 }
 
-TEST(DiscountedStats, AreVoidBeyondTheBalancersLimits) {
+TEST(DiscountedStats, AreDiscardedBeyondTheBalancersLimits) {
   EXPECT_FALSE(discounted({1e9, 2, 0, 0}, 0s, false));
   EXPECT_FALSE(discounted({40, 2, 300, 3}, 0s, false));
 }
 
-// Also runs the fuzz target's own check: what is read can be written and read again.
+// Returns whether decode() accepts `text`. Also runs the fuzz target, which aborts if an accepted
+// snapshot does not survive being encoded and decoded again.
 bool is_accepted(const std::string& text) {
   LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t*>(text.data()), text.size());
   return decode(text).has_value();
 }
 
-TEST(DamagedSnapshot, IsRejectedWhenCutAnywhere) {
+TEST(DamagedSnapshot, IsRejectedWhenTruncatedAnywhere) {
   const std::string good = encode(sample());
   ASSERT_TRUE(is_accepted(good));
   for (std::size_t size = 0; size < good.size(); ++size) {
@@ -112,7 +113,7 @@
   }
 }
 
-// Flips one bit, or inserts a copy of another part.
+// Flips one random bit of `text` or inserts a copy of a random part.
 void damage(std::string& text, std::mt19937& random) {
   const std::size_t position = random() % text.size();
   if (random() % 3 == 0) {
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -1,4 +1,4 @@
-// Files in which a process keeps state.
+// Tests the operations on files in which a process stores its state.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 
@@ -20,7 +20,7 @@
 };
 
 TEST_F(StorageFile, IsReadAsItWasWritten) {
-  // More than is read at once, and with a zero byte.
+  // Longer than one read chunk, and contains a zero byte.
   const std::string text = std::string(100'000, 'x') + '\0' + "end";
   for (const Durability durability : {Durability::kProcessCrash, Durability::kMachineCrash}) {
     ASSERT_FALSE(replace_file(path(), text, durability));
@@ -31,23 +31,23 @@
   EXPECT_FALSE(std::filesystem::exists(path() + ".new"));
 }
 
-TEST_F(StorageFile, IsReadUpToTheBound) {
+TEST_F(StorageFile, IsReadUpToTheSizeLimit) {
   ASSERT_FALSE(replace_file(path(), std::string(100'000, 'x'), Durability::kProcessCrash));
   EXPECT_EQ(read_file(path(), 99'999), std::string(99'999, 'x'));
   EXPECT_EQ(read_file(path(), 0), "");
 }
 
-TEST_F(StorageFile, IsNotReadWhereThereIsNone) {
+TEST_F(StorageFile, ReadReturnsNothingForAMissingFile) {
   EXPECT_EQ(read_file(path(), 10), std::nullopt);
 }
 
-TEST_F(StorageFile, BelongsToItsOwnerAlone) {
+TEST_F(StorageFile, IsAccessibleOnlyToItsOwner) {
   ASSERT_FALSE(replace_file(path(), "text", Durability::kProcessCrash));
   using std::filesystem::perms;
   EXPECT_EQ(std::filesystem::status(path()).permissions(), perms::owner_read | perms::owner_write);
 }
 
-TEST_F(StorageFile, KeepsItsContentWhereItCannotBeReplaced) {
+TEST_F(StorageFile, KeepsItsContentIfItCannotBeReplaced) {
   ASSERT_FALSE(replace_file(path(), "old", Durability::kMachineCrash));
   std::filesystem::create_directory(path() + ".new");
   EXPECT_EQ(replace_file(path(), "new", Durability::kMachineCrash),
@@ -60,7 +60,7 @@
             std::make_error_code(std::errc::no_such_file_or_directory));
 }
 
-TEST_F(StorageFile, IsLockedByOneDescriptorUntilThatIsClosed) {
+TEST_F(StorageFile, IsLockedUntilTheDescriptorIsClosed) {
   const net::FileDescriptor second = open_file(path(), O_RDWR | O_CREAT);
   {
     const net::FileDescriptor first = open_file(path(), O_RDWR | O_CREAT);
--- a/tests/stored_format_test.cpp
+++ b/tests/stored_format_test.cpp
@@ -1,6 +1,6 @@
-// Files that processes leave for one another must stay readable across versions. The files in
-// tests/data/ were written by the version before the source tree was reorganized: each is read and
-// compared field by field, and the same content must be written as the same bytes.
+// Tests that files that processes leave for one another stay readable across versions. The files in
+// tests/data/ were written by an earlier version. Each is decoded and compared field by field,
+// and encoding the same content must produce the same bytes.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <sys/file.h>
@@ -100,7 +100,7 @@
   {
     SnapshotStore store(folder.path, "site/t", "z/0/ver");
     store.save_async({{"s-1", 5ms, 999'000ms, {12.25, 0.5, 3, 2}}}, {"s-9"}, 1'000'000ms);
-  }  // its destructor waits for the write
+  }  // the destructor waits for the write
   EXPECT_EQ(read_file(folder.file("beechhill-site_t.snapshot")),
             read_file(kSnapshotData + "beechhill-site_t.snapshot"));
 }
