--- a/src/cluster/disk_raft_storage.cpp
+++ b/src/cluster/disk_raft_storage.cpp
@@ -22,8 +22,7 @@
 namespace beechhill::maintenance {
 namespace {
 
-// Time limit for pending writes at the end of the process, so that a hanging disk does not block
-// it.
+// Limits the wait for pending writes at the end of the process, in case the disk hangs.
 constexpr std::chrono::milliseconds kStopTimeout{500};
 
 std::string file_path(const std::string& directory, const std::string& name) {
--- a/src/cluster/gossip_actor.cpp
+++ b/src/cluster/gossip_actor.cpp
@@ -19,8 +19,8 @@
 constexpr std::size_t kInboxCapacity = 1'024;
 // Limit on the datagrams received per turn, so that other actors on the thread get to run.
 constexpr int kDatagramsPerTurn = 64;
-// Gap between two turns that counts as a pause. A process that misses two probes in a row may have
-// been declared suspect.
+// Gap between two turns, in probe intervals, above which the process counts as paused. A process
+// that misses two probes in a row may have been declared suspect.
 constexpr int kResumeGapIntervals = 2;
 
 // Returns random bits from the operating system instead of the configured seed: session nonces must
--- a/src/cluster/maintenance_actor.cpp
+++ b/src/cluster/maintenance_actor.cpp
@@ -20,7 +20,7 @@
 // Poll interval while records are not durable yet.
 constexpr Duration kDiskPollInterval{5'000};
 constexpr Duration kMinWait{1'000};
-// Makes the random numbers of Raft differ from others that are seeded with the boot id.
+// Derives a seed for Raft that differs from the boot id, which seeds other generators.
 constexpr std::uint64_t kRaftSeedMask = 0x9e3779b97f4a7c15ULL;
 
 constexpr int kOk = 200;
--- a/src/membership/swim_node.cpp
+++ b/src/membership/swim_node.cpp
@@ -236,8 +236,9 @@
 
 // ---- Sent messages
 
-// Fills in the digest and the updates. If the destination is not known to be alive, its own state
-// comes first, so that it can refute that. The sender's state and the queued updates follow.
+// Fills in the digest and the updates. If the destination is in the table but not alive, its state
+// comes first, so that the destination can refute it. The state of the sender and the queued
+// updates follow.
 void SwimNode::piggyback(Message& message, const std::string& to) {
   message.digest = digest();
   const Member* destination = table_.find(to);
--- a/src/membership/swim_node.h
+++ b/src/membership/swim_node.h
@@ -132,7 +132,7 @@
   /// An ack of a ping with this or a higher sequence number establishes contact.
   std::uint64_t contact_sequence_number_ = 0;
   std::uint64_t times_declared_dead_ = 0;
-  /// A death is counted only if its incarnation is at least this one, so that each is counted once.
+  /// Only deaths with this or a higher incarnation are counted, so that each is counted once.
   std::uint32_t uncounted_death_incarnation_ = 0;
 
   MemberTable table_;
--- a/tests/raft_format_test.cpp
+++ b/tests/raft_format_test.cpp
@@ -288,7 +288,8 @@
   EXPECT_EQ(workflow.confirmed_proxies, std::set<std::string>{"p-3"});
 }
 
-// A Raft node that starts with such a storage must restore its term, voters and snapshot.
+// A Raft node that starts with the storage of an earlier version must restore its term, voters and
+// snapshot.
 TEST(RaftFormat, RestartsFromAStorageOfThePreviousVersion) {
   const TemporaryDirectory directory;
   std::filesystem::copy(kData + "/beechhill-voter-b.agreement", directory.path);
