--- a/include/beechhill/actions.h
+++ b/include/beechhill/actions.h
@@ -1,4 +1,4 @@
-// What a balancer asks its embedder to do.
+// Actions that a Balancer asks its embedder to carry out.
 #pragma once
 
 #include <cstdint>
@@ -8,42 +8,44 @@
 
 namespace beechhill {
 
-/// Send the request. The attempt lasts until its Outcome; it has no timeout short of the client's.
+/// Send the request to the endpoint. The attempt lasts until its Outcome; its only timeout is the
+/// request's deadline.
 struct StartAttempt {
   RequestId id = 0;
   EndpointId endpoint = 0;
 };
 
-/// Give up an attempt. Its Outcome still comes.
+/// Cancel an attempt. The embedder still reports its Outcome.
 struct Cancel {
   RequestId id = 0;
   std::uint32_t attempt = 0;
 };
 
-/// Final: the client may safely retry, after `retry_after`; 0 where none is advised.
+/// Reject the request: the client may safely retry it after `retry_after`, which is 0 if no delay
+/// is advised. The answer is final.
 struct Reject {
   RequestId id = 0;
   Duration retry_after{0};
 };
 
-/// Final: the request may have taken effect, and repeating it is not safe.
+/// Fail the request: it may have taken effect, and repeating it is not safe. The answer is final.
 struct Fail {
   RequestId id = 0;
 };
 
-/// Ask an endpoint for a load report. A HealthCheckResult follows.
+/// Ask an endpoint for a load report. The embedder reports a HealthCheckResult.
 struct HealthCheck {
   EndpointId endpoint = 0;
 };
 
-/// Send a Timer event with this token at `at`, or as soon after as the time step allows. A timer is
-/// not cancelled: one more with the same token may follow.
+/// Send a Timer event with this token at `at`, or as soon after it as the time step allows. Timers
+/// cannot be cancelled, and several with the same token may be pending.
 struct SetTimer {
   TimerToken token = 0;
   Time at{0};
 };
 
-/// Subscribe to discovery. An EndpointUpdate follows.
+/// Subscribe to discovery. The embedder reports an EndpointUpdate.
 struct WatchEndpoints {};
 
 using Action =
--- a/include/beechhill/balancer.h
+++ b/include/beechhill/balancer.h
@@ -1,7 +1,7 @@
-// The decision module: which endpoint gets a request, whether it is sent again, what is rejected.
+// The decision module: selects endpoints, and decides on retries and rejections.
 //
-// It does no I/O and reads no clock: events go in, actions come out. This header includes the whole
-// interface.
+// The module performs no I/O and reads no clock: it receives events and returns actions. This
+// header includes its whole public interface.
 #pragma once
 
 #include <cstddef>
@@ -15,32 +15,33 @@
 
 namespace beechhill {
 
-/// One load balancer. Equal settings and events give equal actions.
+/// One load balancer. It is deterministic: equal settings and events give equal actions.
 ///
-/// Not thread-safe: all calls come from one thread at a time. Times must not decrease from call to
-/// call. Owns all that it keeps; refers to no argument after a call.
+/// Not thread-safe: the caller must serialize all calls. Times must not decrease from call to call.
+/// The balancer owns its data and keeps no reference to an argument after a call returns.
 class Balancer {
  public:
-  /// Starts at `now` and appends the first actions. Throws what validate() throws.
+  /// Starts at `now` and appends the first actions. Throws std::invalid_argument as validate()
+  /// does.
   Balancer(Time now, Settings settings, std::vector<Action>& actions);
   ~Balancer();
 
-  /// Takes one event that happened at `now` and appends the actions to carry out, in order. Events
-  /// of requests or attempts that are over are ignored. O(endpoints) for up to 64 endpoints;
-  /// beyond, a request is O(1) but for a survey of all in a tenth as many requests as there are
-  /// endpoints.
+  /// Handles one event that happened at `now` and appends the actions to carry out, in order.
+  /// Ignores events of requests or attempts that have ended. O(endpoints) with up to 64 endpoints
+  /// that are up. With more, a request is O(1), apart from a pass over all endpoints once in
+  /// (endpoints / 10) requests.
   void handle(Time now, const Event& event, std::vector<Action>& actions);
 
   struct EndpointCounts {
     std::size_t listed = 0;
-    /// Of those listed, how many get nothing new at the moment, whatever the load.
+    /// Listed endpoints that currently receive no new requests, regardless of load.
     std::size_t avoided = 0;
   };
   /// O(endpoints).
   EndpointCounts endpoint_counts(Time now) const;
 
-  /// What is known of an endpoint's incarnation, to pass on as RestoredStats. Empty for an id that
-  /// was never named. O(1).
+  /// Statistics of the endpoint's current incarnation, to pass on as RestoredStats. Empty for an id
+  /// that no event has named. O(1).
   EndpointStats endpoint_stats(EndpointId id) const;
 
  private:
--- a/include/beechhill/events.h
+++ b/include/beechhill/events.h
@@ -1,4 +1,4 @@
-// What an embedder tells a balancer.
+// Events that an embedder passes to a Balancer.
 #pragma once
 
 #include <cstdint>
@@ -10,33 +10,33 @@
 
 namespace beechhill {
 
-/// What an endpoint reported of itself; any part may be absent. Not checked by the embedder: values
-/// that make no sense are ignored.
+/// A load report of an endpoint. Each field may be absent. The embedder need not check the values:
+/// the balancer ignores reports with invalid ones.
 struct LoadReport {
-  /// Part of its capacity in use, 1 when full.
+  /// Fraction of the endpoint's capacity that is in use; 1 when it is full.
   std::optional<double> utilization;
   std::optional<double> requests_per_s;
 };
 
 enum class EndpointStatus { kUp, kDraining, kRemoved };
 
-/// An entry of the endpoint list.
+/// An entry of the endpoint list that discovery provides.
 struct Endpoint {
   EndpointId id = 0;
   EndpointStatus status = EndpointStatus::kUp;
   std::uint32_t zone = 0;
   std::uint32_t cell = 0;
-  /// Absent: long ago. Another time than before means that it was restarted.
+  /// When the endpoint started; absent if it started long ago. A changed value means a restart.
   std::optional<Time> started_at;
-  /// Endpoints of one type have about the same capacity. Dense from 0.
+  /// Index of the instance type, dense from 0. Endpoints of one type have similar capacity.
   std::uint32_t instance_type = 0;
 };
 
 enum class UpdateKind {
-  kDelta,     // the endpoints that have changed
-  kSnapshot,  // all endpoints: those not named are removed
-  kCached,    // as a snapshot, from before this process started
-  kFailed,    // discovery did not answer; names none
+  kDelta,     // names the endpoints that have changed
+  kSnapshot,  // names all endpoints; any others are removed
+  kCached,    // a snapshot from before this process started
+  kFailed,    // discovery did not answer; names no endpoint
 };
 
 struct EndpointUpdate {
@@ -44,56 +44,60 @@
   std::vector<Endpoint> endpoints;
 };
 
-/// A request has come. It is answered by one final outcome, Reject or Fail, unless its client
-/// disconnects before.
+/// A request has arrived. It is answered by a final Outcome, a Reject or a Fail, unless its client
+/// disconnects first.
 struct Request {
   RequestId id = 0;
   ClassId class_id = 0;
   TenantId tenant = kNoTenant;
-  /// When the client gives up.
+  /// When the client stops waiting.
   Time deadline{0};
-  /// How much work the client announced.
+  /// The amount of work that the client announced, as a duration.
   std::optional<Duration> work_hint;
-  /// Its body is still coming: how long it takes tells nothing of its endpoint.
+  /// Whether the request body is still being received. The latency of such a request depends on its
+  /// client, so it is not counted for the endpoint.
   bool streams_body = false;
 };
 
-/// The first byte of an answer has gone to the client.
+/// The first byte of a response has been sent to the client.
 struct FirstByte {
   RequestId id = 0;
-  /// From 0, in the order of the StartAttempt actions.
+  /// Index of the attempt, from 0, in the order of the request's StartAttempt actions.
   std::uint32_t attempt = 0;
 };
 
 enum class Result {
   kOk,
-  kError,          // an answer that says it failed
-  kOverloaded,     // refused by the endpoint: it took no effect
-  kTimeout,        // no answer before the deadline
-  kConnectFailed,  // never sent
+  kError,          // the endpoint answered with an error
+  kOverloaded,     // rejected by the endpoint without taking effect
+  kTimeout,        // no response before the deadline
+  kConnectFailed,  // not sent: no connection could be established
   kReset,          // the connection broke
   kCancelled,
-  kSkipped,  // never sent, for a reason that is not the endpoint's
+  kSkipped,  // not sent, for a reason unrelated to the endpoint
 };
 
-/// The end of an attempt. Each attempt has one, at the request's deadline at the latest.
+/// The end of an attempt. Each attempt has exactly one Outcome, at the request's deadline at the
+/// latest.
 struct Outcome {
   RequestId id = 0;
   std::uint32_t attempt = 0;
   Result result = Result::kOk;
-  /// The client has its answer: nothing may follow.
+  /// Whether the client has its answer, so that no further attempt may start.
   bool is_final = false;
   LoadReport report;
-  /// The body has gone out in part and is not kept: the request cannot be sent again.
+  /// Whether part of the request body was sent and not kept, so that the request cannot be sent
+  /// again.
   bool body_consumed = false;
 };
 
-/// The client of a request has left before its answer. Attempts in flight still get an Outcome.
+/// The client disconnected before its request was answered. Attempts in flight still get an
+/// Outcome.
 struct ClientDisconnected {
   RequestId id = 0;
 };
 
-/// The answer to a HealthCheck action.
+/// The result of a HealthCheck action.
 struct HealthCheckResult {
   EndpointId endpoint = 0;
   Result result = Result::kOk;
@@ -105,20 +109,21 @@
   TimerToken token = 0;
 };
 
-/// What reports and answers showed of one incarnation of an endpoint; decays. The sums have no unit
-/// of their own: their ratios count, and how much stands behind them.
+/// Decaying sums of the load reports and latencies of one incarnation of an endpoint. The sums have
+/// no unit: the ratio of two sums is an estimate, and its denominator the weight of the evidence.
 struct EndpointStats {
-  /// Reported requests a second, and reported utilization.
+  /// Sums of the reported requests per second and of the reported utilization.
   double weighted_rates = 0;
   double weighted_utilizations = 0;
-  /// Latencies over what the class usually takes, and the weight of the answers behind them.
+  /// Sum of latencies, each divided by the average of its class, and the weight of the responses in
+  /// it.
   double weighted_latency_ratios = 0;
   double response_weight = 0;
 
-  /// Adds one answer; what stands there loses the part `fading`, in [0, 1].
-  void add_latency_ratio(double ratio, double fading) {
-    weighted_latency_ratios += ratio - fading * weighted_latency_ratios;
-    response_weight += 1 - fading * response_weight;
+  /// Adds one response, after the fraction `decay`, in [0, 1], is taken off the latency sums.
+  void add_latency_ratio(double ratio, double decay) {
+    weighted_latency_ratios += ratio - decay * weighted_latency_ratios;
+    response_weight += 1 - decay * response_weight;
   }
   EndpointStats& operator+=(const EndpointStats& other) {
     weighted_rates += other.weighted_rates;
@@ -129,21 +134,22 @@
   }
 };
 
-/// What an earlier process knew of an endpoint in the incarnation that the list names, as far as it
-/// still counts. Not checked: whoever reads it from a disk bounds it.
+/// Statistics that an earlier process collected for the listed incarnation of an endpoint, decayed
+/// to the present. The balancer does not check them: the embedder bounds values read from a disk.
 struct RestoredStats {
   EndpointId endpoint = 0;
   EndpointStats stats;
 };
 
-/// An operator excludes an endpoint from new requests, or readmits it, whatever the list says of
-/// it. May come before the list that first names it. A readmitted endpoint counts as just started.
+/// An operator excludes an endpoint from new requests, or readmits it, independently of discovery.
+/// May arrive before the first update that names the endpoint. A readmitted endpoint is treated as
+/// just started, unless discovery has reported a start since the exclusion.
 struct EndpointExclusion {
   EndpointId endpoint = 0;
   bool excluded = true;
 };
 
-/// The order of the alternatives is part of recorded traces.
+/// The order of the alternatives must not change: recorded traces contain their indices.
 using Event = std::variant<EndpointUpdate, Request, FirstByte, Outcome, ClientDisconnected,
                            HealthCheckResult, Timer, EndpointExclusion, RestoredStats>;
 
--- a/include/beechhill/settings.h
+++ b/include/beechhill/settings.h
@@ -8,98 +8,102 @@
 
 namespace beechhill {
 
-/// Whether a request that may have taken effect may be sent again.
+/// Whether, and where, a request that may have taken effect may be sent again.
 enum class Idempotency {
-  kIdempotent,      // anywhere, at any time
-  kIdempotencyKey,  // within the deduplication scope and window
+  kIdempotent,      // on any endpoint, at any time
+  kIdempotencyKey,  // within the deduplication scope and the deduplication window
   kNonIdempotent,   // never
 };
 
-/// The endpoints that discard repeats of a request with an idempotency key: all of them, or those
-/// in the zone, or in the zone and cell, of the endpoint that got it first.
+/// The endpoints that discard repeats of a request with an idempotency key: all endpoints, or those
+/// in the same zone, or in the same zone and cell, as the endpoint that received it first.
 enum class DeduplicationScope { kAll, kZone, kCell };
 
 struct ClassSettings {
   Idempotency idempotency = Idempotency::kNonIdempotent;
   DeduplicationScope deduplication_scope = DeduplicationScope::kAll;
-  /// How long repeats are discarded, from the start of the first attempt; 0 or more.
+  /// How long endpoints discard repeats, from the start of the first attempt; 0 or more.
   Duration deduplication_window{0};
-  /// What an answer should take at most; above 0.
+  /// Target for the longest response time; above 0.
   Duration latency_objective{0};
-  /// What clients of this class wait at most; latency_objective or more.
+  /// How long clients of this class wait at most; latency_objective or more.
   Duration deadline{0};
-  /// The objective grows by this multiple of Request::work_hint, up to the deadline; 0 or more.
+  /// The latency objective of a request grows by this multiple of Request::work_hint, up to the
+  /// deadline; 0 or more.
   double latency_objective_work_factor = 0;
-  /// What an answer past the objective is still worth, in [0, 1] of one in time.
+  /// Value of a response past the objective, relative to a timely one; in [0, 1].
   double late_priority_factor = 0;
-  /// Sets the priority level: requests of a higher weight go first; 0 or more.
+  /// Determines the priority level: requests of a higher weight are sent first; 0 or more.
   double priority_weight = 1;
-  /// Whether answers are streamed: such an answer is not cancelled once its first byte has come.
+  /// Whether responses are streamed. A streamed response is not cancelled after its first byte.
   bool streaming = false;
 };
 
 struct TenantSettings {
-  /// Part of the traffic that is the tenant's by agreement.
+  /// The tenant's agreed share of the traffic.
   double share = 0;
-  /// Requests a second, across all replicas together; 0: no quota.
+  /// Requests per second over all replicas together; 0 for no quota.
   double quota_per_s = 0;
 };
 
 /// Plain values, copied into the Balancer.
 struct Settings {
-  /// Of all random choices.
+  /// Seed of all random decisions.
   std::uint64_t seed = 0;
-  /// At least one.
+  /// The request classes; at least one.
   std::vector<ClassSettings> classes;
   std::vector<TenantSettings> tenants;
-  /// Factor of the priority weight of requests beyond their tenant's quota, in [0, 1].
+  /// Multiplies the priority weight of requests that exceed their tenant's quota; in [0, 1].
   double over_quota_priority_factor = 1;
-  /// The zone that this balancer stands in.
+  /// The zone of this balancer.
   std::uint32_t zone = 0;
-  /// The position in a chain of tiers, from 0, where clients are, to tier_count - 1.
+  /// Position in the chain of tiers, from 0 (nearest to the clients) to tier_count - 1.
   std::uint32_t tier = 0;
   std::uint32_t tier_count = 1;
-  /// Balancers that share the endpoints; at least 1.
+  /// Number of balancers that share the endpoints; at least 1.
   std::uint32_t replicas = 1;
   /// The resolution of the embedder's timers; above 0.
   Duration time_step{1000};
-  /// Whether the balancer has to ask for the endpoint list, by WatchEndpoints.
+  /// Whether the balancer must request the endpoint list with WatchEndpoints actions.
   bool discovery_polling_required = false;
-  /// Within which it asks, and asks again after failures.
+  /// Upper bound of the delay before the first request for the endpoint list, and before each
+  /// repeat after a failure.
   Duration discovery_poll_interval{0};
-  /// For the embedder: attempts at a draining endpoint may go on for so long.
+  /// How long the embedder lets attempts at a draining endpoint continue.
   Duration drain_grace{0};
-  /// An endpoint warms up for so long after its start; 0 or more.
+  /// Length of an endpoint's slow start; 0 or more.
   Duration slow_start_window{0};
-  /// The part of its capacity that it starts with, in (0, 1].
+  /// Fraction of its capacity that an endpoint has when it starts, in (0, 1].
   double slow_start_initial_weight = 1;
-  /// An endpoint in slow start collapses when it is sent more than this multiple of what it can do
-  /// for as long as overload_collapse_delay.
+  /// An endpoint in slow start collapses when it receives more than this multiple of the load that
+  /// it can serve for longer than overload_collapse_delay.
   double overload_collapse_ratio = 1;
   Duration overload_collapse_delay{0};
-  /// Whether endpoints report load in answers to health checks only, and whether such are allowed.
+  /// Whether endpoints report load only in responses to health checks, and whether health checks
+  /// are allowed.
   bool load_reports_require_health_checks = false;
   bool health_checks_allowed = false;
   /// Whether attempts may be cancelled.
   bool cancellation_allowed = false;
-  /// Whether two attempts of a request may be in flight at once. The module never does that.
+  /// Whether two attempts of a request may be in flight at once. The module never starts a second.
   bool hedging_allowed = false;
-  /// For each request, the first included; at least 1.
+  /// Maximum number of attempts per request, including the first; at least 1.
   std::uint32_t max_attempts = 1;
-  /// The longest Reject::retry_after that clients honour; 0: none is given.
+  /// The longest Reject::retry_after that clients honour; 0 if clients honour none.
   Duration max_retry_after{0};
-  /// For the embedder, too: an attempt whose connection is not up by then has failed.
+  /// An attempt fails if its connection is not established within this time. The embedder enforces
+  /// it.
   Duration connect_timeout{100'000};
-  /// For the embedder: endpoints close a connection that has been idle for so long.
+  /// How long a connection may be idle before endpoints close it. Used by the embedder only.
   Duration backend_idle_timeout{30'000'000};
-  /// Cost of a health check, in requests served; 0: free.
+  /// Cost of a health check, relative to the cost of serving a request; 0 if it is free.
   double health_check_cost = 0;
-  /// Cost of an attempt in another zone; 0: free. Only whether there is one counts.
+  /// Cost of an attempt in another zone; 0 if it is free. Only whether it is above 0 matters.
   double cross_zone_cost = 0;
 };
 
-/// Throws std::invalid_argument naming the setting, as the configuration file calls it, that is out
-/// of its bounds.
+/// Throws std::invalid_argument if a setting is out of bounds. The message names the setting by its
+/// key in the configuration file.
 void validate(const Settings& settings);
 
 }  // namespace beechhill
--- a/include/beechhill/types.h
+++ b/include/beechhill/types.h
@@ -1,4 +1,4 @@
-// Time and ids: the vocabulary that all other headers of the decision module rest on.
+// Time and identifier types of the decision module.
 #pragma once
 
 #include <chrono>
@@ -7,24 +7,25 @@
 
 namespace beechhill {
 
-/// A length of time, in whole microseconds.
+/// A duration in whole microseconds.
 using Duration = std::chrono::microseconds;
-/// A clock reading: the time since an arbitrary origin, the same for all calls of one Balancer.
+/// A clock reading in microseconds since an arbitrary origin, the same for all calls of one
+/// Balancer.
 using Time = std::chrono::microseconds;
 
-/// Chosen by the embedder, each once while its request is open.
+/// Chosen by the embedder; unique among open requests.
 using RequestId = std::uint64_t;
-/// Dense from 0: the module keeps a record for each id up to the highest. Ids are assigned again
-/// once nothing refers to them.
+/// Dense from 0, as the module keeps a record for each id up to the highest. The embedder may
+/// reassign an id once nothing refers to it.
 using EndpointId = std::uint32_t;
 /// Index into Settings::classes.
 using ClassId = std::uint32_t;
 /// Index into Settings::tenants.
 using TenantId = std::uint32_t;
-/// Chosen by the module; the embedder hands it back unchanged.
+/// Chosen by the module; the embedder returns it unchanged in a Timer event.
 using TimerToken = std::uint64_t;
 
-/// The tenant of a request that names none, or an unknown one.
+/// The tenant of a request that names no tenant or an unknown one.
 inline constexpr TenantId kNoTenant = std::numeric_limits<TenantId>::max();
 
 }  // namespace beechhill
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -1,5 +1,6 @@
-// Wires the decision module: events go to the policies (policy/) and the state that they rest on
-// (state/), and what the policies decide leaves as actions. docs/design.md says why.
+// Connects the parts of the decision module: passes events to the policies (policy/) and to the
+// state that they use (state/), and returns their decisions as actions. docs/design.md gives the
+// reasons for the design.
 #include "beechhill/balancer.h"
 
 #include <algorithm>
@@ -15,7 +16,8 @@
 
 enum TimerKind : TimerToken { kQueueTimer, kHealthCheckTimer, kDiscoveryTimer };
 
-// Queues are looked at once in this part of the shortest latency objective, at the least.
+// While requests wait, the queues are checked this many times within the shortest latency
+// objective, or once per time step if that is less often.
 constexpr int kQueueTimerDivisor = 40;
 
 Settings validated(Settings settings) {
@@ -63,7 +65,7 @@
   }
 
  private:
-  // ---- Time
+  // ---- Time and timers
 
   void advance(Time now) {
     const double elapsed_s = seconds(now - now_);
@@ -77,8 +79,8 @@
     actions_->push_back(SetTimer{kind, now_ + delay});
   }
 
-  // A request must not be sent, or answered, after its client has left: while some wait, the queues
-  // are looked at in time.
+  // Sets a timer to check the queues while requests wait, so that no request is sent or answered
+  // after its client has disconnected.
   void schedule_queue_timer() {
     const Duration interval = std::max(
         settings_.time_step, from_seconds(latencies_.shortest_objective_s() / kQueueTimerDivisor));
@@ -113,11 +115,11 @@
     RequestState state;
     state.request = request;
     admission_.classify(state, now_);
-    RequestState& kept = requests_[request.id] = std::move(state);
-    if (endpoints_.all_excluded() || !admission_.enqueue(kept, now_)) {
-      answer_without_success(kept);
+    RequestState& stored = requests_[request.id] = std::move(state);
+    if (endpoints_.all_excluded() || !admission_.enqueue(stored, now_)) {
+      answer_without_success(stored);
     }
-    forget_if_over(request.id);
+    erase_if_done(request.id);
   }
 
   void dispatch() {
@@ -126,13 +128,13 @@
       if (!endpoint) {
         return;
       }
-      queues_.take(*state);
+      queues_.dequeue(*state);
       start_attempt(*state, *endpoint);
     }
   }
 
-  // There is no timeout short of the client's: endpoints go on with abandoned work, which the limit
-  // would then not count.
+  // Sets no timeout short of the request's deadline: endpoints continue abandoned work, which the
+  // concurrency limit would then not count.
   void start_attempt(RequestState& state, EndpointId id) {
     EndpointRecord& record = endpoints_[id];
     selector_.record_attempt(record, state.request.class_id, random_.uniform(), now_);
@@ -168,7 +170,7 @@
       RequestState& state = requests_.at(id);
       queues_.withdraw(state);
       answer_without_success(state);
-      forget_if_over(id);
+      erase_if_done(id);
     }
   }
 
@@ -192,17 +194,17 @@
       state.maybe_ran_at = outcome.attempt;
     }
     if (outcome.is_final || state.answered || outcome.result == Result::kOk) {
-      finish(state);
+      mark_answered(state);
     } else {
-      follow_up(state, outcome);
+      retry_or_answer(state, outcome);
     }
-    queues_.settle(state);
-    forget_if_over(outcome.id);
+    queues_.release(state);
+    erase_if_done(outcome.id);
   }
 
   void end_attempt(RequestState& state, const Outcome& outcome) {
     const Attempt& attempt = state.attempts.back();
-    // How long a streamed body takes is its client's doing.
+    // The time that a streamed body takes depends on the client, so the class's average is used.
     const double latency_s = state.request.streams_body
                                  ? latencies_.average_s(state.request.class_id)
                                  : seconds(now_ - attempt.started_at);
@@ -212,16 +214,17 @@
     state.in_flight = false;
     state.silent = false;
     EndpointRecord& record = endpoints_[attempt.endpoint];
-    // What a former incarnation did tells nothing of this one.
+    // Outcomes of a former incarnation do not describe the current one.
     if (attempt.incarnation == record.incarnation) {
       --record.in_flight;
       record.waiting_since = now_;
       statistics_.record_report(record, outcome.report, now_);
-      learn(record, state, outcome.result, latency_s);
+      update_estimates(record, state, outcome.result, latency_s);
     }
   }
 
-  void learn(EndpointRecord& record, const RequestState& state, Result result, double latency_s) {
+  void update_estimates(EndpointRecord& record, const RequestState& state, Result result,
+                        double latency_s) {
     const ClassId class_id = state.request.class_id;
     statistics_.record_outcome(record, class_id, result, latency_s, latencies_.average_s(class_id),
                                now_);
@@ -235,15 +238,15 @@
     }
   }
 
-  // Does what the retry policy decides after an attempt without success.
-  void follow_up(RequestState& state, const Outcome& outcome) {
+  // Acts on the retry policy's decision after an attempt without success.
+  void retry_or_answer(RequestState& state, const Outcome& outcome) {
     const RetryDecision decision = retries_.decide(state, outcome, now_);
     if (decision == RetryDecision::kRequeue) {
       return queues_.push_front(state);
     }
     if (decision == RetryDecision::kRetryNow && limit_.fits(state.width)) {
       if (const auto endpoint = selector_.select(state, now_)) {
-        retries_.take_budget();
+        retries_.spend_budget();
         queues_.keep_present(state);
         return start_attempt(state, *endpoint);
       }
@@ -255,18 +258,18 @@
 
   void answer_without_success(RequestState& state) {
     actions_->push_back(retries_.final_answer(state));
-    finish(state);
+    mark_answered(state);
   }
 
-  // The request has its answer: what is still in flight is cancelled where that is allowed.
-  void finish(RequestState& state) {
+  // Marks the request as answered and cancels its attempt in flight where that is allowed.
+  void mark_answered(RequestState& state) {
     state.answered = true;
     if (state.in_flight && settings_.cancellation_allowed && !state.streaming) {
       actions_->push_back(Cancel{state.request.id, state.last_attempt()});
     }
   }
 
-  void forget_if_over(RequestId id) {
+  void erase_if_done(RequestId id) {
     const auto found = requests_.find(id);
     if (found != requests_.end() && found->second.answered && !found->second.in_flight) {
       requests_.erase(found);
@@ -281,8 +284,8 @@
     if (found->second.queued) {
       queues_.withdraw(found->second);
     }
-    finish(found->second);
-    forget_if_over(disconnected.id);
+    mark_answered(found->second);
+    erase_if_done(disconnected.id);
   }
 
   // ---- Endpoints
@@ -295,7 +298,7 @@
       discovery_.record_success();
     }
     const bool is_delta = update.kind == UpdateKind::kDelta;
-    statistics_.note_changes(is_delta ? update.endpoints.size() : endpoints_.size() + 1);
+    statistics_.count_changes(is_delta ? update.endpoints.size() : endpoints_.size() + 1);
     for (const Endpoint& entry : update.endpoints) {
       statistics_.add_instance_type(entry.instance_type);
     }
@@ -319,7 +322,7 @@
 
   const Settings settings_;
   Time now_;
-  std::vector<Action>* actions_;  // of the event that is handled
+  std::vector<Action>* actions_;  // receives the actions of the event being handled
   Time queue_timer_at_{0};
 
   RandomSource random_{settings_.seed};
--- a/src/balancer/discovery_polling.h
+++ b/src/balancer/discovery_polling.h
@@ -1,4 +1,4 @@
-// When to subscribe to discovery, and to subscribe again where that failed.
+// Schedules subscriptions to discovery, and new ones after failures.
 #pragma once
 
 #include <algorithm>
@@ -8,8 +8,8 @@
 
 namespace beechhill {
 
-/// Replicas often start together, and all meet a discovery that is down: delays are jittered. The
-/// `random` values are in [0, 1).
+/// Adds jitter to all delays, as replicas often start together and see the same outage of
+/// discovery. Arguments called `random` are in [0, 1).
 class DiscoveryPolling {
  public:
   explicit DiscoveryPolling(const Settings& settings) : settings_(settings) {}
@@ -17,7 +17,7 @@
   Duration initial_delay(double random) const {
     return from_seconds(random * seconds(settings_.discovery_poll_interval) / kInitialDivisor);
   }
-
+  /// Returns a delay that grows with each consecutive failure and stays below the poll interval.
   /// Backs off, and stays within the poll interval.
   Duration delay_after_failure(double random) {
     failures_ = std::min(failures_ + 1, kMaxBackoffSteps);
@@ -28,8 +28,9 @@
   void record_success() { failures_ = 0; }
 
  private:
-  // Parts of the poll interval: the latest first subscription, and a step of the backoff.
+  // The poll interval over this is the longest delay before the first subscription.
   static constexpr double kInitialDivisor = 4;
+  // The poll interval over this is the step by which the backoff grows.
   static constexpr double kBackoffDivisor = 8;
   static constexpr int kMaxBackoffSteps = 3;
 
--- a/src/balancer/policy/admission.cpp
+++ b/src/balancer/policy/admission.cpp
@@ -9,22 +9,22 @@
 namespace beechhill {
 namespace {
 
-// Requests beyond are rejected; the queue deadline mostly acts first.
+// A request that finds this many in its queue is rejected. The queue deadline mostly acts first.
 constexpr std::size_t kMaxQueueLength = 64;
-// The longest wait at the first tier is this part of the objective, and the shortest at any this
-// one.
-constexpr int kPatienceDivisor = 2;
-constexpr int kMinPatienceDivisor = 10;
-// Of the client's own time, that a request waits at the first tier at most: less than half.
+// Divisors of the latency objective: for the longest wait at the first tier, and for the shortest
+// wait that any tier allows.
+constexpr int kMaxWaitDivisor = 2;
+constexpr int kMinWaitDivisor = 10;
+// Longest wait at the first tier, as a share of the time that the client waits; less than half.
 using MaxWaitShare = std::ratio<9, 20>;
-// Shares of the limit that levels get by weight, of twice as many: the rest stays unassured.
+// Sum of the assured shares, divided among levels by weight: half of the limit is assured.
 constexpr double kAssuredShares = 100;
-// Requests that a tenant may send ahead of its quota, at the least.
-constexpr double kQuotaReserve = 4;
+// Minimum number of requests that a tenant may send ahead of its quota.
+constexpr double kMinQuotaBurst = 4;
 
 }  // namespace
 
-// No class is exempt from the limit: any can be the overload.
+// No class is exempt from the limit, as any class can cause an overload.
 Admission::Admission(const Settings& settings, const LatencyTracker& latencies,
                      const ConcurrencyLimit& limit, FairQueues& queues, Time now)
     : settings_(settings),
@@ -50,14 +50,14 @@
          (over_quota ? settings_.over_quota_priority_factor : 1);
 }
 
-// Judged once, at the first tier. Chance must not mark honest traffic, hence the reserve.
+// Only the first tier checks quotas. The burst keeps chance from marking requests within a quota.
 bool Admission::over_quota(TenantId tenant, Time now) {
   if (settings_.tier != 0 || tenant >= quotas_.size() ||
       settings_.tenants[tenant].quota_per_s <= 0) {
     return false;
   }
   const double rate_per_s = settings_.tenants[tenant].quota_per_s / settings_.replicas;
-  quotas_[tenant].fill(now, rate_per_s, kQuotaReserve + 2 * rate_per_s);
+  quotas_[tenant].fill(now, rate_per_s, kMinQuotaBurst + 2 * rate_per_s);
   return !quotas_[tenant].take();
 }
 
@@ -72,20 +72,20 @@
   state.queue_deadline = queue_deadline(request, now);
 }
 
-// Queues only what can still be answered in time. At the first tier a short while does: a client
-// that is rejected early has time to retry. Below it a rejection wastes the work done above.
+// Queues only requests that can still be answered in time. At the first tier the wait is short, as
+// a client rejected early can retry; below it a rejection wastes the work done above.
 Time Admission::queue_deadline(const Request& request, Time now) const {
   const ClassSettings& settings = settings_.classes[request.class_id];
   const Duration objective = latency_objective(settings, request);
   const bool first_tier = settings_.tier == 0;
   const bool late_counts = !first_tier && settings.late_priority_factor > 0;
   const Time useful_until = late_counts ? request.deadline : now + objective;
-  const Duration patience = first_tier ? objective / kPatienceDivisor : settings.deadline;
-  const Time last_step = request.deadline - settings_.time_step;
+  const Duration max_wait = first_tier ? objective / kMaxWaitDivisor : settings.deadline;
+  const Time latest = request.deadline - settings_.time_step;
   const Duration slow = from_seconds(latencies_.slow_s(request.class_id));
-  Time deadline = std::min({now + patience, useful_until - slow, last_step});
-  deadline = std::max(deadline, std::min(now + objective / kMinPatienceDivisor, last_step));
-  // A client that is rejected unsent after half of its own time, often less than its class's, pays.
+  Time deadline = std::min({now + max_wait, useful_until - slow, latest});
+  deadline = std::max(deadline, std::min(now + objective / kMinWaitDivisor, latest));
+  // The client's own time is often less than its class's deadline, and it must be able to retry.
   return first_tier ? std::min(deadline, now + (request.deadline - now) * MaxWaitShare::num /
                                                    MaxWaitShare::den)
                     : deadline;
@@ -100,7 +100,7 @@
   return true;
 }
 
-// The highest level that is under its assured concurrency; without one, the highest that waits.
+// The highest waiting level below its assured concurrency, or else the highest waiting level.
 PriorityLevel* Admission::next_level() {
   PriorityLevel* highest = nullptr;
   for (PriorityLevel& level : queues_.levels()) {
@@ -121,7 +121,7 @@
     return nullptr;
   }
   RequestState& state = requests.at(level->earliest_head());
-  return limit_.fits(state.width) ? &state : nullptr;  // the head waits: nothing overtakes it
+  return limit_.fits(state.width) ? &state : nullptr;  // no other request overtakes the head
 }
 
 }  // namespace beechhill
--- a/src/balancer/policy/admission.h
+++ b/src/balancer/policy/admission.h
@@ -1,5 +1,5 @@
-// Admission: which priority level and queue a request joins, how long it waits there, and which
-// waiting request goes next. After "Priority and Fairness for API Server Requests" (KEP-1040).
+// Admission: assigns requests to priority levels and queues, limits how long they wait, and selects
+// the next one to send. After "Priority and Fairness for API Server Requests" (KEP-1040).
 #pragma once
 
 #include "balancer/policy/concurrency_limit.h"
@@ -8,18 +8,18 @@
 
 namespace beechhill {
 
-/// Refers to what the balancer owns. classify() and enqueue() are O(levels), next() is O(queues).
+/// Keeps references to its arguments. classify() and enqueue() are O(levels), next() is O(queues).
 class Admission {
  public:
-  /// Fills `queues` with a level for each distinct priority.
+  /// Adds a level to `queues` for each distinct priority.
   Admission(const Settings& settings, const LatencyTracker& latencies,
             const ConcurrencyLimit& limit, FairQueues& queues, Time now);
 
-  /// Sets level, width and queue deadline. Takes from the tenant's quota, so once for each request.
+  /// Sets level, width and queue deadline. Uses up quota, so it must be called once per request.
   void classify(RequestState& state, Time now);
-  /// Queues the request. False: it has to be rejected, as its queue is full or its time is over.
+  /// Queues the request. Returns false if it must be rejected: its queue is full or its time over.
   bool enqueue(RequestState& state, Time now);
-  /// The next request to send; null where none waits, or where it has to wait for the limit.
+  /// Returns the next request to send, or null if none waits or the next must wait for the limit.
   RequestState* next(RequestTable& requests);
 
  private:
--- a/src/balancer/policy/concurrency_limit.cpp
+++ b/src/balancer/policy/concurrency_limit.cpp
@@ -5,29 +5,29 @@
 namespace beechhill {
 namespace {
 
-// An answer that takes longer counts as late in part.
+// Share of the latency objective beyond which a response counts as late in part.
 constexpr double kLateShare = 0.5;
-// Widths taken off by an outcome that was not in time, and added by one that was: 1 in 11 may be
-// late.
+// Widths removed by an outcome that was not in time, and added by one that was: the limit holds if
+// 1 outcome in 11 is late.
 constexpr double kDecrease = 2;
 constexpr double kIncrease = 0.2;
-// Of a class's slow answers, after which a request is silent; see docs/design.md.
+// Multiple of a class's slow latency after which a request is silent; see docs/design.md.
 constexpr double kSilentFactor = 1.5;
-// Of the limit, that silent requests may hold.
+// Share of the limit that silent requests may occupy.
 constexpr double kMaxSilentShare = 1.0 / 3;
-// Over all replicas, that the limit keeps.
+// Minimum of the limit, in widths per endpoint, over all replicas together.
 constexpr double kMinWidthsPerEndpoint = 4;
-// Widths under which the limit moves by parts of itself.
+// Limit, in widths, below which its changes are scaled down in proportion.
 constexpr double kSmallLimit = 10;
 
 }  // namespace
 
-// Guards against a limit full of requests that nobody will answer, where deadlines are far off.
+// Caps the share of silent requests: with distant deadlines they could fill the limit.
 double ConcurrencyLimit::counted_widths() const {
   return in_flight_.running - std::max(0.0, in_flight_.silent - kMaxSilentShare * limit_);
 }
 
-// A limit under one request cannot bind: what ran over it is made up for before the next.
+// If the limit is below one request, the next one waits until the overrun has decreased to 0.
 bool ConcurrencyLimit::fits(int width) const {
   const double counted = counted_widths();
   return counted + width <= limit_ || (counted < limit_ && overrun_ <= 0);
@@ -43,29 +43,29 @@
   return state.attempts.back().started_at + from_seconds(kSilentFactor * expected_s);
 }
 
-// Late answers lower the limit at the first tier only: what waits below holds a slot above, so load
-// is shed at the top. In parts, as a long tail must not close the limit.
+// Late responses lower the limit at the first tier only: load is shed there, as requests waiting
+// below hold slots above. The decrease grows with lateness: a long tail must not close the limit.
 void ConcurrencyLimit::adjust(const RequestState& state, Result result, double latency_s,
                               double latency_penalty, double up_count) {
   const bool ok = result == Result::kOk;
   const double busy =
-      std::max<double>(in_flight_.running + state.width, in_flight_.usual_widths(state.width));
+      std::max<double>(in_flight_.running + state.width, in_flight_.expected_widths(state.width));
   const double late_share = (latency_s / seconds(objective(state)) - kLateShare) / (1 - kLateShare);
   if (result == Result::kOverloaded || result == Result::kTimeout ||
       (settings_.tier == 0 && ok && late_share > 0)) {
     limit_ = std::min(limit_, busy);
     const double lateness = ok ? std::min(1.0, late_share) : 1;
-    // An outlier's own lateness costs it traffic instead. Not all of it: where many endpoints are
-    // slow, the limit must not stay open.
-    limit_ -= kDecrease * lateness * state.width * step() / (latency_penalty * latency_penalty);
+    // An outlier's lateness lowers its traffic instead, so it lowers the limit less. It still
+    // counts, or the limit would stay open where many endpoints are slow.
+    limit_ -= kDecrease * lateness * state.width * scale() / (latency_penalty * latency_penalty);
   } else if (ok && limit_ < busy) {
-    limit_ += kIncrease * state.width * step();
+    limit_ += kIncrease * state.width * scale();
   }
   limit_ = std::max(limit_, kMinWidthsPerEndpoint * up_count / settings_.replicas);
 }
 
-// Whole widths would swing a small limit between nothing and twice its size.
-double ConcurrencyLimit::step() const {
+// Scales the changes of a small limit, which whole widths would swing between 0 and twice its size.
+double ConcurrencyLimit::scale() const {
   return std::min(1.0, limit_ / kSmallLimit);
 }
 
--- a/src/balancer/policy/concurrency_limit.h
+++ b/src/balancer/policy/concurrency_limit.h
@@ -1,4 +1,4 @@
-// The concurrency limit: how many widths may be in flight. Learnt from outcomes (AIMD).
+// The concurrency limit: how many widths may be in flight. Adapts to outcomes (AIMD).
 #pragma once
 
 #include "balancer/state/in_flight.h"
@@ -6,7 +6,7 @@
 
 namespace beechhill {
 
-/// In widths: 1 for an idempotent request, else 2. Each operation is O(1).
+/// Counts widths: 1 for an idempotent request, 2 for any other. Each operation is O(1).
 class ConcurrencyLimit {
  public:
   ConcurrencyLimit(const Settings& settings, const LatencyTracker& latencies,
@@ -14,20 +14,20 @@
       : settings_(settings), latencies_(latencies), in_flight_(in_flight) {}
 
   double value() const { return limit_; }
-  /// Whether a request of that width may be sent now.
+  /// Whether a request of the given width may be sent now.
   bool fits(int width) const;
-  /// Accounts for `elapsed_s` seconds with what is in flight.
+  /// Accounts for `elapsed_s` seconds with the current requests in flight.
   void advance(double elapsed_s);
-  /// When the request's last attempt counts as silent. `state` has an attempt.
+  /// When the request's last attempt becomes silent. `state` must have an attempt.
   Time silent_at(const RequestState& state) const;
-  /// Learns from an outcome of `state`, which is no longer in flight. `latency_penalty` is the
-  /// endpoint's, `up_count` the number of endpoints.
+  /// Adjusts the limit to an outcome of `state`, which is no longer in flight. `latency_penalty` is
+  /// that of its endpoint, `up_count` the number of endpoints that are up.
   void adjust(const RequestState& state, Result result, double latency_s, double latency_penalty,
               double up_count);
 
  private:
   double counted_widths() const;
-  double step() const;
+  double scale() const;
   Duration objective(const RequestState& state) const {
     return latency_objective(settings_.classes[state.request.class_id], state.request);
   }
@@ -36,7 +36,7 @@
   const LatencyTracker& latencies_;
   const InFlightCounts& in_flight_;
   double limit_ = kUnlimited;
-  double overrun_ = 0;  // widths over the limit times seconds
+  double overrun_ = 0;  // excess over the limit, in widths times seconds
 };
 
 }  // namespace beechhill
--- a/src/balancer/policy/endpoint_selector.cpp
+++ b/src/balancer/policy/endpoint_selector.cpp
@@ -5,47 +5,47 @@
 namespace beechhill {
 namespace {
 
-// Utilization of the own zone where others begin to help; 0.6 to 0.85 alike.
+// Utilization of the own zone above which other zones get requests.
 constexpr double kZoneThreshold = 0.8;
-// Requests that another zone weighs up to there, less beyond; 16 to 64 alike.
+// Load, in requests, added to endpoints of other zones up to that threshold, and less beyond.
 constexpr double kCrossZoneLoad = 32;
-// Endpoints that a replica uses at the least.
+// Minimum number of endpoints that a replica uses.
 constexpr double kMinSubset = 8;
-// Answers of each within kEvidenceWindow that tell its latency; 5 to 20 alike.
+// Responses of an endpoint within kStatsWindow that suffice to estimate its latency.
 constexpr double kAnswersPerEndpoint = 10;
-// Replicas that use each endpoint, if they are many; 10 to 20 alike.
+// Number of replicas that use each endpoint in a large deployment.
 constexpr double kReplicasPerEndpoint = 20;
-// Requests that an endpoint weighs more for each attempt that it had of the request.
-constexpr double kRepeatLoad = 4;
-// Typical latencies of silence that double an endpoint's load.
+// Load, in requests, added to an endpoint for each attempt of the same request there.
+constexpr double kRepeatedAttemptLoad = 4;
+// Typical latencies without a response that double an endpoint's load.
 constexpr double kSilentLatencies = 2;
 
 }  // namespace
 
-// Guards against meeting each endpoint so seldom that a slow one is never noticed: few of many are
-// in use, and more by so much as some are warming up, which bear little.
+// Uses a subset of a large fleet, as with few attempts per endpoint a slow one would go unnoticed.
+// The subset grows with the share of endpoints that are warming up and take little load.
 std::optional<EndpointId> EndpointSelector::select(const RequestState& state, Time now) {
   const auto is_warm = [&](const EndpointRecord& record) {
     return !in_.slow_start.warming_up(record, now);
   };
-  in_.statistics.survey_if_due(now, is_warm);
-  const double met = seconds(EndpointState::kEvidenceWindow) * in_.statistics.attempts_per_s(now);
-  const double even = std::max(met / kAnswersPerEndpoint,
-                               kReplicasPerEndpoint * up_count() / in_.settings.replicas);
+  in_.statistics.refresh_if_due(now, is_warm);
+  const double attempts = seconds(EndpointState::kStatsWindow) * in_.statistics.attempts_per_s(now);
+  const double target_size = std::max(attempts / kAnswersPerEndpoint,
+                                      kReplicasPerEndpoint * up_count() / in_.settings.replicas);
   const double warm_share = std::max(1, in_.statistics.warm_count()) / up_count();
   const double subset_size =
-      std::min(up_count(), std::max(kMinSubset, std::min(met, even)) / warm_share);
+      std::min(up_count(), std::max(kMinSubset, std::min(attempts, target_size)) / warm_share);
   in_.statistics.set_subset_size(subset_size);
   const auto best = least_loaded(state, subset_size, now);
   return best ? best : least_loaded(state, kUnlimited, now);
 }
 
-// A sample guards against walking a big fleet, and against all replicas running to one idle
+// A sample of a large fleet bounds the cost, and keeps replicas from all choosing one idle
 // endpoint.
 std::optional<EndpointId> EndpointSelector::least_loaded(const RequestState& state,
                                                          double subset_size, Time now) {
   std::optional<EndpointId> best;
-  double least = kUnlimited;
+  double least_load = kUnlimited;
   const double cross_zone = cross_zone_penalty(now);
   const SlowStart::Traffic traffic{in_.statistics.attempts_per_s(now),
                                    static_cast<double>(in_.statistics.warm_count()), up_count()};
@@ -54,14 +54,14 @@
       return;
     }
     in_.statistics.decay(record, now);
-    // Added after what scales a load: it tells zones apart, not the endpoints of one.
+    // Added last, as it separates zones and must not scale with the load of an endpoint.
     const double penalty = record.entry.zone != in_.settings.zone ? cross_zone : 0;
-    const double candidate = load(state, record, now) + penalty;
-    if (candidate >= least) {
+    const double candidate_load = load(state, record, now) + penalty;
+    if (candidate_load >= least_load) {
       return;
     }
     best = record.entry.id;
-    least = candidate;
+    least_load = candidate_load;
   };
   const auto up_count = static_cast<double>(in_.endpoints.up_count());
   const auto count = static_cast<std::size_t>(std::min(up_count, std::ceil(subset_size)));
@@ -79,12 +79,12 @@
          in_.slow_start.has_budget(record, traffic, now) && in_.retries.safe_on(state, record, now);
 }
 
-// In requests. Guards against a frozen endpoint: the longer it is silent, the more it is behind.
+// In requests. Grows with the time without a response, which keeps traffic off a frozen endpoint.
 double EndpointSelector::load(const RequestState& state, const EndpointRecord& record,
                               Time now) const {
   double load = record.in_flight + record.recent_attempts + record.tie_breaker;
   for (const Attempt& attempt : state.attempts) {
-    load += attempt.endpoint == record.entry.id ? kRepeatLoad : 0;
+    load += attempt.endpoint == record.entry.id ? kRepeatedAttemptLoad : 0;
   }
   const double waited_s = record.in_flight > 0 ? seconds(now - record.waiting_since) : 0;
   const double silence = waited_s / (kSilentLatencies * in_.latencies.typical_s());
@@ -95,18 +95,18 @@
          (in_.statistics.relative_weight(record) * in_.slow_start.capacity_share(record, now));
 }
 
-// In requests, where crossing has a cost: a fixed step would always send a part across. Requests
-// stay while the own zone has capacity, and spread evenly once it is full, or the limit binds.
+// In requests; 0 if crossing is free. A constant would always send some requests across: they stay
+// in the own zone while it has capacity, and spread evenly once it is full or the limit binds.
 double EndpointSelector::cross_zone_penalty(Time now) const {
   if (in_.settings.cross_zone_cost <= 0) {
     return 0;
   }
-  const double used = std::max(in_.statistics.zone_utilization(now),
-                               (in_.in_flight.running + 1) / in_.limit.value());
-  return kCrossZoneLoad * std::clamp((1 - used) / (1 - kZoneThreshold), 0.0, 1.0);
+  const double utilization = std::max(in_.statistics.zone_utilization(now),
+                                      (in_.in_flight.running + 1) / in_.limit.value());
+  return kCrossZoneLoad * std::clamp((1 - utilization) / (1 - kZoneThreshold), 0.0, 1.0);
 }
 
-// The less runs, the more chance decides between endpoints that look alike.
+// The fewer requests are in flight, the more the choice between similar endpoints is random.
 void EndpointSelector::record_attempt(EndpointRecord& record, ClassId class_id, double random,
                                       Time now) {
   const double idle_share = std::max(0.0, 1 - in_.in_flight.mean_running / up_count());
--- a/src/balancer/policy/endpoint_selector.h
+++ b/src/balancer/policy/endpoint_selector.h
@@ -1,4 +1,4 @@
-// Endpoint selection: the least loaded of a subset, by own requests per capacity.
+// Endpoint selection: the least loaded endpoint of a subset, by own requests per capacity.
 #pragma once
 
 #include "balancer/policy/concurrency_limit.h"
@@ -8,7 +8,7 @@
 
 namespace beechhill {
 
-/// What a choice rests on. The balancer owns all of it.
+/// Inputs of endpoint selection. The balancer owns all of them.
 struct SelectionInputs {
   const Settings& settings;
   const LatencyTracker& latencies;
@@ -21,15 +21,15 @@
   EndpointTable& endpoints;
 };
 
-/// A choice is O(endpoints) in a small fleet; in a large one it looks at a sample, beside a survey
-/// of all now and then (FleetStatistics).
+/// A selection is O(endpoints) in a small fleet; in a large one it examines a sample, and sometimes
+/// all endpoints to refresh the fleet's statistics (FleetStatistics).
 class EndpointSelector {
  public:
   explicit EndpointSelector(const SelectionInputs& inputs) : in_(inputs) {}
 
-  /// Where to send the request; nothing where no endpoint may get it now.
+  /// Returns the endpoint to send the request to, or nothing if no endpoint may receive it now.
   std::optional<EndpointId> select(const RequestState& state, Time now);
-  /// An attempt starts at `record`. `random`, in [0, 1), breaks ties with other replicas.
+  /// Records an attempt at `record`. `random`, in [0, 1), breaks ties differently in each replica.
   void record_attempt(EndpointRecord& record, ClassId class_id, double random, Time now);
 
  private:
--- a/src/balancer/policy/health_checker.cpp
+++ b/src/balancer/policy/health_checker.cpp
@@ -5,28 +5,28 @@
 namespace beechhill {
 namespace {
 
-// Of the result, that checks may cost.
-constexpr double kCostShare = 0.006;
-// Checks that may be saved up.
+// Maximum cost of health checks, as a share of the cost of all attempts.
+constexpr double kMaxCostShare = 0.006;
+// Maximum number of checks that the budget can save.
 constexpr double kMaxBudget = 10;
-// Utilization that a type's reports add up to once its weight is known.
-constexpr double kKnownUtilization = 1;
-// Between checks of one endpoint, on average, at the least.
-constexpr Duration kInterval{3'000'000};
+// Sum of an instance type's reported utilization at which its weight is known well enough.
+constexpr double kSufficientUtilization = 1;
+// Mean time between checks of one endpoint.
+constexpr Duration kMeanInterval{3'000'000};
 
 }  // namespace
 
 void HealthChecker::add_budget() {
   const double cost = settings_.health_check_cost;
-  const double earned = cost > 0 ? kCostShare / cost / settings_.tier_count : kMaxBudget;
+  const double earned = cost > 0 ? kMaxCostShare / cost / settings_.tier_count : kMaxBudget;
   budget_ = std::min(kMaxBudget, budget_ + earned);
 }
 
-// An endpoint whose instance type is not known yet, and of those the one checked longest ago.
+// Prefers endpoints of an instance type of unknown weight, then the one checked longest ago.
 std::optional<EndpointId> HealthChecker::select(Time now) {
   EndpointRecord* first = nullptr;
   const auto order = [this](const EndpointRecord& record) {
-    const bool known = statistics_.type_evidence(record) > kKnownUtilization;
+    const bool known = statistics_.type_utilization_sum(record) > kSufficientUtilization;
     return std::tuple(known, record.health_checked_at, record.rank);
   };
   const auto consider = [&](EndpointRecord& record) {
@@ -44,7 +44,7 @@
 }
 
 Duration HealthChecker::interval(double random) const {
-  return from_seconds((0.5 + random) * seconds(kInterval) /
+  return from_seconds((0.5 + random) * seconds(kMeanInterval) /
                       static_cast<double>(endpoints_.positive_up_count()));
 }
 
--- a/src/balancer/policy/health_checker.h
+++ b/src/balancer/policy/health_checker.h
@@ -1,29 +1,29 @@
-// Health checks: which endpoint to ask for a load report, and when.
+// Health checks: selects the endpoints to ask for a load report, and schedules the checks.
 #pragma once
 
 #include "balancer/state/fleet_statistics.h"
 
 namespace beechhill {
 
-/// Refers to what the balancer owns. Used only where settings allow health checks.
+/// Keeps references to its arguments. Used only where settings allow health checks.
 class HealthChecker {
  public:
   HealthChecker(const Settings& settings, const FleetStatistics& statistics,
                 EndpointTable& endpoints)
       : settings_(settings), statistics_(statistics), endpoints_(endpoints) {}
 
-  /// Earns a part of a check, whose cost is a small share of that of all attempts.
+  /// Must be called for each attempt: checks may cost a small share of what attempts cost.
   void add_budget();
-  /// Takes one endpoint to check, if there is budget. O(endpoints) in a small fleet, else O(1).
+  /// Selects an endpoint, if the budget allows a check. O(1), or O(endpoints) in a small fleet.
   std::optional<EndpointId> select(Time now);
-  /// How long until the next check; `random` is in [0, 1).
+  /// Returns the delay until the next check; `random` is in [0, 1).
   Duration interval(double random) const;
 
  private:
   const Settings& settings_;
   const FleetStatistics& statistics_;
   EndpointTable& endpoints_;
-  double budget_ = 4;  // checks; more of each new replica would crowd the slowest type
+  double budget_ = 4;  // checks; with more, new replicas together would overload slow types
 };
 
 }  // namespace beechhill
--- a/src/balancer/policy/retry_policy.cpp
+++ b/src/balancer/policy/retry_policy.cpp
@@ -5,11 +5,11 @@
 namespace beechhill {
 namespace {
 
-// Retries that may follow a possible effect, for each attempt.
+// Retries after a possible effect that each attempt adds to the budget.
 constexpr double kRetriesPerAttempt = 0.1;
-// Retries that may be saved up.
+// Maximum number of retries that the budget can save.
 constexpr double kMaxBudget = 10;
-// About this part of the longest wait that clients honour is advised.
+// The mean advised retry delay is the longest that clients honour over this.
 constexpr int kRetryAfterDivisor = 5;
 
 }  // namespace
@@ -41,7 +41,7 @@
   }
   const ClassSettings& settings = class_of(state);
   const Attempt& first = state.attempts[*state.maybe_ran_at];
-  // What starts now may leave only once a connection stands: the first must be remembered by then.
+  // The attempt may be sent up to connect_timeout from now, and must still be deduplicated then.
   if (settings.idempotency == Idempotency::kNonIdempotent ||
       now + settings_.connect_timeout >= first.started_at + settings.deduplication_window) {
     return false;
@@ -70,7 +70,7 @@
   budget_ = std::min(kMaxBudget, budget_ + kRetriesPerAttempt);
 }
 
-void RetryPolicy::take_budget() {
+void RetryPolicy::spend_budget() {
   budget_ -= 1;
 }
 
--- a/src/balancer/policy/retry_policy.h
+++ b/src/balancer/policy/retry_policy.h
@@ -1,4 +1,4 @@
-// Retries: whether a request may be sent again, where to, and its final answer without success.
+// Retries: whether and where a request may be sent again, and its final answer without success.
 #pragma once
 
 #include "balancer/state/endpoint_state.h"
@@ -11,27 +11,27 @@
 
 enum class RetryDecision { kRequeue, kRetryNow, kGiveUp };
 
-/// Holds the budget of retries. Each operation is O(1).
+/// Owns the retry budget. Each operation is O(1).
 class RetryPolicy {
  public:
   RetryPolicy(const Settings& settings, const LatencyTracker& latencies, RandomSource& random)
       : settings_(settings), latencies_(latencies), random_(random) {}
 
-  /// Whether a result shows that the attempt took no effect.
+  /// Whether `result` shows that the attempt had no effect.
   static bool never_ran(Result result);
-  /// What follows an attempt that ended with `outcome` and without success.
+  /// Decides what follows an attempt that ended with `outcome` and without success.
   RetryDecision decide(const RequestState& state, const Outcome& outcome, Time now) const;
   /// Whether repeating the request is safe on every endpoint.
   bool safe_anywhere(const RequestState& state) const;
-  /// Whether it is safe on `record`, for an attempt that starts at `now`.
+  /// Whether repeating the request is safe on `record`, for an attempt that starts at `now`.
   bool safe_on(const RequestState& state, const EndpointRecord& record, Time now) const;
-  /// How long an endpoint that has refused an attempt as overloaded gets nothing new.
+  /// How long an endpoint that has rejected an attempt as overloaded gets no new attempts.
   Duration overload_backoff() const { return from_seconds(latencies_.typical_s()); }
-  /// Rejects where the client may safely retry, else reports failure.
+  /// Returns Reject if the client may safely retry, else Fail.
   Action final_answer(const RequestState& state);
 
-  void add_budget();   // an attempt starts
-  void take_budget();  // a retry starts
+  void add_budget();    // must be called when an attempt starts
+  void spend_budget();  // must be called when a retry starts
 
  private:
   const ClassSettings& class_of(const RequestState& state) const {
--- a/src/balancer/policy/slow_start.cpp
+++ b/src/balancer/policy/slow_start.cpp
@@ -3,10 +3,10 @@
 namespace beechhill {
 namespace {
 
-// Attempts a second, over all replicas, that an endpoint may get however little is sent: a share of
-// no traffic would be none.
+// Minimum rate of attempts per second to an endpoint over all replicas, whatever the traffic: a
+// share of no traffic would be none.
 constexpr double kMinAttemptsPerS = 1;
-// An even part of the load times the collapse ratio over this is allowed: two thirds of the ratio.
+// The allowed load is at most the collapse ratio over this, times an even share of the traffic.
 constexpr double kSafetyFactor = 1.5;
 
 }  // namespace
@@ -26,9 +26,9 @@
   return initial + (1 - initial) * age_s / seconds(settings_.slow_start_window);
 }
 
-// Guards against pushing an endpoint into collapse: each replica sends it at most its share of what
-// a warm peer gets from here, so all together stay under what such a peer takes. Few warm ones may
-// be sent more than they can do: at most two thirds of the collapse ratio of an even part.
+// Keeps endpoints that are warming up from collapse: each replica sends one at most its share of
+// what the replica sends a warm peer, so the total stays below a warm peer's. As few warm peers may
+// be overloaded, the bound is also two thirds of the collapse ratio times an even share.
 bool SlowStart::has_budget(EndpointRecord& record, const Traffic& traffic, Time now) const {
   if (!warming_up(record, now)) {
     return true;
--- a/src/balancer/policy/slow_start.h
+++ b/src/balancer/policy/slow_start.h
@@ -1,4 +1,4 @@
-// Slow start: how much an endpoint that has just started may get.
+// Slow start: limits the load of an endpoint that has just started.
 #pragma once
 
 #include "balancer/state/endpoint_state.h"
@@ -6,10 +6,10 @@
 
 namespace beechhill {
 
-/// Refers to the settings, keeps nothing else. Each operation is O(1).
+/// Keeps a reference to the settings and no other state. Each operation is O(1).
 class SlowStart {
  public:
-  /// What one balancer sends, and to how many.
+  /// The attempts that one balancer starts, and the number of endpoints that receive them.
   struct Traffic {
     double attempts_per_s = 0;
     double warm_count = 0;
@@ -19,9 +19,9 @@
   explicit SlowStart(const Settings& settings) : settings_(settings) {}
 
   bool warming_up(const EndpointRecord& record, Time now) const;
-  /// The least share of its capacity that an endpoint has by now, in (0, 1].
+  /// The minimum share of its capacity that the endpoint has at `now`, in (0, 1].
   double capacity_share(const EndpointRecord& record, Time now) const;
-  /// Whether one more attempt may start there: always, where it is warm. Fills its budget.
+  /// Refills the budget. Returns whether one more attempt may start; always true if warm.
   bool has_budget(EndpointRecord& record, const Traffic& traffic, Time now) const;
 
  private:
--- a/src/balancer/state/decaying_average.h
+++ b/src/balancer/state/decaying_average.h
@@ -1,4 +1,4 @@
-// Rate and mean of a stream of values, of which older ones count exponentially less.
+// Rate and mean of a stream of values whose weights decay exponentially with age.
 #pragma once
 
 #include <algorithm>
@@ -8,7 +8,8 @@
 
 namespace beechhill {
 
-/// O(1) in memory and time. `window_s` is the time constant in seconds, the same in every call.
+/// O(1) in memory and time. `window_s` is the time constant of the decay in seconds, and must be
+/// the same in every call.
 class DecayingAverage {
  public:
   void add(Time now, double window_s, double value) {
@@ -18,15 +19,16 @@
     updated_at_ = now;
   }
 
-  /// Values a second. Only the time since `started_at` counts, so that a young stream's rate is not
-  /// taken for low; a second at least, or one value that came at once would be thousands.
+  /// Values per second. Only the time since `started_at` counts, as a new stream's rate would
+  /// otherwise be underestimated. That time is taken as at least 1 s, as a first value that comes
+  /// at once would otherwise give a rate of thousands.
   double rate_per_s(Time now, double window_s, Time started_at) const {
     const double age_s = std::max(1.0, seconds(now - started_at));
     const double count = weight_ * decay_factor(now, window_s);
     return count / (window_s * (1 - std::exp(-age_s / window_s)));
   }
 
-  /// The mean, which falls towards 0 with time, as if one more value had been 0.
+  /// The mean, computed with one extra value of 0, so that it decays towards 0 without new values.
   double mean(Time now, double window_s) const {
     const double remaining = decay_factor(now, window_s);
     return sum_ * remaining / (weight_ * remaining + 1);
--- a/src/balancer/state/endpoint_state.h
+++ b/src/balancer/state/endpoint_state.h
@@ -1,4 +1,4 @@
-// What the decision module keeps of an endpoint.
+// State of an endpoint in the decision module.
 #pragma once
 
 #include <algorithm>
@@ -14,57 +14,58 @@
 
 namespace beechhill {
 
-/// What was learnt of one incarnation of an endpoint. A restart voids all of it.
+/// Observations of one incarnation of an endpoint. A restart discards them.
 struct EndpointState {
-  /// How long errors and latencies count; see EndpointState::decay.
-  static constexpr Duration kEvidenceWindow{10'000'000};
+  /// Time constant of the decay of errors and latencies; see decay().
+  static constexpr Duration kStatsWindow{10'000'000};
 
   EndpointStats stats;
   std::vector<OutcomeCounts> outcomes;  // by class
-  int in_flight = 0;                    // own attempts
-  double recent_attempts = 0;           // own attempts, decayed
-  double tie_breaker = 0;               // in [0, 1]: random part of one request
+  int in_flight = 0;                    // attempts of this balancer
+  double recent_attempts = 0;           // attempts of this balancer, decaying
+  double tie_breaker = 0;               // in [0, 1]: random fraction of a request's load
   Time decayed_at{0};
-  Time waiting_since{0};  // the last outcome, or when the first attempt in flight was started
+  /// Time of the last outcome, or of the first attempt if none was in flight before it.
+  Time waiting_since{0};
   Time overloaded_until{0};
   Time health_checked_at{0};
-  TokenBucket slow_start_budget;  // of attempts while it is warming up
+  TokenBucket slow_start_budget;  // attempts that may start while the endpoint is warming up
 
-  /// Lets attempts fade over `attempts_window_s` seconds, errors and latencies over
-  /// kEvidenceWindow.
+  /// Decays the count of attempts with a time constant of `attempts_window_s` seconds, and errors
+  /// and latencies with kStatsWindow.
   void decay(Time now, double attempts_window_s) {
     const double elapsed_s = seconds(now - decayed_at);
     if (elapsed_s <= 0) {
       return;
     }
     recent_attempts *= std::exp(-elapsed_s / attempts_window_s);
-    const double fading = std::exp(-elapsed_s / seconds(kEvidenceWindow));
-    stats.weighted_latency_ratios *= fading;
-    stats.response_weight *= fading;
+    const double remaining = std::exp(-elapsed_s / seconds(kStatsWindow));
+    stats.weighted_latency_ratios *= remaining;
+    stats.response_weight *= remaining;
     for (OutcomeCounts& counts : outcomes) {
-      counts.attempts *= fading;
-      counts.errors *= fading;
+      counts.attempts *= remaining;
+      counts.errors *= remaining;
     }
     decayed_at = now;
   }
 };
 
-/// An endpoint that was named once: its entry in the endpoint list, and what was learnt of it.
+/// An endpoint that an event has named: its entry in the endpoint list, and observations of it.
 struct EndpointRecord : EndpointState {
   Endpoint entry;
   bool listed = false;
-  std::uint64_t last_update = 0;  // the number of the update that named it last
+  std::uint64_t last_update = 0;  // number of the last update that named the endpoint
   bool excluded = false;          // by an operator
   std::optional<Time> excluded_at;
-  std::optional<Time>
-      readmitted_at;              // it may have restarted while excluded, and no update say so yet
-  double rank = 0;                // random, kept for good: the lowest are used first
-  std::uint32_t incarnation = 0;  // counted up with each restart that was noticed
+  /// Set if the endpoint may have restarted during an exclusion and no update has said so yet.
+  std::optional<Time> readmitted_at;
+  double rank = 0;                // random and constant: the lowest are used first
+  std::uint32_t incarnation = 0;  // incremented with each observed restart
 
-  /// Whether it may get new requests, as far as discovery and operators say.
+  /// Whether the endpoint may get new requests according to discovery and operators.
   bool up() const { return listed && !excluded && entry.status == EndpointStatus::kUp; }
 
-  /// The later of its start and its readmission; absent: long ago.
+  /// The later of the endpoint's start and its readmission; absent if it started long ago.
   std::optional<Time> serving_since() const { return std::max(entry.started_at, readmitted_at); }
 };
 
--- a/src/balancer/state/endpoint_table.cpp
+++ b/src/balancer/state/endpoint_table.cpp
@@ -22,19 +22,19 @@
   EndpointRecord& record = find_or_add(entry.id, now);
   const bool restarted = entry.started_at && (!record.entry.started_at ||
                                               *entry.started_at != *record.entry.started_at);
-  // Ids are assigned again: what comes back after it was removed may be another machine.
+  // Ids are reused: an id that returns after its removal may be another machine.
   if (restarted || !record.listed) {
     restart(record, now);
   }
   record.entry = entry;
   record.last_update = update_number_;
   if (entry.started_at >= record.excluded_at) {
-    record.readmitted_at.reset();  // the start after the exclusion is known now
+    record.readmitted_at.reset();  // discovery has reported the start after the exclusion
   }
   record.listed = entry.status != EndpointStatus::kRemoved;
 }
 
-// What a complete list does not name is no longer listed.
+// Unlists endpoints that the complete list does not name, and ranks the others.
 void EndpointTable::rank_listed() {
   std::vector<std::pair<double, EndpointId>> ranks;
   for (EndpointId id = 0; id < records_.size(); ++id) {
@@ -50,7 +50,7 @@
 void EndpointTable::apply(const EndpointExclusion& exclusion, Time now) {
   EndpointRecord& record = find_or_add(exclusion.endpoint, now);
   if (record.excluded && !exclusion.excluded) {
-    // It may have been restarted while it was out of use, so that what was known is void.
+    // The endpoint may have restarted while excluded, so its observations are discarded.
     restart(record, now);
     if (record.entry.started_at < record.excluded_at) {
       record.readmitted_at = now;
@@ -82,8 +82,8 @@
   return records_[id];
 }
 
-// The draws keep balancers from all starting with the same endpoint, and from spending the first
-// tokens of its slow start together.
+// The random values keep balancers from all starting with the same endpoint, and from all spending
+// the first tokens of its slow start at once.
 void EndpointTable::restart(EndpointRecord& record, Time now) {
   static_cast<EndpointState&>(record) = EndpointState{};
   ++record.incarnation;
--- a/src/balancer/state/endpoint_table.h
+++ b/src/balancer/state/endpoint_table.h
@@ -1,4 +1,4 @@
-// All endpoints that were ever named, and the ranking of those that are up.
+// A table of all endpoints that any event has named, with a ranking of those that are up.
 #pragma once
 
 #include <algorithm>
@@ -12,28 +12,28 @@
 
 namespace beechhill {
 
-/// Owns the records, which are never removed: ids are dense, so that 10,000 take a few MB.
-/// References to records are valid until the next id that was not known.
+/// Owns the records and never removes one: ids are dense, so 10,000 records take a few MB. A
+/// reference to a record is valid until an event names a new id.
 class EndpointTable {
  public:
   /// `random` must outlive the table.
   EndpointTable(std::size_t class_count, RandomSource& random)
       : class_count_(class_count), random_(random) {}
 
-  /// Takes over what discovery listed: O(changes log n), or O(n log n) for a full list.
+  /// Applies an endpoint update: O(changes log n) for a delta, O(n log n) for a full list.
   void apply(const EndpointUpdate& update, Time now);
-  /// Takes over what an operator excluded or readmitted.
+  /// Applies an operator's exclusion or readmission.
   void apply(const EndpointExclusion& exclusion, Time now);
-  /// Adds what an earlier process knew. The caller has bounded it.
+  /// Adds statistics of an earlier process, which the caller has bounded.
   void restore(const RestoredStats& restored, Time now);
 
   std::size_t size() const { return records_.size(); }
   std::size_t up_count() const { return ranked_.size(); }
-  /// up_count(), or 1 where none is up: to divide by.
+  /// up_count(), or 1 if no endpoint is up; for use as a divisor.
   std::size_t positive_up_count() const { return std::max<std::size_t>(1, ranked_.size()); }
-  /// Whether the fleet is small enough for each choice to look at every endpoint.
+  /// Whether the fleet is small enough for each selection to examine every endpoint.
   bool is_small() const { return ranked_.size() <= kSmallFleet; }
-  /// Whether none is up and operators have excluded some: nothing will come of waiting.
+  /// Whether no endpoint is up and operators have excluded some, so that queueing is pointless.
   bool all_excluded() const;
 
   bool contains(EndpointId id) const { return id < records_.size(); }
@@ -41,7 +41,7 @@
   const EndpointRecord& operator[](EndpointId id) const { return records_[id]; }
   const std::vector<EndpointRecord>& records() const { return records_; }
 
-  /// Shows the `count` endpoints of lowest rank that are up, in the order of their ranks.
+  /// Visits the `count` endpoints of lowest rank that are up, by ascending rank.
   template <typename Visitor>
   void visit_first(std::size_t count, const Visitor& visit) {
     for (std::size_t i = 0; i < count; ++i) {
@@ -49,7 +49,8 @@
     }
   }
 
-  /// Shows the `count` of lowest rank in a small fleet, and in a large one a sample of them.
+  /// Visits the `count` endpoints of lowest rank in a small fleet, and a sample of them in a large
+  /// one.
   template <typename Visitor>
   void visit_candidates(std::size_t count, const Visitor& visit) {
     if (is_small()) {
@@ -59,7 +60,8 @@
     }
   }
 
-  /// Shows as many of the `count` of lowest rank as kSampleSize, drawn with replacement.
+  /// Visits min(`count`, kSampleSize) random endpoints, with replacement, of the `count` of lowest
+  /// rank.
   template <typename Visitor>
   void visit_sample(std::size_t count, const Visitor& visit) {
     const auto bound = static_cast<double>(count);
@@ -70,7 +72,7 @@
 
  private:
   static constexpr std::size_t kSmallFleet = 64;  // endpoints
-  // 7 times of 8, one of the best tenth is among so many.
+  // In 7 cases out of 8, a sample of this size includes one of the best tenth.
   static constexpr std::size_t kSampleSize = 20;
 
   EndpointRecord& find_or_add(EndpointId id, Time now);
@@ -82,7 +84,7 @@
   const std::size_t class_count_;
   RandomSource& random_;
   std::vector<EndpointRecord> records_;  // by id
-  RankedSet ranked_;                     // those that are up
+  RankedSet ranked_;                     // endpoints that are up
   std::uint64_t update_number_ = 0;
 };
 
--- a/src/balancer/state/fair_queues.cpp
+++ b/src/balancer/state/fair_queues.cpp
@@ -26,7 +26,7 @@
   }
 }
 
-// The tenant's hash in mixed radix gives two distinct queues.
+// The two queues are distinct: they are digits of the tenant's hash in mixed radix.
 const FairQueue& FairQueues::assign_queue(RequestState& state) {
   const auto& queues = levels_[state.level].queues[static_cast<std::size_t>(state.width - 1)];
   const std::uint64_t hash = mix_bits(state.request.tenant);
@@ -59,15 +59,15 @@
   mark_queued(state);
 }
 
-void FairQueues::take(RequestState& state) {
+void FairQueues::dequeue(RequestState& state) {
   std::deque<RequestId>& waiting = queue(state).waiting;
   waiting.erase(std::find(waiting.begin(), waiting.end(), state.request.id));
   mark_dequeued(state);
 }
 
 void FairQueues::withdraw(RequestState& state) {
-  take(state);
-  settle(state);
+  dequeue(state);
+  release(state);
 }
 
 void FairQueues::start_attempt(const RequestState& state, double expected_s) {
@@ -86,7 +86,7 @@
   source.virtual_start_s -= expected_s - actual_s;
 }
 
-void FairQueues::settle(const RequestState& state) {
+void FairQueues::release(const RequestState& state) {
   present_ -= state.width;
   if (queue(state).idle()) {
     busy_queues_ -= state.width;
@@ -100,15 +100,15 @@
 }
 
 std::vector<RequestId> FairQueues::expired(Time now, const RequestTable& requests) {
-  std::vector<RequestId> overdue;
+  std::vector<RequestId> expired_ids;
   if (now < next_expiry_) {
-    return overdue;
+    return expired_ids;
   }
   next_expiry_ = Time::max();
   const auto consider = [&](RequestId id) {
     const Time deadline = requests.at(id).queue_deadline;
     if (now >= deadline) {
-      overdue.push_back(id);
+      expired_ids.push_back(id);
     } else {
       next_expiry_ = std::min(next_expiry_, deadline);
     }
@@ -120,7 +120,7 @@
       }
     }
   }
-  return overdue;
+  return expired_ids;
 }
 
 void FairQueues::expire_all(Time now, RequestTable& requests) {
--- a/src/balancer/state/fair_queues.h
+++ b/src/balancer/state/fair_queues.h
@@ -1,7 +1,7 @@
-// The queues of requests, by priority level, width and flow, with their virtual times.
+// Queues of requests by priority level, width and flow, with their virtual times.
 //
 // The accounting is that of "Priority and Fairness for API Server Requests" (Kubernetes KEP-1040):
-// each queue has a virtual start time, from which its head's finish follows.
+// each queue has a virtual start time, which determines the virtual finish time of its head.
 #pragma once
 
 #include <array>
@@ -25,61 +25,66 @@
 struct PriorityLevel {
   static constexpr std::size_t kMaxWidth = 2;
 
-  double weight = 0;                                     // of the requests in it
+  double weight = 0;                                     // priority weight of its requests
   double assured_share = 0;                              // of the concurrency limit
   int running = 0;                                       // widths, without silent requests
   std::size_t waiting = 0;                               // requests
   std::array<std::vector<FairQueue>, kMaxWidth> queues;  // by width - 1
 
-  /// The head with the earliest virtual finish; some request waits. All are expected to take
-  /// equally long, so that it is the one with the earliest start. O(queues).
+  /// The head of the queue with the earliest virtual finish. A request must be waiting. All
+  /// requests are expected to take equally long, so the earliest start decides. O(queues).
   RequestId earliest_head() const;
 };
 
-/// Owns the levels and queues; the request records stay the caller's. Decides nothing: callers say
-/// which queue a request joins and when it leaves. O(1) but where stated.
+/// Owns the levels and queues; the caller owns the request records. Makes no decisions: the caller
+/// decides which queue a request joins and when it leaves. Operations are O(1) unless stated
+/// otherwise.
 class FairQueues {
  public:
-  /// Appends a level, under those there are.
+  /// Appends a level below the existing ones.
   void add_level(double weight, double assured_share);
   std::vector<PriorityLevel>& levels() { return levels_; }
   const std::vector<PriorityLevel>& levels() const { return levels_; }
 
-  /// Sets the request's queue by its tenant (shuffle sharding): of two in its level, the shorter.
+  /// Assigns the request to the shorter of two queues that its level and tenant select (shuffle
+  /// sharding).
   const FairQueue& assign_queue(RequestState& state);
-  /// Appends to the queue that the request names.
+  /// Appends the request to its assigned queue.
   void push(RequestState& state);
-  /// Puts back at the head a request whose attempt has just ended; settle() follows.
+  /// Puts a request whose attempt has just ended at the head of its queue. The caller must then
+  /// call release().
   void push_front(RequestState& state);
-  /// Takes out a request that is about to be sent. O(length of its queue).
-  void take(RequestState& state);
-  /// Takes out a request that will not be sent. O(length of its queue).
+  /// Removes a request that is about to be sent. O(length of its queue).
+  void dequeue(RequestState& state);
+  /// Removes a request that will not be sent. O(length of its queue).
   void withdraw(RequestState& state);
 
-  /// An attempt starts; it is expected to take `expected_s`.
+  /// Records the start of an attempt that is expected to take `expected_s` seconds.
   void start_attempt(const RequestState& state, double expected_s);
-  /// An attempt is over that took `actual_s`. settle() follows once it is known what comes next.
+  /// Records the end of an attempt that took `actual_s` seconds. The caller must call release()
+  /// after deciding what follows.
   void end_attempt(const RequestState& state, double expected_s, double actual_s);
-  /// Counts an attempt as present again, as the request is sent anew.
+  /// Counts the request as present once more, as it is sent again before release() is called.
   void keep_present(const RequestState& state) { present_ += state.width; }
-  /// Closes the account of an attempt that is over.
-  void settle(const RequestState& state);
-  /// From now on the request does not count into what its level runs.
+  /// Stops counting the request as present after an attempt or a withdrawal.
+  void release(const RequestState& state);
+  /// Stops counting the request among those that its level runs.
   void mark_silent(const RequestState& state) { levels_[state.level].running -= state.width; }
 
-  /// Moves virtual time, which runs at min(present widths, concurrency limit) / busy widths.
+  /// Advances virtual time by `elapsed_s` * min(present widths, concurrency limit) / busy widths.
   void advance(double elapsed_s, double concurrency_limit);
 
   std::size_t waiting_count() const { return waiting_; }
-  /// When the first request that waits has waited too long; Time::max() where none waits.
+  /// A lower bound of the queue deadlines of all waiting requests; Time::max() at first.
   Time next_expiry() const { return next_expiry_; }
-  /// The requests that have waited too long, by level, width and queue. O(waiting) where one has.
+  /// Requests past their queue deadline, by level, width and queue. O(waiting) if any may have
+  /// expired.
   std::vector<RequestId> expired(Time now, const RequestTable& requests);
-  /// All that wait have waited long enough. O(requests).
+  /// Expires all waiting requests. O(requests).
   void expire_all(Time now, RequestTable& requests);
 
  private:
-  // For each width of a level: collisions are rare with tens of tenants.
+  // Queues for each width of a level. With this many, collisions are rare among tens of tenants.
   static constexpr std::uint64_t kQueuesPerWidth = 64;
 
   FairQueue& queue(const RequestState& state) {
@@ -88,7 +93,7 @@
   void mark_queued(RequestState& state);
   void mark_dequeued(RequestState& state);
 
-  std::vector<PriorityLevel> levels_;  // the highest weight first
+  std::vector<PriorityLevel> levels_;  // by descending weight
   double virtual_time_s_ = 0;
   int present_ = 0;      // widths, waiting or running
   int busy_queues_ = 0;  // widths of queues that are not idle
--- a/src/balancer/state/fleet_statistics.cpp
+++ b/src/balancer/state/fleet_statistics.cpp
@@ -6,44 +6,47 @@
 namespace beechhill {
 namespace {
 
-// Of reports. One beyond either bound is absurd, and none.
+// Bounds of plausible reports. A report beyond either is ignored.
 constexpr double kMaxUtilization = 8;
 constexpr double kMaxRequestsPerS = 1e5;
 // Weight of a new report.
 constexpr double kReportSmoothing = 0.2;
-// Weight of a new latency: quick, as an endpoint can turn slow at once.
+// Weight of a new latency. It is higher than that of a report, as an endpoint can become slow at
+// once.
 constexpr double kLatencySmoothing = 0.3;
-// One stuck answer must not outweigh ten good ones.
+// Upper bound of a latency ratio: one very slow response must not outweigh ten normal ones.
 constexpr double kMaxLatencyRatio = 4;
-// Answers, or utilization, that what all show stands for.
+// Weight of the mean in an estimate, in responses or in utilization.
 constexpr double kPrior = 1;
-// Answers, of an endpoint's latency, that its type's stands for: few tell it; 0.25 to 0.5 alike.
+// Weight of the instance type's latency in an endpoint's, in responses. It is low, as a few
+// responses suffice to estimate a latency.
 constexpr double kLatencyPrior = 0.5;
-// Utilization that the mean stands for beside a type's: types differ more than endpoints.
+// Weight of the fleet's mean in the weight of an instance type, in utilization. It is low, as types
+// differ more than endpoints of one type.
 constexpr double kTypePrior = 0.5;
-// Of the mean weight; no endpoint's is under it, nor over its inverse.
+// Lower bound of relative weights; its inverse is the upper bound.
 constexpr double kMinWeight = 0.1;
-// Attempts of a class that tell whether an endpoint fails it.
+// Minimum number of attempts of a class that show whether an endpoint fails the class.
 constexpr double kMinClassAttempts = 4;
-// Standard deviations of errors that count as chance.
+// Standard deviations of the error count that are attributed to chance.
 constexpr double kErrorDeviations = 2;
-// Seconds, memory of the own zone's utilization; 1 to 4 alike.
+// Time constant of the own zone's utilization, in seconds.
 constexpr double kZoneUtilizationWindowS = 2;
-// Seconds, memory of the rate of own attempts.
+// Time constant of the rate of own attempts, in seconds.
 constexpr double kAttemptRateWindowS = 5;
-// Over the endpoints in use, that own attempts are remembered at the least.
+// Own attempts are remembered for at least this many rounds over the endpoints in use.
 constexpr double kMinRounds = 4;
-// Typical latencies that own attempts are remembered at the least.
+// Own attempts are remembered for at least this many typical latencies.
 constexpr double kMinLatencies = 4;
-// Attempts a second below which the rate tells nothing.
+// Lower bound of the attempt rate where it is a divisor, per second.
 constexpr double kMinAttemptsPerS = 0.01;
-// A large fleet is surveyed once in endpoints / this many choices.
-constexpr std::size_t kSurveyShare = 10;
+// A large fleet's sums are recomputed once in (endpoints / this) selections.
+constexpr std::size_t kRefreshDivisor = 10;
 
-// Stands for a figure that a report does not have; out of bounds, too.
+// Replaces an absent value of a report; rejected as out of bounds.
 constexpr double kNotReported = -1;
 
-// False for NaN.
+// Returns false for NaN.
 bool within(double value, double max) {
   return value >= 0 && value <= max;
 }
@@ -80,11 +83,11 @@
 }
 
 void FleetStatistics::record_outcome(EndpointRecord& record, ClassId class_id, Result result,
-                                     double latency_s, double usual_s, Time now) {
+                                     double latency_s, double average_s, Time now) {
   decay(record, now);
-  // A failure that came early tells nothing of how long answers take.
-  if (usual_s > 0 && (result == Result::kOk || latency_s > usual_s)) {
-    const double ratio = std::min(latency_s / usual_s, kMaxLatencyRatio);
+  // An early failure contains no information on response times.
+  if (average_s > 0 && (result == Result::kOk || latency_s > average_s)) {
+    const double ratio = std::min(latency_s / average_s, kMaxLatencyRatio);
     record.stats.add_latency_ratio(ratio, kLatencySmoothing);
   }
   record.outcomes[class_id].errors += is_error(result) ? 1 : 0;
@@ -108,27 +111,27 @@
   if (record.decayed_at >= now) {
     return;
   }
-  const double rounds_s =
+  const double window_s =
       kMinRounds * subset_size_ / std::max(attempts_per_s(now), kMinAttemptsPerS);
-  record.decay(now, std::max(kMinLatencies * latencies_.typical_s(), rounds_s));
+  record.decay(now, std::max(kMinLatencies * latencies_.typical_s(), window_s));
 }
 
-bool FleetStatistics::survey_due() {
+bool FleetStatistics::refresh_due() {
   if (!endpoints_.is_small() &&
-      choices_since_survey_++ < endpoints_.positive_up_count() / kSurveyShare) {
+      selections_since_refresh_++ < endpoints_.positive_up_count() / kRefreshDivisor) {
     return false;
   }
-  choices_since_survey_ = 0;
+  selections_since_refresh_ = 0;
   return true;
 }
 
-void FleetStatistics::survey() {
+void FleetStatistics::refresh() {
   const std::size_t up_count = endpoints_.up_count();
   std::fill(by_instance_type_.begin(), by_instance_type_.end(), EndpointStats{});
   std::fill(by_class_.begin(), by_class_.end(), OutcomeCounts{});
-  EndpointStats all;
+  EndpointStats totals;
   endpoints_.visit_first(up_count, [&](const EndpointRecord& record) {
-    all += record.stats;
+    totals += record.stats;
     by_instance_type_[record.entry.instance_type] += record.stats;
     for (ClassId id = 0; id < by_class_.size(); ++id) {
       by_class_[id] += record.outcomes[id];
@@ -136,15 +139,16 @@
   });
   const OutcomeCounts outcomes = sum(by_class_);
   mean_error_rate_ = outcomes.errors / (outcomes.attempts + 1);
-  const bool reported = all.weighted_utilizations > 0 && all.weighted_rates > 0;
-  mean_weight_ = reported ? all.weighted_rates / all.weighted_utilizations : 1;
+  const bool reported = totals.weighted_utilizations > 0 && totals.weighted_rates > 0;
+  mean_weight_ = reported ? totals.weighted_rates / totals.weighted_utilizations : 1;
   mean_excess_ = up_count > 0 ? 0 : 1;
   endpoints_.visit_first(up_count, [&](const EndpointRecord& record) {
     mean_excess_ += latency_excess(record) / static_cast<double>(up_count);
   });
 }
 
-// Decays between attempts too, or a replica that seldom sends would take its rate for high.
+// The rate also decays between attempts; otherwise a replica that seldom sends would overestimate
+// it.
 double FleetStatistics::attempts_per_s(Time now) const {
   return attempts_.rate_per_s(now, kAttemptRateWindowS, started_at_);
 }
@@ -153,8 +157,8 @@
   return zone_utilization_.mean(now, kZoneUtilizationWindowS);
 }
 
-// A report says as much as its endpoint was busy, and one alone is far off: an endpoint starts from
-// what its instance type reported, and each type from the mean.
+// A report weighs as much as its endpoint was utilized, and a single one is imprecise: an
+// endpoint's estimate starts from that of its instance type, and the type's from the fleet's mean.
 double FleetStatistics::relative_weight(const EndpointRecord& record) const {
   const EndpointStats& type = type_stats(record);
   const double type_weight =
@@ -173,7 +177,7 @@
   return ratio * relative_weight(record);
 }
 
-// An endpoint that fails another class must keep this one, or its peers get more than they can do.
+// An endpoint that fails only another class must keep this one, or its peers would be overloaded.
 double FleetStatistics::excess_errors(const EndpointRecord& record, ClassId class_id) const {
   const OutcomeCounts& own = record.outcomes[class_id];
   const OutcomeCounts& fleet = by_class_[class_id];
@@ -181,9 +185,9 @@
       own.errors <= own.attempts * fleet.errors / (fleet.attempts + 1)) {
     return 0;
   }
-  const OutcomeCounts all = sum(record.outcomes);
-  const double usual = all.attempts * mean_error_rate_;
-  return std::max(0.0, all.errors - usual - kErrorDeviations * std::sqrt(usual));
+  const OutcomeCounts totals = sum(record.outcomes);
+  const double expected = totals.attempts * mean_error_rate_;
+  return std::max(0.0, totals.errors - expected - kErrorDeviations * std::sqrt(expected));
 }
 
 }  // namespace beechhill
--- a/src/balancer/state/fleet_statistics.h
+++ b/src/balancer/state/fleet_statistics.h
@@ -1,4 +1,4 @@
-// What the endpoints show, each compared with all: weights, latencies, errors, rates.
+// Statistics of the endpoints relative to the fleet: weights, latencies, errors and rates.
 #pragma once
 
 #include <cstddef>
@@ -11,37 +11,37 @@
 
 namespace beechhill {
 
-/// Measures only. Refers to what the balancer owns. Sums over the fleet are taken anew by survey(),
-/// O(endpoints * classes); all else is O(1), or O(classes) for errors.
+/// Makes no decisions. Keeps references to its arguments. Sums over the fleet are recomputed by
+/// refresh(), O(endpoints * classes); other operations are O(1), or O(classes) for errors.
 class FleetStatistics {
  public:
   FleetStatistics(const Settings& settings, const LatencyTracker& latencies,
                   EndpointTable& endpoints, Time now);
 
-  // ---- What happened
+  // ---- Recording
 
-  /// Makes room for an instance type, before an endpoint of it is compared.
+  /// Allocates the sums of an instance type. Must be called before an endpoint of the type is used.
   void add_instance_type(std::uint32_t instance_type);
-  /// An attempt starts. The caller decides on the tie-breaker.
+  /// Records the start of an attempt. The caller sets the endpoint's tie-breaker.
   void record_attempt(EndpointRecord& record, ClassId class_id, Time now);
-  /// An attempt of the current incarnation is over. `usual_s` is the class's average latency before
-  /// it, or 0.
+  /// Records the end of an attempt at the current incarnation. `average_s` is the class's average
+  /// latency before it, or 0 if unknown.
   void record_outcome(EndpointRecord& record, ClassId class_id, Result result, double latency_s,
-                      double usual_s, Time now);
-  /// Takes over what an endpoint reported of itself, unless it is incomplete or absurd.
+                      double average_s, Time now);
+  /// Records a load report, unless it is incomplete or implausible.
   void record_report(EndpointRecord& record, const LoadReport& report, Time now);
-  /// Brings decaying numbers of a record up to date.
+  /// Decays the statistics of a record up to `now`.
   void decay(EndpointRecord& record, Time now) const;
-  /// The number of endpoints in use, over which own attempts are spread.
+  /// Sets the number of endpoints that receive this balancer's attempts.
   void set_subset_size(double endpoints) { subset_size_ = endpoints; }
 
   // ---- The fleet
 
-  /// Counts a choice and takes the sums anew, for a large fleet only now and then. `is_warm` tells
-  /// whether a record is past its slow start.
+  /// Counts a selection and recomputes the fleet's sums if that is due, in a large fleet only after
+  /// a number of selections. `is_warm` returns whether a record is past its slow start.
   template <typename Predicate>
-  void survey_if_due(Time now, const Predicate& is_warm) {
-    if (!survey_due()) {
+  void refresh_if_due(Time now, const Predicate& is_warm) {
+    if (!refresh_due()) {
       return;
     }
     warm_count_ = 0;
@@ -49,35 +49,38 @@
       decay(record, now);
       warm_count_ += is_warm(record) ? 1 : 0;
     });
-    survey();
+    refresh();
   }
-  /// So many endpoints have changed: the next survey is due so many choices earlier.
-  void note_changes(std::size_t count) { choices_since_survey_ += count; }
+  /// Counts changed endpoints. The next refresh is due earlier by as many selections.
+  void count_changes(std::size_t count) { selections_since_refresh_ += count; }
 
   int warm_count() const { return warm_count_; }
   double mean_excess() const { return mean_excess_; }
-  /// Own attempts a second.
+  /// Attempts per second of this balancer.
   double attempts_per_s(Time now) const;
-  /// What the endpoints of the own zone reported lately; 0 where they reported nothing.
+  /// Recent mean utilization reported in this balancer's zone; 0 without reports.
   double zone_utilization(Time now) const;
 
   // ---- One endpoint
 
-  /// Capacity over the fleet's mean: reported requests a second over reported utilization.
+  /// Capacity relative to the fleet's mean, where capacity is the reported request rate over the
+  /// reported utilization.
   double relative_weight(const EndpointRecord& record) const;
-  /// Latency over its class's average, times relative weight: how much slower it is than its
-  /// reports explain.
+  /// Latency relative to its class's average, times relative weight: how much slower the endpoint
+  /// is than its load reports explain.
   double latency_excess(const EndpointRecord& record) const;
-  /// Errors beyond the fleet's mean and chance; 0 for a class that it fails no more than its peers.
+  /// Errors beyond the fleet's mean and chance; 0 for a class that the endpoint fails no more than
+  /// its peers.
   double excess_errors(const EndpointRecord& record, ClassId class_id) const;
-  /// Utilization that its instance type reported, summed and decayed: how well its weight is known.
-  double type_evidence(const EndpointRecord& record) const {
+  /// Decaying sum of the utilization that the endpoint's instance type reported, which shows how
+  /// reliable the type's weight is.
+  double type_utilization_sum(const EndpointRecord& record) const {
     return type_stats(record).weighted_utilizations;
   }
 
  private:
-  bool survey_due();
-  void survey();
+  bool refresh_due();
+  void refresh();
   const EndpointStats& type_stats(const EndpointRecord& record) const {
     return by_instance_type_[record.entry.instance_type];
   }
@@ -95,7 +98,7 @@
   double mean_error_rate_ = 0;
   double mean_excess_ = 1;
   double subset_size_ = 1;
-  std::size_t choices_since_survey_ = 0;
+  std::size_t selections_since_refresh_ = 0;
 };
 
 }  // namespace beechhill
--- a/src/balancer/state/in_flight.h
+++ b/src/balancer/state/in_flight.h
@@ -1,4 +1,4 @@
-// How many requests are in flight, and which of them to look at for silence.
+// Counts of requests in flight, and a schedule of checks for silent ones.
 #pragma once
 
 #include <cmath>
@@ -10,38 +10,38 @@
 
 namespace beechhill {
 
-/// Counts widths (see RequestState::width) of requests that were sent and have no outcome yet.
+/// Counts widths (see RequestState::width) of requests with an attempt in flight.
 struct InFlightCounts {
   int running = 0;
-  int silent = 0;  // of those running
+  int silent = 0;  // part of `running`
   double mean_running = 0;
 
-  /// Moves the mean by `elapsed_s` seconds of what ran; its time constant is four typical
-  /// latencies.
+  /// Advances the mean by `elapsed_s` seconds with the current count. Its time constant is four
+  /// typical latencies.
   void advance(double elapsed_s, double typical_latency_s) {
     const double time_constant_s = kMeanLatencies * typical_latency_s;
     mean_running += (running - mean_running) * (1 - std::exp(-elapsed_s / time_constant_s));
   }
 
-  /// What may run by chance at the recent mean when a request of that width comes: a lull does not
-  /// make it look small.
-  double usual_widths(int width) const {
+  /// Widths that may run by chance at the recent mean when a request of the given width arrives. A
+  /// short lull does not lower it.
+  double expected_widths(int width) const {
     return mean_running + kDeviations * std::sqrt(width * mean_running) + width;
   }
 
  private:
-  // Typical latencies over which the mean is taken.
+  // Time constant of the mean, in typical latencies.
   static constexpr double kMeanLatencies = 4;
-  // Standard deviations that count as chance.
+  // Standard deviations that are attributed to chance.
   static constexpr double kDeviations = 2;
 };
 
-/// When to look whether a request has been silent for too long. O(log n) for each operation.
+/// Times at which to check whether a request has become silent. Each operation is O(log n).
 class SilenceSchedule {
  public:
   void add(Time at, RequestId id) { checks_.emplace(at, id); }
 
-  /// Removes and returns the earliest check that is due. The request may be over by then.
+  /// Removes and returns the earliest check that is due. Its request may have ended.
   std::optional<RequestId> pop_due(Time now) {
     if (checks_.empty() || checks_.begin()->first > now) {
       return std::nullopt;
--- a/src/balancer/state/latency_tracker.h
+++ b/src/balancer/state/latency_tracker.h
@@ -1,4 +1,4 @@
-// Moving estimates of how long answers take.
+// Moving estimates of response times.
 #pragma once
 
 #include <vector>
@@ -8,18 +8,19 @@
 
 namespace beechhill {
 
-/// All latencies in seconds, of successful answers only. O(1) for each.
+/// Latencies are in seconds, and of successful responses only. Each operation is O(1).
 class LatencyTracker {
  public:
   explicit LatencyTracker(const std::vector<ClassSettings>& classes);
 
   void add(ClassId class_id, double latency_s);
 
-  /// A class's moving average; 0 before its first answer.
+  /// A class's moving average; 0 before its first response.
   double average_s(ClassId class_id) const { return average_[class_id]; }
-  /// What one answer in ten of a class exceeds; 0 before its first answer.
+  /// The latency that one response in ten of a class exceeds (90th percentile); 0 before the first
+  /// response.
   double slow_s(ClassId class_id) const { return slow_[class_id]; }
-  /// The average over all classes; a quarter of the shortest objective before the first answer.
+  /// The average over all classes; before the first response, a quarter of the shortest objective.
   double typical_s() const {
     return overall_ > 0 ? overall_ : shortest_objective_ / kFirstTypicalDivisor;
   }
@@ -28,11 +29,11 @@
 
  private:
   static constexpr double kSmoothing = 0.2;  // weight of a new sample
-  // Steps of the slow estimate, whose ratio settles it where one answer in ten is slower.
+  // Steps of the slow estimate. Their ratio makes it converge to the 90th percentile.
   static constexpr double kSlowRise = 0.9;
   static constexpr double kSlowFall = -0.1;
-  static constexpr double kFirstSlowFactor = 1.5;    // of the first answer
-  static constexpr double kFirstTypicalDivisor = 4;  // of the shortest objective
+  static constexpr double kFirstSlowFactor = 1.5;    // multiple of the first latency
+  static constexpr double kFirstTypicalDivisor = 4;  // divisor of the shortest objective
   static constexpr double kOverallSmoothing = kSmoothing / 4;
 
   double shortest_objective_ = kUnlimited;
--- a/src/balancer/state/outcome_counts.h
+++ b/src/balancer/state/outcome_counts.h
@@ -1,11 +1,11 @@
-// Counts of attempts and of those that failed.
+// Counts of attempts and of failed attempts.
 #pragma once
 
 #include <vector>
 
 namespace beechhill {
 
-/// Of one request class at one endpoint, or summed. Decays, so both are fractional.
+/// Counts for one request class at one endpoint, or sums of these. Fractional, as they decay.
 struct OutcomeCounts {
   double attempts = 0;
   double errors = 0;
--- a/src/balancer/state/random_source.h
+++ b/src/balancer/state/random_source.h
@@ -6,13 +6,13 @@
 
 namespace beechhill {
 
-/// One stream for all decisions: the order of the draws is part of the module's behaviour. The
-/// standard distributions differ between libraries, so the conversion is spelled out.
+/// One stream for all decisions: the order of the draws is part of the module's behaviour. Does not
+/// use the standard distributions, as their results differ between libraries.
 class RandomSource {
  public:
   explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
 
-  /// Evenly distributed over [0, 1).
+  /// Uniformly distributed over [0, 1).
   double uniform() { return static_cast<double>(engine_() >> 11) * 0x1.0p-53; }
 
  private:
--- a/src/balancer/state/ranked_set.h
+++ b/src/balancer/state/ranked_set.h
@@ -1,5 +1,5 @@
-// Endpoint ids in the order of a rank that each keeps as long as it is known: the first k of them
-// are the same k while others come and go.
+// A set of endpoint ids ordered by a constant rank, so that the first k ids change little as others
+// are added and removed.
 #pragma once
 
 #include <algorithm>
@@ -10,11 +10,11 @@
 
 namespace beechhill {
 
-/// Owns its entries. An id is given with the same rank each time.
+/// Owns its entries. The caller must pass the same rank for an id each time.
 class RankedSet {
  public:
-  /// O(log n) to find the place, and a move of what stands behind it: 16 bytes each, 10 us at
-  /// 10,000. Does nothing where the id is contained.
+  /// O(log n) to find the position, and O(n) to move the entries behind it: 16 bytes each, 10 us at
+  /// 10,000 entries. Does nothing if the id is present.
   void insert(double rank, EndpointId id) {
     const Entry entry{rank, id};
     const auto at = std::lower_bound(entries_.begin(), entries_.end(), entry);
@@ -23,7 +23,7 @@
     }
   }
 
-  /// As costly as insert(). Does nothing where the id is not contained.
+  /// Costs as much as insert(). Does nothing if the id is absent.
   void erase(double rank, EndpointId id) {
     const Entry entry{rank, id};
     const auto at = std::lower_bound(entries_.begin(), entries_.end(), entry);
@@ -32,7 +32,7 @@
     }
   }
 
-  /// Replaces all entries; they may come in any order, each id once. O(n log n).
+  /// Replaces all entries, given in any order and with each id once. O(n log n).
   void assign(std::vector<std::pair<double, EndpointId>> entries) {
     entries_ = std::move(entries);
     std::sort(entries_.begin(), entries_.end());
@@ -40,7 +40,7 @@
 
   std::size_t size() const { return entries_.size(); }
 
-  /// The id with the `index`-th lowest rank, from 0.
+  /// The id with the `index`-th lowest rank, counted from 0. `index` must be less than size().
   EndpointId operator[](std::size_t index) const { return entries_[index].second; }
 
  private:
--- a/src/balancer/state/token_bucket.h
+++ b/src/balancer/state/token_bucket.h
@@ -1,4 +1,4 @@
-// A token bucket that is filled when it is asked.
+// A token bucket that is refilled on demand.
 #pragma once
 
 #include <algorithm>
@@ -7,18 +7,18 @@
 
 namespace beechhill {
 
-/// Holds fractional tokens. Does not read a clock: the owner fills it before taking.
+/// Holds fractional tokens. Reads no clock: the owner must call fill() before take().
 struct TokenBucket {
   double tokens = 0;
   Time filled_at{0};
 
-  /// Adds what came since the last call at `rate_per_s`, up to `capacity` tokens.
+  /// Adds the tokens accrued since the last call at `rate_per_s`, up to `capacity` tokens.
   void fill(Time now, double rate_per_s, double capacity) {
     tokens = std::min(capacity, tokens + rate_per_s * seconds(now - filled_at));
     filled_at = now;
   }
 
-  /// Takes one token, if there is one.
+  /// Takes one token and returns true, or returns false if there is less than one.
   bool take() {
     if (tokens < 1) {
       return false;
