--- a/tests/action_trace_test.cpp
+++ b/tests/action_trace_test.cpp
@@ -1,9 +1,9 @@
-// Compares the actions of the decision module with those that were recorded, byte for byte.
+// Compares the actions of the decision module with recorded ones, byte for byte.
 //
-// After a change of a decision that is meant, record them anew:
+// To record the actions again after an intended change of a decision:
 //   ACTION_TRACE_RECORD=1 build/tests/action_trace_test
-// For comparing two builds over a long stream, run both with ACTION_TRACE_EVENTS set to the number
-// of events of each stream, and compare the hashes that they print.
+// To compare two builds over a long stream, run both with ACTION_TRACE_EVENTS set to the number of
+// events per stream, and compare the hashes that they print.
 #include "support/action_trace.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 namespace beechhill::test {
 namespace {
 
-constexpr std::uint64_t kRecordedEvents = 800;  // of each stream
+constexpr std::uint64_t kRecordedEvents = 800;  // per stream
 constexpr std::uint64_t kRecordedStreams = static_cast<std::uint64_t>(Deployment::kCount);
 constexpr std::uint64_t kComparedStreams = 4 * kRecordedStreams;
 
@@ -29,8 +29,8 @@
   return text;
 }
 
-// FNV-1a, 64 bits.
-std::uint64_t hashed(std::uint64_t hash, const std::string& line) {
+// Extends a 64-bit FNV-1a hash by a line.
+std::uint64_t extend_hash(std::uint64_t hash, const std::string& line) {
   for (const char c : line) {
     hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
   }
@@ -55,22 +55,23 @@
 }
 
 TEST(ActionTrace, IsEqualForEqualSeeds) {
-  const char* const wanted = std::getenv("ACTION_TRACE_EVENTS");
-  const std::uint64_t events = wanted != nullptr ? std::strtoull(wanted, nullptr, 10) : 500;
+  const char* const event_count_text = std::getenv("ACTION_TRACE_EVENTS");
+  const std::uint64_t event_count =
+      event_count_text != nullptr ? std::strtoull(event_count_text, nullptr, 10) : 500;
   for (std::uint64_t seed = 0; seed < kComparedStreams; ++seed) {
     std::uint64_t hashes[2] = {};
     std::uint64_t lines = 0;
-    std::uint64_t taken = 0;
-    const int runs = wanted != nullptr ? 1 : 2;
+    std::uint64_t handled = 0;
+    const int runs = event_count_text != nullptr ? 1 : 2;
     for (int run = 0; run < runs; ++run) {
       ActionTrace trace(seed, [&](const std::string& line) {
-        hashes[run] = hashed(hashes[run], line);
+        hashes[run] = extend_hash(hashes[run], line);
         ++lines;
       });
-      taken = trace.run(events);
+      handled = trace.run(event_count);
     }
-    if (wanted != nullptr) {
-      std::cout << "stream " << seed << ": " << taken << " events, " << lines << " lines, hash "
+    if (event_count_text != nullptr) {
+      std::cout << "stream " << seed << ": " << handled << " events, " << lines << " lines, hash "
                 << std::hex << hashes[0] << std::dec << '\n';
     } else {
       EXPECT_EQ(hashes[0], hashes[1]) << "stream " << seed;
--- a/tests/balancer/admission_test.cpp
+++ b/tests/balancer/admission_test.cpp
@@ -1,11 +1,11 @@
-// Admission: priority levels, quotas, fair queues, and the deadlines of queued requests.
+// Tests admission: priority levels, quotas, fair queues, and the deadlines of queued requests.
 #include "support/balancer_driver.h"
 
 namespace beechhill::test {
 namespace {
 
 TEST(Admission, RejectsAQueuedRequestWhenItsQueueDeadlinePasses) {
-  Driver driver;  // no endpoint at all
+  Driver driver;  // without endpoints, so that the request is queued
   driver.request(1, kNonIdempotentClass);
   EXPECT_TRUE(driver.final_answers.empty());
   driver.advance(milliseconds(1200));
@@ -30,12 +30,13 @@
     driver.request(id, kIdempotentClass, 0);
   }
   driver.request(1000, kIdempotentClass, 1);
-  driver.list_endpoints(2);  // the limit is open, so that all start, in the order of the queues
-  std::size_t at = 0;
-  while (at < driver.attempts.size() && driver.attempts[at].id != 1000) {
-    ++at;
+  // The limit is open, so all requests start, in the order in which the queues release them.
+  driver.list_endpoints(2);
+  std::size_t position = 0;
+  while (position < driver.attempts.size() && driver.attempts[position].id != 1000) {
+    ++position;
   }
-  EXPECT_LT(at, 5u);
+  EXPECT_LT(position, 5u);
 }
 
 TEST(Admission, SendsTheHigherPriorityFirst) {
@@ -69,8 +70,8 @@
   }
 }
 
-// Guards against chance marking honest traffic where a replica gets a fraction of a request a
-// second.
+// A replica that receives a fraction of a request per second must not mark requests within a quota
+// as over it by chance.
 TEST(Admission, TakesFewRequestsAsWithinQuotaAtOneOfManyReplicas) {
   Settings settings = basic_settings();
   settings.over_quota_priority_factor = 0.1;
@@ -83,12 +84,12 @@
   driver.request(3, kIdempotentClass, 1);
   driver.list_endpoints(1);
   ASSERT_EQ(driver.attempts.size(), 3u);
-  EXPECT_EQ(driver.attempts.back().id, 2u);  // one level for all: tenants take turns
+  EXPECT_EQ(driver.attempts.back().id, 2u);  // all are on one level, where tenants alternate
 }
 
-// Guards against a client that is rejected unsent when most of its own short time has passed.
+// A client with a short deadline must be rejected while it has time to retry.
 TEST(Admission, RejectsAQueuedRequestBeforeHalfOfItsClientsTime) {
-  Driver driver;  // no endpoint: all requests are queued
+  Driver driver;  // without endpoints, so that all requests are queued
   driver.handle(Request{1, kIdempotentClass, kNoTenant, driver.now + milliseconds(600), {}});
   driver.advance(milliseconds(290));
   EXPECT_EQ(driver.final_answers.count(1), 1u);
@@ -97,12 +98,12 @@
 TEST(Deadlines, RejectARequestThatArrivesTooLate) {
   Driver driver;
   driver.list_endpoints(2);
-  const auto out = driver.handle(Request{1, kNonIdempotentClass, kNoTenant, driver.now, {}});
-  EXPECT_EQ(count<StartAttempt>(out), 0u);
-  EXPECT_EQ(count<Reject>(out), 1u);
+  const auto actions = driver.handle(Request{1, kNonIdempotentClass, kNoTenant, driver.now, {}});
+  EXPECT_EQ(count<StartAttempt>(actions), 0u);
+  EXPECT_EQ(count<Reject>(actions), 1u);
 }
 
-// Incident i93a7ab: a request with little time left was queued past its deadline, then sent.
+// Guards against queueing a request past its deadline and then sending it (incident i93a7ab).
 TEST(Deadlines, AnswerAQueuedRequestWithLittleTimeLeft) {
   Driver driver;
   driver.handle(Request{1, kNonIdempotentClass, kNoTenant, driver.now + milliseconds(21), {}});
@@ -115,7 +116,7 @@
 TEST(Deadlines, SendNothingOverdueToANewEndpoint) {
   Driver driver;
   driver.handle(Request{1, kNonIdempotentClass, kNoTenant, driver.now + milliseconds(21), {}});
-  driver.now += milliseconds(30);  // no timer in between
+  driver.now += milliseconds(30);  // no timer expires in between
   driver.list_endpoints(2);
   EXPECT_TRUE(driver.attempts.empty());
   EXPECT_EQ(driver.final_answers.count(1), 1u);
--- a/tests/balancer/concurrency_limit_test.cpp
+++ b/tests/balancer/concurrency_limit_test.cpp
@@ -1,27 +1,27 @@
-// The concurrency limit: what lowers it, what raises it, and what it keeps.
+// Tests what lowers and raises the concurrency limit, and its minimum.
 #include "support/balancer_driver.h"
 
 namespace beechhill::test {
 namespace {
 
-// Guards against a lone late answer, or a long tail, closing the limit of a replica with a request
-// or two in flight.
+// A single late response, or a long tail, must not close the limit of a replica that has only one
+// or two requests in flight.
 TEST(ConcurrencyLimit, StaysOpenOnRareLateAnswersAtASmallReplica) {
   Driver driver;
   driver.list_endpoints(20);
-  std::size_t held = 0;
+  std::size_t queued = 0;
   for (RequestId id = 0; id < 60; ++id) {
-    held += driver.request(id).empty();
+    queued += driver.request(id).empty();
     driver.advance(id % 30 == 20 ? milliseconds(800) : milliseconds(200));
     driver.outcome(id, 0, Result::kOk);
     driver.advance(milliseconds(300));
   }
-  EXPECT_EQ(held, 0u);
+  EXPECT_EQ(queued, 0u);
   EXPECT_EQ(driver.final_answers.size(), 0u);
   EXPECT_EQ(driver.attempts.size(), 60u);
 }
 
-// Guards against a limit that cannot bind where a replica has less than one request in flight.
+// The limit must also bind at a replica with less than one request in flight on average.
 TEST(ConcurrencyLimit, BindsBelowOneRequest) {
   Settings settings = basic_settings();
   settings.replicas = 400;
@@ -32,16 +32,16 @@
     driver.advance(milliseconds(1500));
     driver.outcome(id, 0, Result::kOk);
   }
-  EXPECT_LT(driver.attempts.size(), 30u);  // some were queued for a while, and rejected
-  EXPECT_GT(driver.attempts.size(), 5u);   // but never all
+  EXPECT_LT(driver.attempts.size(), 30u);  // some requests were rejected after waiting
+  EXPECT_GT(driver.attempts.size(), 5u);   // but not all
 }
 
-// Fills two endpoints with requests, then lets one of them refuse some until the limit binds.
-void close_limit(Driver& driver, RequestId from) {
-  for (RequestId id = from; id < from + 30; ++id) {
+// Fills two endpoints with requests, of which 20 end as overloaded, so that the limit binds.
+void close_limit(Driver& driver, RequestId first_id) {
+  for (RequestId id = first_id; id < first_id + 30; ++id) {
     driver.request(id, kIdempotentClass, 0);
   }
-  for (RequestId id = from; id < from + 20; ++id) {
+  for (RequestId id = first_id; id < first_id + 20; ++id) {
     driver.outcome(id, 0, Result::kOverloaded, true);
   }
 }
@@ -65,29 +65,29 @@
   for (RequestId id = 20; id < 30; ++id) {
     driver.outcome(id, 0, Result::kOk);
   }
-  const auto burst = [&](RequestId from) {
+  const auto burst = [&](RequestId first_id) {
     std::size_t sent = 0;
-    for (RequestId id = from; id < from + 40; ++id) {
+    for (RequestId id = first_id; id < first_id + 40; ++id) {
       sent += count<StartAttempt>(driver.request(id));
     }
     return sent;
   };
   driver.advance(milliseconds(2000));
-  std::size_t n = driver.attempts.size();
-  const std::size_t closed = burst(1000);
+  std::size_t ended = driver.attempts.size();
+  const std::size_t sent_when_closed = burst(1000);
   for (RequestId next = 2000; next < 12000; next += 100) {  // timely answers while the limit binds
     driver.advance(milliseconds(50));
-    for (; n < driver.attempts.size(); ++n) {
-      driver.outcome(driver.attempts[n].id, 0, Result::kOk);
+    for (; ended < driver.attempts.size(); ++ended) {
+      driver.outcome(driver.attempts[ended].id, 0, Result::kOk);
     }
     burst(next);
   }
-  std::size_t out = 0;
+  std::size_t in_flight = 0;
   driver.advance(milliseconds(50));
-  for (; n < driver.attempts.size(); ++n, ++out) {
-    driver.outcome(driver.attempts[n].id, 0, Result::kOk);
+  for (; ended < driver.attempts.size(); ++ended, ++in_flight) {
+    driver.outcome(driver.attempts[ended].id, 0, Result::kOk);
   }
-  EXPECT_GT(out, closed);
+  EXPECT_GT(in_flight, sent_when_closed);
 }
 
 TEST(ConcurrencyLimit, IgnoresLateAnswersBelowTheFirstTier) {
@@ -113,13 +113,13 @@
   driver.list_endpoints(4);
   RequestId id = 0;
   for (int round = 0; round < 30; ++round) {
-    const RequestId from = id;
+    const RequestId first_id = id;
     for (int i = 0; i < 8; ++i) {
       driver.request(id++);
     }
     driver.advance(milliseconds(800));
-    for (RequestId k = from; k < id; ++k) {
-      driver.outcome(k, 0, Result::kOk);
+    for (RequestId ended = first_id; ended < id; ++ended) {
+      driver.outcome(ended, 0, Result::kOk);
     }
   }
   std::size_t sent = 0;
@@ -129,7 +129,7 @@
   EXPECT_LT(sent, 30u);
 }
 
-// Guards against a limit that learnt from endpoints in slow start only, and stays closed for
+// Guards against a limit learned only from endpoints in slow start, which would stay closed for
 // minutes after they are warm.
 TEST(ConcurrencyLimit, KeepsItsMinimumOverAFleetInSlowStart) {
   Driver driver;
@@ -150,17 +150,17 @@
   for (RequestId id = 1000; id < 1010; ++id) {
     sent += count<StartAttempt>(driver.request(id));
   }
-  EXPECT_GE(sent, 5u);  // of ten: four widths an endpoint are kept
+  EXPECT_GE(sent, 5u);  // of 10 requests; the minimum is four widths per endpoint
 }
 
-// Guards against a limit full of requests that nobody will answer (a zone is cut off, answers get
-// lost) until their far deadlines, while the endpoints are idle (the second variant's split+mass:
-// 0.25 served of 0.96).
+// Requests that are never answered, for example because a zone is cut off or responses are lost,
+// must not occupy the limit until distant deadlines while the endpoints are idle. In the scenario
+// split+mass of the second variant, 0.25 of the requests were served instead of 0.96.
 TEST(ConcurrencyLimit, IsReleasedBySilentRequests) {
   Settings settings = basic_settings();
-  for (ClassSettings& c : settings.classes) {
-    c.deadline = std::chrono::seconds(40);
-    c.latency_objective = std::chrono::seconds(4);
+  for (ClassSettings& class_settings : settings.classes) {
+    class_settings.deadline = std::chrono::seconds(40);
+    class_settings.latency_objective = std::chrono::seconds(4);
   }
   Driver driver(settings);
   driver.list_endpoints(4);
@@ -171,8 +171,8 @@
         Request{++id, kIdempotentClass, kNoTenant, driver.now + std::chrono::seconds(40), {}});
     return driver.attempts.size() > before;
   };
-  const auto send_and_end = [&](int n, Result result) {
-    for (int i = 0; i < n; ++i) {
+  const auto send_and_end = [&](int request_count, Result result) {
+    for (int i = 0; i < request_count; ++i) {
       if (!send()) {
         continue;
       }
@@ -182,22 +182,22 @@
   };
   send_and_end(50, Result::kOk);
   send_and_end(1, Result::kTimeout);  // the limit binds from here on
-  int out = 0;
+  int sent = 0;
   while (send()) {
-    ++out;
+    ++sent;
   }
-  ASSERT_LT(out, 200);
-  // None of them is answered; what is queued waits for 2 s at most.
+  ASSERT_LT(sent, 200);
+  // None of these requests is answered. Queued requests wait for at most 2 s.
   driver.advance(milliseconds(1500));
   const std::size_t before = driver.attempts.size();
-  for (int i = 0; i < out; ++i) {
+  for (int i = 0; i < sent; ++i) {
     send();
   }
-  EXPECT_GE(driver.attempts.size(), before + static_cast<std::size_t>(out) / 2);
-  for (RequestId late = 52; late < 52 + static_cast<RequestId>(out); ++late) {
+  EXPECT_GE(driver.attempts.size(), before + static_cast<std::size_t>(sent) / 2);
+  for (RequestId late = 52; late < 52 + static_cast<RequestId>(sent); ++late) {
     driver.outcome(late, 0, Result::kOk);
   }
-  EXPECT_FALSE(driver.attempts.empty());  // late answers count once: the limit still binds
+  EXPECT_FALSE(driver.attempts.empty());  // late responses count once: the limit still binds
   int more = 0;
   while (send()) {
     ASSERT_LT(++more, 1000);
--- a/tests/balancer/discovery_polling_test.cpp
+++ b/tests/balancer/discovery_polling_test.cpp
@@ -1,4 +1,4 @@
-// Subscriptions to discovery.
+// Tests when a balancer subscribes to discovery.
 #include "support/balancer_driver.h"
 
 namespace beechhill::test {
@@ -7,14 +7,14 @@
 TEST(DiscoveryPolling, SubscribesAtStartWithJitter) {
   Settings settings = basic_settings();
   settings.discovery_polling_required = true;
-  std::set<Time> moments;
+  std::set<Time> times;
   for (settings.seed = 0; settings.seed < 8; ++settings.seed) {
     Driver driver(settings);
     const auto& timer = std::get<SetTimer>(driver.actions.at(0));
     EXPECT_LE(timer.at - driver.now, settings.discovery_poll_interval / 2);
-    moments.insert(timer.at);
+    times.insert(timer.at);
   }
-  EXPECT_EQ(moments.size(), 8u);
+  EXPECT_EQ(times.size(), 8u);
 }
 
 TEST(DiscoveryPolling, SubscribesAgainAfterAFailure) {
--- a/tests/balancer/endpoint_selector_test.cpp
+++ b/tests/balancer/endpoint_selector_test.cpp
@@ -1,4 +1,4 @@
-// Endpoint selection: spreading, load weights, the subset in use, and other zones.
+// Tests endpoint selection: even spreading, load weights, the subset in use, and other zones.
 #include "support/balancer_driver.h"
 
 namespace beechhill::test {
@@ -19,12 +19,12 @@
   for (RequestId id = 0; id < 40; ++id) {
     driver.request(id);
   }
-  std::map<EndpointId, int> attempts_of;
-  for (const auto& s : driver.attempts) {
-    ++attempts_of[s.endpoint];
+  std::map<EndpointId, int> attempts_by_endpoint;
+  for (const auto& attempt : driver.attempts) {
+    ++attempts_by_endpoint[attempt.endpoint];
   }
-  for (const auto& [endpoint, n] : attempts_of) {
-    EXPECT_EQ(n, 10) << endpoint;
+  for (const auto& [endpoint, count] : attempts_by_endpoint) {
+    EXPECT_EQ(count, 10) << endpoint;
   }
 }
 
@@ -39,8 +39,9 @@
     driver.request(id);
   }
   const auto fast = std::count_if(driver.attempts.begin(), driver.attempts.end(),
-                                  [](auto& s) { return s.endpoint == 0; });
-  EXPECT_NEAR(static_cast<double>(fast), 29, 2);  // 3 to 1, less a little for the prior
+                                  [](auto& attempt) { return attempt.endpoint == 0; });
+  // The ratio of the weights is 3 to 1, and the prior reduces it a little.
+  EXPECT_NEAR(static_cast<double>(fast), 29, 2);
 }
 
 TEST(LoadWeights, AreAtLeastATenthOfTheMean) {
@@ -54,25 +55,27 @@
     driver.request(id);
   }
   EXPECT_GE(std::count_if(driver.attempts.begin(), driver.attempts.end(),
-                          [](auto& s) { return s.endpoint == 1; }),
+                          [](auto& attempt) { return attempt.endpoint == 1; }),
             3);
 }
 
 TEST(LoadWeights, IgnoreReportsOfNearlyIdleEndpoints) {
   Driver driver;
   driver.list_endpoints(2);
-  driver.handle(HealthCheckResult{0, Result::kOk, {0.001, 50.0}});  // would be a weight of 50,000
+  // Without the check this report would give a weight of 50,000.
+  driver.handle(HealthCheckResult{0, Result::kOk, {0.001, 50.0}});
   driver.handle(HealthCheckResult{1, Result::kOk, {0.5, 10.0}});
   for (RequestId id = 0; id < 20; ++id) {
     driver.request(id);
   }
   EXPECT_NEAR(std::count_if(driver.attempts.begin(), driver.attempts.end(),
-                            [](auto& s) { return s.endpoint == 1; }),
+                            [](auto& attempt) { return attempt.endpoint == 1; }),
               7, 3);
 }
 
-// Guards against minutes without weights where a replica may check little: endpoints of a type are
-// alike.
+// A replica with a small budget of health checks would otherwise have no weights for minutes.
+// Endpoints of one instance type have similar capacity, so reports of one serve for all of the
+// type.
 TEST(LoadWeights, StartFromTheInstanceTypeBeforeTheFirstReport) {
   Driver driver;
   driver.list_endpoints_of_types(8, [](EndpointId i) { return i % 2; });
@@ -84,12 +87,12 @@
     driver.request(id);
   }
   const auto fast = std::count_if(driver.attempts.begin(), driver.attempts.end(),
-                                  [](auto& s) { return s.endpoint % 2 == 0; });
+                                  [](auto& attempt) { return attempt.endpoint % 2 == 0; });
   EXPECT_GT(fast, 80);
 }
 
-// Guards against meeting each of many endpoints so seldom that a slow one is never noticed
-// (incident id9112b).
+// With few requests per endpoint a slow endpoint would never be noticed, so a replica with few
+// requests uses few endpoints (incident id9112b).
 TEST(EndpointSubset, GrowsWithTheRequestRate) {
   std::size_t rare = 0;
   std::size_t frequent = 0;
@@ -114,12 +117,12 @@
   EXPECT_GT(frequent, 20u * 55);
 }
 
-// Guards against replicas that start together and crowd a few endpoints each, until a rate over
-// five seconds has built up.
+// Replicas that start together must not overload a few endpoints each until their rate over five
+// seconds has built up.
 TEST(EndpointSubset, FollowsTheRequestRateSoonAfterStart) {
   Settings settings = basic_settings();
   settings.replicas = 1000;
-  std::size_t met = 0;
+  std::size_t used_count = 0;
   for (settings.seed = 0; settings.seed < 10; ++settings.seed) {
     Driver driver(settings);
     driver.list_endpoints(60);
@@ -127,19 +130,19 @@
     for (RequestId id = 0; id < 100; ++id) {
       driver.request(id);
       if (id >= 64) {
-        sent.insert(driver.attempts.back().endpoint);  // from the second second on
+        sent.insert(driver.attempts.back().endpoint);  // from 1 s after the start
       }
       driver.advance(milliseconds(10));
       driver.outcome(id, 0, Result::kOk);
       driver.advance(milliseconds(6));
     }
-    met += sent.size();
+    used_count += sent.size();
   }
-  EXPECT_GT(met, 10u * 26);  // of 36 attempts; 13 endpoints where a fifth of the rate counts
+  EXPECT_GT(used_count, 10u * 26);  // of 36 attempts; 13 endpoints if a fifth of the rate counts
 }
 
-// Guards against all replicas starting with the same endpoint (incidents id9112b, ic9b421,
-// i225916).
+// Replicas that start together must not all choose the same endpoint first (incidents id9112b,
+// ic9b421, i225916).
 TEST(EndpointSelection, SpreadsByWeightOverReplicasThatGetOneRequestEach) {
   std::map<EndpointId, int> sent;
   for (std::uint64_t seed = 0; seed < 400; ++seed) {
@@ -155,11 +158,11 @@
     driver.request(1);
     ++sent[driver.attempts.at(0).endpoint];
   }
-  EXPECT_NEAR(sent[3], 190, 50);  // near half, by weight
+  EXPECT_NEAR(sent[3], 190, 50);  // near half of the requests, by weight
   EXPECT_NEAR(sent[0], 70, 30);
 }
 
-// Guards against own attempts being forgotten at once by the first endpoints in the list.
+// Guards against attempts decaying so fast that the first endpoints in the list get most requests.
 TEST(EndpointSelection, TakesTurnsAtAFewRequestsASecond) {
   Driver driver;
   driver.list_endpoints(12);
@@ -177,7 +180,7 @@
   }
 }
 
-// No report, however absurd, takes the weight of its endpoint out of bounds.
+// Invalid reports must not take the weight of an endpoint out of its bounds.
 TEST(LoadWeights, StayBoundedOnAbsurdReports) {
   constexpr double kNaN = std::numeric_limits<double>::quiet_NaN(),
                    kInfinity = std::numeric_limits<double>::infinity();
@@ -190,13 +193,13 @@
       driver.handle(HealthCheckResult{id, Result::kOk, {0.5, 10.0}});
     }
     driver.handle(HealthCheckResult{0, Result::kOk, absurd});
-    std::map<EndpointId, int> attempts_of;
-    for (RequestId id = 0; id < 100; ++id) {
-      driver.request(id);
-      ++attempts_of[driver.attempts.back().endpoint];
+    std::map<EndpointId, int> attempts_by_endpoint;
+    for (RequestId request_id = 0; request_id < 100; ++request_id) {
+      driver.request(request_id);
+      ++attempts_by_endpoint[driver.attempts.back().endpoint];
     }
     for (EndpointId id = 0; id < 4; ++id) {
-      EXPECT_GT(attempts_of[id], 10) << id;
+      EXPECT_GT(attempts_by_endpoint[id], 10) << id;
     }
   }
 }
@@ -207,9 +210,9 @@
   return settings;
 }
 
-// The share of requests, one each 20 ms that takes 200 ms, which cross where the own zone reports
-// `used`.
-double cross_zone_share(double used) {
+// Returns the share of requests sent to the other zone while the own zone reports `utilization`.
+// Sends a request every 20 ms; each takes 200 ms.
+double cross_zone_share(double utilization) {
   Driver driver(cross_zone_settings());
   EndpointUpdate list{UpdateKind::kSnapshot, {}};
   for (EndpointId id = 0; id < 8; ++id) {
@@ -221,24 +224,25 @@
   for (RequestId id = 1; id <= 600; ++id, driver.advance(milliseconds(20))) {
     driver.request(id);
     for (; driver.attempts.size() > done + 10; ++done) {
-      const StartAttempt& s = driver.attempts[done];
-      const double busy = s.endpoint % 2 == 0 ? used : 0.1;
-      driver.handle(Outcome{s.id, 0, Result::kOk, true, {busy, 10 * busy}});
+      const StartAttempt& attempt = driver.attempts[done];
+      const double reported = attempt.endpoint % 2 == 0 ? utilization : 0.1;
+      driver.handle(Outcome{attempt.id, 0, Result::kOk, true, {reported, 10 * reported}});
     }
   }
-  for (const StartAttempt& s : driver.attempts) {
-    crossed += s.id > 200 && s.endpoint % 2 == 1;
+  for (const StartAttempt& attempt : driver.attempts) {
+    crossed += attempt.id > 200 && attempt.endpoint % 2 == 1;
   }
   return static_cast<double>(crossed) / 400;
 }
 
-// Own attempts alone would spread requests over both zones from the first on, each at a cost.
+// Load balancing by own attempts alone would spread requests over both zones at once, at a cost for
+// each request that crosses.
 TEST(CrossZone, StaysInTheOwnZoneWhileItHasCapacity) {
   EXPECT_EQ(cross_zone_share(0.2), 0);
   EXPECT_EQ(cross_zone_share(0.6), 0);
 }
 
-// The more the own zone is used, the more crosses, and no more than an even part.
+// The share of requests that cross grows with the utilization of the own zone, up to an even share.
 TEST(CrossZone, SpreadsAsTheOwnZoneFills) {
   const double nearly_full = cross_zone_share(0.95);
   const double full = cross_zone_share(1.3);
@@ -247,18 +251,18 @@
   EXPECT_LE(full, 0.55);
 }
 
-// Where nothing is reported, a limit that binds tells that the own zone is full.
+// Without load reports, a limit that binds indicates that the own zone is full.
 TEST(CrossZone, SpreadsWhenTheLimitBindsWithoutReports) {
   Driver driver(cross_zone_settings());
   driver.update_endpoint({0, EndpointStatus::kUp, 0, 0, {}});
   driver.update_endpoint({1, EndpointStatus::kUp, 1, 1, {}});
   RequestId id = 0;
-  for (int round = 0; round < 30;
-       ++round) {  // each answer of the own zone is late: the limit falls to its minimum
-    const RequestId late = ++id;
-    driver.request(late);
+  // Each response of the own zone is late, so the limit falls to its minimum.
+  for (int round = 0; round < 30; ++round) {
+    const RequestId late_id = ++id;
+    driver.request(late_id);
     driver.advance(milliseconds(990));
-    driver.outcome(late, 0, Result::kOk);
+    driver.outcome(late_id, 0, Result::kOk);
   }
   const std::size_t before = driver.attempts.size();
   while (driver.request(++id).size() > 0 && id < 100) {
@@ -266,10 +270,10 @@
   }
   EXPECT_GT(driver.attempts.size() - before, 3u);
   EXPECT_TRUE(std::any_of(driver.attempts.begin(), driver.attempts.end(),
-                          [](auto& s) { return s.endpoint == 1; }));
+                          [](auto& attempt) { return attempt.endpoint == 1; }));
 }
 
-// An own zone without endpoints that are up is no reason to wait.
+// Requests must not wait for an own zone in which no endpoint is up.
 TEST(CrossZone, CrossesAtOnceWhenTheOwnZoneHasNoEndpoint) {
   Driver driver(cross_zone_settings());
   driver.update_endpoint({0, EndpointStatus::kDraining, 0, 0, {}});
--- a/tests/balancer/endpoint_table_test.cpp
+++ b/tests/balancer/endpoint_table_test.cpp
@@ -1,20 +1,22 @@
-// Endpoint lists and exclusions by operators: what they void, and what they end.
+// Tests how endpoint lists and exclusions by operators affect endpoints and attempts.
 #include "support/balancer_driver.h"
 
 namespace beechhill::test {
 namespace {
 
-// How many of `n` requests, one each 10 ms and each answered at once, an endpoint gets.
-std::size_t share_of(Driver& driver, EndpointId endpoint, RequestId from, int n) {
+// Sends `request_count` requests, one every 10 ms with an immediate response, and returns how many
+// attempts `endpoint` received.
+std::size_t count_attempts_at(Driver& driver, EndpointId endpoint, RequestId first_id,
+                              int request_count) {
   std::size_t got = 0;
-  for (int i = 0; i < n; ++i) {
+  for (int i = 0; i < request_count; ++i) {
     const std::size_t before = driver.attempts.size();
-    driver.request(from + i);
-    for (std::size_t k = before; k < driver.attempts.size(); ++k) {
-      got += driver.attempts[k].endpoint == endpoint;
+    driver.request(first_id + i);
+    for (std::size_t attempt = before; attempt < driver.attempts.size(); ++attempt) {
+      got += driver.attempts[attempt].endpoint == endpoint;
     }
     driver.advance(milliseconds(10));
-    driver.outcome(from + i, 0, Result::kOk);
+    driver.outcome(first_id + i, 0, Result::kOk);
   }
   return got;
 }
@@ -23,28 +25,28 @@
   Driver driver;
   driver.handle(EndpointExclusion{1, true});  // before any list
   driver.list_endpoints(3);
-  EXPECT_EQ(share_of(driver, 1, 100, 60), 0u);
+  EXPECT_EQ(count_attempts_at(driver, 1, 100, 60), 0u);
   driver.update_endpoint({1, EndpointStatus::kRemoved, 0, 0, {}});
   driver.update_endpoint({1, EndpointStatus::kUp, 0, 0, driver.now});
   driver.list_endpoints(3);
-  EXPECT_EQ(share_of(driver, 1, 200, 60), 0u);
+  EXPECT_EQ(count_attempts_at(driver, 1, 200, 60), 0u);
 }
 
-// While excluded it may have been restarted, and the list may tell that late: it starts slowly, yet
-// is soon in use.
+// An endpoint may restart while it is excluded, and discovery may report that late. After its
+// readmission it is therefore in slow start, but receives some requests at once.
 TEST(Exclusion, EndsInSlowStartUnlessARestartIsListed) {
   for (const bool restart_listed : {false, true}) {
     Driver driver;
     driver.list_endpoints(3);
-    share_of(driver, 1, 100, 300);
+    count_attempts_at(driver, 1, 100, 300);
     driver.handle(EndpointExclusion{1, true});
     const Time restarted = driver.now + milliseconds(100);
-    share_of(driver, 1, 1000, 900);  // 9 s, most of the slow start window
+    count_attempts_at(driver, 1, 1000, 900);  // 9 s, most of the slow start window
     if (restart_listed) {
       driver.update_endpoint({1, EndpointStatus::kUp, 0, 0, restarted});
     }
     driver.handle(EndpointExclusion{1, false});
-    const std::size_t got = share_of(driver, 1, 5000, 200);
+    const std::size_t got = count_attempts_at(driver, 1, 5000, 200);
     EXPECT_GE(got, 2u);
     EXPECT_EQ(got > 40, restart_listed);
   }
@@ -65,7 +67,7 @@
   EXPECT_EQ(count<StartAttempt>(driver.request(2)), 1u);
 }
 
-// Outcomes of attempts at a former incarnation tell nothing of an endpoint that was restarted.
+// Outcomes of attempts at a former incarnation must not lower the share of a restarted endpoint.
 TEST(EndpointUpdates, VoidOutcomesOfAFormerIncarnation) {
   Settings settings = basic_settings();
   settings.slow_start_window = Duration{0};
@@ -75,13 +77,14 @@
     driver.request(id, kNonIdempotentClass);
   }
   driver.update_endpoint({0, EndpointStatus::kUp, 0, 0, driver.now});
-  for (const StartAttempt& s : std::vector<StartAttempt>(driver.attempts)) {
-    driver.outcome(s.id, 0, s.endpoint == 0 ? Result::kReset : Result::kOk);
+  for (const StartAttempt& attempt : std::vector<StartAttempt>(driver.attempts)) {
+    driver.outcome(attempt.id, 0, attempt.endpoint == 0 ? Result::kReset : Result::kOk);
   }
-  EXPECT_GT(share_of(driver, 0, 100, 100), 12u);  // an even share is 25
+  EXPECT_GT(count_attempts_at(driver, 0, 100, 100), 12u);  // an even share is 25
 }
 
-// Guards against a fleet that came as deltas being used as one endpoint until the next survey.
+// A fleet listed by a delta must be used at once. Otherwise only one endpoint would be used until
+// the next refresh of the fleet's statistics.
 TEST(EndpointUpdates, PutAFleetListedByADeltaToUseAtOnce) {
   Driver driver;
   EndpointUpdate changes{UpdateKind::kDelta, {}};
@@ -89,12 +92,12 @@
     changes.endpoints.push_back({i, EndpointStatus::kUp, 0, 0, {}});
   }
   driver.handle(changes);
-  std::set<EndpointId> met;
+  std::set<EndpointId> used_endpoints;
   for (RequestId id = 0; id < 8; ++id) {
     driver.request(id);
-    met.insert(driver.attempts.back().endpoint);
+    used_endpoints.insert(driver.attempts.back().endpoint);
   }
-  EXPECT_GT(met.size(), 4u);
+  EXPECT_GT(used_endpoints.size(), 4u);
 }
 
 TEST(EndpointUpdates, EndAttemptsAtADrainingOrRemovedEndpoint) {
@@ -105,8 +108,8 @@
     for (RequestId id = 0; id < 20; ++id) {
       driver.request(id);
     }
-    for (const auto& s : driver.attempts) {
-      EXPECT_EQ(s.endpoint, 1u);
+    for (const auto& attempt : driver.attempts) {
+      EXPECT_EQ(attempt.endpoint, 1u);
     }
   }
 }
@@ -118,8 +121,8 @@
   for (RequestId id = 0; id < 20; ++id) {
     driver.request(id);
   }
-  for (const auto& s : driver.attempts) {
-    EXPECT_EQ(s.endpoint, 2u);
+  for (const auto& attempt : driver.attempts) {
+    EXPECT_EQ(attempt.endpoint, 2u);
   }
 }
 
--- a/tests/balancer/health_checker_test.cpp
+++ b/tests/balancer/health_checker_test.cpp
@@ -1,10 +1,10 @@
-// Health checks: when they run, and which endpoints they ask.
+// Tests when health checks run and which endpoints they select.
 #include "support/balancer_driver.h"
 
 namespace beechhill::test {
 namespace {
 
-// Guards against crowding the slowest type in a replica's first seconds (incident ic9b421).
+// Guards against overloading the slowest type in the first seconds of a replica (incident ic9b421).
 TEST(HealthChecks, AskAFewEndpointsOfUnknownInstanceTypesAtStart) {
   Settings settings = basic_settings();
   settings.load_reports_require_health_checks = settings.health_checks_allowed = true;
@@ -13,15 +13,15 @@
   driver.list_endpoints_of_types(20, [](EndpointId i) { return i / 10; });
   std::set<std::uint32_t> types;
   std::size_t checks = 0;
-  for (int i = 0; i < 200; ++i) {
-    const std::size_t seen = driver.actions.size();
+  for (int step = 0; step < 200; ++step) {
+    const std::size_t action_count = driver.actions.size();
     driver.advance(milliseconds(100));
-    for (std::size_t k = seen; k < driver.actions.size(); ++k) {
-      if (const auto* check = std::get_if<HealthCheck>(&driver.actions[k])) {
+    for (std::size_t action = action_count; action < driver.actions.size(); ++action) {
+      if (const auto* check = std::get_if<HealthCheck>(&driver.actions[action])) {
         ++checks;
         types.insert(check->endpoint / 10);
         driver.handle(HealthCheckResult{check->endpoint, Result::kOk, {1.5, 10.0}});
-        driver.request(1000 + k);  // each choice rests on the reports so far
+        driver.request(1000 + action);  // each selection uses the reports received so far
       }
     }
   }
--- a/tests/balancer/outlier_detector_test.cpp
+++ b/tests/balancer/outlier_detector_test.cpp
@@ -1,19 +1,21 @@
-// Outlier detection: slow, failing and frozen endpoints, and what looks alike but is not one.
+// Tests outlier detection: slow, failing and frozen endpoints, and cases that must not count as
+// such.
 #include "support/balancer_driver.h"
 
 namespace beechhill::test {
 namespace {
 
-// Guards against a slow type being crowded where a replica meets each of its endpoints once
-// (incident ic9b421).
+// A slow response counts for the whole instance type. Otherwise a replica that sends each endpoint
+// of a slow type one request would overload the type (incident ic9b421).
 TEST(OutlierDetection, CountsASlowAnswerForItsInstanceType) {
-  std::ptrdiff_t slow = 0;
+  std::ptrdiff_t to_slow_type = 0;
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
     Settings settings = basic_settings();
     settings.seed = seed;
     Driver driver(settings);
     driver.list_endpoints_of_types(40, [](EndpointId i) { return i % 5 == 0; });
-    for (RequestId id = 0; id < 24; ++id) {  // half of the endpoints are never met
+    for (RequestId id = 0; id < 24;
+         ++id) {  // 24 requests cannot reach more than 24 of 40 endpoints
       driver.request(id);
       driver.advance(milliseconds(driver.attempts.back().endpoint % 5 == 0 ? 900 : 100));
       driver.outcome(id, 0, Result::kOk);
@@ -22,10 +24,11 @@
     for (RequestId id = 100; id < 140; ++id) {
       driver.request(id);
     }
-    slow += std::count_if(driver.attempts.begin() + static_cast<std::ptrdiff_t>(before),
-                          driver.attempts.end(), [](auto& s) { return s.endpoint % 5 == 0; });
+    to_slow_type += std::count_if(driver.attempts.begin() + static_cast<std::ptrdiff_t>(before),
+                                  driver.attempts.end(),
+                                  [](auto& attempt) { return attempt.endpoint % 5 == 0; });
   }
-  EXPECT_LT(slow, 20 * 5);  // an even share is 20 * 8
+  EXPECT_LT(to_slow_type, 20 * 5);  // an even share is 20 * 8
 }
 
 TEST(OutlierDetection, SendsLittleToAnEndpointThatFailsFast) {
@@ -42,24 +45,25 @@
   EXPECT_LT(to_failing, 10u);
 }
 
-// The tier below fails, or a dependency that all share.
+// The tier below, or a dependency of all endpoints, fails.
 TEST(OutlierDetection, KeepsSharesWhenAllFail) {
   Driver driver;
   driver.list_endpoints(6);
-  std::map<EndpointId, int> attempts_of;
+  std::map<EndpointId, int> attempts_by_endpoint;
   for (RequestId id = 0; id < 300; ++id) {
     driver.request(id, kNonIdempotentClass);
-    ++attempts_of[driver.attempts.back().endpoint];
+    ++attempts_by_endpoint[driver.attempts.back().endpoint];
     driver.advance(milliseconds(10));
     driver.outcome(id, 0, id * 7 % 11 < 5 ? Result::kError : Result::kOk);
   }
-  EXPECT_EQ(attempts_of.size(), 6u);
-  for (const auto& [endpoint, n] : attempts_of) {
-    EXPECT_GT(n, 20) << endpoint;
+  EXPECT_EQ(attempts_by_endpoint.size(), 6u);
+  for (const auto& [endpoint, count] : attempts_by_endpoint) {
+    EXPECT_GT(count, 20) << endpoint;
   }
 }
 
-// A third of a last tier fails fast: incident ib44446.
+// Returns the number of attempts at the failing endpoints while 5 of the 12 endpoints of a last
+// tier fail fast (incident ib44446).
 std::size_t sent_to_failing_third() {
   Settings settings = basic_settings();
   settings.tier = 1;
@@ -69,10 +73,10 @@
   std::size_t to_failing = 0;
   for (RequestId id = 0; id < 600; ++id) {
     driver.request(id, kNonIdempotentClass);
-    const bool bad = driver.attempts.back().endpoint < 5;
-    to_failing += id >= 100 && bad;
-    driver.advance(milliseconds(bad ? 2 : 40));
-    driver.outcome(id, 0, bad && id % 4 ? Result::kError : Result::kOk);
+    const bool fails = driver.attempts.back().endpoint < 5;
+    to_failing += id >= 100 && fails;
+    driver.advance(milliseconds(fails ? 2 : 40));
+    driver.outcome(id, 0, fails && id % 4 ? Result::kError : Result::kOk);
   }
   return to_failing;
 }
@@ -87,32 +91,32 @@
   settings.tier_count = 2;
   Driver driver(settings);
   driver.list_endpoints(4);
-  std::map<EndpointId, int> attempts_of;
+  std::map<EndpointId, int> attempts_by_endpoint;
   for (RequestId id = 0; id < 400; ++id) {
     driver.request(id, kNonIdempotentClass);
-    ++attempts_of[driver.attempts.back().endpoint];
+    ++attempts_by_endpoint[driver.attempts.back().endpoint];
     driver.advance(milliseconds(20));
     driver.outcome(id, 0, id % 9 == 4 ? Result::kError : Result::kOk);
   }
-  for (const auto& [endpoint, n] : attempts_of) {
-    EXPECT_NEAR(n, 100, 25) << endpoint;
+  for (const auto& [endpoint, count] : attempts_by_endpoint) {
+    EXPECT_NEAR(count, 100, 25) << endpoint;
   }
 }
 
-// Guards against half of the endpoints failing one class and the others collapsing, as they get the
-// other classes too.
+// Half of the endpoints fail one class. If they also lost the other classes, the other half of the
+// endpoints would collapse.
 TEST(OutlierDetection, KeepsOtherClassesWhenOneClassFails) {
   Driver driver;
   driver.list_endpoints(6);
   int others = 0;
   int failing = 0;
   for (RequestId id = 0; id < 400; ++id) {
-    const ClassId c = id % 2 == 0 ? kIdempotentClass : kNonIdempotentClass;
-    driver.request(id, c);
-    const StartAttempt send = driver.attempts.back();
-    const bool fails = c == kNonIdempotentClass && send.endpoint < 3 && id > 100;
+    const ClassId class_id = id % 2 == 0 ? kIdempotentClass : kNonIdempotentClass;
+    driver.request(id, class_id);
+    const StartAttempt attempt = driver.attempts.back();
+    const bool fails = class_id == kNonIdempotentClass && attempt.endpoint < 3 && id > 100;
     if (id > 200) {
-      (c == kNonIdempotentClass ? failing : others) += send.endpoint < 3;
+      (class_id == kNonIdempotentClass ? failing : others) += attempt.endpoint < 3;
     }
     driver.advance(milliseconds(10));
     driver.outcome(id, 0, fails ? Result::kError : Result::kOk);
@@ -125,7 +129,7 @@
   Driver driver;
   driver.list_endpoints(4);
   RequestId id = 0;
-  for (int i = 0; i < 40; ++i) {  // the usual latency
+  for (int i = 0; i < 40; ++i) {  // establishes the usual latency
     driver.request(id);
     driver.advance(milliseconds(20));
     driver.outcome(id++, 0, Result::kOk);
@@ -148,29 +152,29 @@
 TEST(OutlierDetection, SendsLessToAnEndpointSlowerThanItsReportsExplain) {
   Driver driver;
   driver.list_endpoints(4);
-  std::map<EndpointId, int> attempts_of;
+  std::map<EndpointId, int> attempts_by_endpoint;
   for (RequestId id = 0; id < 200; ++id) {
     driver.request(id);
     const EndpointId endpoint = driver.attempts.back().endpoint;
-    ++attempts_of[endpoint];
+    ++attempts_by_endpoint[endpoint];
     driver.advance(milliseconds(endpoint == 0 ? 200 : 20));
     driver.outcome(id, 0, Result::kOk);
   }
-  EXPECT_LT(attempts_of[0], 30);  // an even share is 50
+  EXPECT_LT(attempts_by_endpoint[0], 30);  // an even share is 50
 }
 
 TEST(OutlierDetection, KeepsSharesWhenAllAreSlow) {
   Driver driver;
   driver.list_endpoints(4);
-  std::map<EndpointId, int> attempts_of;
+  std::map<EndpointId, int> attempts_by_endpoint;
   for (RequestId id = 0; id < 200; ++id) {
     driver.request(id);
-    ++attempts_of[driver.attempts.back().endpoint];
+    ++attempts_by_endpoint[driver.attempts.back().endpoint];
     driver.advance(milliseconds(id < 50 ? 20 : 120));
     driver.outcome(id, 0, Result::kOk);
   }
-  for (const auto& [endpoint, n] : attempts_of) {
-    EXPECT_NEAR(n, 50, 8) << endpoint;
+  for (const auto& [endpoint, count] : attempts_by_endpoint) {
+    EXPECT_NEAR(count, 50, 8) << endpoint;
   }
 }
 
--- a/tests/balancer/retry_policy_test.cpp
+++ b/tests/balancer/retry_policy_test.cpp
@@ -1,11 +1,10 @@
-// Retries by idempotency, and final answers without success.
+// Tests retries by idempotency, and final answers without success.
 #include "support/balancer_driver.h"
 
 namespace beechhill::test {
 namespace {
 
-// A rejection advises when to retry, within what clients honour; requests that are rejected
-// together get different times.
+// A rejection advises a delay that clients honour. Requests rejected together get different delays.
 TEST(Rejections, AdviseDifferentRetryAfterTimes) {
   Settings settings = basic_settings();
   settings.max_retry_after = milliseconds(1500);
@@ -13,11 +12,11 @@
   for (RequestId id = 0; id < 40; ++id) {
     driver.request(id);
   }
-  driver.advance(milliseconds(4000));  // no endpoint ever comes
+  driver.advance(milliseconds(4000));  // no endpoint is ever listed
   ASSERT_EQ(count<Reject>(driver.actions), 40u);
   Duration shortest = Duration::max(), longest{0};
-  for (const auto& a : driver.actions) {
-    if (const auto* reject = std::get_if<Reject>(&a)) {
+  for (const auto& action : driver.actions) {
+    if (const auto* reject = std::get_if<Reject>(&action)) {
       shortest = std::min(shortest, reject->retry_after);
       longest = std::max(longest, reject->retry_after);
     }
@@ -32,23 +31,23 @@
 constexpr Result kNeverRan[] = {Result::kOverloaded, Result::kConnectFailed, Result::kSkipped};
 
 TEST(RetryPolicy, FailsANonIdempotentRequestThatMayHaveRun) {
-  for (const Result r : kMaybeRan) {
+  for (const Result result : kMaybeRan) {
     Driver driver;
     driver.list_endpoints(4);
     driver.request(1, kNonIdempotentClass);
-    const auto out = driver.outcome(1, 0, r);
-    EXPECT_EQ(count<StartAttempt>(out), 0u);
-    EXPECT_EQ(count<Reject>(out), 0u);
-    EXPECT_EQ(count<Fail>(out), 1u);
+    const auto actions = driver.outcome(1, 0, result);
+    EXPECT_EQ(count<StartAttempt>(actions), 0u);
+    EXPECT_EQ(count<Reject>(actions), 0u);
+    EXPECT_EQ(count<Fail>(actions), 1u);
   }
 }
 
 TEST(RetryPolicy, RetriesANonIdempotentRequestThatNeverRan) {
-  for (const Result r : kNeverRan) {
+  for (const Result result : kNeverRan) {
     Driver driver;
     driver.list_endpoints(4);
     driver.request(1, kNonIdempotentClass);
-    driver.outcome(1, 0, r);
+    driver.outcome(1, 0, result);
     driver.advance(milliseconds(300));
     ASSERT_EQ(driver.attempts.size(), 2u);
     EXPECT_NE(driver.attempts[0].endpoint, driver.attempts[1].endpoint);
@@ -57,7 +56,7 @@
 
 TEST(RetryPolicy, RetriesAKeyedRequestWithinItsCell) {
   Driver driver;
-  driver.list_endpoints(6);  // cells of two
+  driver.list_endpoints(6);  // in cells of two
   driver.request(1, kKeyedClass);
   driver.advance(milliseconds(100));
   driver.outcome(1, 0, Result::kError);
@@ -70,13 +69,13 @@
   driver.list_endpoints(6);
   driver.request(1, kKeyedClass);
   driver.advance(milliseconds(3000));
-  const auto out = driver.outcome(1, 0, Result::kError);
-  EXPECT_EQ(count<StartAttempt>(out), 0u);
-  EXPECT_EQ(count<Fail>(out), 1u);
+  const auto actions = driver.outcome(1, 0, Result::kError);
+  EXPECT_EQ(count<StartAttempt>(actions), 0u);
+  EXPECT_EQ(count<Fail>(actions), 1u);
 }
 
-// A retry may leave a connect timeout after it starts: the first attempt must be remembered then,
-// too.
+// A retry may be sent as late as the connect timeout after it starts. The endpoints must still
+// remember the first attempt then.
 TEST(RetryPolicy, FailsAKeyedRequestWhoseRetryCouldLeaveTooLate) {
   Driver driver;
   driver.list_endpoints(6);
@@ -85,11 +84,11 @@
   EXPECT_EQ(count<Fail>(driver.outcome(1, 0, Result::kError)), 1u);
 }
 
-// The scope is that of the place where the first attempt went, wherever the list says by now that
-// the endpoint stands.
+// The deduplication scope is the zone and cell of the endpoint when the first attempt was sent,
+// even if the endpoint list has since moved the endpoint.
 TEST(RetryPolicy, RetriesAKeyedRequestWhereItsFirstAttemptWent) {
   Driver driver;
-  driver.list_endpoints(6);  // cells of two
+  driver.list_endpoints(6);  // in cells of two
   driver.request(1, kKeyedClass);
   const EndpointId first = driver.attempts[0].endpoint;
   const EndpointId other = (first + 2) % 6;
@@ -110,9 +109,9 @@
     Driver driver(settings);
     driver.list_endpoints(4);
     driver.request(1, kKeyedClass);
-    const auto out = driver.outcome(1, 0, Result::kError);
-    EXPECT_EQ(count<Reject>(out), scope == DeduplicationScope::kAll ? 1u : 0u);
-    EXPECT_EQ(count<Fail>(out), scope == DeduplicationScope::kAll ? 0u : 1u);
+    const auto actions = driver.outcome(1, 0, Result::kError);
+    EXPECT_EQ(count<Reject>(actions), scope == DeduplicationScope::kAll ? 1u : 0u);
+    EXPECT_EQ(count<Fail>(actions), scope == DeduplicationScope::kAll ? 0u : 1u);
   }
 }
 
--- a/tests/balancer/settings_test.cpp
+++ b/tests/balancer/settings_test.cpp
@@ -1,4 +1,4 @@
-// Settings out of bounds.
+// Tests that settings out of bounds are rejected.
 #include "support/balancer_driver.h"
 
 namespace beechhill::test {
@@ -7,12 +7,12 @@
 TEST(Settings, NameTheValueThatIsOutOfBounds) {
   Settings settings = basic_settings();
   settings.slow_start_initial_weight = 0;
-  std::vector<Action> out;
+  std::vector<Action> actions;
   try {
-    Balancer b(Time{0}, settings, out);
+    Balancer balancer(Time{0}, settings, actions);
     FAIL() << "accepted";
-  } catch (const std::invalid_argument& e) {
-    EXPECT_NE(std::string(e.what()).find("cold_from"), std::string::npos);
+  } catch (const std::invalid_argument& exception) {
+    EXPECT_NE(std::string(exception.what()).find("cold_from"), std::string::npos);
   }
 }
 
--- a/tests/balancer/slow_start_fleet_test.cpp
+++ b/tests/balancer/slow_start_fleet_test.cpp
@@ -1,6 +1,6 @@
-// Slow start of a fleet: what all replicas together send to an endpoint that warms up. Beyond the N
-// requests that the settings allow within their window, only 2 * sqrt(N) + 2 more may be chance,
-// however many replicas there are. Counted at the endpoints.
+// Tests the load that all replicas together send to an endpoint in slow start, counted at the
+// endpoint. Within the collapse window an endpoint may receive the N requests that the settings
+// allow, and at most 2 * sqrt(N) + 2 more by chance, for any number of replicas.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -17,7 +17,7 @@
 namespace beechhill::test {
 namespace {
 
-constexpr double kLoad = 0.75;  // of what all endpoints can do
+constexpr double kLoad = 0.75;  // fraction of the fleet's capacity
 constexpr double kInitialWeight = 0.2;
 constexpr double kSlowStartWindowS = 12;
 constexpr EndpointId kEndpoints = 20;
@@ -25,15 +25,15 @@
 
 struct Fleet {
   int replicas = 1;
-  double rate_per_s = 15;      // that a warm endpoint can serve
-  double collapse_ratio = 3;   // of it, at which one that warms up collapses
-  double window_s = 3;         // for which it has to last
-  EndpointId restarted = 1;    // endpoints
-  double first_replica = 1;    // times the traffic of another, that the first replica gets
-  double new_replicas = 0;     // share that starts at the moment the endpoints do
-  double burst = 1;            // factor of the load for 3 s, from 2 s after the restart
-  double error_rate = 0;       // of all answers
-  double overloaded_rate = 0;  // of answers of restarted endpoints
+  double rate_per_s = 15;           // capacity of a warm endpoint in requests per second
+  double collapse_ratio = 3;        // load over capacity at which a warming endpoint collapses
+  double window_s = 3;              // how long the overload must last for a collapse
+  EndpointId restarted = 1;         // number of endpoints that restart
+  double first_replica_weight = 1;  // traffic of the first replica relative to the others
+  double new_replicas = 0;          // fraction of replicas that start with the endpoints
+  double burst = 1;                 // load factor from 2 s to 5 s after the restart
+  double error_rate = 0;            // fraction of all responses
+  double overloaded_rate = 0;       // fraction of the responses of restarted endpoints
 };
 
 Duration from_seconds(double s) {
@@ -58,23 +58,24 @@
     settings_.overload_collapse_delay = from_seconds(fleet_.window_s);
     settings_.max_attempts = 4;
     settings_.cancellation_allowed = true;
-    for (std::size_t i = 0; i < balancers_.size(); ++i) {
-      traffic_parts_.push_back((0.5 + uniform()) * (i == 0 ? fleet_.first_replica : 1));
+    for (std::size_t replica = 0; replica < balancers_.size(); ++replica) {
+      traffic_weights_.push_back((0.5 + uniform()) *
+                                 (replica == 0 ? fleet_.first_replica_weight : 1));
     }
   }
 
-  // The most that a restarted endpoint got beyond its N, over what may be chance.
+  // Returns the maximum excess of a restarted endpoint over its N, divided by 2 * sqrt(N) + 2.
   double worst_excess() {
-    for (std::size_t i = 0; i < balancers_.size(); ++i) {
-      start(i, false);
-      schedule_arrival(i);
+    for (std::size_t replica = 0; replica < balancers_.size(); ++replica) {
+      start(replica, false);
+      schedule_arrival(replica);
     }
-    at(kRestartAt, [this] {
-      for (std::size_t i = 0; i < balancers_.size(); ++i) {
+    schedule(kRestartAt, [this] {
+      for (std::size_t replica = 0; replica < balancers_.size(); ++replica) {
         if (uniform() < fleet_.new_replicas) {
-          start(i, true);
+          start(replica, true);
         } else {
-          send_endpoints(i, true);
+          send_endpoints(replica, true);
         }
       }
     });
@@ -92,25 +93,25 @@
     Time at;
     std::uint64_t order;
     std::function<void()> task;
-    bool operator<(const ScheduledTask& o) const {
-      return std::tie(at, order) > std::tie(o.at, o.order);
+    bool operator<(const ScheduledTask& other) const {
+      return std::tie(at, order) > std::tie(other.at, other.order);
     }
   };
   double uniform() { return std::uniform_real_distribution<>(0, 1)(random_); }
-  void at(Time when, std::function<void()> task) {
+  void schedule(Time when, std::function<void()> task) {
     events_.push({when, ++order_, std::move(task)});
   }
 
-  void start(std::size_t i, bool after_restart) {
+  void start(std::size_t replica, bool after_restart) {
     Settings settings = settings_;
     settings.seed = random_();
     std::vector<Action> actions;
-    attempt_counts_[i].clear();
-    balancers_[i] = std::make_unique<Balancer>(now_, settings, actions);
-    carry_out(i, actions);
-    send_endpoints(i, after_restart);
+    attempt_counts_[replica].clear();
+    balancers_[replica] = std::make_unique<Balancer>(now_, settings, actions);
+    carry_out(replica, actions);
+    send_endpoints(replica, after_restart);
   }
-  void send_endpoints(std::size_t i, bool after_restart) {
+  void send_endpoints(std::size_t replica, bool after_restart) {
     EndpointUpdate update;
     for (EndpointId id = 0; id < kEndpoints; ++id) {
       Endpoint endpoint;
@@ -120,37 +121,37 @@
       }
       update.endpoints.push_back(endpoint);
     }
-    handle(i, update);
+    handle(replica, update);
   }
-  void schedule_arrival(std::size_t i) {
+  void schedule_arrival(std::size_t replica) {
     double total = 0;
-    for (double part : traffic_parts_) {
-      total += part;
+    for (double weight : traffic_weights_) {
+      total += weight;
     }
     const bool in_burst =
         now_ > kRestartAt + std::chrono::seconds(2) && now_ < kRestartAt + std::chrono::seconds(5);
-    const double rate = fleet_.rate_per_s * kEndpoints * kLoad * traffic_parts_[i] / total *
+    const double rate = fleet_.rate_per_s * kEndpoints * kLoad * traffic_weights_[replica] / total *
                         (in_burst ? fleet_.burst : 1);
-    at(now_ + from_seconds(-std::log(1 - uniform()) / rate), [this, i] {
+    schedule(now_ + from_seconds(-std::log(1 - uniform()) / rate), [this, replica] {
       Request request;
       request.id = ++next_id_;
       request.deadline = now_ + settings_.classes[0].deadline;
-      handle(i, request);
-      schedule_arrival(i);
+      handle(replica, request);
+      schedule_arrival(replica);
     });
   }
-  void handle(std::size_t i, const Event& event) {
+  void handle(std::size_t replica, const Event& event) {
     std::vector<Action> actions;
-    balancers_[i]->handle(now_, event, actions);
-    carry_out(i, actions);
+    balancers_[replica]->handle(now_, event, actions);
+    carry_out(replica, actions);
   }
-  void carry_out(std::size_t i, const std::vector<Action>& actions) {
-    const Balancer* const incarnation = balancers_[i].get();
+  void carry_out(std::size_t replica, const std::vector<Action>& actions) {
+    const Balancer* const incarnation = balancers_[replica].get();
     for (const Action& action : actions) {
       if (const auto* timer = std::get_if<SetTimer>(&action)) {
-        at(timer->at, [this, i, incarnation, token = timer->token] {
-          if (balancers_[i].get() == incarnation) {
-            handle(i, Timer{token});
+        schedule(timer->at, [this, replica, incarnation, token = timer->token] {
+          if (balancers_[replica].get() == incarnation) {
+            handle(replica, Timer{token});
           }
         });
       }
@@ -166,27 +167,27 @@
                             : restarted && uniform() < fleet_.overloaded_rate ? Result::kOverloaded
                                                                               : Result::kOk;
       const Outcome outcome{
-          attempt->id, attempt_counts_[i][attempt->id]++, result, result == Result::kOk, {}};
-      at(now_ + from_seconds(result == Result::kOk ? 0.05 + 0.1 * uniform() : 0.005),
-         [this, i, incarnation, outcome] {
-           if (balancers_[i].get() == incarnation) {
-             handle(i, outcome);
-           }
-         });
+          attempt->id, attempt_counts_[replica][attempt->id]++, result, result == Result::kOk, {}};
+      schedule(now_ + from_seconds(result == Result::kOk ? 0.05 + 0.1 * uniform() : 0.005),
+               [this, replica, incarnation, outcome] {
+                 if (balancers_[replica].get() == incarnation) {
+                   handle(replica, outcome);
+                 }
+               });
     }
   }
   void count_attempt(EndpointId endpoint) {
-    std::deque<Time>& window = recent_attempts_[endpoint];
-    window.push_back(now_);
-    while (window.front() + settings_.overload_collapse_delay < now_) {
-      window.pop_front();
+    std::deque<Time>& recent = recent_attempts_[endpoint];
+    recent.push_back(now_);
+    while (recent.front() + settings_.overload_collapse_delay < now_) {
+      recent.pop_front();
     }
     const double age = std::chrono::duration<double>(now_ - kRestartAt).count();
     const double n = fleet_.collapse_ratio *
                      (kInitialWeight + (1 - kInitialWeight) * age / kSlowStartWindowS) *
                      fleet_.rate_per_s * fleet_.window_s;
     worst_excess_ =
-        std::max(worst_excess_, (static_cast<double>(window.size()) - n) / (2 * std::sqrt(n) + 2));
+        std::max(worst_excess_, (static_cast<double>(recent.size()) - n) / (2 * std::sqrt(n) + 2));
   }
 
   Fleet fleet_;
@@ -194,7 +195,7 @@
   Settings settings_;
   std::vector<std::unique_ptr<Balancer>> balancers_;
   std::vector<std::map<RequestId, std::uint32_t>> attempt_counts_;
-  std::vector<double> traffic_parts_;
+  std::vector<double> traffic_weights_;
   std::priority_queue<ScheduledTask> events_;
   std::uint64_t order_ = 0;
   RequestId next_id_ = 0;
@@ -203,7 +204,8 @@
   double worst_excess_ = -1e9;
 };
 
-class SlowStartFleet : public testing::TestWithParam<int> {};  // replicas
+// The parameter is the number of replicas.
+class SlowStartFleet : public testing::TestWithParam<int> {};
 
 TEST_P(SlowStartFleet, StaysUnderTheCollapseRatio) {
   std::uint64_t seed = 0;
@@ -221,10 +223,10 @@
               << scenario << ": rate " << rate_per_s << ", restarted " << restarted << ", ratio "
               << ratio;
         };
-        fleet.first_replica = 8;
+        fleet.first_replica_weight = 8;
         expect_no_collapse("one replica gets eight times the traffic of others");
         fleet.new_replicas = 0.5;
-        fleet.first_replica = 1;
+        fleet.first_replica_weight = 1;
         expect_no_collapse("half of the replicas start with the endpoints");
         fleet.burst = 1.5;
         fleet.error_rate = 0.1;
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -1,10 +1,10 @@
-// Slow start of a single endpoint. slow_start_fleet_test.cpp has whole fleets.
+// Tests slow start of a single endpoint. slow_start_fleet_test.cpp tests whole fleets.
 #include "support/balancer_driver.h"
 
 namespace beechhill::test {
 namespace {
 
-// A fleet in slow start is not left without any requests.
+// Even if all endpoints are in slow start, they receive a minimum of requests.
 TEST(SlowStart, SendsAMinimumToALoneEndpoint) {
   Driver driver;
   driver.update_endpoint({0, EndpointStatus::kUp, 0, 0, driver.now});
@@ -23,7 +23,7 @@
   Driver driver;
   driver.list_endpoints(4);
   RequestId id = 0;
-  const auto second = [&] {
+  const auto run_one_second = [&] {
     for (int i = 0; i < 40; ++i) {
       driver.request(id);
       driver.advance(milliseconds(25));
@@ -31,21 +31,21 @@
     }
   };
   for (int i = 0; i < 10; ++i) {
-    second();
+    run_one_second();
   }
   driver.update_endpoint({0, EndpointStatus::kUp, 0, 0, driver.now});
   const std::size_t before = driver.attempts.size();
-  second();
+  run_one_second();
   std::size_t to_warming_up = 0;
   for (std::size_t i = before; i < driver.attempts.size(); ++i) {
     to_warming_up += driver.attempts[i].endpoint == 0;
   }
-  EXPECT_LE(to_warming_up, 4u);  // a warm one takes 13; the endpoint starts at a fifth of that
+  EXPECT_LE(to_warming_up, 4u);  // a warm endpoint receives 13; this one starts at a fifth of that
   for (int i = 0; i < 12; ++i) {
-    second();
+    run_one_second();
   }
   const std::size_t later = driver.attempts.size();
-  second();
+  run_one_second();
   to_warming_up = 0;
   for (std::size_t i = later; i < driver.attempts.size(); ++i) {
     to_warming_up += driver.attempts[i].endpoint == 0;
--- a/tests/support/action_trace.h
+++ b/tests/support/action_trace.h
@@ -1,9 +1,9 @@
-// Records what a Balancer does on a seeded stream of events, for comparing two builds byte for
+// Records the actions of a Balancer for a seeded stream of events, to compare two builds byte for
 // byte.
 //
-// The stream is closed: simulated endpoints answer the attempts that the balancer starts, its
-// timers fire, and clients give up at their deadlines. Random numbers and distributions are spelled
-// out here, so that a trace depends on the balancer and on the seed alone.
+// The stream is a closed loop: simulated endpoints answer the attempts that the balancer starts,
+// its timers expire, and clients stop waiting at their deadlines. Random numbers and distributions
+// are implemented here, so that a trace depends only on the balancer and the seed.
 #pragma once
 
 #include <bit>
@@ -20,17 +20,17 @@
 
 namespace beechhill::test {
 
-/// The settings shapes that streams cycle through; each is named after what it exercises.
+/// The deployments that successive seeds cycle through, each named after what it covers.
 enum class Deployment : std::uint64_t {
-  kThreeClassesTwoZones,  // as deploy/sites/lantern-post.toml
-  kNoCancelHedging,       // as deploy/sites/quarry-dispatch.toml, an inner tier
+  kThreeClassesTwoZones,  // like deploy/sites/lantern-post.toml
+  kNoCancelHedging,       // like deploy/sites/quarry-dispatch.toml, which is an inner tier
   kTenantQuotas,
   kLargeFleet,
   kDrawn,
   kCount
 };
 
-/// Runs one seeded stream and hands each line of the trace to a consumer.
+/// Runs one seeded stream and passes each line of the trace to a consumer.
 class ActionTrace {
  public:
   using LineSink = std::function<void(const std::string&)>;
@@ -44,18 +44,18 @@
     endpoints_.resize(endpoint_count());
     for (EndpointId id = 0; id < endpoints_.size(); ++id) {
       endpoints_[id].entry.id = id;
-      renew(endpoints_[id]);
+      draw_entry(endpoints_[id]);
     }
     carry_out();
     send_snapshot(chance(0.5) ? UpdateKind::kCached : UpdateKind::kSnapshot);
   }
 
-  /// Plays until the balancer has taken `event_count` events. Returns how many it took.
+  /// Runs until the balancer has handled `event_count` events. Returns how many it has handled.
   std::uint64_t run(std::uint64_t event_count) {
     while (events_ < event_count) {
       schedule(now_ + exponential(mean_gap_s_), [this] { send_request(); });
       if (chance(0.02)) {
-        disturb();
+        apply_random_change();
       }
       advance_to_next_arrival();
     }
@@ -84,13 +84,15 @@
 
   double uniform() { return static_cast<double>(random_() >> 11) * 0x1.0p-53; }
   bool chance(double probability) { return uniform() < probability; }
-  std::uint64_t below(std::uint64_t bound) {
+  std::uint64_t random_below(std::uint64_t bound) {
     return static_cast<std::uint64_t>(uniform() * static_cast<double>(bound));
   }
-  Duration span(double seconds) { return Duration(static_cast<std::int64_t>(seconds * 1e6)); }
-  Duration exponential(double mean_s) { return span(-mean_s * std::log(1 - uniform())); }
+  Duration to_duration(double seconds) {
+    return Duration(static_cast<std::int64_t>(seconds * 1e6));
+  }
+  Duration exponential(double mean_s) { return to_duration(-mean_s * std::log(1 - uniform())); }
   double one_of(std::initializer_list<double> values) {
-    return *(values.begin() + static_cast<std::ptrdiff_t>(below(values.size())));
+    return *(values.begin() + static_cast<std::ptrdiff_t>(random_below(values.size())));
   }
 
   // ---- Settings
@@ -100,9 +102,9 @@
     ClassSettings settings;
     settings.idempotency = idempotency;
     settings.deduplication_scope = scope;
-    settings.latency_objective = span(objective_s);
-    settings.deadline = span(deadline_s);
-    settings.deduplication_window = span(deadline_s * one_of({0.5, 1.0, 2.0}));
+    settings.latency_objective = to_duration(objective_s);
+    settings.deadline = to_duration(deadline_s);
+    settings.deduplication_window = to_duration(deadline_s * one_of({0.5, 1.0, 2.0}));
     settings.priority_weight = weight;
     return settings;
   }
@@ -110,8 +112,8 @@
   ClassSettings draw_class() {
     const double objective_s = 0.02 * std::pow(100.0, uniform());
     ClassSettings settings = make_class(
-        static_cast<Idempotency>(below(3)), static_cast<DeduplicationScope>(below(3)), objective_s,
-        objective_s * (1 + 3 * uniform()), one_of({0.0, 1.0, 1.0, 3.0, 10.0}));
+        static_cast<Idempotency>(random_below(3)), static_cast<DeduplicationScope>(random_below(3)),
+        objective_s, objective_s * (1 + 3 * uniform()), one_of({0.0, 1.0, 1.0, 3.0, 10.0}));
     settings.late_priority_factor = one_of({0.0, 0.0, 0.3});
     settings.latency_objective_work_factor = one_of({0.0, 2.0});
     settings.streaming = chance(0.25);
@@ -132,13 +134,13 @@
   Settings make_settings() {
     Settings settings;
     settings.seed = random_();
-    settings.slow_start_window = span(15);
+    settings.slow_start_window = to_duration(15);
     settings.slow_start_initial_weight = 0.25;
     settings.overload_collapse_ratio = 2.5;
-    settings.overload_collapse_delay = span(1.5);
-    settings.discovery_poll_interval = span(10);
-    settings.max_retry_after = span(1.5);
-    settings.connect_timeout = span(0.18);
+    settings.overload_collapse_delay = to_duration(1.5);
+    settings.discovery_poll_interval = to_duration(10);
+    settings.max_retry_after = to_duration(1.5);
+    settings.connect_timeout = to_duration(0.18);
     settings.cancellation_allowed = true;
     settings.health_checks_allowed = true;
     settings.max_attempts = 3;
@@ -157,7 +159,7 @@
         settings.tier = 1;
         settings.tier_count = 3;
         settings.overload_collapse_ratio = 2;
-        settings.slow_start_window = span(5);
+        settings.slow_start_window = to_duration(5);
         settings.replicas = 2;
         break;
       case Deployment::kTenantQuotas:
@@ -180,21 +182,21 @@
 
   void draw_settings(Settings& settings) {
     settings.classes.clear();
-    const std::uint64_t classes = 1 + below(10);
+    const std::uint64_t classes = 1 + random_below(10);
     for (std::uint64_t i = 0; i < classes; ++i) {
       settings.classes.push_back(draw_class());
     }
-    const std::uint64_t tenants = below(30);
+    const std::uint64_t tenants = random_below(30);
     for (std::uint64_t i = 0; i < tenants; ++i) {
       settings.tenants.push_back({1, one_of({0.0, 0.1, 5.0})});
     }
     settings.over_quota_priority_factor = uniform();
-    settings.tier_count = 1 + static_cast<std::uint32_t>(below(3));
-    settings.tier = static_cast<std::uint32_t>(below(settings.tier_count));
+    settings.tier_count = 1 + static_cast<std::uint32_t>(random_below(3));
+    settings.tier = static_cast<std::uint32_t>(random_below(settings.tier_count));
     settings.replicas = static_cast<std::uint32_t>(one_of({1, 2, 15, 100}));
-    settings.time_step = span(one_of({0.001, 0.004}));
+    settings.time_step = to_duration(one_of({0.001, 0.004}));
     settings.discovery_polling_required = chance(0.25);
-    settings.slow_start_window = span(one_of({0.0, 2.0, 30.0}));
+    settings.slow_start_window = to_duration(one_of({0.0, 2.0, 30.0}));
     settings.slow_start_initial_weight = 0.05 + 0.95 * uniform();
     settings.overload_collapse_ratio = 1 + 3 * uniform();
     settings.load_reports_require_health_checks = chance(0.5);
@@ -202,19 +204,19 @@
     settings.health_check_cost = one_of({0.0, 0.01, 1.0});
     settings.cancellation_allowed = chance(0.5);
     settings.hedging_allowed = chance(0.5);
-    settings.max_attempts = 1 + static_cast<std::uint32_t>(below(6));
-    settings.connect_timeout = span(one_of({0.005, 0.1}));
+    settings.max_attempts = 1 + static_cast<std::uint32_t>(random_below(6));
+    settings.connect_timeout = to_duration(one_of({0.005, 0.1}));
     settings.cross_zone_cost = one_of({0.0, 1.0});
   }
 
   std::size_t endpoint_count() {
     switch (deployment_) {
       case Deployment::kLargeFleet:
-        return 150 + below(150);
+        return 150 + random_below(150);
       case Deployment::kDrawn:
         return static_cast<std::size_t>(one_of({1, 2, 6, 20, 70, 120}));
       default:
-        return 8 + below(16);
+        return 8 + random_below(16);
     }
   }
 
@@ -249,7 +251,7 @@
     ++arrivals_;
     const RequestId id = next_request_++;
     OpenRequest& open = requests_[id];
-    open.class_id = static_cast<ClassId>(below(settings_.classes.size()));
+    open.class_id = static_cast<ClassId>(random_below(settings_.classes.size()));
     const ClassSettings& class_settings = settings_.classes[open.class_id];
     open.deadline = now_ + class_settings.deadline;
     if (chance(0.2)) {
@@ -261,10 +263,10 @@
     request.class_id = open.class_id;
     request.deadline = open.deadline;
     if (!settings_.tenants.empty() && chance(0.9)) {
-      request.tenant = static_cast<TenantId>(below(settings_.tenants.size()));
+      request.tenant = static_cast<TenantId>(random_below(settings_.tenants.size()));
     }
     if (chance(0.3)) {
-      request.work_hint = span(0.2 * uniform());
+      request.work_hint = to_duration(0.2 * uniform());
     }
     request.streams_body = chance(0.05);
     schedule(open.deadline, [this, id] { client_times_out(id); });
@@ -330,9 +332,9 @@
     return {used, used * endpoint.capacity / endpoint.mean_latency_s};
   }
 
-  void disturb() {
-    SimulatedEndpoint& endpoint = endpoints_[below(endpoints_.size())];
-    switch (below(12)) {
+  void apply_random_change() {
+    SimulatedEndpoint& endpoint = endpoints_[random_below(endpoints_.size())];
+    switch (random_below(12)) {
       case 0:
         return send_snapshot(chance(0.9) ? UpdateKind::kSnapshot : UpdateKind::kFailed);
       case 1:
@@ -357,7 +359,7 @@
         return;
       case 8:
         if (chance(0.05)) {
-          schedule(now_ + span(one_of({1.0, 100.0})), [this] { send_request(); });
+          schedule(now_ + to_duration(one_of({1.0, 100.0})), [this] { send_request(); });
           return advance_to_next_arrival();
         }
         return;
@@ -368,14 +370,14 @@
     }
   }
 
-  void renew(SimulatedEndpoint& endpoint) {
-    endpoint.entry.zone = static_cast<std::uint32_t>(below(2));
-    endpoint.entry.cell = static_cast<std::uint32_t>(below(4));
-    endpoint.entry.instance_type = static_cast<std::uint32_t>(below(3));
+  void draw_entry(SimulatedEndpoint& endpoint) {
+    endpoint.entry.zone = static_cast<std::uint32_t>(random_below(2));
+    endpoint.entry.cell = static_cast<std::uint32_t>(random_below(4));
+    endpoint.entry.instance_type = static_cast<std::uint32_t>(random_below(3));
     endpoint.entry.status = EndpointStatus::kUp;
     endpoint.entry.started_at.reset();
     if (chance(0.5)) {
-      endpoint.entry.started_at = now_ - span(20 * uniform());
+      endpoint.entry.started_at = now_ - to_duration(20 * uniform());
     }
   }
 
@@ -395,10 +397,10 @@
   void send_delta() {
     EndpointUpdate update;
     update.kind = UpdateKind::kDelta;
-    const std::uint64_t changes = 1 + below(3);
+    const std::uint64_t changes = 1 + random_below(3);
     for (std::uint64_t i = 0; i < changes; ++i) {
-      SimulatedEndpoint& endpoint = endpoints_[below(endpoints_.size())];
-      switch (below(5)) {
+      SimulatedEndpoint& endpoint = endpoints_[random_below(endpoints_.size())];
+      switch (random_below(5)) {
         case 0:
           endpoint.entry.status = EndpointStatus::kDraining;
           break;
@@ -406,11 +408,11 @@
           endpoint.entry.status = EndpointStatus::kRemoved;
           break;
         case 2:
-          renew(endpoint);
+          draw_entry(endpoint);
           break;
         default:
           endpoint.entry.status = EndpointStatus::kUp;
-          endpoint.entry.started_at = now_ - span(2 * uniform());
+          endpoint.entry.started_at = now_ - to_duration(2 * uniform());
       }
       update.endpoints.push_back(endpoint.entry);
     }
@@ -447,7 +449,7 @@
       result = chance(0.5) ? Result::kError : Result::kReset;
       latency_s = 0.002;
     } else if (chance(0.02)) {
-      result = static_cast<Result>(below(8));
+      result = static_cast<Result>(random_below(8));
     }
     const RequestId id = action.id;
     const Duration latency = exponential(latency_s);
@@ -478,7 +480,7 @@
   }
   void act(const HealthCheck& action) {
     sink_("health-check " + std::to_string(action.endpoint));
-    schedule(now_ + span(0.005), [this, action] {
+    schedule(now_ + to_duration(0.005), [this, action] {
       const Result result = chance(0.2) ? Result::kTimeout : Result::kOk;
       send(HealthCheckResult{action.endpoint, result, draw_report(endpoints_[action.endpoint])});
     });
@@ -493,9 +495,9 @@
              [this] { send_snapshot(chance(0.5) ? UpdateKind::kSnapshot : UpdateKind::kFailed); });
   }
 
-  // The bits of what is known of one endpoint, and the counts.
+  // Records the statistics of one endpoint as raw bits, and the endpoint counts.
   void trace_state() {
-    const auto id = static_cast<EndpointId>(below(endpoints_.size()));
+    const auto id = static_cast<EndpointId>(random_below(endpoints_.size()));
     const EndpointStats stats = balancer_.endpoint_stats(id);
     const auto counts = balancer_.endpoint_counts(now_);
     std::string line = "state " + std::to_string(id);
--- a/tests/support/balancer_driver.h
+++ b/tests/support/balancer_driver.h
@@ -1,4 +1,4 @@
-// Drives one Balancer with scripted events under a simulated clock and records what it did.
+// Drives one Balancer with scripted events under a simulated clock and records its actions.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -97,7 +97,7 @@
     return handle(Outcome{id, attempt, result, is_final || result == Result::kOk, {}});
   }
 
-  /// Lets time pass; timers expire when they are due.
+  /// Advances the clock by `duration`. Timers expire when they are due.
   void advance(Duration duration) {
     const Time end = now + duration;
     while (!timers_.empty() && timers_.begin()->first <= end) {
@@ -111,9 +111,9 @@
 
   std::function<void(const std::vector<Action>&)> on_actions;  // called after each event
   Time now{1'000'000};
-  std::vector<Action> actions;             // all so far
-  std::vector<StartAttempt> attempts;      // all so far
-  std::multiset<RequestId> final_answers;  // rejected or failed
+  std::vector<Action> actions;             // of all events so far
+  std::vector<StartAttempt> attempts;      // of all events so far, in order
+  std::multiset<RequestId> final_answers;  // requests that were rejected or failed
 
  private:
   void record(const std::vector<Action>& event_actions) {
@@ -137,7 +137,7 @@
   Balancer balancer_;
 };
 
-/// How many of the actions are of type A.
+/// Returns how many of the actions are of type A.
 template <typename A>
 std::size_t count(const std::vector<Action>& actions) {
   std::size_t matching = 0;
