--- a/include/beechhill/balancer.h
+++ b/include/beechhill/balancer.h
@@ -21,15 +21,14 @@
 /// The balancer owns its data and keeps no reference to an argument after a call returns.
 class Balancer {
  public:
-  /// Starts at `now` and appends the first actions. Throws std::invalid_argument as validate()
-  /// does.
+  /// Starts at `now` and appends the first actions. Throws what validate(settings) throws.
   Balancer(Time now, Settings settings, std::vector<Action>& actions);
   ~Balancer();
 
   /// Handles one event that happened at `now` and appends the actions to carry out, in order.
-  /// Ignores events of requests or attempts that have ended. O(endpoints) with up to 64 endpoints
-  /// that are up. With more, a request is O(1), apart from a pass over all endpoints once in
-  /// (endpoints / 10) requests.
+  /// Ignores events of requests or attempts that have ended. A call is O(endpoints) while at most
+  /// 64 endpoints are up. With more, a request is O(1), apart from a pass over all endpoints once
+  /// per (endpoints / 10) requests.
   void handle(Time now, const Event& event, std::vector<Action>& actions);
 
   struct EndpointCounts {
@@ -37,7 +36,7 @@
     /// Listed endpoints that currently receive no new requests, regardless of load.
     std::size_t avoided = 0;
   };
-  /// O(endpoints).
+  /// Counts endpoints at `now`. O(endpoints).
   EndpointCounts endpoint_counts(Time now) const;
 
   /// Statistics of the endpoint's current incarnation, to pass on as RestoredStats. Empty for an id
--- a/src/balancer/policy/admission.cpp
+++ b/src/balancer/policy/admission.cpp
@@ -17,7 +17,7 @@
 constexpr int kMinWaitDivisor = 10;
 // Longest wait at the first tier, as a share of the time that the client waits; less than half.
 using MaxWaitShare = std::ratio<9, 20>;
-// Sum of the assured shares, divided among levels by weight: half of the limit is assured.
+// Sum of the levels' assured shares, which are split by weight. It represents half of the limit.
 constexpr double kAssuredShares = 100;
 // Minimum number of requests that a tenant may send ahead of its quota.
 constexpr double kMinQuotaBurst = 4;
@@ -73,7 +73,7 @@
 }
 
 // Queues only requests that can still be answered in time. At the first tier the wait is short, as
-// a client rejected early can retry; below it a rejection wastes the work done above.
+// a client rejected early can retry; in lower tiers a rejection wastes the work done above.
 Time Admission::queue_deadline(const Request& request, Time now) const {
   const ClassSettings& settings = settings_.classes[request.class_id];
   const Duration objective = latency_objective(settings, request);
@@ -85,7 +85,7 @@
   const Duration slow = from_seconds(latencies_.slow_s(request.class_id));
   Time deadline = std::min({now + max_wait, useful_until - slow, latest});
   deadline = std::max(deadline, std::min(now + objective / kMinWaitDivisor, latest));
-  // The client's own time is often less than its class's deadline, and it must be able to retry.
+  // A client must have time to retry, and its own time is often less than its class's deadline.
   return first_tier ? std::min(deadline, now + (request.deadline - now) * MaxWaitShare::num /
                                                    MaxWaitShare::den)
                     : deadline;
--- a/src/balancer/policy/admission.h
+++ b/src/balancer/policy/admission.h
@@ -17,7 +17,7 @@
 
   /// Sets level, width and queue deadline. Uses up quota, so it must be called once per request.
   void classify(RequestState& state, Time now);
-  /// Queues the request. Returns false if it must be rejected: its queue is full or its time over.
+  /// Queues the request. Returns false if it must be rejected: queue full or deadline passed.
   bool enqueue(RequestState& state, Time now);
   /// Returns the next request to send, or null if none waits or the next must wait for the limit.
   RequestState* next(RequestTable& requests);
--- a/src/balancer/policy/concurrency_limit.cpp
+++ b/src/balancer/policy/concurrency_limit.cpp
@@ -5,13 +5,13 @@
 namespace beechhill {
 namespace {
 
-// Share of the latency objective beyond which a response counts as late in part.
+// Share of the latency objective beyond which a response counts as partly late.
 constexpr double kLateShare = 0.5;
-// Widths removed by an outcome that was not in time, and added by one that was: the limit holds if
-// 1 outcome in 11 is late.
+// Widths removed by an outcome that was not in time, and added by one that was. The limit is stable
+// when 1 outcome in 11 is late.
 constexpr double kDecrease = 2;
 constexpr double kIncrease = 0.2;
-// Multiple of a class's slow latency after which a request is silent; see docs/design.md.
+// An unanswered request is silent after this multiple of its class's slow_s(); see docs/design.md.
 constexpr double kSilentFactor = 1.5;
 // Share of the limit that silent requests may occupy.
 constexpr double kMaxSilentShare = 1.0 / 3;
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-// Caps the share of silent requests: with distant deadlines they could fill the limit.
+// Counts silent requests up to a share of the limit: with distant deadlines they could fill it.
 double ConcurrencyLimit::counted_widths() const {
   return in_flight_.running - std::max(0.0, in_flight_.silent - kMaxSilentShare * limit_);
 }
@@ -43,8 +43,9 @@
   return state.attempts.back().started_at + from_seconds(kSilentFactor * expected_s);
 }
 
-// Late responses lower the limit at the first tier only: load is shed there, as requests waiting
-// below hold slots above. The decrease grows with lateness: a long tail must not close the limit.
+// Late responses lower the limit at the first tier only: load is shed there, as requests waiting in
+// lower tiers hold slots above. The decrease grows with lateness: a long tail must not close the
+// limit.
 void ConcurrencyLimit::adjust(const RequestState& state, Result result, double latency_s,
                               double latency_penalty, double up_count) {
   const bool ok = result == Result::kOk;
--- a/src/balancer/policy/concurrency_limit.h
+++ b/src/balancer/policy/concurrency_limit.h
@@ -16,7 +16,7 @@
   double value() const { return limit_; }
   /// Whether a request of the given width may be sent now.
   bool fits(int width) const;
-  /// Accounts for `elapsed_s` seconds with the current requests in flight.
+  /// Updates the overrun for `elapsed_s` seconds with the current requests in flight.
   void advance(double elapsed_s);
   /// When the request's last attempt becomes silent. `state` must have an attempt.
   Time silent_at(const RequestState& state) const;
--- a/src/balancer/policy/endpoint_selector.cpp
+++ b/src/balancer/policy/endpoint_selector.cpp
@@ -7,7 +7,7 @@
 
 // Utilization of the own zone above which other zones get requests.
 constexpr double kZoneThreshold = 0.8;
-// Load, in requests, added to endpoints of other zones up to that threshold, and less beyond.
+// Load, in requests, added to endpoints of other zones below that utilization, and less above it.
 constexpr double kCrossZoneLoad = 32;
 // Minimum number of endpoints that a replica uses.
 constexpr double kMinSubset = 8;
@@ -40,8 +40,7 @@
   return best ? best : least_loaded(state, kUnlimited, now);
 }
 
-// A sample of a large fleet bounds the cost, and keeps replicas from all choosing one idle
-// endpoint.
+// Samples a large fleet, which bounds the cost and keeps replicas from all choosing one endpoint.
 std::optional<EndpointId> EndpointSelector::least_loaded(const RequestState& state,
                                                          double subset_size, Time now) {
   std::optional<EndpointId> best;
@@ -54,7 +53,7 @@
       return;
     }
     in_.statistics.decay(record, now);
-    // Added last, as it separates zones and must not scale with the load of an endpoint.
+    // The penalty is added last: it separates zones and must not scale with an endpoint's load.
     const double penalty = record.entry.zone != in_.settings.zone ? cross_zone : 0;
     const double candidate_load = load(state, record, now) + penalty;
     if (candidate_load >= least_load) {
@@ -79,7 +78,7 @@
          in_.slow_start.has_budget(record, traffic, now) && in_.retries.safe_on(state, record, now);
 }
 
-// In requests. Grows with the time without a response, which keeps traffic off a frozen endpoint.
+// The load in requests. It grows with the time without a response, as the endpoint may be frozen.
 double EndpointSelector::load(const RequestState& state, const EndpointRecord& record,
                               Time now) const {
   double load = record.in_flight + record.recent_attempts + record.tie_breaker;
@@ -95,8 +94,9 @@
          (in_.statistics.relative_weight(record) * in_.slow_start.capacity_share(record, now));
 }
 
-// In requests; 0 if crossing is free. A constant would always send some requests across: they stay
-// in the own zone while it has capacity, and spread evenly once it is full or the limit binds.
+// The penalty in requests; 0 if crossing is free. A constant one would always send some requests
+// across. Requests stay in the own zone while it has capacity, and spread evenly once it is full or
+// the limit binds.
 double EndpointSelector::cross_zone_penalty(Time now) const {
   if (in_.settings.cross_zone_cost <= 0) {
     return 0;
--- a/src/balancer/policy/health_checker.cpp
+++ b/src/balancer/policy/health_checker.cpp
@@ -11,7 +11,7 @@
 constexpr double kMaxBudget = 10;
 // Sum of an instance type's reported utilization at which its weight is known well enough.
 constexpr double kSufficientUtilization = 1;
-// Mean time between checks of one endpoint.
+// Minimum mean time between checks of one endpoint.
 constexpr Duration kMeanInterval{3'000'000};
 
 }  // namespace
--- a/src/balancer/policy/health_checker.h
+++ b/src/balancer/policy/health_checker.h
@@ -12,7 +12,7 @@
                 EndpointTable& endpoints)
       : settings_(settings), statistics_(statistics), endpoints_(endpoints) {}
 
-  /// Must be called for each attempt: checks may cost a small share of what attempts cost.
+  /// Must be called for each attempt. Adds the fraction of a check that one attempt allows.
   void add_budget();
   /// Selects an endpoint, if the budget allows a check. O(1), or O(endpoints) in a small fleet.
   std::optional<EndpointId> select(Time now);
--- a/src/balancer/policy/outlier_detector.h
+++ b/src/balancer/policy/outlier_detector.h
@@ -28,7 +28,7 @@
  private:
   // Multiple of the fleet's mean latency excess beyond which an endpoint is an outlier.
   static constexpr double kSlowThreshold = 1.5;
-  // Weight of an error, in requests in flight.
+  // Load that an error in the last tier adds, in requests in flight.
   static constexpr double kErrorLoad = 4;
 
   const Settings& settings_;
--- a/src/balancer/policy/retry_policy.cpp
+++ b/src/balancer/policy/retry_policy.cpp
@@ -5,11 +5,11 @@
 namespace beechhill {
 namespace {
 
-// Retries after a possible effect that each attempt adds to the budget.
+// Budget that each attempt adds for retries of requests that may have taken effect.
 constexpr double kRetriesPerAttempt = 0.1;
 // Maximum number of retries that the budget can save.
 constexpr double kMaxBudget = 10;
-// The mean advised retry delay is the longest that clients honour over this.
+// Divides the longest delay that clients honour to give the mean advised retry delay.
 constexpr int kRetryAfterDivisor = 5;
 
 }  // namespace
--- a/src/balancer/policy/slow_start.cpp
+++ b/src/balancer/policy/slow_start.cpp
@@ -3,8 +3,8 @@
 namespace beechhill {
 namespace {
 
-// Minimum rate of attempts per second to an endpoint over all replicas, whatever the traffic: a
-// share of no traffic would be none.
+// Minimum rate of attempts per second to an endpoint, over all replicas. Without a minimum, an
+// endpoint would receive nothing while there is little traffic.
 constexpr double kMinAttemptsPerS = 1;
 // The allowed load is at most the collapse ratio over this, times an even share of the traffic.
 constexpr double kSafetyFactor = 1.5;
@@ -26,9 +26,10 @@
   return initial + (1 - initial) * age_s / seconds(settings_.slow_start_window);
 }
 
-// Keeps endpoints that are warming up from collapse: each replica sends one at most its share of
-// what the replica sends a warm peer, so the total stays below a warm peer's. As few warm peers may
-// be overloaded, the bound is also two thirds of the collapse ratio times an even share.
+// Keeps endpoints from collapse while they warm up: each replica sends one at most the fraction
+// capacity_share() of what it sends a warm peer, so the total stays below a warm peer's. As few
+// warm peers may be overloaded, the bound is also two thirds of the collapse ratio times an even
+// share.
 bool SlowStart::has_budget(EndpointRecord& record, const Traffic& traffic, Time now) const {
   if (!warming_up(record, now)) {
     return true;
--- a/src/balancer/policy/slow_start.h
+++ b/src/balancer/policy/slow_start.h
@@ -21,7 +21,7 @@
   bool warming_up(const EndpointRecord& record, Time now) const;
   /// The minimum share of its capacity that the endpoint has at `now`, in (0, 1].
   double capacity_share(const EndpointRecord& record, Time now) const;
-  /// Refills the budget. Returns whether one more attempt may start; always true if warm.
+  /// Refills the budget. Returns whether an attempt may start at the endpoint; true if it is warm.
   bool has_budget(EndpointRecord& record, const Traffic& traffic, Time now) const;
 
  private:
--- a/src/balancer/state/endpoint_state.h
+++ b/src/balancer/state/endpoint_state.h
@@ -55,7 +55,7 @@
   Endpoint entry;
   bool listed = false;
   std::uint64_t last_update = 0;  // number of the last update that named the endpoint
-  bool excluded = false;          // by an operator
+  bool excluded = false;          // whether an operator has excluded the endpoint
   std::optional<Time> excluded_at;
   /// Set if the endpoint may have restarted during an exclusion and no update has said so yet.
   std::optional<Time> readmitted_at;
--- a/src/balancer/state/endpoint_table.h
+++ b/src/balancer/state/endpoint_table.h
@@ -72,7 +72,7 @@
 
  private:
   static constexpr std::size_t kSmallFleet = 64;  // endpoints
-  // In 7 cases out of 8, a sample of this size includes one of the best tenth.
+  // In 7 cases out of 8, a sample of this size includes an endpoint of the best tenth.
   static constexpr std::size_t kSampleSize = 20;
 
   EndpointRecord& find_or_add(EndpointId id, Time now);
--- a/src/balancer/state/fair_queues.h
+++ b/src/balancer/state/fair_queues.h
@@ -17,7 +17,7 @@
 struct FairQueue {
   std::deque<RequestId> waiting;
   double virtual_start_s = 0;
-  int running = 0;  // requests
+  int running = 0;  // number of requests in flight
 
   bool idle() const { return running == 0 && waiting.empty(); }
 };
@@ -25,11 +25,11 @@
 struct PriorityLevel {
   static constexpr std::size_t kMaxWidth = 2;
 
-  double weight = 0;                                     // priority weight of its requests
-  double assured_share = 0;                              // of the concurrency limit
-  int running = 0;                                       // widths, without silent requests
-  std::size_t waiting = 0;                               // requests
-  std::array<std::vector<FairQueue>, kMaxWidth> queues;  // by width - 1
+  double weight = 0;         // priority weight of its requests
+  double assured_share = 0;  // relative share of the concurrency limit
+  int running = 0;           // widths in flight, without silent requests
+  std::size_t waiting = 0;   // number of requests in the queues
+  std::array<std::vector<FairQueue>, kMaxWidth> queues;  // indexed by width - 1
 
   /// The head of the queue with the earliest virtual finish. A request must be waiting. All
   /// requests are expected to take equally long, so the earliest start decides. O(queues).
@@ -68,17 +68,17 @@
   void keep_present(const RequestState& state) { present_ += state.width; }
   /// Stops counting the request as present after an attempt or a withdrawal.
   void release(const RequestState& state);
-  /// Stops counting the request among those that its level runs.
+  /// Stops counting the request in PriorityLevel::running.
   void mark_silent(const RequestState& state) { levels_[state.level].running -= state.width; }
 
   /// Advances virtual time by `elapsed_s` * min(present widths, concurrency limit) / busy widths.
   void advance(double elapsed_s, double concurrency_limit);
 
   std::size_t waiting_count() const { return waiting_; }
-  /// A lower bound of the queue deadlines of all waiting requests; Time::max() at first.
+  /// A lower bound of the queue deadlines of all waiting requests; Time::max() before any waits.
   Time next_expiry() const { return next_expiry_; }
-  /// Requests past their queue deadline, by level, width and queue. O(waiting) if any may have
-  /// expired.
+  /// Requests past their queue deadline, in the order of level, width and queue. O(waiting) if any
+  /// may have expired, else O(1).
   std::vector<RequestId> expired(Time now, const RequestTable& requests);
   /// Expires all waiting requests. O(requests).
   void expire_all(Time now, RequestTable& requests);
--- a/src/balancer/state/fleet_statistics.cpp
+++ b/src/balancer/state/fleet_statistics.cpp
@@ -16,13 +16,13 @@
 constexpr double kLatencySmoothing = 0.3;
 // Upper bound of a latency ratio: one very slow response must not outweigh ten normal ones.
 constexpr double kMaxLatencyRatio = 4;
-// Weight of the mean in an estimate, in responses or in utilization.
+// Weight of the prior in an estimate, in responses or in utilization.
 constexpr double kPrior = 1;
-// Weight of the instance type's latency in an endpoint's, in responses. It is low, as a few
-// responses suffice to estimate a latency.
+// Weight of the instance type's latency as the prior of an endpoint's, in responses. It is low, as
+// a few responses suffice to estimate a latency.
 constexpr double kLatencyPrior = 0.5;
-// Weight of the fleet's mean in the weight of an instance type, in utilization. It is low, as types
-// differ more than endpoints of one type.
+// Weight of the fleet's mean as the prior of an instance type's weight, in utilization. It is low,
+// as types differ more than endpoints of one type.
 constexpr double kTypePrior = 0.5;
 // Lower bound of relative weights; its inverse is the upper bound.
 constexpr double kMinWeight = 0.1;
@@ -34,16 +34,16 @@
 constexpr double kZoneUtilizationWindowS = 2;
 // Time constant of the rate of own attempts, in seconds.
 constexpr double kAttemptRateWindowS = 5;
-// Own attempts are remembered for at least this many rounds over the endpoints in use.
+// Minimum time constant of own attempts, in rounds over the endpoints in use.
 constexpr double kMinRounds = 4;
-// Own attempts are remembered for at least this many typical latencies.
+// Minimum time constant of own attempts, in typical latencies.
 constexpr double kMinLatencies = 4;
 // Lower bound of the attempt rate where it is a divisor, per second.
 constexpr double kMinAttemptsPerS = 0.01;
-// A large fleet's sums are recomputed once in (endpoints / this) selections.
+// A large fleet's sums are recomputed once per (endpoints / kRefreshDivisor) selections.
 constexpr std::size_t kRefreshDivisor = 10;
 
-// Replaces an absent value of a report; rejected as out of bounds.
+// Replaces an absent value of a report. It is out of bounds, so that the report is ignored.
 constexpr double kNotReported = -1;
 
 // Returns false for NaN.
@@ -177,7 +177,8 @@
   return ratio * relative_weight(record);
 }
 
-// An endpoint that fails only another class must keep this one, or its peers would be overloaded.
+// An endpoint that fails only other classes must keep its share of this one, or its peers would be
+// overloaded.
 double FleetStatistics::excess_errors(const EndpointRecord& record, ClassId class_id) const {
   const OutcomeCounts& own = record.outcomes[class_id];
   const OutcomeCounts& fleet = by_class_[class_id];
--- a/src/balancer/state/fleet_statistics.h
+++ b/src/balancer/state/fleet_statistics.h
@@ -94,7 +94,7 @@
   std::vector<EndpointStats> by_instance_type_;
   std::vector<OutcomeCounts> by_class_;
   int warm_count_ = 1;
-  double mean_weight_ = 1;  // requests a second at full utilization
+  double mean_weight_ = 1;  // requests per second at full utilization
   double mean_error_rate_ = 0;
   double mean_excess_ = 1;
   double subset_size_ = 1;
--- a/src/balancer/state/in_flight.h
+++ b/src/balancer/state/in_flight.h
@@ -23,8 +23,8 @@
     mean_running += (running - mean_running) * (1 - std::exp(-elapsed_s / time_constant_s));
   }
 
-  /// Widths that may run by chance at the recent mean when a request of the given width arrives. A
-  /// short lull does not lower it.
+  /// Widths in flight that chance explains at the recent mean when a request of the given width
+  /// arrives. A short lull hardly affects the mean.
   double expected_widths(int width) const {
     return mean_running + kDeviations * std::sqrt(width * mean_running) + width;
   }
--- a/tests/balancer/admission_test.cpp
+++ b/tests/balancer/admission_test.cpp
@@ -84,7 +84,8 @@
   driver.request(3, kIdempotentClass, 1);
   driver.list_endpoints(1);
   ASSERT_EQ(driver.attempts.size(), 3u);
-  EXPECT_EQ(driver.attempts.back().id, 2u);  // all are on one level, where tenants alternate
+  // All requests are on one level, which alternates between tenants.
+  EXPECT_EQ(driver.attempts.back().id, 2u);
 }
 
 // A client with a short deadline must be rejected while it has time to retry.
--- a/tests/balancer/concurrency_limit_test.cpp
+++ b/tests/balancer/concurrency_limit_test.cpp
@@ -32,8 +32,9 @@
     driver.advance(milliseconds(1500));
     driver.outcome(id, 0, Result::kOk);
   }
-  EXPECT_LT(driver.attempts.size(), 30u);  // some requests were rejected after waiting
-  EXPECT_GT(driver.attempts.size(), 5u);   // but not all
+  // Some requests are rejected after waiting, but not all.
+  EXPECT_LT(driver.attempts.size(), 30u);
+  EXPECT_GT(driver.attempts.size(), 5u);
 }
 
 // Fills two endpoints with requests, of which 20 end as overloaded, so that the limit binds.
@@ -75,7 +76,8 @@
   driver.advance(milliseconds(2000));
   std::size_t ended = driver.attempts.size();
   const std::size_t sent_when_closed = burst(1000);
-  for (RequestId next = 2000; next < 12000; next += 100) {  // timely answers while the limit binds
+  // Sends timely responses while the limit binds.
+  for (RequestId next = 2000; next < 12000; next += 100) {
     driver.advance(milliseconds(50));
     for (; ended < driver.attempts.size(); ++ended) {
       driver.outcome(driver.attempts[ended].id, 0, Result::kOk);
--- a/tests/balancer/endpoint_selector_test.cpp
+++ b/tests/balancer/endpoint_selector_test.cpp
@@ -62,7 +62,7 @@
 TEST(LoadWeights, IgnoreReportsOfNearlyIdleEndpoints) {
   Driver driver;
   driver.list_endpoints(2);
-  // Without the check this report would give a weight of 50,000.
+  // Taken alone, this report would give a weight of 50,000.
   driver.handle(HealthCheckResult{0, Result::kOk, {0.001, 50.0}});
   driver.handle(HealthCheckResult{1, Result::kOk, {0.5, 10.0}});
   for (RequestId id = 0; id < 20; ++id) {
@@ -73,9 +73,8 @@
               7, 3);
 }
 
-// A replica with a small budget of health checks would otherwise have no weights for minutes.
-// Endpoints of one instance type have similar capacity, so reports of one serve for all of the
-// type.
+// Without this, a replica with a small budget of health checks would have no weights for minutes.
+// Endpoints of one instance type have similar capacity, so reports of one apply to all of them.
 TEST(LoadWeights, StartFromTheInstanceTypeBeforeTheFirstReport) {
   Driver driver;
   driver.list_endpoints_of_types(8, [](EndpointId i) { return i % 2; });
@@ -91,8 +90,8 @@
   EXPECT_GT(fast, 80);
 }
 
-// With few requests per endpoint a slow endpoint would never be noticed, so a replica with few
-// requests uses few endpoints (incident id9112b).
+// A replica must use no more endpoints than its request rate supports. With few requests per
+// endpoint, a slow endpoint would never be noticed (incident id9112b).
 TEST(EndpointSubset, GrowsWithTheRequestRate) {
   std::size_t rare = 0;
   std::size_t frequent = 0;
@@ -138,7 +137,8 @@
     }
     used_count += sent.size();
   }
-  EXPECT_GT(used_count, 10u * 26);  // of 36 attempts; 13 endpoints if a fifth of the rate counts
+  // Each run counts 36 attempts. If only a fifth of the rate counted, they would use 13 endpoints.
+  EXPECT_GT(used_count, 10u * 26);
 }
 
 // Replicas that start together must not all choose the same endpoint first (incidents id9112b,
--- a/tests/balancer/endpoint_table_test.cpp
+++ b/tests/balancer/endpoint_table_test.cpp
@@ -23,7 +23,7 @@
 
 TEST(Exclusion, HoldsWhateverTheEndpointListSays) {
   Driver driver;
-  driver.handle(EndpointExclusion{1, true});  // before any list
+  driver.handle(EndpointExclusion{1, true});  // before the first endpoint list
   driver.list_endpoints(3);
   EXPECT_EQ(count_attempts_at(driver, 1, 100, 60), 0u);
   driver.update_endpoint({1, EndpointStatus::kRemoved, 0, 0, {}});
@@ -32,8 +32,9 @@
   EXPECT_EQ(count_attempts_at(driver, 1, 200, 60), 0u);
 }
 
-// An endpoint may restart while it is excluded, and discovery may report that late. After its
-// readmission it is therefore in slow start, but receives some requests at once.
+// An endpoint may restart while it is excluded, and discovery may report the restart late. A
+// readmitted endpoint is therefore in slow start unless the restart is listed, and gets some
+// requests at once.
 TEST(Exclusion, EndsInSlowStartUnlessARestartIsListed) {
   for (const bool restart_listed : {false, true}) {
     Driver driver;
--- a/tests/balancer/outlier_detector_test.cpp
+++ b/tests/balancer/outlier_detector_test.cpp
@@ -14,8 +14,8 @@
     settings.seed = seed;
     Driver driver(settings);
     driver.list_endpoints_of_types(40, [](EndpointId i) { return i % 5 == 0; });
-    for (RequestId id = 0; id < 24;
-         ++id) {  // 24 requests cannot reach more than 24 of 40 endpoints
+    // 24 requests leave about half of the endpoints without an attempt.
+    for (RequestId id = 0; id < 24; ++id) {
       driver.request(id);
       driver.advance(milliseconds(driver.attempts.back().endpoint % 5 == 0 ? 900 : 100));
       driver.outcome(id, 0, Result::kOk);
@@ -45,7 +45,7 @@
   EXPECT_LT(to_failing, 10u);
 }
 
-// The tier below, or a dependency of all endpoints, fails.
+// All endpoints fail, for example because the tier below or a shared dependency fails.
 TEST(OutlierDetection, KeepsSharesWhenAllFail) {
   Driver driver;
   driver.list_endpoints(6);
--- a/tests/balancer/slow_start_fleet_test.cpp
+++ b/tests/balancer/slow_start_fleet_test.cpp
@@ -30,7 +30,7 @@
   double window_s = 3;              // how long the overload must last for a collapse
   EndpointId restarted = 1;         // number of endpoints that restart
   double first_replica_weight = 1;  // traffic of the first replica relative to the others
-  double new_replicas = 0;          // fraction of replicas that start with the endpoints
+  double new_replicas = 0;          // fraction of replicas that start when the endpoints restart
   double burst = 1;                 // load factor from 2 s to 5 s after the restart
   double error_rate = 0;            // fraction of all responses
   double overloaded_rate = 0;       // fraction of the responses of restarted endpoints
@@ -231,7 +231,7 @@
         fleet.burst = 1.5;
         fleet.error_rate = 0.1;
         fleet.overloaded_rate = 0.3;
-        expect_no_collapse("a burst, errors, and restarted endpoints that refuse requests");
+        expect_no_collapse("a burst, errors, and restarted endpoints that reject requests");
       }
     }
   }
--- a/tests/properties_test.cpp
+++ b/tests/properties_test.cpp
@@ -99,7 +99,7 @@
   struct SimulatedEndpoint {
     Endpoint entry;
     bool excluded = false;
-    // Since when the balancer has known that it must not start attempts at the endpoint.
+    // The time since which the balancer has known that it must not start attempts at the endpoint.
     std::optional<Time> unavailable_since;
     double error_rate = 0;
     double silence_rate = 0;
@@ -131,7 +131,7 @@
     for (std::size_t i = 0; i < classes; ++i) {
       scenario.classes.push_back(drawn_class(random_, i));
     }
-    scenario.drain_grace = Duration{-1};  // attempts must not start from the time of the update on
+    scenario.drain_grace = Duration{-1};  // no attempt may start after the update
     scenario.answer_grace = Duration{0};
     scenario.hedging_allowed = random_.below(2) == 0;
     return scenario;
@@ -362,10 +362,11 @@
   void act(const Cancel& action) {
     const Attempt& attempt = requests_.at(action.id).attempts.at(action.attempt);
     if (!attempt.is_open || attempt.streamed) {
-      fail("cancel of an attempt that is over or streams: " + std::to_string(action.id));
+      fail("cancel of an attempt that has ended or is streaming, of request " +
+           std::to_string(action.id));
     }
     if (!settings_.cancellation_allowed) {
-      fail("cancel where none is allowed");
+      fail("cancel although the settings allow no cancellation");
     }
     at(driver_.now, [this, action] { outcome(action.id, action.attempt, Result::kCancelled); });
   }
@@ -384,7 +385,7 @@
   }
   void act(const HealthCheck& action) {
     if (!settings_.health_checks_allowed) {
-      fail("health check where none is allowed");
+      fail("health check although the settings allow none");
     }
     if (endpoints_.at(action.endpoint).unavailable_since) {
       fail("health check of an endpoint that is unavailable");
@@ -396,7 +397,7 @@
   }
   void act(const SetTimer& action) {
     if (action.at < driver_.now) {
-      fail("a timer in the past");
+      fail("a timer is set for a time in the past");
     }
   }
   void act(const WatchEndpoints&) {
@@ -406,7 +407,7 @@
     }
   }
 
-  // ---- Endpoints and their list
+  // ---- Endpoints and discovery
 
   void track_availability(SimulatedEndpoint& endpoint) {
     const bool available = endpoint.entry.status == EndpointStatus::kUp && !endpoint.excluded;
@@ -601,7 +602,7 @@
     advance(driver_.now + 2 * emulator::longest_deadline(deployment_));
   }
 
-  // ---- Verdict
+  // ---- Failures
 
   void check() {
     if (rules_.all() == 0 || failed_) {
