--- a/include/beechhill/events.h
+++ b/include/beechhill/events.h
@@ -110,7 +110,8 @@
 };
 
 /// Decaying sums of the load reports and latencies of one incarnation of an endpoint. The sums have
-/// no unit: the ratio of two sums is an estimate, and its denominator the weight of the evidence.
+/// no unit. The ratio of a pair of sums is an estimate, whose reliability grows with the
+/// denominator.
 struct EndpointStats {
   /// Sums of the reported requests per second and of the reported utilization.
   double weighted_rates = 0;
--- a/src/balancer/discovery_polling.h
+++ b/src/balancer/discovery_polling.h
@@ -27,9 +27,9 @@
   void record_success() { failures_ = 0; }
 
  private:
-  // The poll interval over this is the longest delay before the first subscription.
+  // Divides the poll interval to give the longest delay before the first subscription.
   static constexpr double kInitialDivisor = 4;
-  // The poll interval over this is the step by which the backoff grows.
+  // Divides the poll interval to give the step by which the backoff grows.
   static constexpr double kBackoffDivisor = 8;
   static constexpr int kMaxBackoffSteps = 3;
 
--- a/src/balancer/policy/admission.cpp
+++ b/src/balancer/policy/admission.cpp
@@ -11,8 +11,8 @@
 
 // A request that finds this many in its queue is rejected. The queue deadline mostly acts first.
 constexpr std::size_t kMaxQueueLength = 64;
-// Divisors of the latency objective: for the longest wait at the first tier, and for the shortest
-// wait that any tier allows.
+// Divide the latency objective to give the longest wait at the first tier, and the shortest wait
+// that any tier allows.
 constexpr int kMaxWaitDivisor = 2;
 constexpr int kMinWaitDivisor = 10;
 // Longest wait at the first tier, as a share of the time that the client waits; less than half.
--- a/src/balancer/policy/admission.h
+++ b/src/balancer/policy/admission.h
@@ -32,7 +32,7 @@
   const LatencyTracker& latencies_;
   const ConcurrencyLimit& limit_;
   FairQueues& queues_;
-  std::vector<TokenBucket> quotas_;  // by tenant
+  std::vector<TokenBucket> quotas_;  // indexed by TenantId
 };
 
 }  // namespace beechhill
--- a/src/balancer/policy/endpoint_selector.cpp
+++ b/src/balancer/policy/endpoint_selector.cpp
@@ -11,13 +11,13 @@
 constexpr double kCrossZoneLoad = 32;
 // Minimum number of endpoints that a replica uses.
 constexpr double kMinSubset = 8;
-// Responses of an endpoint within kStatsWindow that suffice to estimate its latency.
-constexpr double kAnswersPerEndpoint = 10;
+// Number of responses within kStatsWindow that suffice to estimate an endpoint's latency.
+constexpr double kResponsesPerEndpoint = 10;
 // Number of replicas that use each endpoint in a large deployment.
 constexpr double kReplicasPerEndpoint = 20;
 // Load, in requests, added to an endpoint for each attempt of the same request there.
 constexpr double kRepeatedAttemptLoad = 4;
-// Typical latencies without a response that double an endpoint's load.
+// Time without a response, in typical latencies, that doubles an endpoint's load.
 constexpr double kSilentLatencies = 2;
 
 }  // namespace
@@ -30,7 +30,7 @@
   };
   in_.statistics.refresh_if_due(now, is_warm);
   const double attempts = seconds(EndpointState::kStatsWindow) * in_.statistics.attempts_per_s(now);
-  const double target_size = std::max(attempts / kAnswersPerEndpoint,
+  const double target_size = std::max(attempts / kResponsesPerEndpoint,
                                       kReplicasPerEndpoint * up_count() / in_.settings.replicas);
   const double warm_share = std::max(1, in_.statistics.warm_count()) / up_count();
   const double subset_size =
--- a/src/balancer/policy/health_checker.cpp
+++ b/src/balancer/policy/health_checker.cpp
@@ -9,7 +9,7 @@
 constexpr double kMaxCostShare = 0.006;
 // Maximum number of checks that the budget can save.
 constexpr double kMaxBudget = 10;
-// Sum of an instance type's reported utilization at which its weight is known well enough.
+// Sum of an instance type's reported utilization above which its weight counts as known.
 constexpr double kSufficientUtilization = 1;
 // Minimum mean time between checks of one endpoint.
 constexpr Duration kMeanInterval{3'000'000};
--- a/src/balancer/state/endpoint_state.h
+++ b/src/balancer/state/endpoint_state.h
@@ -20,9 +20,9 @@
   static constexpr Duration kStatsWindow{10'000'000};
 
   EndpointStats stats;
-  std::vector<OutcomeCounts> outcomes;  // by class
-  int in_flight = 0;                    // attempts of this balancer
-  double recent_attempts = 0;           // attempts of this balancer, decaying
+  std::vector<OutcomeCounts> outcomes;  // indexed by ClassId
+  int in_flight = 0;                    // number of attempts of this balancer
+  double recent_attempts = 0;           // decaying number of attempts of this balancer
   double tie_breaker = 0;               // in [0, 1]: random fraction of a request's load
   Time decayed_at{0};
   /// Time of the last outcome, or of the first attempt if none was in flight before it.
--- a/src/balancer/state/endpoint_table.h
+++ b/src/balancer/state/endpoint_table.h
@@ -71,7 +71,7 @@
   }
 
  private:
-  static constexpr std::size_t kSmallFleet = 64;  // endpoints
+  static constexpr std::size_t kSmallFleet = 64;  // maximum number of endpoints of a small fleet
   // In 7 cases out of 8, a sample of this size includes an endpoint of the best tenth.
   static constexpr std::size_t kSampleSize = 20;
 
@@ -83,8 +83,8 @@
 
   const std::size_t class_count_;
   RandomSource& random_;
-  std::vector<EndpointRecord> records_;  // by id
-  RankedSet ranked_;                     // endpoints that are up
+  std::vector<EndpointRecord> records_;  // indexed by EndpointId
+  RankedSet ranked_;                     // ids of the endpoints that are up
   std::uint64_t update_number_ = 0;
 };
 
--- a/src/balancer/state/fair_queues.h
+++ b/src/balancer/state/fair_queues.h
@@ -93,9 +93,9 @@
   void mark_queued(RequestState& state);
   void mark_dequeued(RequestState& state);
 
-  std::vector<PriorityLevel> levels_;  // by descending weight
+  std::vector<PriorityLevel> levels_;  // in the order of descending weight
   double virtual_time_s_ = 0;
-  int present_ = 0;      // widths, waiting or running
+  int present_ = 0;      // widths of waiting and running requests
   int busy_queues_ = 0;  // widths of queues that are not idle
   std::size_t waiting_ = 0;
   Time next_expiry_ = Time::max();
--- a/src/balancer/state/fleet_statistics.cpp
+++ b/src/balancer/state/fleet_statistics.cpp
@@ -26,9 +26,9 @@
 constexpr double kTypePrior = 0.5;
 // Lower bound of relative weights; its inverse is the upper bound.
 constexpr double kMinWeight = 0.1;
-// Minimum number of attempts of a class that show whether an endpoint fails the class.
+// Minimum number of attempts to judge whether an endpoint fails a class.
 constexpr double kMinClassAttempts = 4;
-// Standard deviations of the error count that are attributed to chance.
+// Excess of errors that is attributed to chance, in standard deviations.
 constexpr double kErrorDeviations = 2;
 // Time constant of the own zone's utilization, in seconds.
 constexpr double kZoneUtilizationWindowS = 2;
--- a/src/balancer/state/fleet_statistics.h
+++ b/src/balancer/state/fleet_statistics.h
@@ -69,8 +69,8 @@
   /// Latency relative to its class's average, times relative weight: how much slower the endpoint
   /// is than its load reports explain.
   double latency_excess(const EndpointRecord& record) const;
-  /// Errors beyond the fleet's mean and chance; 0 for a class that the endpoint fails no more than
-  /// its peers.
+  /// Number of errors beyond the fleet's mean and chance; 0 for a class that the endpoint fails no
+  /// more than its peers.
   double excess_errors(const EndpointRecord& record, ClassId class_id) const;
   /// Decaying sum of the utilization that the endpoint's instance type reported, which shows how
   /// reliable the type's weight is.
--- a/src/balancer/state/in_flight.h
+++ b/src/balancer/state/in_flight.h
@@ -32,7 +32,7 @@
  private:
   // Time constant of the mean, in typical latencies.
   static constexpr double kMeanLatencies = 4;
-  // Standard deviations that are attributed to chance.
+  // Deviation from the mean that is attributed to chance, in standard deviations.
   static constexpr double kDeviations = 2;
 };
 
--- a/src/balancer/state/latency_tracker.h
+++ b/src/balancer/state/latency_tracker.h
@@ -38,8 +38,8 @@
 
   double shortest_objective_ = kUnlimited;
   double overall_ = 0;
-  std::vector<double> average_;  // by class
-  std::vector<double> slow_;     // by class
+  std::vector<double> average_;  // indexed by ClassId
+  std::vector<double> slow_;     // indexed by ClassId
 };
 
 }  // namespace beechhill
--- a/src/balancer/state/random_source.h
+++ b/src/balancer/state/random_source.h
@@ -12,7 +12,7 @@
  public:
   explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
 
-  /// Uniformly distributed over [0, 1).
+  /// Returns a number that is uniformly distributed over [0, 1).
   double uniform() { return static_cast<double>(engine_() >> 11) * 0x1.0p-53; }
 
  private:
--- a/src/balancer/state/request_state.h
+++ b/src/balancer/state/request_state.h
@@ -15,8 +15,9 @@
 
 struct Attempt {
   EndpointId endpoint = 0;
-  std::uint32_t incarnation = 0;  // of the endpoint, when the attempt started
-  std::uint32_t zone = 0;         // of the endpoint, when the attempt started; it may move later
+  /// The endpoint's incarnation and location when the attempt started; the endpoint may move later.
+  std::uint32_t incarnation = 0;
+  std::uint32_t zone = 0;
   std::uint32_t cell = 0;
   Time started_at{0};
 };
--- a/tests/action_trace_test.cpp
+++ b/tests/action_trace_test.cpp
@@ -16,7 +16,7 @@
 namespace beechhill::test {
 namespace {
 
-constexpr std::uint64_t kRecordedEvents = 800;  // per stream
+constexpr std::uint64_t kRecordedEvents = 800;  // number of events per stream
 constexpr std::uint64_t kRecordedStreams = static_cast<std::uint64_t>(Deployment::kCount);
 constexpr std::uint64_t kComparedStreams = 4 * kRecordedStreams;
 
--- a/tests/balancer/admission_test.cpp
+++ b/tests/balancer/admission_test.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 TEST(Admission, RejectsAQueuedRequestWhenItsQueueDeadlinePasses) {
-  Driver driver;  // without endpoints, so that the request is queued
+  Driver driver;  // has no endpoints, so that the request is queued
   driver.request(1, kNonIdempotentClass);
   EXPECT_TRUE(driver.final_answers.empty());
   driver.advance(milliseconds(1200));
@@ -90,7 +90,7 @@
 
 // A client with a short deadline must be rejected while it has time to retry.
 TEST(Admission, RejectsAQueuedRequestBeforeHalfOfItsClientsTime) {
-  Driver driver;  // without endpoints, so that all requests are queued
+  Driver driver;  // has no endpoints, so that all requests are queued
   driver.handle(Request{1, kIdempotentClass, kNoTenant, driver.now + milliseconds(600), {}});
   driver.advance(milliseconds(290));
   EXPECT_EQ(driver.final_answers.count(1), 1u);
--- a/tests/balancer/endpoint_selector_test.cpp
+++ b/tests/balancer/endpoint_selector_test.cpp
@@ -158,7 +158,7 @@
     driver.request(1);
     ++sent[driver.attempts.at(0).endpoint];
   }
-  EXPECT_NEAR(sent[3], 190, 50);  // near half of the requests, by weight
+  EXPECT_NEAR(sent[3], 190, 50);  // endpoint 3 has half of the total weight
   EXPECT_NEAR(sent[0], 70, 30);
 }
 
@@ -184,7 +184,7 @@
 TEST(LoadWeights, StayBoundedOnAbsurdReports) {
   constexpr double kNaN = std::numeric_limits<double>::quiet_NaN(),
                    kInfinity = std::numeric_limits<double>::infinity();
-  for (const LoadReport& absurd :
+  for (const LoadReport& invalid_report :
        {LoadReport{kNaN, 10.0}, LoadReport{0.5, kNaN}, LoadReport{0.5, kInfinity},
         LoadReport{-1.0, 10.0}, LoadReport{0.5, 1e300}}) {
     Driver driver;
@@ -192,7 +192,7 @@
     for (EndpointId id = 0; id < 4; ++id) {
       driver.handle(HealthCheckResult{id, Result::kOk, {0.5, 10.0}});
     }
-    driver.handle(HealthCheckResult{0, Result::kOk, absurd});
+    driver.handle(HealthCheckResult{0, Result::kOk, invalid_report});
     std::map<EndpointId, int> attempts_by_endpoint;
     for (RequestId request_id = 0; request_id < 100; ++request_id) {
       driver.request(request_id);
--- a/tests/balancer/outlier_detector_test.cpp
+++ b/tests/balancer/outlier_detector_test.cpp
@@ -64,7 +64,7 @@
 
 // Returns the number of attempts at the failing endpoints while 5 of the 12 endpoints of a last
 // tier fail fast (incident ib44446).
-std::size_t sent_to_failing_third() {
+std::size_t count_attempts_at_failing_endpoints() {
   Settings settings = basic_settings();
   settings.tier = 1;
   settings.tier_count = 2;
@@ -82,7 +82,7 @@
 }
 
 TEST(OutlierDetection, AvoidsFailingEndpointsInTheLastTierEvenWhenManyFail) {
-  EXPECT_LT(sent_to_failing_third(), 75u);
+  EXPECT_LT(count_attempts_at_failing_endpoints(), 75u);
 }
 
 TEST(OutlierDetection, KeepsSharesAboveTheLastTierOnErrorsFromBelow) {
--- a/tests/balancer/retry_policy_test.cpp
+++ b/tests/balancer/retry_policy_test.cpp
@@ -56,7 +56,7 @@
 
 TEST(RetryPolicy, RetriesAKeyedRequestWithinItsCell) {
   Driver driver;
-  driver.list_endpoints(6);  // in cells of two
+  driver.list_endpoints(6);  // each cell has two endpoints
   driver.request(1, kKeyedClass);
   driver.advance(milliseconds(100));
   driver.outcome(1, 0, Result::kError);
@@ -88,7 +88,7 @@
 // even if the endpoint list has since moved the endpoint.
 TEST(RetryPolicy, RetriesAKeyedRequestWhereItsFirstAttemptWent) {
   Driver driver;
-  driver.list_endpoints(6);  // in cells of two
+  driver.list_endpoints(6);  // each cell has two endpoints
   driver.request(1, kKeyedClass);
   const EndpointId first = driver.attempts[0].endpoint;
   const EndpointId other = (first + 2) % 6;
--- a/tests/balancer/slow_start_fleet_test.cpp
+++ b/tests/balancer/slow_start_fleet_test.cpp
@@ -17,7 +17,7 @@
 namespace beechhill::test {
 namespace {
 
-constexpr double kLoad = 0.75;  // fraction of the fleet's capacity
+constexpr double kLoad = 0.75;  // traffic as a fraction of the fleet's capacity
 constexpr double kInitialWeight = 0.2;
 constexpr double kSlowStartWindowS = 12;
 constexpr EndpointId kEndpoints = 20;
@@ -32,8 +32,8 @@
   double first_replica_weight = 1;  // traffic of the first replica relative to the others
   double new_replicas = 0;          // fraction of replicas that start when the endpoints restart
   double burst = 1;                 // load factor from 2 s to 5 s after the restart
-  double error_rate = 0;            // fraction of all responses
-  double overloaded_rate = 0;       // fraction of the responses of restarted endpoints
+  double error_rate = 0;            // fraction of the responses that are errors
+  double overloaded_rate = 0;       // fraction of restarted endpoints' responses that reject
 };
 
 Duration from_seconds(double s) {
--- a/tests/properties_test.cpp
+++ b/tests/properties_test.cpp
@@ -183,7 +183,7 @@
     entry.status = EndpointStatus::kUp;
   }
 
-  double draw_absurd_figure() {
+  double draw_invalid_value() {
     using Limits = std::numeric_limits<double>;
     return one_of(random_, {Limits::quiet_NaN(), Limits::infinity(), -Limits::infinity(), -1.0, 0.0,
                             1e-300, 1e308, 1e5});
@@ -196,7 +196,7 @@
       return {};
     }
     if (random_.below(10) == 0) {
-      return {draw_absurd_figure(), draw_absurd_figure()};
+      return {draw_invalid_value(), draw_invalid_value()};
     }
     return {random_.uniform(), 100 * random_.uniform()};
   }
@@ -653,7 +653,7 @@
   }
 }
 
-// ---- Whole simulated deployments with endpoints of known capacity, which the fourth rule requires
+// ---- Whole simulated deployments, where endpoint capacity is known and Rule::kCold can be checked
 
 Scenario drawn_world(std::uint64_t seed) {
   Stream random(seed, Actor::kFaults, 1);
--- a/tests/support/action_trace.h
+++ b/tests/support/action_trace.h
@@ -508,7 +508,7 @@
     sink_(line + ' ' + std::to_string(counts.listed) + ' ' + std::to_string(counts.avoided));
   }
 
-  static constexpr std::uint64_t kStateInterval = 20;  // events
+  static constexpr std::uint64_t kStateInterval = 20;  // number of events between state lines
 
   std::mt19937_64 random_;
   Deployment deployment_;
