--- a/src/balancer/discovery_polling.h
+++ b/src/balancer/discovery_polling.h
@@ -17,7 +17,8 @@
   Duration initial_delay(double random) const {
     return from_seconds(random * seconds(settings_.discovery_poll_interval) / kInitialDivisor);
   }
-  /// Returns a delay that grows with each consecutive failure and stays below the poll interval.
+  /// Returns a delay that grows with consecutive failures, up to kMaxBackoffSteps of them, and
+  /// stays below the poll interval.
   Duration delay_after_failure(double random) {
     failures_ = std::min(failures_ + 1, kMaxBackoffSteps);
     const double wait_s = seconds(settings_.discovery_poll_interval) / kBackoffDivisor * failures_;
