--- a/src/balancer/discovery_polling.h
+++ b/src/balancer/discovery_polling.h
@@ -17,6 +17,7 @@
   Duration initial_delay(double random) const {
     return from_seconds(random * seconds(settings_.discovery_poll_interval) / kInitialDivisor);
   }
+
   /// Returns a delay that grows with consecutive failures, up to kMaxBackoffSteps of them, and
   /// stays below the poll interval.
   Duration delay_after_failure(double random) {
