--- a/src/base/byte_codec.h
+++ b/src/base/byte_codec.h
@@ -1,5 +1,5 @@
-// Little-endian encoding of integers and length-prefixed strings, for messages among proxies and
-// for stored records. No I/O.
+// Little-endian encoding of integers and length-prefixed strings, used for messages between proxies
+// and for stored records. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace beechhill::base {
 
-/// Appends values to a byte string. The bytes are the same on every platform.
+/// Appends values to a byte string. The encoding does not depend on the platform.
 class ByteWriter {
  public:
   /// Appends an integer or enum, least significant byte first, in sizeof(Number) bytes.
@@ -21,19 +21,21 @@
     return *this;
   }
 
-  /// Appends a string with a length of 16 bits. `value` has at most 65,535 bytes.
+  /// Appends a string, preceded by its length as a 16-bit integer. `value` must have at most 65,535
+  /// bytes.
   ByteWriter& text(std::string_view value) {
     number(static_cast<std::uint16_t>(value.size()));
     bytes_ += value.substr(0, kMaxTextBytes);
     return *this;
   }
 
-  /// Appends bytes with a length of 32 bits. `value` has at most 4 GiB - 1.
+  /// Appends bytes, preceded by their count as a 32-bit integer. `value` must have at most 4 GiB -
+  /// 1 bytes.
   ByteWriter& blob(std::string_view value) {
     return number(static_cast<std::uint32_t>(value.size())).raw(value);
   }
 
-  /// Appends bytes without a length.
+  /// Appends `value` without a length.
   ByteWriter& raw(std::string_view value) {
     bytes_ += value;
     return *this;
@@ -47,13 +49,14 @@
   std::string bytes_;
 };
 
-/// Reads what ByteWriter wrote. It never reads beyond the end: once a value does not fit, ok() is
-/// false and all further values are zero or empty. Holds a view: the bytes must outlive it.
+/// Reads values that ByteWriter wrote, never beyond the end of the input: once a value is
+/// incomplete, ok() is false and all further values are zero or empty. Holds a view: the bytes must
+/// outlive the reader.
 class ByteReader {
  public:
   explicit ByteReader(std::string_view bytes) : remaining_(bytes) {}
 
-  /// Reads an integer or enum. The caller checks that an enum's value is a known one.
+  /// Reads an integer or enum. Any value of an enum is accepted: the caller must check its range.
   template <typename Number>
   Number number() {
     std::uint64_t bits = 0;
@@ -64,7 +67,7 @@
     return static_cast<Number>(bits);
   }
 
-  /// Reads a string with a length of 16 bits; one longer than `max_size` bytes is an error.
+  /// Reads a string that ByteWriter::text() wrote. A length over `max_size` bytes makes ok() false.
   std::string text(std::size_t max_size) {
     const std::size_t size = number<std::uint16_t>();
     if (size > max_size) {
@@ -73,18 +76,18 @@
     return std::string(take(size));
   }
 
-  /// Reads bytes with a length of 32 bits.
+  /// Reads bytes that ByteWriter::blob() wrote. The result is a view of the input.
   std::string_view blob() {
     const std::size_t size = number<std::uint32_t>();
     return take(size);
   }
 
-  /// Takes all bytes that remain.
+  /// Reads all remaining bytes, as a view of the input.
   std::string_view rest() { return take(remaining_.size()); }
 
-  /// Whether every value so far was complete.
+  /// Whether every value read so far was complete and within its size limit.
   bool ok() const { return ok_; }
-  /// Whether every value was complete and no byte remains.
+  /// Whether ok() is true and no bytes remain.
   bool done() const { return ok_ && remaining_.empty(); }
 
  private:
--- a/src/http/chunked_decoder.cpp
+++ b/src/http/chunked_decoder.cpp
@@ -10,7 +10,8 @@
 namespace beechhill::http {
 namespace {
 
-constexpr std::size_t kMaxLine = 4096;  // bytes of a chunk's size with its extensions
+// Maximum length in bytes of a line with a chunk's size and extensions, or with a trailer field.
+constexpr std::size_t kMaxLineBytes = 4096;
 constexpr int kHexadecimal = 16;
 
 }  // namespace
@@ -18,7 +19,7 @@
 Progress ChunkedDecoder::feed(std::string& buffer, std::string& body) {
   std::size_t used = 0;
   const Progress progress = decode(buffer, used, body);
-  // Once for all chunks: an erase for each tiny one would be quadratic.
+  // One erase for all chunks: one per chunk would make a body of tiny chunks quadratic.
   buffer.erase(0, used);
   return progress;
 }
@@ -33,7 +34,7 @@
     }
     const auto end = buffer.find(kLineEnd, used);
     if (end == std::string_view::npos) {
-      return buffer.size() - used > kMaxLine ? Progress::kMalformed : Progress::kNeedsMore;
+      return buffer.size() - used > kMaxLineBytes ? Progress::kMalformed : Progress::kNeedsMore;
     }
     const std::string_view line = buffer.substr(used, end - used);
     used = end + kLineEnd.size();
@@ -54,9 +55,9 @@
   }
 }
 
-// kMore where the body goes on after `line`.
+// Decodes one line outside of chunk data. Returns kNeedsMore where the body continues after it.
 Progress ChunkedDecoder::decode_line(std::string_view line) {
-  if (line.size() > kMaxLine) {
+  if (line.size() > kMaxLineBytes) {
     return Progress::kMalformed;
   }
   switch (state_) {
--- a/src/http/chunked_decoder.h
+++ b/src/http/chunked_decoder.h
@@ -1,4 +1,4 @@
-// The chunked transfer coding (RFC 9112, section 7.1), read as it comes. No I/O.
+// An incremental decoder of the chunked transfer coding (RFC 9112, section 7.1). Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -9,12 +9,12 @@
 
 namespace beechhill::http {
 
-/// Decodes one chunked body. Chunk extensions and the trailer are skipped.
+/// Decodes one chunked body. Chunk extensions and trailer fields are discarded.
 class ChunkedDecoder {
  public:
-  /// Takes what can be decoded off the front of `buffer` and appends the body's bytes to `body`. To
-  /// be called again with more bytes on kMore; kBad where the framing is wrong. Linear in the size
-  /// of `buffer`.
+  /// Removes the bytes that can be decoded from the front of `buffer` and appends the decoded body
+  /// to `body`. On kNeedsMore, call again after appending more bytes to `buffer`. Returns
+  /// kMalformed where the framing is invalid. Runs in time linear in the size of `buffer`.
   Progress feed(std::string& buffer, std::string& body);
 
  private:
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -1,4 +1,4 @@
-// An HTTP/1.1 message (RFC 9112) as a value, and the limits that messages are held to.
+// HTTP/1.1 messages (RFC 9112) as values, and the size limits that the parser enforces.
 #pragma once
 
 #include <cstddef>
@@ -9,40 +9,42 @@
 
 namespace beechhill::http {
 
-/// Bytes of a start line and its header lines, or of a chunked body's trailer.
+/// Maximum size in bytes of a start line with its header lines, and of a chunked body's trailer.
 inline constexpr std::size_t kMaxHeadBytes = std::size_t{16} * 1024;
-/// Bytes of the body of a message that is buffered as a whole.
+/// Maximum size in bytes of a body that is buffered as a whole.
 inline constexpr std::size_t kMaxBufferedBodyBytes = std::size_t{64} * 1024;
-/// Bytes of the body of a message that is streamed.
-inline constexpr std::size_t kMaxStreamedBody = std::size_t{40} * 1024 * 1024;
-/// Bytes of empty lines before a request (RFC 9112, section 2.2).
+/// Maximum size in bytes of a body that is streamed.
+inline constexpr std::size_t kMaxStreamedBodyBytes = std::size_t{40} * 1024 * 1024;
+/// Maximum size in bytes of the empty lines before a request (RFC 9112, section 2.2).
 inline constexpr std::size_t kMaxEmptyLineBytes = 64;
-/// 1xx responses before the final one.
+/// Maximum number of 1xx responses before the final response.
 inline constexpr std::size_t kMaxInterimResponses = 8;
 
 struct Headers {
-  /// Names as received, values without the surrounding whitespace.
+  /// Pairs of a name as received and a value without surrounding whitespace, in order of arrival.
   std::vector<std::pair<std::string, std::string>> fields;
 
-  /// The value of the first field called `name`, in any case of letters. Null where there is none.
+  /// Returns the value of the first field named `name`, or null where there is none. Names are
+  /// compared without regard to case. The pointer is valid until `fields` changes.
   const std::string* find(std::string_view name) const;
-  /// How many fields are called `name`.
+  /// Returns the number of fields named `name`, compared without regard to case.
   std::size_t count(std::string_view name) const;
-  /// Whether a field called `name`, a comma-separated list, holds `token` in any case of letters.
+  /// Whether a field named `name`, read as a comma-separated list, contains `token`. Both are
+  /// compared without regard to case.
   bool has_token(std::string_view name, std::string_view token) const;
 };
 
 struct Message {
-  /// Of a request. The target is in origin form: it begins with '/'.
+  /// Set for requests. The target is in origin form: it begins with '/'.
   std::string method;
   std::string target;
-  /// Of a response.
+  /// Set for responses.
   int status = 0;
   int minor_version = 1;
   Headers headers;
   std::string body;
 
-  /// Whether the connection may carry another message after this one (RFC 9112, section 9.3).
+  /// Whether the connection persists after this message (RFC 9112, section 9.3).
   bool keep_alive() const;
 };
 
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -20,8 +20,8 @@
                       [](char c) { return (static_cast<unsigned char>(c) & 0x80) != 0; });
 }
 
-// RFC 9112, section 3.2.2: a target in absolute form names the same as its path. False where it has
-// no host.
+// Converts a target in absolute form to origin form (RFC 9112, section 3.2.2). Returns false where
+// its host is empty.
 bool to_origin_form(std::string& target) {
   constexpr std::string_view kScheme = "http://";
   if (!equals_ignoring_case(std::string_view(target).substr(0, kScheme.size()), kScheme)) {
@@ -66,10 +66,10 @@
 }
 
 Progress Parser::end() {
-  return framing_ == Framing::kUntilEnd ? Progress::kComplete : fail(400);
+  return framing_ == Framing::kUntilClose ? Progress::kComplete : fail(400);
 }
 
-// False where there are too many.
+// Returns false where the empty lines exceed kMaxEmptyLineBytes.
 bool Parser::skip_empty_lines(std::string& buffer) {
   std::size_t skipped = 0;
   while (std::string_view(buffer).substr(skipped).starts_with(kLineEnd)) {
@@ -90,7 +90,7 @@
       return fail(431);
     }
     if (end == std::string::npos) {
-      // The buffer may end within the head's end.
+      // The buffer may end with a part of kHeadEnd, which the next search must include.
       scanned_bytes_ = buffer.size() - std::min(buffer.size(), kHeadEnd.size() - 1);
       return Progress::kNeedsMore;
     }
@@ -112,13 +112,13 @@
 
 bool Parser::parse_head(std::string_view head) {
   message_ = {};
-  for (std::size_t from = 0; from <= head.size();) {
-    const std::size_t line_end = std::min(head.find(kLineEnd, from), head.size());
-    const std::string_view line = head.substr(from, line_end - from);
-    if (!(from == 0 ? parse_start_line(line) : parse_header_line(line))) {
+  for (std::size_t line_start = 0; line_start <= head.size();) {
+    const std::size_t line_end = std::min(head.find(kLineEnd, line_start), head.size());
+    const std::string_view line = head.substr(line_start, line_end - line_start);
+    if (!(line_start == 0 ? parse_start_line(line) : parse_header_line(line))) {
       return false;
     }
-    from = line_end + kLineEnd.size();
+    line_start = line_end + kLineEnd.size();
   }
   return true;
 }
@@ -179,8 +179,8 @@
   const std::string_view name = line.substr(0, colon);
   const std::string_view value = trim(line.substr(colon + 1));
   if (!is_field_value(value)) {
-    // A good response is not lost to a load report that cannot be read; the fields of its framing
-    // must be readable.
+    // An invalid value, such as an unreadable load report, does not invalidate a response: the
+    // field is ignored. The fields that determine the framing must be valid.
     return kind_ != Kind::kRequest && !equals_ignoring_case(name, "Content-Length") &&
            !equals_ignoring_case(name, "Transfer-Encoding");
   }
@@ -188,7 +188,7 @@
   return true;
 }
 
-// Nothing where a field is malformed or repeated.
+// Returns nullopt where a framing field is repeated or has an unsupported value.
 std::optional<Parser::FramingFields> Parser::read_framing_fields() const {
   FramingFields fields;
   for (const auto& [name, value] : message_.headers.fields) {
@@ -208,35 +208,37 @@
   return fields;
 }
 
-// RFC 9112, section 6.3, without the framings that a proxy need not accept.
+// Implements RFC 9112, section 6.3, except that framings which a proxy need not support are
+// rejected.
 bool Parser::determine_framing() {
   const std::optional<FramingFields> fields = read_framing_fields();
   if (!fields) {
     return false;
   }
-  // Both at once would let two readers see different messages: request smuggling.
+  // Two recipients could frame a message with both fields differently, which permits request
+  // smuggling.
   if (fields->is_chunked && fields->length) {
     return false;
   }
-  if (fields->length.value_or(0) > kMaxStreamedBody) {
+  if (fields->length.value_or(0) > kMaxStreamedBodyBytes) {
     fail(413);
     return false;
   }
   length_ = fields->length;
   body_bytes_left_ = length_.value_or(0);
-  const bool may_last_until_end =
+  const bool may_last_until_close =
       kind_ != Kind::kRequest && message_.status != kNoContent && message_.status != kNotModified;
   if (fields->is_chunked) {
     framing_ = Framing::kChunked;
-  } else if (length_ || !may_last_until_end) {
+  } else if (length_ || !may_last_until_close) {
     framing_ = Framing::kLength;
   } else {
-    // Only a stated length, or the announcement that the connection's end is the body's end, tells
-    // a complete body from a truncated one.
+    // Without a stated length or "Connection: close", a complete body cannot be told from a
+    // truncated one.
     if (kind_ == Kind::kResponse && !message_.headers.has_token("Connection", "close")) {
       return false;
     }
-    framing_ = Framing::kUntilEnd;
+    framing_ = Framing::kUntilClose;
   }
   return true;
 }
@@ -260,17 +262,17 @@
     buffer.clear();
   }
   decoded_bytes_ += body.size() - size_before;
-  return decoded_bytes_ > kMaxStreamedBody ? fail(413) : progress;
+  return decoded_bytes_ > kMaxStreamedBodyBytes ? fail(413) : progress;
 }
 
 bool may_begin_request(std::string_view bytes) {
   while (bytes.starts_with(kLineEnd)) {
     bytes.remove_prefix(kLineEnd.size());
   }
-  const auto agrees_with = [bytes](std::string_view start) {
-    return bytes.substr(0, start.size()) == start.substr(0, bytes.size());
+  const auto matches = [bytes](std::string_view method) {
+    return bytes.substr(0, method.size()) == method.substr(0, bytes.size());
   };
-  return agrees_with("GET ") || agrees_with("POST ") || bytes == "\r";
+  return matches("GET ") || matches("POST ") || bytes == "\r";
 }
 
 }  // namespace beechhill::http
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -1,4 +1,4 @@
-// Parsers of HTTP/1.1 messages (RFC 9112) as their bytes come. No I/O.
+// Incremental parsers of HTTP/1.1 messages (RFC 9112). They perform no I/O.
 #pragma once
 
 #include <cstddef>
@@ -13,36 +13,40 @@
 
 namespace beechhill::http {
 
-/// Parses one message. A caller uses one of feed(), feed_part(), or feed_head() and feed_body(),
-/// and passes what has come so far; each takes what it has used off the front of the buffer.
+/// Parses one message. A caller uses exactly one of feed(), feed_part(), or feed_head() followed by
+/// feed_body(), with a buffer of received bytes; each call removes the parsed bytes from its front.
 class Parser {
  public:
-  /// kResponseHead: the body's end need not be stated, as the caller stops before it.
+  /// kResponseHead: only the head is parsed, so that a response without a stated body length is
+  /// accepted.
   enum class Kind { kRequest, kResponse, kResponseHead };
 
   explicit Parser(Kind kind) : kind_(kind) {}
 
-  /// The complete message, with a body of at most kMaxBufferedBodyBytes bytes.
+  /// Parses a complete message with a body of at most kMaxBufferedBodyBytes.
   Progress feed(std::string& buffer);
-  /// The head and what has come of the body, of at most kMaxStreamedBody bytes.
+  /// Parses the head, then appends the received part of the body, of at most kMaxStreamedBodyBytes
+  /// in all, to message().body.
   Progress feed_part(std::string& buffer);
-  /// The head alone.
+  /// Parses the head alone.
   Progress feed_head(std::string& buffer);
-  /// After the head: appends the body's bytes to `body`, at most kMaxStreamedBody in all.
+  /// Appends the received part of the body to `body`, at most kMaxStreamedBodyBytes in all. Must be
+  /// called only after the head is complete.
   Progress feed_body(std::string& buffer, std::string& body);
-  /// The connection has ended: kDone where that ends the body, else kBad.
+  /// Handles the end of the connection: kComplete where the body lasts until then, else
+  /// kMalformed.
   Progress end();
 
   Message& message() { return message_; }
   bool head_done() const { return framing_ != Framing::kUnknown; }
   bool chunked() const { return framing_ == Framing::kChunked; }
-  /// The body's length in bytes, where the head states it.
+  /// The body's length in bytes as stated by Content-Length.
   std::optional<std::uint64_t> length() const { return length_; }
-  /// The status code that answers a request that is kBad.
+  /// The status code of the response to a request for which a call returned kMalformed.
   int error_status() const { return error_status_; }
 
  private:
-  enum class Framing { kUnknown, kLength, kChunked, kUntilEnd };
+  enum class Framing { kUnknown, kLength, kChunked, kUntilClose };
   struct FramingFields {
     bool is_chunked = false;
     std::optional<std::uint64_t> length;
@@ -65,15 +69,17 @@
   std::optional<std::uint64_t> length_;
   std::size_t body_bytes_left_ = 0;
   std::size_t decoded_bytes_ = 0;
-  std::size_t scanned_bytes_ = 0;  // of the buffer, that hold no end of the head
+  // Bytes at the front of the buffer that are known not to contain the end of the head.
+  std::size_t scanned_bytes_ = 0;
   std::size_t empty_line_bytes_ = 0;
   std::size_t interim_responses_ = 0;
   ChunkedDecoder chunked_decoder_;
   int error_status_ = 400;
 };
 
-/// Whether a request may begin with `bytes`, however few. Bytes after a request of which this is
-/// false show that the request's length was wrong.
+/// Whether `bytes`, after any empty lines, may be the beginning of a GET or POST request: the
+/// method, complete or not. Bytes after a request that fail this test show that the stated length
+/// of that request was wrong.
 bool may_begin_request(std::string_view bytes);
 
 }  // namespace beechhill::http
--- a/src/http/progress.h
+++ b/src/http/progress.h
@@ -1,10 +1,10 @@
-// How far a parser has come.
+// The result of an incremental parsing step.
 #pragma once
 
 namespace beechhill::http {
 
-/// kNeedsMore: complete only with further bytes. kMalformed: the input is malformed or over a
-/// limit; the parser must not be fed again.
+/// kNeedsMore: the parser needs further bytes. kMalformed: the input is malformed or exceeds a size
+/// limit; the parser must not be used again.
 enum class Progress { kNeedsMore, kComplete, kMalformed };
 
 }  // namespace beechhill::http
--- a/src/http/syntax.h
+++ b/src/http/syntax.h
@@ -1,4 +1,4 @@
-// The character classes and small grammars that HTTP fields are made of (RFC 9110, section 5.6).
+// Character classes and basic grammar rules of HTTP fields (RFC 9110, section 5.6).
 #pragma once
 
 #include <string_view>
@@ -7,22 +7,23 @@
 
 inline constexpr std::string_view kLineEnd = "\r\n";
 
-/// Compares ASCII letters in any case.
+/// Compares strings without regard to the case of ASCII letters.
 bool equals_ignoring_case(std::string_view a, std::string_view b);
 
-/// `text` without the spaces and tabs around it.
+/// Returns `text` without leading and trailing spaces and tabs.
 std::string_view trim(std::string_view text);
 
-/// Whether `text` is a token: not empty, and of letters, digits and "!#$%&'*+-.^_`|~" alone.
+/// Whether `text` is a token: one or more ASCII letters, digits and characters of
+/// "!#$%&'*+-.^_`|~".
 bool is_token(std::string_view text);
 
-/// Whether `text` holds no control characters and no whitespace. Bytes over 0x7f are accepted.
+/// Whether `text` contains no control characters and no whitespace. Bytes over 0x7f are accepted.
 bool is_visible(std::string_view text);
 
-/// Like is_visible(), but spaces and tabs are accepted too.
+/// Like is_visible(), but also accepts spaces and tabs.
 bool is_field_value(std::string_view text);
 
-/// Takes the next item off the front of a comma-separated `list`, trimmed.
+/// Removes the first item from a comma-separated `list` and returns it, trimmed.
 std::string_view take_list_item(std::string_view& list);
 
 }  // namespace beechhill::http
--- a/src/http/writer.cpp
+++ b/src/http/writer.cpp
@@ -47,7 +47,7 @@
                 : "Transfer-Encoding: chunked\r\n";
 }
 
-// All but the fields of the framing and the head's end.
+// Returns the request line, the Host line and `extra_headers`, without the empty line.
 std::string begin_request(std::string_view method, std::string_view target, std::string_view host,
                           std::string_view extra_headers) {
   std::string bytes(method);
--- a/src/http/writer.h
+++ b/src/http/writer.h
@@ -1,4 +1,4 @@
-// The bytes of HTTP/1.1 messages to send. No I/O.
+// Serialization of HTTP/1.1 messages. Performs no I/O.
 #pragma once
 
 #include <cstdint>
@@ -8,22 +8,23 @@
 
 namespace beechhill::http {
 
-// In all of these, `extra_headers` holds further header lines, each with its line end, and an
-// absent `length` means that the body is chunked.
+// Common parameters: `extra_headers` is a sequence of header lines, each ending with CRLF. `length`
+// is the body's size in bytes; nullopt selects the chunked transfer coding.
 
-/// The head of a response whose body follows. `close`: it is the connection's last.
+/// Returns the head of a response, to be followed by the body. `close` adds "Connection: close".
 std::string write_response_head(int status, std::string_view extra_headers,
                                 std::optional<std::uint64_t> length, bool close);
-/// One chunk of a body; an empty one ends the body.
+/// Encodes `bytes` as one chunk. Empty `bytes` yield the chunk that ends the body.
 std::string write_chunk(std::string_view bytes);
-/// A complete response. `close`: it is the connection's last.
+/// Returns a response with its body. `close` adds "Connection: close".
 std::string write_response(int status, std::string_view extra_headers, std::string_view body,
                            bool close);
-/// The head of a request whose body follows.
+/// Returns the head of a request, to be followed by the body.
 std::string write_request_head(std::string_view method, std::string_view target,
                                std::string_view host, std::string_view extra_headers,
                                std::optional<std::uint64_t> length);
-/// A complete request. It states a length where it has a body, or is a POST.
+/// Returns a request with its body. Content-Length is written where the body is not empty or the
+/// method is POST.
 std::string write_request(std::string_view method, std::string_view target, std::string_view host,
                           std::string_view extra_headers, std::string_view body);
 
--- a/src/net/address.h
+++ b/src/net/address.h
@@ -1,4 +1,4 @@
-// IPv4 socket addresses as text.
+// Parsing, formatting and comparison of IPv4 socket addresses.
 #pragma once
 
 #include <netinet/in.h>
@@ -9,13 +9,14 @@
 
 namespace beechhill::net {
 
-/// Reads an address such as "127.0.0.1:9000". Empty where `text` is not an IPv4 address and a port.
+/// Parses an IPv4 address with a port, such as "127.0.0.1:9000". Returns nullopt where `text` is
+/// anything else, such as a host name.
 std::optional<sockaddr_in> parse_address(std::string_view text);
 
-/// The inverse of parse_address().
+/// Formats `address` as accepted by parse_address().
 std::string to_string(const sockaddr_in& address);
 
-/// Whether address and port are equal.
+/// Whether `a` and `b` have the same address and port.
 bool same(const sockaddr_in& a, const sockaddr_in& b);
 
 }  // namespace beechhill::net
--- a/src/net/datagram.cpp
+++ b/src/net/datagram.cpp
@@ -9,13 +9,13 @@
 namespace beechhill::net {
 namespace {
 
-constexpr std::size_t kMaxReceivedBytes = 2048;
+constexpr std::size_t kReceiveBufferBytes = 2048;
 
 FileDescriptor bind_to(const sockaddr_in& address) {
   FileDescriptor fd(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!fd || ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) < 0) {
     throw std::system_error(errno, std::generic_category(),
-                            "cannot listen on " + to_string(address));
+                            "cannot bind UDP socket to " + to_string(address));
   }
   return fd;
 }
@@ -27,7 +27,7 @@
 }
 
 std::optional<std::string> DatagramSocket::take(sockaddr_in& from) {
-  std::array<char, kMaxReceivedBytes> buffer;
+  std::array<char, kReceiveBufferBytes> buffer;
   for (;;) {
     socklen_t from_size = sizeof from;
     const ssize_t size = ::recvfrom(fd_.get(), buffer.data(), buffer.size(), 0,
@@ -35,7 +35,7 @@
     if (size >= 0) {
       return std::string(buffer.data(), static_cast<std::size_t>(size));
     }
-    // ECONNREFUSED belongs to a datagram that was sent earlier, not to the next one.
+    // ECONNREFUSED reports the failure of a datagram sent earlier: the next one may be pending.
     if (errno != EINTR && errno != ECONNREFUSED) {
       return std::nullopt;
     }
--- a/src/net/datagram.h
+++ b/src/net/datagram.h
@@ -1,4 +1,4 @@
-// UDP sockets.
+// Non-blocking UDP sockets on the event loop.
 #pragma once
 
 #include <netinet/in.h>
@@ -13,18 +13,19 @@
 
 namespace beechhill::net {
 
-/// A non-blocking UDP socket that is bound to one address. Used on the event loop thread.
+/// A non-blocking IPv4 UDP socket bound to one address. Must be used on the event loop thread.
 class DatagramSocket {
  public:
-  /// Throws std::system_error where the address cannot be bound.
+  /// Throws std::system_error where the socket cannot be created or bound to `address`.
   DatagramSocket(runtime::Scheduler& scheduler, const sockaddr_in& address);
 
-  /// The next datagram, cut off after 2,048 bytes, and its sender. Empty where none is pending;
-  /// io() reports the next one.
+  /// Returns the next datagram, truncated to 2,048 bytes, and sets `from` to its sender. Returns
+  /// nullopt where none is pending; io() then becomes readable once the next one arrives.
   std::optional<std::string> take(sockaddr_in& from);
-  /// Sends a datagram. Best effort: where the system does not take it, it is lost.
+  /// Sends a datagram. Delivery is best effort: errors are ignored, and a datagram that the kernel
+  /// does not accept is lost.
   void send(const sockaddr_in& to, std::string_view bytes);
-  /// The bound address, with the port that the system has chosen where 0 was asked for.
+  /// Returns the bound address, with the port that the kernel chose if port 0 was requested.
   sockaddr_in address() const;
   runtime::IoSource& io() { return io_; }
 
--- a/src/net/file_descriptor.h
+++ b/src/net/file_descriptor.h
@@ -1,15 +1,15 @@
-// Ownership of a file descriptor.
+// An owning wrapper of a file descriptor.
 #pragma once
 
 #include <utility>
 
 namespace beechhill::net {
 
-/// Owns a file descriptor, or none, and closes it at its end. Move-only.
+/// Owns at most one file descriptor and closes it on destruction. Move-only.
 class FileDescriptor {
  public:
   FileDescriptor() = default;
-  /// Takes over `fd`; a negative one is none.
+  /// Takes ownership of `fd`. A negative value leaves the object empty.
   explicit FileDescriptor(int fd) : fd_(fd) {}
   FileDescriptor(FileDescriptor&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
   FileDescriptor& operator=(FileDescriptor&& other) noexcept {
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -22,11 +22,12 @@
 
 FileDescriptor listen_on(const sockaddr_in& address) {
   FileDescriptor fd = new_tcp_socket();
-  const int on = 1;
-  if (!fd || ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) < 0 ||
+  const int enabled = 1;
+  if (!fd || ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled) < 0 ||
       ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) < 0 ||
       ::listen(fd.get(), SOMAXCONN) < 0) {
-    throw std::system_error(errno, std::generic_category(), "listen on " + to_string(address));
+    throw std::system_error(errno, std::generic_category(),
+                            "cannot listen on TCP address " + to_string(address));
   }
   return fd;
 }
@@ -44,7 +45,8 @@
          address.sin_family == AF_INET;
 }
 
-// `fd`, made non-blocking, if it is a listening IPv4 TCP socket.
+// Makes `fd` non-blocking and returns it. Throws std::invalid_argument where it is not a listening
+// IPv4 TCP socket.
 FileDescriptor check_listening(FileDescriptor fd) {
   const bool listening_tcp = has_socket_option(fd, SO_ACCEPTCONN, 1) &&
                              has_socket_option(fd, SO_PROTOCOL, IPPROTO_TCP) && is_ipv4(fd);
@@ -73,7 +75,7 @@
     if (accepted) {
       return IoResult::kOk;
     }
-    // ECONNABORTED: a pending connection was reset. The next one may be there.
+    // ECONNABORTED: a pending connection was reset. Another one may be pending.
     if (errno == EINTR || errno == ECONNABORTED) {
       continue;
     }
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,4 +1,4 @@
-// Listening TCP sockets.
+// Listening TCP sockets on the event loop.
 #pragma once
 
 #include <netinet/in.h>
@@ -9,24 +9,25 @@
 
 namespace beechhill::net {
 
-/// Accepts connections on one address. Used on the event loop thread.
+/// Accepts connections on one address. Must be used on the event loop thread.
 class Listener {
  public:
-  /// Throws std::system_error where it cannot listen on `address`.
+  /// Throws std::system_error where listening on `address` fails.
   Listener(runtime::Scheduler& scheduler, const sockaddr_in& address);
-  /// Takes over a socket that listens already and may be shared with other processes: it is made
-  /// non-blocking, for all of them as there is one flag, and never shut down. Throws
-  /// std::invalid_argument where it is not a listening IPv4 TCP socket.
+  /// Takes ownership of a socket that already listens and may be shared with other processes. Makes
+  /// it non-blocking, which affects these processes too because they share the flag, and never
+  /// calls shutdown() on it. Throws std::invalid_argument where it is not a listening IPv4 TCP
+  /// socket.
   Listener(runtime::Scheduler& scheduler, FileDescriptor listening);
 
-  /// Waits for the next connection; `accepted` is non-blocking, `from` the peer's address. kError:
-  /// one is pending but could not be accepted, as where descriptors run out. kNotified: by
-  /// `notifier`, if given.
+  /// Waits for the next connection until `deadline` or until `notifier`, if given, is notified. On
+  /// kOk, `accepted` is the non-blocking connection and `from` the peer's address. kError: a
+  /// connection is pending but cannot be accepted, for example because no descriptor is free.
   runtime::Task<IoResult> accept(runtime::TimePoint deadline, FileDescriptor& accepted,
                                  sockaddr_in& from, runtime::Notifier* notifier = nullptr);
-  /// The same without waiting; kTimeout where no connection is pending.
+  /// Like accept(), but does not wait: returns kTimeout where no connection is pending.
   IoResult accept_now(FileDescriptor& accepted, sockaddr_in& from);
-  /// The address it listens on, with the port that the system has chosen where 0 was asked for.
+  /// Returns the listening address, with the port that the kernel chose if port 0 was requested.
   sockaddr_in address() const;
 
  private:
--- a/src/net/socket.h
+++ b/src/net/socket.h
@@ -1,4 +1,4 @@
-// All of TCP: descriptors, addresses, streams and listeners.
+// Includes all TCP headers: descriptors, addresses, streams and listeners.
 #pragma once
 
 #include "net/address.h"
--- a/src/net/socket_internal.h
+++ b/src/net/socket_internal.h
@@ -1,4 +1,4 @@
-// Shared by the implementations of Stream and Listener.
+// Helpers shared by the implementations of Stream and Listener.
 #pragma once
 
 #include <sys/socket.h>
@@ -9,12 +9,12 @@
 
 namespace beechhill::net {
 
-/// Whether errno says that a non-blocking call has to wait.
+/// Whether errno reports that a non-blocking call would have to wait.
 inline bool would_block() {
   return errno == EAGAIN || errno == EWOULDBLOCK;
 }
 
-/// A non-blocking IPv4 TCP socket; empty where none can be created.
+/// Creates a non-blocking IPv4 TCP socket. The result is empty on failure, with errno set.
 inline FileDescriptor new_tcp_socket() {
   return FileDescriptor(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
 }
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -19,18 +19,19 @@
 
 namespace {
 
-// The buffer on the stack during a read.
-constexpr std::size_t kReadBytes = 16'384;
-constexpr std::size_t kDiscardBytes = 1'048'576;
-// What one stream may read before the other coroutines have their turn.
+// Size in bytes of the stack buffer of one read.
+constexpr std::size_t kReadChunkBytes = 16'384;
+// Maximum number of bytes that one call discards.
+constexpr std::size_t kDiscardChunkBytes = 1'048'576;
+// Maximum number of bytes that one stream reads before it yields to other coroutines.
 constexpr std::size_t kMaxBytesPerTurn = 65'536;
 
 }  // namespace
 
 Stream::Stream(runtime::Scheduler& scheduler, FileDescriptor fd)
     : scheduler_(scheduler), fd_(std::move(fd)), io_(scheduler, fd_.get()) {
-  const int on = 1;
-  ::setsockopt(fd_.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+  const int enabled = 1;
+  ::setsockopt(fd_.get(), IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
 }
 
 Task<std::unique_ptr<Stream>> Stream::connect(runtime::Scheduler& scheduler, sockaddr_in to,
@@ -40,12 +41,12 @@
     co_return nullptr;
   }
   const int raw_fd = fd.get();
-  const int connected = ::connect(raw_fd, reinterpret_cast<const sockaddr*>(&to), sizeof to);
-  if (connected < 0 && errno != EINPROGRESS) {
+  const int connect_result = ::connect(raw_fd, reinterpret_cast<const sockaddr*>(&to), sizeof to);
+  if (connect_result < 0 && errno != EINPROGRESS) {
     co_return nullptr;
   }
   auto stream = std::make_unique<Stream>(scheduler, std::move(fd));
-  if (connected < 0) {
+  if (connect_result < 0) {
     Wait wait(scheduler);
     wait.writable(stream->io_).until(deadline);
     if (co_await wait != Wake::kWritable) {
@@ -60,10 +61,10 @@
   co_return stream;
 }
 
-// Reads what is available; empty where one must wait. Apart from read(), whose every coroutine
-// frame would hold the array.
+// Reads the available bytes. Returns nullopt where the caller has to wait. Separate from read() to
+// keep the array out of the coroutine frame.
 std::optional<IoResult> Stream::read_now(std::string& buffer) {
-  std::array<char, kReadBytes> chunk;
+  std::array<char, kReadChunkBytes> chunk;
   for (;;) {
     const ssize_t size = ::recv(fd_.get(), chunk.data(), chunk.size(), 0);
     if (size > 0) {
@@ -83,8 +84,8 @@
 
 std::optional<IoResult> Stream::discard_now() {
   for (;;) {
-    // With MSG_TRUNC, TCP drops the bytes without copying them.
-    const ssize_t size = ::recv(fd_.get(), nullptr, kDiscardBytes, MSG_TRUNC);
+    // With MSG_TRUNC, TCP discards the bytes without copying them.
+    const ssize_t size = ::recv(fd_.get(), nullptr, kDiscardChunkBytes, MSG_TRUNC);
     if (size >= 0) {
       return size > 0 ? IoResult::kOk : IoResult::kEof;
     }
@@ -120,7 +121,8 @@
     if (wake == Wake::kNotified) {
       co_return IoResult::kNotified;
     }
-    // Reads once more: where this process was slow, bytes may have come before the deadline.
+    // After a time-out, reads once more: if this process was delayed, bytes may have arrived before
+    // the deadline.
     timed_out = wake == Wake::kTime;
   }
 }
@@ -181,7 +183,7 @@
     Wait wait(scheduler_);
     wait.notified(notifier);
     if (result) {
-      // More may be available; other coroutines have their turn first.
+      // More bytes may be available: yields to other coroutines before reading again.
       wait.until(Clock::now());
     } else {
       wait.until(deadline).readable(io_);
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -1,4 +1,4 @@
-// TCP connections with deadlines.
+// TCP connections on the event loop, with deadlines.
 #pragma once
 
 #include <netinet/in.h>
@@ -13,51 +13,54 @@
 
 namespace beechhill::net {
 
-/// How an operation on a socket ended.
+/// The result of an operation on a socket.
 enum class IoResult {
   kOk,
-  /// The peer has closed its side.
+  /// The peer has closed its sending side.
   kEof,
   kTimeout,
-  /// The notifier that was passed in was notified.
+  /// The notifier passed to the operation was notified.
   kNotified,
   kError
 };
 
-/// A connected, non-blocking TCP socket. One reader and one writer at a time, on the event loop
-/// thread. Deadlines are absolute; data that is already there is taken even after the deadline.
+/// A connected, non-blocking TCP socket. At most one coroutine reads and one writes at a time, on
+/// the event loop thread. Deadlines are absolute. Data that is already available is read even after
+/// the deadline.
 class Stream {
  public:
   Stream(runtime::Scheduler& scheduler, FileDescriptor fd);
 
-  /// Connects to `to`. Null where that fails or is not done by the deadline.
+  /// Connects to `to`. Returns null on failure or at the deadline.
   static runtime::Task<std::unique_ptr<Stream>> connect(runtime::Scheduler& scheduler,
                                                         sockaddr_in to,
                                                         runtime::TimePoint deadline);
 
-  /// Appends the next available bytes to `buffer`, which must outlive the call. Waits for them
-  /// until the deadline or until `notifier`, if given, is notified.
+  /// Appends the next available bytes to `buffer`, which must outlive the call. Waits
+  /// until bytes arrive, the deadline passes or `notifier`, if given, is notified.
   runtime::Task<IoResult> read(std::string& buffer, runtime::TimePoint deadline,
                                runtime::Notifier* notifier = nullptr);
-  /// Waits, without reading, until the peer has closed its side: kEof, though bytes that came
-  /// before may still be unread. Or until the deadline or the notifier.
+  /// Waits, without reading, until the peer closes its sending side (kEof), the deadline passes or
+  /// `notifier` is notified. On kEof, bytes received before may still be unread.
   runtime::Task<IoResult> wait_for_peer_close(runtime::TimePoint deadline,
                                               runtime::Notifier& notifier);
-  /// Writes all of `bytes`, which must outlive the call. kOk: the kernel has taken the last byte.
+  /// Writes all of `bytes`, which must outlive the call. kOk: the kernel has accepted all of them;
+  /// the peer need not have received them.
   runtime::Task<IoResult> write(std::string_view bytes, runtime::TimePoint deadline);
 
-  /// Of an idle connection: whether the peer has closed it or sent unsolicited bytes. Does not
-  /// wait, and leaves the bytes unread.
+  /// Whether the peer of an idle connection has closed it or sent unsolicited bytes. Does not wait,
+  /// and leaves the bytes unread.
   bool stale();
-  /// While nobody reads: `watcher` is called when stale() may have become true. Null removes it.
+  /// Sets the watcher that is called when stale() may have become true, while no coroutine reads.
+  /// Null removes it. The watcher must outlive the stream or be removed first.
   void watch(runtime::IoWatcher* watcher) { io_.watch(watcher); }
 
-  /// A lingering close: shuts down the sending side, then reads and discards until the peer closes
-  /// its side, too, or until the deadline or the notifier. Closing at once could reset the
-  /// connection and destroy a response that the peer has yet to read.
+  /// Performs a lingering close: shuts down the sending side, then reads and discards bytes until
+  /// the peer closes its side, the deadline passes or `notifier` is notified. An immediate close
+  /// could reset the connection and destroy a response that the peer has not read yet.
   runtime::Task<> lingering_close(runtime::TimePoint deadline, runtime::Notifier& notifier);
-  /// The same, but what the peer sends meanwhile stays unread, so that the reset at the end shows
-  /// that it was not processed.
+  /// Like lingering_close(), but leaves unread what the peer sends meanwhile, so that the
+  /// connection ends with a reset that shows the peer that these bytes were not processed.
   runtime::Task<> lingering_close_unread(runtime::TimePoint deadline, runtime::Notifier& notifier);
   /// Shuts down the sending side.
   void shutdown_write();
@@ -69,7 +72,7 @@
   runtime::Scheduler& scheduler_;
   FileDescriptor fd_;
   runtime::IoSource io_;
-  /// Read since this stream last waited.
+  /// Bytes read since a read() of this stream last waited.
   std::size_t bytes_this_turn_ = 0;
 };
 
--- a/src/runtime/mailbox.h
+++ b/src/runtime/mailbox.h
@@ -10,14 +10,15 @@
 
 namespace beechhill::runtime {
 
-/// One actor receives; any other on the event loop thread may post. Not thread-safe.
+/// A bounded FIFO queue. One actor receives; any actor on the event loop thread may post. Not
+/// thread-safe.
 template <typename T>
 class Mailbox {
  public:
   explicit Mailbox(std::size_t capacity) : capacity_(capacity) {}
 
-  /// Queues `message`. Where the mailbox is full, returns false and leaves `message` unmoved: the
-  /// sender decides what that means.
+  /// Queues `message`. Returns false and leaves `message` unmoved where the mailbox is full: the
+  /// sender must handle that.
   [[nodiscard]] bool post(T&& message) {
     if (messages_.size() >= capacity_) {
       return false;
@@ -27,8 +28,8 @@
     return true;
   }
 
-  /// Queues `message` in place of all queued ones for which `is_replaced` holds, also where the
-  /// mailbox is full: it exceeds its capacity by at most one such message. O(n).
+  /// Removes all queued messages for which `is_replaced` holds and queues `message`, even where the
+  /// mailbox is full. It can thereby exceed its capacity by one message. O(n).
   template <typename Predicate>
   void replace(T message, const Predicate& is_replaced) {
     std::erase_if(messages_, is_replaced);
@@ -45,7 +46,7 @@
 
   std::size_t size() const { return messages_.size(); }
   bool empty() const { return messages_.empty(); }
-  /// Notified with each message.
+  /// Notified whenever a message is queued.
   Notifier& arrived() { return arrived_; }
 
  private:
--- a/src/runtime/pending_reply.h
+++ b/src/runtime/pending_reply.h
@@ -1,4 +1,4 @@
-// A reply that one actor owes another: the requester waits, the owner of the matter completes it.
+// A reply that one actor awaits from another.
 #pragma once
 
 #include <chrono>
@@ -11,36 +11,37 @@
 
 namespace beechhill::runtime {
 
-/// The reply to an operator's command. Shared by the requester and the actor that carries the
-/// command out; either may outlive the other. All actors run on one thread.
+/// The reply to an operator's command. Shared by the requester and the actor that executes the
+/// command; either may outlive the other. Not thread-safe: all actors run on one thread.
 struct PendingReply {
-  /// An HTTP status code; 0 until the reply is complete.
+  /// The HTTP status code of the result; 0 until the reply is complete.
   int status = 0;
-  /// Of GetEndpointCounts: backends listed, and how many of those are avoided.
+  /// Set in replies to proxy::GetEndpointCounts: the number of listed endpoints, and the number of
+  /// these that the balancer avoids.
   std::size_t endpoint_count = 0;
   std::size_t avoided_endpoint_count = 0;
-  /// Of GetEndpointCounts: the recovery stage, a string literal.
+  /// Set in replies to proxy::GetEndpointCounts: the name of the recovery stage, a string literal.
   const char* recovery_stage = "";
   /// Notified by complete().
   Notifier completed;
 
-  /// Sets the status, which must not be 0, and wakes the requester.
+  /// Sets the status, which must not be 0, and notifies the requester.
   void complete(int http_status) {
     status = http_status;
     completed.notify();
   }
 };
 
-/// The status of a reply that did not come in time: Service Unavailable.
+/// The HTTP status code, Service Unavailable, that stands for a reply not completed in time.
 inline constexpr int kReplyTimeoutStatus = 503;
 
-/// A reply with a body.
+/// A pending reply with a text body.
 struct PendingTextReply : PendingReply {
   std::string text;
 };
 
-/// Waits for `reply`. Returns its status, or kReplyTimeoutStatus where it was not complete within
-/// `timeout`.
+/// Waits until `reply` is complete. Returns its status, or kReplyTimeoutStatus where it is not
+/// complete within `timeout`.
 inline Task<int> await_reply(Scheduler& scheduler, std::shared_ptr<PendingReply> reply,
                              std::chrono::milliseconds timeout) {
   const TimePoint deadline = Clock::now() + timeout;
--- a/src/runtime/scheduler.cpp
+++ b/src/runtime/scheduler.cpp
@@ -12,11 +12,12 @@
 namespace beechhill::runtime {
 namespace {
 
-// Events that one epoll_wait reports; the rest follow in the next.
+// Maximum number of events that one epoll_wait() reports; the next call reports the remaining ones.
 constexpr std::size_t kMaxEventsPerPoll = 128;
-// Bounds epoll_wait's argument; an earlier return does no harm.
+// Keeps the time-out within the int that epoll_wait() takes. An early time-out is harmless, as the
+// event loop polls again.
 constexpr std::int64_t kMaxPollTimeoutMs = 60'000;
-constexpr int kNoTimeout = -1;
+constexpr int kNoPollTimeout = -1;
 
 }  // namespace
 
@@ -33,7 +34,7 @@
 
 TaskId Scheduler::spawn(Task<> task) {
   const TaskId id = next_task_id_++;
-  task.handle().promise().on_end = [this, id] { ended_.push_back(id); };
+  task.handle().promise().on_end = [this, id] { ended_tasks_.push_back(id); };
   SpawnedTask& spawned = tasks_.try_emplace(id, SpawnedTask{std::move(task), {}}).first->second;
   spawned.start.handle = spawned.task.handle();
   enqueue(spawned.start);
@@ -46,7 +47,8 @@
     return;
   }
   dequeue(it->second.start);
-  // Destroyed after the erasure: its locals' destructors may cancel other tasks.
+  // Destroyed only after the erasure, because the destructors of its locals may cancel other tasks
+  // and thereby modify tasks_.
   const Task<> task = std::move(it->second.task);
   tasks_.erase(it);
 }
@@ -72,8 +74,9 @@
 }
 
 void Scheduler::run_ready() {
-  // Bounded by what is ready now, so that descriptors and timers get their turn.
-  for (std::size_t n = ready_.size(); n > 0 && !ready_.empty(); --n) {
+  // Coroutines that become ready meanwhile wait for the next round, so that descriptors and timers
+  // are polled in between.
+  for (std::size_t remaining = ready_.size(); remaining > 0 && !ready_.empty(); --remaining) {
     ReadyEntry& entry = *ready_.front();
     const std::coroutine_handle<> handle = entry.handle;
     dequeue(entry);
@@ -82,9 +85,9 @@
 }
 
 void Scheduler::reap_ended_tasks() {
-  while (!ended_.empty()) {
-    const auto it = tasks_.find(ended_.front());
-    ended_.pop_front();
+  while (!ended_tasks_.empty()) {
+    const auto it = tasks_.find(ended_tasks_.front());
+    ended_tasks_.pop_front();
     if (it == tasks_.end()) {
       continue;
     }
@@ -102,7 +105,7 @@
     return 0;
   }
   if (timers_.empty()) {
-    return kNoTimeout;
+    return kNoPollTimeout;
   }
   const auto remaining = timers_.begin()->first - Clock::now();
   const auto remaining_ms = std::chrono::ceil<std::chrono::milliseconds>(remaining).count();
@@ -112,7 +115,7 @@
 void Scheduler::poll() {
   std::array<epoll_event, kMaxEventsPerPoll> events;
   const int count = ::epoll_wait(epoll_fd_, events.data(), events.size(), poll_timeout_ms());
-  // Nothing is resumed in here, so every source that an event points to still exists.
+  // The loop resumes no coroutine, so every IoSource that an event points to still exists.
   for (int i = 0; i < count; ++i) {
     dispatch(*static_cast<IoSource*>(events[i].data.ptr), events[i].events);
   }
@@ -120,9 +123,9 @@
 }
 
 void Scheduler::dispatch(IoSource& source, std::uint32_t events) {
-  constexpr std::uint32_t kEnded = EPOLLRDHUP | EPOLLHUP | EPOLLERR;
-  source.ended_ = source.ended_ || (events & kEnded) != 0;
-  if (events & (EPOLLIN | kEnded)) {
+  constexpr std::uint32_t kEndEvents = EPOLLRDHUP | EPOLLHUP | EPOLLERR;
+  source.ended_ = source.ended_ || (events & kEndEvents) != 0;
+  if (events & (EPOLLIN | kEndEvents)) {
     if (source.reader_) {
       source.reader_->fire(Wake::kReadable);
     } else if (source.watcher_) {
--- a/src/runtime/scheduler.h
+++ b/src/runtime/scheduler.h
@@ -1,5 +1,5 @@
-// The event loop: resumes coroutines as descriptors, timers and notifiers become ready. One thread
-// runs it and everything that is spawned on it.
+// The event loop: resumes coroutines when descriptors, timers and notifiers become ready. It runs
+// on one thread, with all tasks spawned on it.
 #pragma once
 
 #include <cstdint>
@@ -18,23 +18,24 @@
 /// Owns the spawned tasks, the ready queue, the timers and an epoll instance. Not thread-safe.
 class Scheduler {
  public:
-  /// Throws std::system_error where no epoll instance can be created.
+  /// Throws std::system_error where epoll_create1() fails.
   Scheduler();
   /// Cancels all tasks.
   ~Scheduler();
   Scheduler(const Scheduler&) = delete;
   Scheduler& operator=(const Scheduler&) = delete;
 
-  /// Owns `task` until it ends or is cancelled. It starts from the ready queue, not in the call.
+  /// Takes ownership of `task` until it ends or is cancelled. The task is queued as ready: it does
+  /// not run during the call.
   TaskId spawn(Task<> task);
-  /// Destroys the task with everything it owns and waits for. Does nothing where it has ended. A
-  /// task must not cancel itself.
+  /// Destroys the task with everything it owns and ends its waits. Has no effect if
+  /// the task has ended. A task must not cancel itself.
   void cancel(TaskId id);
-  /// Runs until stop() is called or a spawned task ends with an exception; then cancels all other
-  /// tasks, while all that they refer to still exists, and throws that exception.
+  /// Runs until stop() is called or a spawned task ends with an exception. Then cancels all other
+  /// tasks, while the objects that they refer to still exist, and rethrows the exception.
   void run();
-  /// Lets run() return once the coroutine that calls this suspends and the ready queue has had its
-  /// turn.
+  /// Makes run() return once the calling coroutine has suspended and the coroutines that are
+  /// already ready have been resumed.
   void stop() { stopped_ = true; }
 
  private:
@@ -63,14 +64,14 @@
 
   int epoll_fd_;
   bool stopped_ = false;
-  /// Of the task that ended with an exception.
+  /// The exception of the task that ended with one.
   std::exception_ptr task_error_;
   TaskId next_task_id_ = 1;
   ReadyQueue ready_;
   std::multimap<TimePoint, Wait*> timers_;
-  /// Tasks that have ended and are still to be destroyed.
-  std::list<TaskId> ended_;
-  /// Addresses are stable: the ready queue points to SpawnedTask::start.
+  /// Tasks that have ended but are not yet destroyed.
+  std::list<TaskId> ended_tasks_;
+  /// A node-based map, because the ready queue points to SpawnedTask::start.
   std::unordered_map<TaskId, SpawnedTask> tasks_;
 };
 
--- a/src/runtime/task.h
+++ b/src/runtime/task.h
@@ -1,4 +1,4 @@
-// The coroutine type of the event loop.
+// Task, the coroutine type that the event loop runs.
 #pragma once
 
 #include <coroutine>
@@ -15,11 +15,11 @@
 namespace detail {
 
 struct PromiseBase {
-  /// The coroutine that awaits this one; null for a spawned task.
+  /// The coroutine that awaits this one; null in a spawned task.
   std::coroutine_handle<> continuation;
-  /// Set by the scheduler for spawned tasks.
+  /// Called when the coroutine ends. The scheduler sets it in spawned tasks.
   std::function<void()> on_end;
-  /// The exception that ended the coroutine.
+  /// The exception that ended the coroutine, if any.
   std::exception_ptr error;
 
   /// Resumes the awaiting coroutine by symmetric transfer.
@@ -47,8 +47,8 @@
 
   Task<T> get_return_object();
   void return_value(T result) { value = std::move(result); }
-  /// The coroutine must have ended without an exception.
-  // NOLINTNEXTLINE(bugprone-unchecked-optional-access): return_value() has set it by then.
+  /// Must be called only after the coroutine has ended without an exception.
+  // NOLINTNEXTLINE(bugprone-unchecked-optional-access): return_value() has set the value.
   T take_result() { return std::move(*value); }
 };
 
@@ -61,10 +61,10 @@
 
 }  // namespace detail
 
-/// A lazily started coroutine with a result of type T. It starts when it is awaited or spawned.
-/// The Task owns the coroutine frame: destroying it cancels whatever the coroutine waits for. An
-/// exception of the coroutine is thrown by co_await, or by Scheduler::run() where it was spawned.
-/// May be awaited once.
+/// A lazily started coroutine with a result of type T: it starts when it is awaited or spawned. The
+/// Task owns the coroutine frame, and its destruction cancels whatever the coroutine waits for. An
+/// exception that ends the coroutine is rethrown by co_await or, in a spawned task, by
+/// Scheduler::run(). A Task may be awaited only once.
 template <typename T = void>
 class [[nodiscard]] Task {
  public:
--- a/src/runtime/time.h
+++ b/src/runtime/time.h
@@ -1,4 +1,4 @@
-// Conversions between the steady clock and beechhill::Time.
+// Conversions between the steady clock's time points and beechhill::Time.
 #pragma once
 
 #include <chrono>
@@ -8,17 +8,17 @@
 
 namespace beechhill::runtime {
 
-/// Microseconds since the steady clock's epoch.
+/// Returns the microseconds from the steady clock's epoch to `at`.
 inline Time to_time(TimePoint at) {
   return std::chrono::duration_cast<Time>(at.time_since_epoch());
 }
 
-/// The inverse of to_time(), to the microsecond.
+/// The inverse of to_time(), with a resolution of one microsecond.
 inline TimePoint to_point(Time at) {
   return TimePoint(at);
 }
 
-/// The steady clock's reading.
+/// Returns the steady clock's current time.
 inline Time now() {
   return to_time(Clock::now());
 }
--- a/src/runtime/wait.h
+++ b/src/runtime/wait.h
@@ -1,5 +1,5 @@
-// What a coroutine of the event loop can wait for: file descriptors, points in time and notifiers.
-// Everything here is used on the event loop thread alone.
+// The events that a coroutine on the event loop can wait for: file descriptors, points in time and
+// notifiers. All types in this file must be used on the event loop thread.
 #pragma once
 
 #include <chrono>
@@ -17,19 +17,21 @@
 class Wait;
 
 struct ReadyEntry;
-/// Coroutines that are to be resumed, in order.
+/// The coroutines to be resumed, in this order.
 using ReadyQueue = std::list<ReadyEntry*>;
 
-/// A coroutine's place in the ready queue. Its owner withdraws it before the coroutine ends.
+/// A coroutine's entry in the ready queue. Its owner must dequeue it before the coroutine is
+/// destroyed.
 struct ReadyEntry {
   std::coroutine_handle<> handle;
-  /// Empty where the coroutine is not queued.
+  /// The position in the ready queue; nullopt where the coroutine is not queued.
   std::optional<ReadyQueue::iterator> position;
 };
 
-/// Called when a descriptor becomes readable, or its peer closes it, while no Wait waits to read
-/// it. An implementation may record that and notify. It must neither resume nor destroy a coroutine
-/// or an IoSource: other events of the same poll are still to be dispatched.
+/// Observes a descriptor on which no Wait waits to read: on_readable() is called when the
+/// descriptor becomes readable or the peer closes the connection. An implementation may record that
+/// and notify a Notifier. It must neither resume nor destroy a coroutine or an IoSource, because
+/// the remaining events of the same poll refer to them.
 class IoWatcher {
  public:
   virtual void on_readable() = 0;
@@ -38,22 +40,22 @@
   ~IoWatcher() = default;
 };
 
-/// A descriptor that is registered with the scheduler's epoll instance, edge-triggered: a Wait on
-/// it must follow a call that failed with EAGAIN. One reader and one writer at a time. Does not own
-/// the descriptor, which must outlive it.
+/// Registers a descriptor with the scheduler's epoll instance. The registration is edge-triggered:
+/// a Wait on it is valid only after a call that failed with EAGAIN. At most one coroutine waits to
+/// read and one to write at a time. Does not own the descriptor, which must outlive the IoSource.
 class IoSource {
  public:
-  /// Throws std::system_error where epoll does not take the descriptor.
+  /// Throws std::system_error where the descriptor cannot be registered with epoll.
   IoSource(Scheduler& scheduler, int fd);
   ~IoSource();
   IoSource(const IoSource&) = delete;
   IoSource& operator=(const IoSource&) = delete;
 
-  /// Sets the watcher; null removes it. It is not called for what became readable before: read
-  /// first, then watch.
+  /// Sets the watcher; null removes it. The watcher is not called for bytes that arrived before
+  /// this call: read until EAGAIN first.
   void watch(IoWatcher* watcher) { watcher_ = watcher; }
-  /// Whether the peer has closed its side, or the connection has failed. Bytes that came before may
-  /// still be unread.
+  /// Whether the peer has closed its sending side or the connection has failed. Bytes received
+  /// before may still be unread.
   bool ended() const { return ended_; }
 
  private:
@@ -68,8 +70,8 @@
   IoWatcher* watcher_ = nullptr;
 };
 
-/// Ends the one Wait that waits for it. Where there is none, the next one ends at once;
-/// notifications do not add up.
+/// Wakes the one Wait that waits for it. If there is none, the next Wait on it ends at once.
+/// Repeated notifications before that count as one.
 class Notifier {
  public:
   Notifier() = default;
@@ -86,12 +88,13 @@
   bool notified_ = false;
 };
 
-/// What ended a Wait.
+/// The event that ended a Wait.
 enum class Wake { kReadable, kWritable, kTime, kNotified };
 
-/// An awaitable that ends with the first of the events it is set up for. It must be a named local
-/// of the coroutine (GCC 12 mishandles non-trivial temporaries in co_await); its destructor
-/// withdraws it, so a coroutine may be destroyed while it waits. For one co_await only.
+/// An awaitable that ends with the first of the events added to it. It must be a named local of the
+/// coroutine, because GCC 12 mishandles non-trivial temporaries in co_await. The destructor removes
+/// the Wait from all events, so a coroutine may be destroyed while it waits. May be awaited only
+/// once.
 class Wait {
  public:
   explicit Wait(Scheduler& scheduler) : scheduler_(scheduler) {}
@@ -99,7 +102,7 @@
   Wait(const Wait&) = delete;
   Wait& operator=(const Wait&) = delete;
 
-  /// Each adds an event; at most one of each kind.
+  /// Each call adds an event. At most one event of each kind may be added.
   Wait& readable(IoSource& source);
   Wait& writable(IoSource& source);
   Wait& until(TimePoint deadline);
