--- a/simhost/directory.h
+++ b/simhost/directory.h
@@ -1,4 +1,4 @@
-// The simulator's numbered lists of endpoints, which its discovery events refer to.
+// The simulator's directories: numbered endpoint lists to which its discovery events refer.
 #pragma once
 
 #include <array>
@@ -13,28 +13,29 @@
 
 namespace beechhill::wire {
 
-/// An endpoint with the names that the simulator gives it.
+/// An endpoint as the simulator describes it, with names in place of the balancer's integer ids.
 struct DirectoryEntry {
   std::string upstream;
   std::string zone;
   std::string instance_type;
   EndpointStatus status = EndpointStatus::kUp;
   std::uint32_t cell = 0;
-  /// Absent: long ago.
+  /// Absent where the simulator states no start time, which counts as long ago.
   std::optional<Time> started_at;
 };
 
 using Directory = std::vector<DirectoryEntry>;
 
+/// The number of directories; slots are numbered from 0.
 inline constexpr std::size_t kDirectorySlots = 16;
 
-/// By slot. Shared by all instances of a process.
+/// The directories by slot. All instances of a process share them.
 using Directories = std::array<Directory, kDirectorySlots>;
 
-/// The list in a "Directory" event. Throws config::JsonError.
+/// Reads the endpoint list of a "Directory" event. Throws config::JsonError.
 Directory read_directory(const Json::Value& event);
 
-/// The "slot" of an event, under kDirectorySlots. Throws config::JsonError.
+/// Reads the "slot" of an event, which must be less than kDirectorySlots. Throws config::JsonError.
 std::size_t read_slot(const Json::Value& event);
 
 }  // namespace beechhill::wire
--- a/simhost/instance.cpp
+++ b/simhost/instance.cpp
@@ -15,7 +15,7 @@
 using config::require_object;
 using config::throw_json_error;
 
-// The decimal digits that always fit a 64-bit number.
+// Every number of up to 19 decimal digits fits a 64-bit integer.
 constexpr std::size_t kMaxTagDigits = 19;
 
 Result read_result(const Json::Value& event) {
@@ -37,7 +37,8 @@
     case 125:
       return Result::kCancelled;
     default:
-      throw_json_error("result", "not a known code");
+      throw_json_error("result",
+                       "unknown result code; 0, 5, 11, 104, 110, 111, 114 and 125 are accepted");
   }
 }
 
@@ -125,14 +126,15 @@
     return read_client_disconnect(json);
   }
   if (type == "Message") {
-    // From another balancer. This module sends none, so none is for it.
+    // A message of another balancer. Balancers of this implementation exchange none, so the event
+    // is ignored.
     return std::nullopt;
   }
   throw_json_error("event_type", "not a known event");
 }
 
-void Instance::forget_ended_requests() {
-  for (const RequestId id : touched_requests_) {
+void Instance::erase_ended_requests() {
+  for (const RequestId id : changed_requests_) {
     const auto request = requests_.find(id);
     if (request == requests_.end() || !request->second.ended || request->second.open_attempts > 0) {
       continue;
@@ -140,7 +142,7 @@
     request_ids_.erase(request->second.name);
     requests_.erase(request);
   }
-  touched_requests_.clear();
+  changed_requests_.clear();
 }
 
 Event Instance::read_request(const Json::Value& json) {
@@ -148,7 +150,7 @@
   const auto name = get_member<std::string>(json, "id");
   request.id = next_request_id_++;
   if (!request_ids_.try_emplace(name, request.id).second) {
-    throw_json_error("id", "came before");
+    throw_json_error("id", "already used by a known request");
   }
   requests_[request.id].name = name;
   const auto class_id = classes_.known(get_member<std::string>(json, "kind"));
@@ -174,7 +176,7 @@
 Event Instance::read_outcome(const Json::Value& json) {
   const auto id = find_request(json);
   if (!id) {
-    throw_json_error("id", "has no attempt out");
+    throw_json_error("id", "names no known request");
   }
   RequestEntry& request = requests_.at(*id);
   --request.open_attempts;
@@ -188,7 +190,7 @@
   const auto tag = get_member<std::string>(json, "tag");
   if (tag.empty() || tag.size() > kMaxTagDigits ||
       tag.find_first_not_of("0123456789") != std::string::npos) {
-    throw_json_error("tag", "not one that was set");
+    throw_json_error("tag", "not a timer tag; 1 to 19 decimal digits are accepted");
   }
   return Timer{std::stoull(tag)};
 }
@@ -196,7 +198,7 @@
 Event Instance::read_health_check_result(const Json::Value& json) const {
   const auto endpoint = endpoints_.known(get_member<std::string>(json, "upstream"));
   if (!endpoint) {
-    throw_json_error("upstream", "not on any list of this instance");
+    throw_json_error("upstream", "not on any endpoint list that this instance has received");
   }
   return HealthCheckResult{*endpoint, read_result(json), read_load_report(json)};
 }
@@ -232,13 +234,13 @@
   return ClientDisconnected{*id};
 }
 
-// Nothing where that request was forgotten already, or never came.
+// Returns nullopt for an unknown request: one that never began, or that has ended and been erased.
 std::optional<RequestId> Instance::find_request(const Json::Value& json) {
   const auto request = request_ids_.find(get_member<std::string>(json, "id"));
   if (request == request_ids_.end()) {
     return std::nullopt;
   }
-  touched_requests_.push_back(request->second);
+  changed_requests_.push_back(request->second);
   return request->second;
 }
 
@@ -299,7 +301,7 @@
 
 void Instance::end_request(RequestId id) {
   requests_.at(id).ended = true;
-  touched_requests_.push_back(id);
+  changed_requests_.push_back(id);
 }
 
 }  // namespace beechhill::wire
--- a/simhost/instance.h
+++ b/simhost/instance.h
@@ -1,5 +1,5 @@
-// One balancer of the simulator: converts its JSON events to the balancer's and the balancer's
-// actions to JSON, and keeps the names that stand for the balancer's numbers.
+// One simulated balancer: converts the simulator's JSON events to Events and the balancer's Actions
+// to JSON, and maps the simulator's names to the balancer's integer ids.
 #pragma once
 
 #include <optional>
@@ -16,22 +16,24 @@
 
 class Instance {
  public:
-  /// `begin`: the "Begin" event, with the settings. The balancer's first actions go to `actions`.
-  /// Throws config::JsonError, or what the balancer throws at settings that it rejects.
+  /// `begin` is the "Begin" event, which contains the settings. Appends the balancer's first
+  /// actions to `actions`. Throws config::JsonError, or the balancer's exception for invalid
+  /// settings.
   Instance(Time now, const Json::Value& begin, std::vector<Action>& actions);
 
   Balancer& balancer() { return balancer_; }
 
-  /// The balancer's event for `json`, of type `type`. Nothing where it is not for the balancer, or
-  /// is about a request that has ended. Throws config::JsonError.
+  /// Converts `json`, an event of type `type`. Returns nullopt where the event does not concern the
+  /// balancer or refers to a request that has ended. Throws config::JsonError.
   std::optional<Event> read_event(std::string_view type, const Json::Value& json,
                                   const Directories& directories);
 
-  /// `action` as the simulator reads it. To be called once for each action, in their order.
+  /// Converts `action` to JSON and updates the request that it concerns. Must be called exactly
+  /// once for each action, in the order of the actions.
   Json::Value write_action(const Action& action);
 
-  /// Forgets the requests that ended in this batch. To be called after each batch.
-  void forget_ended_requests();
+  /// Erases the requests that have ended and have no open attempt. Must be called after each batch.
+  void erase_ended_requests();
 
  private:
   struct RequestEntry {
@@ -61,7 +63,7 @@
   Json::Value write(const WatchEndpoints& action) const;
   void end_request(RequestId id);
 
-  // read_settings() fills some of these: they must be constructed before balancer_.
+  // read_settings() fills some of these members, so they must be constructed before balancer_.
   config::Interner endpoints_;
   config::Interner zones_;
   config::Interner instance_types_;
@@ -69,7 +71,8 @@
   config::Interner tenants_;
   std::unordered_map<std::string, RequestId> request_ids_;
   std::unordered_map<RequestId, RequestEntry> requests_;
-  std::vector<RequestId> touched_requests_;  // in this batch
+  // Requests to which an event or an ending action of the current batch applied.
+  std::vector<RequestId> changed_requests_;
   RequestId next_request_id_ = 0;
   Balancer balancer_;
 };
--- a/simhost/main.cpp
+++ b/simhost/main.cpp
@@ -1,4 +1,5 @@
-// Reads batches from standard input and writes one reply a line to standard output.
+// beechhill_simhost: reads batches of events from standard input, one a line, and writes one reply
+// a line to standard output. Exits with status 1 at the first invalid batch.
 #include <iostream>
 #include <string>
 
--- a/simhost/wire.cpp
+++ b/simhost/wire.cpp
@@ -52,26 +52,28 @@
   }
 
  private:
-  // Handles the events of one instance and appends its actions, where it has any, to `replies`.
+  // Handles the events of one instance and, if there are any actions, appends them to `replies`.
   void handle_group(Time now, const Json::Value& group, Json::Value& replies) {
     const auto name = get_member<std::string>(group, "balancer-id");
-    Json::Value out(Json::arrayValue);
+    Json::Value json_actions(Json::arrayValue);
     for (const Json::Value& event : require_array(group, "events")) {
-      handle_event(now, name, event, out);
+      handle_event(now, name, event, json_actions);
     }
     if (const auto instance = instances_.find(name); instance != instances_.end()) {
-      instance->second->forget_ended_requests();
+      instance->second->erase_ended_requests();
     }
-    if (out.empty()) {
+    if (json_actions.empty()) {
       return;
     }
     Json::Value& reply = replies.append(Json::Value(Json::objectValue));
     reply["balancer-id"] = name;
-    reply["out"] = std::move(out);
+    reply["out"] = std::move(json_actions);
   }
 
-  // An exception of the balancer becomes an action of its own, behind those before it.
-  void handle_event(Time now, const std::string& name, const Json::Value& event, Json::Value& out) {
+  // Appends the balancer's actions to `json_actions`. Where the balancer throws, an "InternalError"
+  // with the exception's message follows the actions that precede it.
+  void handle_event(Time now, const std::string& name, const Json::Value& event,
+                    Json::Value& json_actions) {
     const auto type = get_member<std::string>(event, "event_type");
     actions_.clear();
     std::string failure;
@@ -83,13 +85,13 @@
       failure = error.what();
     }
     for (const Action& action : actions_) {
-      out.append(instances_.at(name)->write_action(action));
+      json_actions.append(instances_.at(name)->write_action(action));
     }
     if (!failure.empty()) {
       Json::Value error(Json::objectValue);
       error["event_type"] = "InternalError";
       error["what"] = failure;
-      out.append(std::move(error));
+      json_actions.append(std::move(error));
     }
   }
 
@@ -106,7 +108,7 @@
     }
     const auto instance = instances_.find(name);
     if (instance == instances_.end()) {
-      throw_json_error("balancer-id", "names an instance that has not begun");
+      throw_json_error("balancer-id", "names an instance without a Begin event");
     }
     if (type == "PowerOff") {
       instances_.erase(instance);
--- a/simhost/wire.h
+++ b/simhost/wire.h
@@ -1,5 +1,5 @@
-// The simulator's protocol: batches of events for balancers, one JSON object a line, and their
-// actions in reply.
+// The simulator's protocol: the simulator sends batches of events for balancers, one JSON object a
+// line, and receives the balancers' actions in reply.
 #pragma once
 
 #include <memory>
@@ -8,12 +8,12 @@
 
 namespace beechhill::wire {
 
-/// What is wrong with a line. what() names the batch, the field and the fault.
+/// Reports an invalid line. what() names the batch, the field and the error.
 struct WireError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// The balancers of one process. They share nothing but the numbered lists of endpoints.
+/// The balancers of one process. They share only the directories of endpoints.
 class Host {
  public:
   Host();
@@ -21,7 +21,8 @@
   Host(const Host&) = delete;
   Host& operator=(const Host&) = delete;
 
-  /// Handles one batch and returns the reply, both without the line end. Throws WireError.
+  /// Handles one batch and returns the reply, both without a line end. Throws WireError where the
+  /// batch is invalid.
   std::string reply_to(const std::string& line);
 
  private:
--- a/tests/http_field_values_test.cpp
+++ b/tests/http_field_values_test.cpp
@@ -1,4 +1,4 @@
-// Values of single HTTP header fields.
+// Tests the parsing and formatting of HTTP field values.
 #include <gtest/gtest.h>
 
 #include "http/field_values.h"
--- a/tests/http_parser_test.cpp
+++ b/tests/http_parser_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP parser over tables of messages: no socket, no clock.
+// Tests the HTTP parser with tables of valid and malformed messages.
 #include <gtest/gtest.h>
 
 #include "http/parser.h"
@@ -11,9 +11,9 @@
   Parser::Kind kind;
   std::string bytes;
   Progress progress;
-  int error_status = 0;   // of a malformed request
-  std::string body = {};  // of a complete message
-  std::string rest = {};  // what follows the message
+  int error_status = 0;   // expected for a malformed request
+  std::string body = {};  // expected for a complete message
+  std::string rest = {};  // bytes expected in the buffer after the message
 };
 
 const auto kRequest = Parser::Kind::kRequest;
@@ -36,7 +36,7 @@
   return repeat(count, "1\r\nx\r\n");
 }
 
-const MessageCase kMessages[] = {
+const MessageCase kMessageCases[] = {
     {"no body", kRequest, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n", Progress::kComplete},
     {"length", kRequest, "POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc", Progress::kComplete, 0,
      "abc"},
@@ -46,7 +46,7 @@
      "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2;x=1\r\nab\r\n1\r\nc\r\n0\r\nT: "
      "v\r\n\r\n",
      Progress::kComplete, 0, "abc"},
-    {"blank lines first", kRequest, "\r\n\r\nGET /a HTTP/1.1\r\n\r\n", Progress::kComplete},
+    {"empty lines first", kRequest, "\r\n\r\nGET /a HTTP/1.1\r\n\r\n", Progress::kComplete},
     {"unfinished head", kRequest, "GET /a HTTP/1.1\r\nHost", Progress::kNeedsMore},
     {"unfinished body", kRequest, "POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nab",
      Progress::kNeedsMore},
@@ -55,7 +55,7 @@
      Progress::kMalformed, 400},
     {"other encoding", kRequest, "POST /a HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n",
      Progress::kMalformed, 400},
-    {"endless blank lines", kRequest, empty_lines(33), Progress::kMalformed, 400},
+    {"too many empty lines", kRequest, empty_lines(33), Progress::kMalformed, 400},
     {"same length twice", kRequest,
      "POST /a HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\n", Progress::kMalformed,
      400},
@@ -74,22 +74,23 @@
     {"huge chunk", kRequest,
      "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" + std::string(65537, 'x'),
      Progress::kMalformed, 413},
-    {"bad chunk", kRequest, "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+    {"invalid chunk size", kRequest, "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
      Progress::kMalformed, 400},
-    {"chunk without end", kRequest,
+    {"no line end after chunk", kRequest,
      "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", Progress::kMalformed,
      400},
     {"huge head", kRequest, "GET /a HTTP/1.1\r\nX: " + std::string(17000, 'x'),
      Progress::kMalformed, 431},
     {"folded header", kRequest, "GET /a HTTP/1.1\r\nX: a\r\n b\r\n\r\n", Progress::kMalformed, 400},
-    {"blank before colon", kRequest, "GET /a HTTP/1.1\r\nX : a\r\n\r\n", Progress::kMalformed, 400},
-    {"control in value", kRequest, "GET /a HTTP/1.1\r\nX: a\nb\r\n\r\n", Progress::kMalformed, 400},
+    {"space before colon", kRequest, "GET /a HTTP/1.1\r\nX : a\r\n\r\n", Progress::kMalformed, 400},
+    {"line feed in value", kRequest, "GET /a HTTP/1.1\r\nX: a\nb\r\n\r\n", Progress::kMalformed,
+     400},
     {"absolute form", kRequest, "GET http://h:80/a?b HTTP/1.1\r\n\r\n", Progress::kComplete},
     {"absolute form, no path", kRequest, "GET HTTP://h HTTP/1.1\r\n\r\n", Progress::kComplete},
     {"absolute form, no host", kRequest, "GET http:///a HTTP/1.1\r\n\r\n", Progress::kMalformed,
      400},
     {"other scheme", kRequest, "GET ftp://h/a HTTP/1.1\r\n\r\n", Progress::kMalformed, 400},
-    {"mixed case, optional blanks", kRequest,
+    {"mixed case, optional whitespace", kRequest,
      "POST /a HTTP/1.1\r\ntRANSFER-eNCODING:\t Chunked \t\r\n\r\n3 ; a=\"b\"\r\nabc\r\n000\r\nX: "
      "y\r\n\r\n",
      Progress::kComplete, 0, "abc"},
@@ -99,58 +100,60 @@
     {"no target", kRequest, "GET HTTP/1.1\r\n\r\n", Progress::kMalformed, 400},
     {"no slash", kRequest, "GET a HTTP/1.1\r\n\r\n", Progress::kMalformed, 400},
     {"empty target", kRequest, "GET  HTTP/1.1\r\n\r\n", Progress::kMalformed, 400},
-    {"next version", kRequest, "GET /a HTTP/2.0\r\n\r\n", Progress::kMalformed, 505},
+    {"unsupported version", kRequest, "GET /a HTTP/2.0\r\n\r\n", Progress::kMalformed, 505},
     {"no version", kRequest, "GET /a FTP/1.1\r\n\r\n", Progress::kMalformed, 400},
-    {"answer", kResponse, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", Progress::kComplete, 0,
-     "ok"},
-    {"no phrase", kResponse, "HTTP/1.1 503\r\nContent-Length: 0\r\n\r\n", Progress::kComplete},
-    {"interim first", kResponse,
+    {"response", kResponse, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", Progress::kComplete,
+     0, "ok"},
+    {"no reason phrase", kResponse, "HTTP/1.1 503\r\nContent-Length: 0\r\n\r\n",
+     Progress::kComplete},
+    {"one interim response", kResponse,
      "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx",
      Progress::kComplete, 0, "x"},
     {"no content", kResponse, "HTTP/1.1 204 No Content\r\n\r\n", Progress::kComplete},
-    {"no stated end", kResponse, "HTTP/1.1 200 OK\r\n\r\nabc", Progress::kMalformed},
-    {"endless interim", kResponse,
+    {"no body length, not closing", kResponse, "HTTP/1.1 200 OK\r\n\r\nabc", Progress::kMalformed},
+    {"too many interim responses", kResponse,
      interim_responses(9) + "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", Progress::kMalformed},
-    {"some interim", kResponse,
+    {"maximum interim responses", kResponse,
      interim_responses(8) + "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", Progress::kComplete},
-    {"unreadable report", kResponse, "HTTP/1.1 200 OK\r\nX: \x01\r\nContent-Length: 1\r\n\r\nx",
+    {"invalid field value", kResponse, "HTTP/1.1 200 OK\r\nX: \x01\r\nContent-Length: 1\r\n\r\nx",
      Progress::kComplete, 0, "x"},
-    {"unreadable length", kResponse, "HTTP/1.1 200 OK\r\nContent-Length: \x01\r\n\r\nx",
+    {"invalid length", kResponse, "HTTP/1.1 200 OK\r\nContent-Length: \x01\r\n\r\nx",
      Progress::kMalformed},
-    {"claimed 3 GB", kResponse, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx",
+    {"stated length of 3 GB", kResponse, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx",
      Progress::kMalformed},
     {"no status", kResponse, "HTTP/1.1 OK\r\n\r\n", Progress::kMalformed, 400},
     {"not HTTP", kResponse, "SSH-2.0-OpenSSH\r\n\r\n", Progress::kMalformed, 400},
 };
 
-// Feeds `step` bytes at a time until the parser needs no more.
+// Feeds `bytes`, `step` bytes at a time, until the parser completes or rejects the message.
 Progress feed_in_steps(Parser& parser, const std::string& bytes, std::size_t step,
                        std::string& buffer) {
   Progress progress = Progress::kNeedsMore;
-  for (std::size_t at = 0; at < bytes.size() && progress == Progress::kNeedsMore; at += step) {
-    buffer.append(bytes, at, step);
+  for (std::size_t from = 0; from < bytes.size() && progress == Progress::kNeedsMore;
+       from += step) {
+    buffer.append(bytes, from, step);
     progress = parser.feed(buffer);
   }
   return progress;
 }
 
 TEST(HttpParser, ReadsEachMessageAtOnceAndByteByByte) {
-  for (const MessageCase& c : kMessages) {
-    for (const std::size_t step : {c.bytes.size(), std::size_t{1}}) {
-      SCOPED_TRACE(std::string(c.name) + ", step " + std::to_string(step));
-      Parser parser(c.kind);
+  for (const MessageCase& message_case : kMessageCases) {
+    for (const std::size_t step : {message_case.bytes.size(), std::size_t{1}}) {
+      SCOPED_TRACE(std::string(message_case.name) + ", step " + std::to_string(step));
+      Parser parser(message_case.kind);
       std::string buffer;
-      const Progress progress = feed_in_steps(parser, c.bytes, step, buffer);
-      EXPECT_EQ(progress, c.progress);
-      if (progress == Progress::kMalformed && c.kind == kRequest) {
-        EXPECT_EQ(parser.error_status(), c.error_status);
+      const Progress progress = feed_in_steps(parser, message_case.bytes, step, buffer);
+      EXPECT_EQ(progress, message_case.progress);
+      if (progress == Progress::kMalformed && message_case.kind == kRequest) {
+        EXPECT_EQ(parser.error_status(), message_case.error_status);
       }
       if (progress != Progress::kComplete) {
         continue;
       }
-      EXPECT_EQ(parser.message().body, c.body);
+      EXPECT_EQ(parser.message().body, message_case.body);
       if (step > 1) {
-        EXPECT_EQ(buffer, c.rest);
+        EXPECT_EQ(buffer, message_case.rest);
       }
     }
   }
