--- a/simhost/instance.cpp
+++ b/simhost/instance.cpp
@@ -15,7 +15,7 @@
 using config::require_object;
 using config::throw_json_error;
 
-// Every number of up to 19 decimal digits fits a 64-bit integer.
+// Maximum length of a timer tag: every number of 19 decimal digits fits a 64-bit integer.
 constexpr std::size_t kMaxTagDigits = 19;
 
 Result read_result(const Json::Value& event) {
--- a/simhost/main.cpp
+++ b/simhost/main.cpp
@@ -1,5 +1,5 @@
 // beechhill_simhost: reads batches of events from standard input, one a line, and writes one reply
-// a line to standard output. Exits with status 1 at the first invalid batch.
+// a line to standard output. Exits with status 1 at the first invalid batch or failed write.
 #include <iostream>
 #include <string>
 
--- a/src/http/chunked_decoder.cpp
+++ b/src/http/chunked_decoder.cpp
@@ -19,7 +19,7 @@
 Progress ChunkedDecoder::feed(std::string& buffer, std::string& body) {
   std::size_t used = 0;
   const Progress progress = decode(buffer, used, body);
-  // One erase for all chunks: one per chunk would make a body of tiny chunks quadratic.
+  // Erases once for all chunks: one erase for each chunk would take quadratic time on tiny chunks.
   buffer.erase(0, used);
   return progress;
 }
