--- a/src/experiments/experiment.cpp
+++ b/src/experiments/experiment.cpp
@@ -15,10 +15,11 @@
 namespace {
 
 constexpr std::size_t kMaxCells = 100'000;
-// Of the goodput before the fault.
+// The system counts as recovered when its goodput is at least this share of the goodput before the
+// first fault.
 constexpr double kRecoveredShare = 0.95;
 
-Json::Value json_of(const toml::node& node, const config::TomlReader& reader,
+Json::Value to_json(const toml::node& node, const config::TomlReader& reader,
                     const std::string& key) {
   if (const auto* integer = node.as_integer()) {
     return Json::Value(static_cast<Json::Int64>(integer->get()));
@@ -32,7 +33,7 @@
   if (const auto* text = node.as_string()) {
     return Json::Value(text->get());
   }
-  reader.fault(key, "only numbers, texts and booleans can vary");
+  reader.fault(key, "values must be numbers, strings or booleans");
 }
 
 void override_with_json(toml::table& root, const std::string& path, const Json::Value& value) {
@@ -48,7 +49,8 @@
   emulator::override_key(root, path, toml::value<std::int64_t>(value.asInt64()));
 }
 
-// How long the goodput takes to come back after the last fault that ends.
+// Adds the goodput before the first fault, and the time that the goodput takes to recover after the
+// end of the last one. Adds nothing without a fault or if the last one does not end within the run.
 void add_recovery(Json::Value& result, const emulator::Scenario& scenario,
                   const emulator::Metrics& metrics) {
   Duration first_begin{0};
@@ -65,7 +67,7 @@
   result["recovery_s"] = metrics.recovery_s(last_end, scenario.length, kRecoveredShare * before);
 }
 
-std::string text_of(const emulator::Violation& violation, std::uint64_t seed) {
+std::string format_violation(const emulator::Violation& violation, std::uint64_t seed) {
   return fmt::format("rule {} broken: seed={} time={:.6f} request={:x}: {}\n{}",
                      emulator::name_of(violation.rule), seed, emulator::to_s(violation.at),
                      violation.request, violation.what, violation.trace);
@@ -79,7 +81,8 @@
   const std::vector<std::string>& known = emulator::policy_names();
   for (const std::string& policy : policies) {
     if (std::find(known.begin(), known.end(), policy) == known.end()) {
-      reader.fault("policies", "unknown: " + policy);
+      reader.fault("policies", fmt::format("unknown policy \"{}\"; accepted: {}", policy,
+                                           fmt::join(known, ", ")));
     }
   }
   return policies;
@@ -92,13 +95,13 @@
   }
   const toml::array* list = node->as_array();
   if (!list || list->empty()) {
-    reader.fault("seeds", "not an array of whole numbers");
+    reader.fault("seeds", "must be a non-empty array of whole numbers, each at least 0");
   }
   std::vector<std::uint64_t> seeds;
   for (const toml::node& element : *list) {
     const auto* seed = element.as_integer();
     if (!seed || seed->get() < 0) {
-      reader.fault("seeds", "not an array of whole numbers");
+      reader.fault("seeds", "must be a non-empty array of whole numbers, each at least 0");
     }
     seeds.push_back(static_cast<std::uint64_t>(seed->get()));
   }
@@ -118,11 +121,11 @@
   for (const auto& [key, values] : *table) {
     const toml::array* list = values.as_array();
     if (!list || list->empty()) {
-      reader.fault("grid", std::string(key.str()) + " is not an array of values");
+      reader.fault("grid", std::string(key.str()) + ": must be a non-empty array of values");
     }
     Axis axis{std::string(key.str()), {}};
     for (const toml::node& value : *list) {
-      axis.values.push_back(json_of(value, reader, "grid"));
+      axis.values.push_back(to_json(value, reader, "grid"));
     }
     grid.push_back(std::move(axis));
   }
@@ -134,12 +137,14 @@
   for (const Axis& axis : experiment.grid) {
     count *= axis.values.size();
     if (count > kMaxCells) {
-      throw std::invalid_argument("grid: more than 100000 cells");
+      throw std::invalid_argument(
+          fmt::format("grid: the values, policies and seeds give more than {} cells", kMaxCells));
     }
   }
 }
 
-// A fingerprint of what is played, so that a changed scenario is not taken for a finished one.
+// Returns a hash of the scenario's content. It is part of a cell's key, so that results of an
+// earlier version of the scenario do not count as finished cells.
 std::string fingerprint(const toml::table& scenario) {
   std::ostringstream out;
   out << scenario;
@@ -147,7 +152,8 @@
   return fmt::format("{:016x}", XXH3_64bits(text.data(), text.size()));
 }
 
-// The cells of one point of the grid: `indices` has the value's index for each axis.
+// Appends the cells of one point of the grid. `indices` contains the index of the value on each
+// axis.
 void append_cells(const Experiment& experiment, const std::vector<std::size_t>& indices,
                   std::vector<Cell>& cells) {
   toml::table root = experiment.scenario;
@@ -157,7 +163,7 @@
     override_with_json(root, axis.path, axis.values[indices[i]]);
     params[axis.path] = axis.values[indices[i]];
   }
-  const std::string played = fingerprint(root);
+  const std::string scenario_fingerprint = fingerprint(root);
   const emulator::Scenario scenario = emulator::read_scenario(root, experiment.scenario_file);
   for (const std::uint64_t seed : experiment.seeds) {
     for (const std::string& policy : experiment.policies) {
@@ -169,14 +175,15 @@
       cell.labels["seed"] = static_cast<Json::UInt64>(seed);
       cell.labels["policy"] = policy;
       cell.labels["scenario"] = scenario.name;
-      cell.labels["played"] = played;
-      cell.key = one_line(cell.labels);
+      cell.labels["played"] = scenario_fingerprint;
+      cell.key = to_json_line(cell.labels);
       cells.push_back(std::move(cell));
     }
   }
 }
 
-// Moves to the next point of the grid, the first axis fastest. False after the last.
+// Moves to the next point of the grid; the first axis changes fastest. Returns false after the last
+// point.
 bool advance(const std::vector<Axis>& grid, std::vector<std::size_t>& indices) {
   for (std::size_t i = 0; i < indices.size(); ++i) {
     ++indices[i];
@@ -201,11 +208,11 @@
 
 RunOutput run_scenario(const emulator::Scenario& scenario, const std::string& policy, bool series,
                        const emulator::ProgressCallback& progress) {
-  const auto begun = std::chrono::steady_clock::now();
+  const auto start = std::chrono::steady_clock::now();
   const std::unique_ptr<emulator::World> world = world_of(scenario, policy);
   world->run(progress);
   RunOutput out;
-  out.wall_s = std::chrono::duration<double>(std::chrono::steady_clock::now() - begun).count();
+  out.wall_s = std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
   out.result = world->metrics().to_json(series);
   add_recovery(out.result, scenario, world->metrics());
   const emulator::RuleChecker& rules = world->rules();
@@ -215,7 +222,7 @@
   out.result["left_over"] = static_cast<Json::UInt64>(world->left_over());
   out.violations = rules.all();
   for (const emulator::Violation& violation : rules.violations()) {
-    out.violation_text += text_of(violation, scenario.seed);
+    out.violation_text += format_violation(violation, scenario.seed);
   }
   return out;
 }
@@ -229,7 +236,7 @@
   experiment.series = reader.flag("series", true);
   const std::string file = reader.text("scenario", "");
   if (file.empty()) {
-    reader.fault("scenario", "missing");
+    reader.fault("scenario", "missing or empty; the path of a scenario file is required");
   }
   experiment.scenario_file = (std::filesystem::path(path).parent_path() / file).string();
   experiment.scenario = emulator::load_scenario(experiment.scenario_file);
@@ -237,12 +244,11 @@
   experiment.seeds = read_seeds(reader);
   experiment.grid = read_grid(reader);
   reader.finish();
-  // Reads every cell's scenario.
-  cells_of(experiment);
+  expand_grid(experiment);  // validates the scenario of every cell
   return experiment;
 }
 
-std::vector<Cell> cells_of(const Experiment& experiment) {
+std::vector<Cell> expand_grid(const Experiment& experiment) {
   check_cell_count(experiment);
   std::vector<Cell> cells;
   std::vector<std::size_t> indices(experiment.grid.size(), 0);
--- a/src/experiments/experiment.h
+++ b/src/experiments/experiment.h
@@ -1,5 +1,6 @@
-/// Experiments: a scenario, a grid of parameters, policies and seeds; runs over all cores; results
-/// as JSON lines that an interrupted run goes on from.
+/// An experiment runs a scenario for each combination of parameter values, policies and seeds, in
+/// parallel, and writes each result as one line of JSON. After an interruption, the next run keeps
+/// the finished results.
 #pragma once
 
 #include <json/json.h>
@@ -17,27 +18,28 @@
 
 namespace beechhill::experiments {
 
-/// What one run of the emulator gave.
+/// The outcome of one run of the emulator.
 struct RunOutput {
-  /// Does not depend on the machine's speed.
+  /// Metrics of the run. They do not depend on the machine's speed.
   Json::Value result;
   std::uint64_t violations = 0;
-  /// The first few, with their traces.
+  /// The first few violations with their traces, as text.
   std::string violation_text;
-  /// Not part of the result.
+  /// Wall time of the run in seconds. Not part of `result`, which must be reproducible.
   double wall_s = 0;
 };
 
-/// A world whose proxies decide by that policy, one of policy_names().
+/// Creates a world whose proxies use `policy`, one of emulator::policy_names().
 std::unique_ptr<emulator::World> world_of(const emulator::Scenario& scenario,
                                           const std::string& policy);
 
-/// Plays a scenario. `policy` must be one of policy_names(). With `series`, the seconds and the
-/// latency distribution are in the result.
+/// Runs a scenario to its end. `policy` must be one of emulator::policy_names(). With `series`, the
+/// result includes the time series by second and the latency distribution.
 RunOutput run_scenario(const emulator::Scenario& scenario, const std::string& policy, bool series,
                        const emulator::ProgressCallback& progress = {});
 
-/// One parameter of the grid, such as "load.utilisation", and its values.
+/// One parameter of the grid and the values that it takes. `path` is a key of the scenario, such as
+/// "load.utilisation".
 struct Axis {
   std::string path;
   std::vector<Json::Value> values;
@@ -46,50 +48,58 @@
 struct Experiment {
   std::string name;
   std::string title;
-  /// Before the grid's changes.
+  /// The scenario file's content, before values of the grid are set.
   toml::table scenario;
   std::string scenario_file;
   std::vector<Axis> grid;
   std::vector<std::string> policies;
   std::vector<std::uint64_t> seeds;
-  /// Whether results have the time series and the latency distribution.
+  /// Whether results include the time series and the latency distribution.
   bool series = true;
 };
 
-/// Reads the file, and the scenario that it names, relative to it. Every cell's scenario is read
-/// once, so that a faulty one is reported before anything runs. Throws config::TomlError or
-/// std::invalid_argument.
+/// Reads an experiment file and the scenario file that it names by a path relative to its own.
+/// Validates the scenario of every cell, so that errors are reported before any cell runs. Throws
+/// config::TomlError or std::invalid_argument.
 Experiment load_experiment(const std::string& path);
 
-/// One run of the grid.
+/// One run of an experiment: a point of the grid with a policy and a seed.
 struct Cell {
-  /// What makes it this cell, as one line of JSON.
+  /// `labels` as one line of JSON, unique to the cell.
   std::string key;
+  /// Parameter values, seed, policy, and name and fingerprint of the scenario.
   Json::Value labels;
   emulator::Scenario scenario;
   std::string policy;
 };
 
-/// All cells, in the grid's order. Throws std::invalid_argument where there are too many.
-std::vector<Cell> cells_of(const Experiment& experiment);
+/// Returns all cells in the grid's order. Throws std::invalid_argument if there are more than
+/// 100,000.
+std::vector<Cell> expand_grid(const Experiment& experiment);
 
 struct Summary {
-  /// Cells that were run now, and cells that were found finished.
+  /// Number of cells that this call ran.
   std::size_t run = 0;
+  /// Number of cells whose results were already in the files.
   std::size_t kept = 0;
-  /// The last line of an interrupted run was not complete.
+  /// Whether the files contained an incomplete line, as an interrupted run leaves it.
   bool torn = false;
+  /// Rule violations in the new runs of policy "module".
   std::uint64_t module_violations = 0;
+  /// Rule violations in the new runs of the other policies.
   std::uint64_t plain_violations = 0;
+  /// Violations of policy "module" with their traces; at about 64 KiB no more are added.
   std::string violation_text;
 };
 
-/// Runs the cells that `out_path` does not hold yet, on `threads` threads. Finished cells are kept
-/// in `out_path`.partial as they come; at the end they are written to `out_path` in the grid's
-/// order and the partial file is removed. Wall times go to `out_path`.timing. Throws
-/// std::runtime_error where files cannot be written. `progress(done, all)` is called by one thread
-/// at a time; a `stop` that returns true ends the experiment after the running cells; it is called
-/// from all threads.
+/// Runs, on `threads` threads, the cells whose results are neither in `out_path` nor in
+/// `out_path`.partial. Appends each result to `out_path`.partial as its cell finishes. When all
+/// cells have finished, writes the results to `out_path` in the grid's order and removes the
+/// partial file. Appends wall times to `out_path`.timing.
+///
+/// `progress(done, all)` is called by one thread at a time. `stop` is called concurrently by all
+/// threads; once it returns true, no further cell is started and the call returns after the running
+/// ones. Throws std::runtime_error if a file cannot be written.
 Summary run_experiment(const Experiment& experiment, const std::string& out_path, unsigned threads,
                        const std::function<void(std::size_t, std::size_t)>& progress = {},
                        const std::function<bool()>& stop = {});
--- a/src/experiments/experiment_runner.cpp
+++ b/src/experiments/experiment_runner.cpp
@@ -1,4 +1,5 @@
-// run_experiment(): the cells of an experiment over a pool of threads, and its three files.
+// Implements run_experiment(): runs cells in a thread pool and writes the result, partial and
+// timing files.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -15,7 +16,7 @@
 namespace beechhill::experiments {
 namespace {
 
-// Bytes of violations after which no more are collected.
+// Size of the collected violation text in bytes at which no more is appended.
 constexpr std::size_t kMaxViolationText = std::size_t{64} * 1024;
 
 std::string timing_line(const Cell& cell, const RunOutput& out) {
@@ -27,7 +28,7 @@
       out.wall_s, events / out.wall_s, kMicrosecondsPerSecond * out.wall_s / decisions);
 }
 
-// One call of run_experiment(). Workers share what is after the mutex.
+// Executes one call of run_experiment().
 class ExperimentRunner {
  public:
   ExperimentRunner(const Experiment& experiment, std::string out_path,
@@ -38,7 +39,7 @@
         partial_path_(out_path_ + ".partial"),
         progress_(progress),
         stop_(stop),
-        cells_(cells_of(experiment)) {}
+        cells_(expand_grid(experiment)) {}
 
   Summary run(unsigned threads) {
     read_finished_cells();
@@ -46,7 +47,7 @@
     run_pool(threads);
     partial_.reset();
     if (summary_.kept + summary_.run < cells_.size()) {
-      // Stopped early: the partial file holds what there is.
+      // The run was stopped early; finished cells remain in the partial file.
       return summary_;
     }
     write_result();
@@ -58,23 +59,24 @@
     for (const std::string& path : {out_path_, partial_path_}) {
       bool torn = false;
       for (const Json::Value& row : read_lines(path, torn)) {
-        finished_[one_line(row["cell"])] = one_line(row);
+        finished_lines_[to_json_line(row["cell"])] = to_json_line(row);
       }
       summary_.torn = summary_.torn || torn;
     }
     for (const Cell& cell : cells_) {
-      if (!finished_.contains(cell.key)) {
-        todo_.push_back(&cell);
+      if (!finished_lines_.contains(cell.key)) {
+        pending_cells_.push_back(&cell);
       }
     }
-    summary_.kept = cells_.size() - todo_.size();
+    summary_.kept = cells_.size() - pending_cells_.size();
   }
 
-  // The partial file begins with what was complete: a torn line is not appended to.
+  // Rewrites the partial file with the complete lines only, so that new lines are not appended to
+  // an incomplete one.
   void open_files() {
     partial_ = std::make_unique<LineWriter>(partial_path_, "wb");
     for (const Cell& cell : cells_) {
-      if (const auto it = finished_.find(cell.key); it != finished_.end()) {
+      if (const auto it = finished_lines_.find(cell.key); it != finished_lines_.end()) {
         partial_->write(it->second);
       }
     }
@@ -84,7 +86,7 @@
   void run_pool(unsigned threads) {
     std::vector<std::thread> pool;
     for (unsigned i = 0; i < std::max(1u, threads); ++i) {
-      pool.emplace_back([this] { work(); });
+      pool.emplace_back([this] { run_pending_cells(); });
     }
     for (std::thread& thread : pool) {
       thread.join();
@@ -94,18 +96,18 @@
     }
   }
 
-  void work() {
+  void run_pending_cells() {
     while (!stop_ || !stop_()) {
-      const std::size_t i = next_++;
-      if (i >= todo_.size()) {
+      const std::size_t i = next_pending_++;
+      if (i >= pending_cells_.size()) {
         return;
       }
       try {
-        run_cell(*todo_[i]);
+        run_cell(*pending_cells_[i]);
       } catch (...) {
         const std::lock_guard lock(mutex_);
         error_ = std::current_exception();
-        next_ = todo_.size();
+        next_pending_ = pending_cells_.size();
       }
     }
   }
@@ -115,19 +117,19 @@
     Json::Value row;
     row["cell"] = cell.labels;
     row["result"] = out.result;
-    const std::string line = one_line(row);
+    const std::string line = to_json_line(row);
     const std::lock_guard lock(mutex_);
     partial_->write(line);
     timing_->write(timing_line(cell, out));
-    finished_[cell.key] = line;
+    finished_lines_[cell.key] = line;
     ++summary_.run;
-    count_violations(cell, out);
+    record_violations(cell, out);
     if (progress_) {
       progress_(summary_.kept + summary_.run, cells_.size());
     }
   }
 
-  void count_violations(const Cell& cell, const RunOutput& out) {
+  void record_violations(const Cell& cell, const RunOutput& out) {
     if (cell.policy != "module") {
       summary_.plain_violations += out.violations;
       return;
@@ -138,13 +140,14 @@
     }
   }
 
-  // In the grid's order; the file is replaced at once, or not at all.
+  // Writes all results in the grid's order. A new file is renamed over the old one, so that the
+  // result file is never incomplete.
   void write_result() {
     const std::string new_path = out_path_ + ".new";
     {
       LineWriter writer(new_path, "wb");
       for (const Cell& cell : cells_) {
-        writer.write(finished_.at(cell.key));
+        writer.write(finished_lines_.at(cell.key));
       }
       writer.sync();
     }
@@ -158,12 +161,13 @@
   const std::function<void(std::size_t, std::size_t)>& progress_;
   const std::function<bool()>& stop_;
   const std::vector<Cell> cells_;
-  std::vector<const Cell*> todo_;
-  std::atomic<std::size_t> next_{0};
+  std::vector<const Cell*> pending_cells_;
+  std::atomic<std::size_t> next_pending_{0};
 
+  // Protects all members below it.
   std::mutex mutex_;
-  // By the cell's key: its line.
-  std::map<std::string, std::string> finished_;
+  // Result lines by the key of their cell.
+  std::map<std::string, std::string> finished_lines_;
   std::unique_ptr<LineWriter> partial_;
   std::unique_ptr<LineWriter> timing_;
   Summary summary_;
--- a/src/experiments/gnuplot.cpp
+++ b/src/experiments/gnuplot.cpp
@@ -14,10 +14,11 @@
 namespace beechhill::experiments {
 namespace {
 
-// Lines with more points than this are drawn without a mark at each.
+// Lines with at most this many points are drawn with a mark at each point.
 constexpr std::size_t kMaxMarkedPoints = 40;
 
-// gnuplot's text in double quotes: what could end it or be a command is left out.
+// Returns `text` as a double-quoted string of gnuplot. Replaces quotes, backslashes, backticks and
+// line feeds by spaces, as they could end the string or execute a shell command.
 std::string quoted(const std::string& text) {
   std::string out = "\"";
   for (const char c : text) {
@@ -80,25 +81,25 @@
   char* argv[] = {program.data(), argument.data(), nullptr};
   pid_t pid = 0;
   if (::posix_spawnp(&pid, program.c_str(), nullptr, nullptr, argv, environ) != 0) {
-    throw std::runtime_error("gnuplot cannot be started (Debian: gnuplot-nox)");
+    throw std::runtime_error("cannot start gnuplot (Debian package: gnuplot-nox)");
   }
   int status = 0;
   if (::waitpid(pid, &status, 0) != pid || !WIFEXITED(status) || WEXITSTATUS(status) != 0) {
-    throw std::runtime_error("gnuplot failed (Debian: gnuplot-nox)");
+    throw std::runtime_error("gnuplot did not exit with status 0 (Debian package: gnuplot-nox)");
   }
 }
 
-// Without the XML declaration, so that it can stand in a page.
+// Returns the SVG file's content without the XML declaration, which must not occur inside HTML.
 std::string read_svg_element(const std::string& path) {
   std::ifstream in(path);
   std::stringstream content;
   content << in.rdbuf();
   const std::string text = content.str();
-  const std::size_t at = text.find("<svg");
-  if (at == std::string::npos) {
-    throw std::runtime_error("gnuplot drew nothing");
+  const std::size_t begin = text.find("<svg");
+  if (begin == std::string::npos) {
+    throw std::runtime_error("the file that gnuplot wrote contains no <svg> element");
   }
-  return text.substr(at);
+  return text.substr(begin);
 }
 
 }  // namespace
--- a/src/experiments/gnuplot.h
+++ b/src/experiments/gnuplot.h
@@ -1,4 +1,4 @@
-/// Line plots as SVG. gnuplot is called as a program.
+/// Draws line plots as SVG by running the program gnuplot.
 #pragma once
 
 #include <string>
@@ -23,8 +23,9 @@
   bool log_y = false;
 };
 
-/// The SVG element of a plot. `number` sets its ids apart from those of other plots in one page.
-/// Throws std::runtime_error where gnuplot is missing or fails.
+/// Returns the plot as an SVG element. `number` must be unique among the plots of a page, as the
+/// ids inside the element contain it. Temporary files are written to `directory`. Throws
+/// std::runtime_error if gnuplot is missing or fails.
 std::string draw_svg(const LinePlot& plot, const TempDirectory& directory, int number);
 
 }  // namespace beechhill::experiments
--- a/src/experiments/plot.cpp
+++ b/src/experiments/plot.cpp
@@ -17,9 +17,10 @@
 namespace beechhill::experiments {
 namespace {
 
-// Plots of one kind; the middle of a large grid shows little that its ends do not.
-constexpr std::size_t kMaxPlotsOfAKind = 6;
-// From this ratio of the largest to the smallest value on, the x axis is logarithmic.
+// Maximum number of plots of one kind. Larger grids are sampled, as the points in between add
+// little.
+constexpr std::size_t kMaxPlotsPerKind = 6;
+// Smallest ratio of the largest to the smallest x value for which the x axis is logarithmic.
 constexpr double kLogAxisRatio = 30;
 
 struct Mean {
@@ -44,19 +45,20 @@
                                           {"tries_per_request", "tries"},
                                           {"attempts_per_request", "attempts"}}};
 
-// The means over the seeds of one setting and policy.
+// Results of one point of the grid and one policy over all seeds.
 struct TableRow {
   std::map<std::string, Mean> columns;
   Mean rejected_share;
   double violations = 0;
-  // Of runs with a fault: how long those took that recovered.
+  // Mean recovery time of the runs that recovered from a fault, in seconds.
   Mean recovery_s;
   int runs_with_fault = 0;
 };
 
-// By the setting's label, in order of appearance, and by policy.
 struct ResultTable {
+  // Labels of the grid's points, in order of appearance.
   std::vector<std::string> labels;
+  // Rows by label and policy.
   std::map<std::string, std::map<std::string, TableRow>> rows;
 };
 
@@ -83,7 +85,7 @@
   return out;
 }
 
-std::string label_of(const Json::Value& params) {
+std::string parameter_label(const Json::Value& params) {
   std::string out;
   for (const std::string& key : params.getMemberNames()) {
     const Json::Value& value = params[key];
@@ -102,8 +104,9 @@
   return row["cell"]["policy"].asString();
 }
 
-// The parameter that is drawn along x: the first one with two or more numbers.
-std::string axis_of(const std::vector<Json::Value>& rows) {
+// Returns the parameter for the x axis: the first one, by name, that has two or more distinct
+// numeric values. Returns an empty string if there is none.
+std::string find_x_parameter(const std::vector<Json::Value>& rows) {
   std::map<std::string, std::set<double>> seen;
   for (const Json::Value& row : rows) {
     const Json::Value& params = row["cell"]["params"];
@@ -121,7 +124,8 @@
   return "";
 }
 
-// A line for each policy and each setting of the other parameters, the mean over the seeds.
+// Plots the mean over the seeds against the parameter `x`, with one line for each combination of a
+// policy and the other parameters.
 LinePlot plot_against(const std::vector<Json::Value>& rows, const std::string& x,
                       const std::string& title, const std::string& y,
                       const std::function<double(const Json::Value&)>& value_of) {
@@ -130,7 +134,7 @@
     Json::Value others = row["cell"]["params"];
     others.removeMember(x);
     const std::string name =
-        others.empty() ? policy_of(row) : policy_of(row) + " (" + label_of(others) + ")";
+        others.empty() ? policy_of(row) : policy_of(row) + " (" + parameter_label(others) + ")";
     const double value = value_of(row);
     if (std::isfinite(value)) {
       lines[name][row["cell"]["params"][x].asDouble()].add(value);
@@ -141,10 +145,10 @@
   double max_x = 0;
   for (const auto& [name, points] : lines) {
     PlotLine line{name, {}};
-    for (const auto& [at, mean] : points) {
-      line.points.emplace_back(at, mean.get());
-      min_x = std::min(min_x, at);
-      max_x = std::max(max_x, at);
+    for (const auto& [x_value, mean] : points) {
+      line.points.emplace_back(x_value, mean.get());
+      min_x = std::min(min_x, x_value);
+      max_x = std::max(max_x, x_value);
     }
     plot.lines.push_back(std::move(line));
   }
@@ -152,14 +156,15 @@
   return plot;
 }
 
-// One plot for each setting of the grid, a line for each policy, the mean over the seeds.
+// Plots the mean over the seeds against time, with one plot for each point of the grid and one line
+// for each policy.
 std::vector<LinePlot> time_series(const std::vector<Json::Value>& rows, const std::string& title,
                                   const std::string& y, const char* field) {
   std::map<std::string, std::map<std::string, std::map<int, Mean>>> by_label;
   for (const Json::Value& row : rows) {
     int second = 0;
     for (const Json::Value& values : row["result"]["seconds"]) {
-      by_label[label_of(row["cell"]["params"])][policy_of(row)][second++].add(
+      by_label[parameter_label(row["cell"]["params"])][policy_of(row)][second++].add(
           values[field].asDouble());
     }
   }
@@ -168,8 +173,8 @@
     LinePlot plot{with_label(title, label), "seconds", y, {}, false, false};
     for (const auto& [policy, points] : policies) {
       PlotLine line{policy, {}};
-      for (const auto& [at, mean] : points) {
-        line.points.emplace_back(at, mean.get());
+      for (const auto& [time, mean] : points) {
+        line.points.emplace_back(time, mean.get());
       }
       plot.lines.push_back(std::move(line));
     }
@@ -178,20 +183,20 @@
   return plots;
 }
 
-// Of the first seed: distributions have no mean.
+// Plots the latency distribution of the first seed only, as distributions are not averaged.
 std::vector<LinePlot> latency_distributions(const std::vector<Json::Value>& rows) {
   std::map<std::string, std::map<std::string, const Json::Value*>> by_label;
   for (const Json::Value& row : rows) {
     const Json::Value& cdf = row["result"]["latency_cdf"];
     if (!cdf.empty()) {
-      by_label[label_of(row["cell"]["params"])].try_emplace(policy_of(row), &cdf);
+      by_label[parameter_label(row["cell"]["params"])].try_emplace(policy_of(row), &cdf);
     }
   }
   std::vector<LinePlot> plots;
   for (const auto& [label, policies] : by_label) {
-    LinePlot plot{with_label("Latency of what was served", label),
+    LinePlot plot{with_label("Latency of served requests", label),
                   "seconds",
-                  "share answered by then",
+                  "cumulative share",
                   {},
                   true,
                   false};
@@ -207,15 +212,15 @@
   return plots;
 }
 
-// Evenly spread over all, with the first and the last.
-std::vector<LinePlot> thinned(std::vector<LinePlot> plots) {
-  if (plots.size() <= kMaxPlotsOfAKind) {
+// Returns at most kMaxPlotsPerKind of the plots, evenly spaced, including the first and the last.
+std::vector<LinePlot> sample_evenly(std::vector<LinePlot> plots) {
+  if (plots.size() <= kMaxPlotsPerKind) {
     return plots;
   }
   std::vector<LinePlot> chosen;
-  chosen.reserve(kMaxPlotsOfAKind);
-  for (std::size_t i = 0; i < kMaxPlotsOfAKind; ++i) {
-    chosen.push_back(plots[i * (plots.size() - 1) / (kMaxPlotsOfAKind - 1)]);
+  chosen.reserve(kMaxPlotsPerKind);
+  for (std::size_t i = 0; i < kMaxPlotsPerKind; ++i) {
+    chosen.push_back(plots[i * (plots.size() - 1) / (kMaxPlotsPerKind - 1)]);
   }
   return chosen;
 }
@@ -243,7 +248,7 @@
 ResultTable tabulate(const std::vector<Json::Value>& rows) {
   ResultTable table;
   for (const Json::Value& row : rows) {
-    const std::string label = label_of(row["cell"]["params"]);
+    const std::string label = parameter_label(row["cell"]["params"]);
     if (!table.rows.contains(label)) {
       table.labels.push_back(label);
     }
@@ -281,7 +286,7 @@
   for (const Column& column : kColumns) {
     out += fmt::format("<th>{}</th>", column.title);
   }
-  out += "<th>recovery s</th><th>refused</th><th>rules broken</th></tr>\n";
+  out += "<th>recovery s</th><th>rejected</th><th>rule violations</th></tr>\n";
   for (const std::string& label : table.labels) {
     for (const auto& [policy, row] : table.rows.at(label)) {
       out += html_row(label, policy, row);
@@ -293,23 +298,23 @@
 std::vector<LinePlot> parameter_plots(const std::vector<Json::Value>& rows,
                                       const std::vector<Json::Value>& timing,
                                       const std::string& x) {
-  const auto of_result = [](const char* key) {
+  const auto result_field = [](const char* key) {
     return [key](const Json::Value& row) { return row["result"][key].asDouble(); };
   };
   std::vector<LinePlot> plots;
-  plots.push_back(plot_against(rows, x, "Worth served in time", "share of the worth asked for",
-                               of_result("goodput")));
   plots.push_back(
-      plot_against(rows, x, "99th percentile of what was served", "seconds", of_result("p99_s")));
+      plot_against(rows, x, "Goodput", "share of the requested worth", result_field("goodput")));
+  plots.push_back(plot_against(rows, x, "99th percentile latency of served requests", "seconds",
+                               result_field("p99_s")));
   plots.push_back(
-      plot_against(rows, x, "Work done for nothing", "share of the work done", of_result("waste")));
-  plots.push_back(plot_against(rows, x, "Busiest node against the mean", "times the mean",
+      plot_against(rows, x, "Wasted work", "share of the work done", result_field("waste")));
+  plots.push_back(plot_against(rows, x, "Busy time of the busiest node", "multiple of the mean",
                                [](const Json::Value& row) {
                                  return row["result"]["tiers"][0]["busy_max_over_mean"].asDouble();
                                }));
   if (!timing.empty()) {
     LinePlot cost =
-        plot_against(timing, x, "Cost of one decision, the whole emulation with it", "microseconds",
+        plot_against(timing, x, "Wall time per decision, including the emulation", "microseconds",
                      [](const Json::Value& row) { return row["us_per_decision"].asDouble(); });
     cost.log_y = true;
     plots.push_back(std::move(cost));
@@ -320,19 +325,18 @@
 std::vector<LinePlot> all_plots(const std::vector<Json::Value>& rows,
                                 const std::vector<Json::Value>& timing) {
   std::vector<LinePlot> plots;
-  const std::string x = axis_of(rows);
+  const std::string x = find_x_parameter(rows);
   if (!x.empty()) {
     plots = parameter_plots(rows, timing, x);
   }
   const auto append = [&plots](std::vector<LinePlot> more) {
-    for (LinePlot& plot : thinned(std::move(more))) {
+    for (LinePlot& plot : sample_evenly(std::move(more))) {
       plots.push_back(std::move(plot));
     }
   };
-  append(time_series(rows, "Worth served in time, by the second it was asked for", "share",
-                     "goodput"));
-  append(time_series(rows, "Attempts sent", "a second", "attempts"));
-  append(time_series(rows, "Jobs that wait for a core", "jobs", "waiting"));
+  append(time_series(rows, "Goodput by arrival second", "share of the requested worth", "goodput"));
+  append(time_series(rows, "Attempts sent", "attempts/s", "attempts"));
+  append(time_series(rows, "Jobs waiting for a core", "jobs", "waiting"));
   append(latency_distributions(rows));
   return plots;
 }
@@ -357,7 +361,7 @@
 std::string html_report(const std::string& title, const std::vector<Json::Value>& rows,
                         const std::vector<Json::Value>& timing) {
   if (rows.empty()) {
-    throw std::runtime_error("no finished cell in the result");
+    throw std::runtime_error("the result contains no finished cell");
   }
   std::string out = html_head(title);
   const TempDirectory directory;
--- a/src/experiments/plot.h
+++ b/src/experiments/plot.h
@@ -1,4 +1,4 @@
-/// Results as one HTML page with SVG plots and a table.
+/// Renders results of runs as an HTML page with SVG plots and a table.
 #pragma once
 
 #include <json/json.h>
@@ -8,9 +8,9 @@
 
 namespace beechhill::experiments {
 
-/// `rows` as read_lines returns them, `timing` the rows of the timing file or none. The page needs
-/// nothing but itself. Throws std::runtime_error where there are no rows, or gnuplot is missing or
-/// fails.
+/// Returns a self-contained HTML page. `rows` are results as read_lines() returns them; `timing`
+/// are the rows of the experiment's timing file, or empty. Throws std::runtime_error if `rows` is
+/// empty or gnuplot is missing or fails.
 std::string html_report(const std::string& title, const std::vector<Json::Value>& rows,
                         const std::vector<Json::Value>& timing);
 
--- a/src/experiments/result_file.cpp
+++ b/src/experiments/result_file.cpp
@@ -7,7 +7,7 @@
 
 namespace beechhill::experiments {
 
-std::string one_line(const Json::Value& value) {
+std::string to_json_line(const Json::Value& value) {
   constexpr int kDigits = 9;
   Json::StreamWriterBuilder builder;
   builder["indentation"] = "";
@@ -29,7 +29,7 @@
 void write_lines(const std::string& path, const std::vector<Json::Value>& rows) {
   std::ofstream out(path);
   for (const Json::Value& row : rows) {
-    out << one_line(row) << "\n";
+    out << to_json_line(row) << "\n";
   }
   if (!out.flush()) {
     throw std::runtime_error(path + ": cannot be written");
@@ -52,8 +52,7 @@
     if (complete) {
       rows.push_back(std::move(row));
     } else {
-      // What follows it is still read.
-      torn = true;
+      torn = true;  // skips the line and reads those after it
     }
   }
   return rows;
@@ -62,24 +61,24 @@
 LineWriter::LineWriter(std::string path, const char* mode)
     : path_(std::move(path)), file_(std::fopen(path_.c_str(), mode)) {
   if (!file_) {
-    fail();
+    throw_write_error();
   }
 }
 
 void LineWriter::write(const std::string& line) {
   if (std::fwrite(line.data(), 1, line.size(), file_.get()) != line.size() ||
       std::fputc('\n', file_.get()) == EOF || std::fflush(file_.get()) != 0) {
-    fail();
+    throw_write_error();
   }
 }
 
 void LineWriter::sync() {
   if (::fsync(::fileno(file_.get())) != 0) {
-    fail();
+    throw_write_error();
   }
 }
 
-void LineWriter::fail() const {
+void LineWriter::throw_write_error() const {
   throw std::runtime_error(path_ + ": cannot be written");
 }
 
--- a/src/experiments/result_file.h
+++ b/src/experiments/result_file.h
@@ -1,4 +1,4 @@
-/// Result files: one line of JSON for each run.
+/// Reads and writes result files, which contain one line of JSON per run.
 #pragma once
 
 #include <json/json.h>
@@ -12,35 +12,36 @@
 
 namespace beechhill::experiments {
 
-/// One line of JSON. The same text for the same value; nine digits, which tell results apart.
-std::string one_line(const Json::Value& value);
+/// Formats a value as one line of JSON. Equal values give equal text. Numbers have nine significant
+/// digits, which are enough to distinguish results.
+std::string to_json_line(const Json::Value& value);
 
-/// One run's line in a result file, with no grid.
+/// Returns the row of a result file for a single run, which has no grid parameters.
 Json::Value row_of(const emulator::Scenario& scenario, const std::string& policy,
                    const Json::Value& result);
 
-/// Replaces the file. Throws std::runtime_error where it cannot be written.
+/// Replaces the file with `rows`, one per line. Throws std::runtime_error if it cannot be written.
 void write_lines(const std::string& path, const std::vector<Json::Value>& rows);
 
-/// The complete lines of a result file; an absent file has none. `torn` tells that a line was not
-/// complete, as after an interruption.
+/// Returns the complete lines of a result file, or none if the file does not exist. Sets `torn` to
+/// whether the file contains an incomplete line, as an interrupted run leaves it.
 std::vector<Json::Value> read_lines(const std::string& path, bool& torn);
 
-/// A file that lines are written to, each flushed.
+/// Writes lines to a file and flushes each of them to the operating system.
 class LineWriter {
  public:
-  /// `mode` as std::fopen has it. Throws std::runtime_error where the file cannot be opened.
+  /// Opens the file with `mode` as for std::fopen. Throws std::runtime_error on failure.
   LineWriter(std::string path, const char* mode);
-  /// Throws std::runtime_error where it fails.
+  /// Appends `line` and a line feed. Throws std::runtime_error on failure.
   void write(const std::string& line);
-  /// Waits until the disk has it all. Throws std::runtime_error where it fails.
+  /// Calls fsync() on the file. Throws std::runtime_error on failure.
   void sync();
 
  private:
   struct FileCloser {
     void operator()(std::FILE* file) const { std::fclose(file); }
   };
-  [[noreturn]] void fail() const;
+  [[noreturn]] void throw_write_error() const;
 
   std::string path_;
   std::unique_ptr<std::FILE, FileCloser> file_;
--- a/src/experiments/temp_folder.h
+++ b/src/experiments/temp_folder.h
@@ -1,4 +1,4 @@
-/// A private directory for temporary files.
+/// Provides temporary directories that are removed automatically.
 #pragma once
 
 #include <cstdlib>
@@ -9,15 +9,16 @@
 
 namespace beechhill::experiments {
 
-/// A directory under the system's temporary one. Removed, with all that is in it, when this is
-/// destroyed.
+/// Owns a new directory below the system's directory for temporary files. The destructor removes
+/// the directory with its content.
 class TempDirectory {
  public:
-  /// Throws std::runtime_error where it cannot be made.
+  /// Throws std::runtime_error if the directory cannot be created.
   TempDirectory() {
     std::string path = (std::filesystem::temp_directory_path() / "beechhill-XXXXXX").string();
     if (!::mkdtemp(path.data())) {
-      throw std::runtime_error("no temporary folder can be made");
+      throw std::runtime_error("cannot create a temporary directory in " +
+                               std::filesystem::temp_directory_path().string());
     }
     path_ = path;
   }
@@ -28,7 +29,7 @@
   TempDirectory(const TempDirectory&) = delete;
   TempDirectory& operator=(const TempDirectory&) = delete;
 
-  /// The path of a file in it.
+  /// Returns the path of the file `name` in the directory.
   std::string file(const std::string& name) const { return (path_ / name).string(); }
 
  private:
