--- a/tests/support/deployment_json.h
+++ b/tests/support/deployment_json.h
@@ -1,11 +1,12 @@
-// Configurations and endpoint lists of the deployment that tests with real processes use.
+// JSON text of the configuration and the endpoint lists that tests give to real proxy processes.
 #pragma once
 
 #include <string>
 
 namespace beechhill::test {
 
-// One try for each request: a second would be the network side's own.
+// Returns the proxy's configuration. It allows one attempt per request, so that a second attempt
+// can only be a fault of the proxy's network code.
 inline std::string config_json(const std::string& listen, const std::string& discovery,
                                const std::string& hosts) {
   return R"({"name":"t","listen":")" + listen + R"(","discovery":")" + discovery +
@@ -18,9 +19,10 @@
          R"({"name":"ajuste","repeat":"by_key","group":"cell","memory-span":3000000,"aim":750000,"deadline":2000000}]}})";
 }
 
-inline std::string host_json(const std::string& host, const std::string& dial,
+// Returns the JSON object of one endpoint. `born_ms` is its start time in milliseconds.
+inline std::string host_json(const std::string& host, const std::string& address,
                              const char* health = "in_service", long long born_ms = 0) {
-  return R"({"host":")" + host + R"(","dial":")" + dial +
+  return R"({"host":")" + host + R"(","dial":")" + address +
          R"(","site":"z","class":"k","block":1,"health":")" + health +
          R"(","share":1.0,"born_ms":)" + std::to_string(born_ms) + "}";
 }
--- a/tests/support/proxy_fixture.h
+++ b/tests/support/proxy_fixture.h
@@ -1,5 +1,5 @@
-// The proxy started as a program, with its discovery played by the test, over loopback on ports
-// that the system picks. Every wait is bounded.
+// Runs the proxy as a separate process, with the test as its discovery service. All connections use
+// loopback and ports that the system assigns. Every wait has a time limit.
 #pragma once
 
 #include <signal.h>
@@ -24,23 +24,28 @@
 
 namespace beechhill::test {
 
-// What the processes of one proxy share over an upgrade, held by the platform: here, the test.
+// The listening socket and the state directory that the processes of a proxy share during a hot
+// restart. In production the platform owns them; in tests this object does.
 struct SharedListener {
   FakeListener socket;
   const TemporaryDirectory kept;
   const std::string folder = kept.path;
 };
 
-// The program under test, with a discovery that has taken its watch.
+// A proxy process. The test has accepted its first watch and sends endpoint lists on it.
 class ProxyUnderTest {
  public:
+  // Starts the process and accepts its first watch. If `hosts` is not empty, sends it as the
+  // complete endpoint list and waits until the proxy is ready. `known` is the endpoint list in the
+  // configuration file. With `shared`, the process takes the listening socket and the state
+  // directory from there.
   explicit ProxyUnderTest(const std::string& hosts, const std::string& known = "[]",
                           const SharedListener* shared = nullptr)
       : shared_(shared), watch_((start(known), discovery_.accept())) {
     first_call_ = watch_.request().target;
     watch_.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     if (hosts.empty()) {
-      return;  // it hears nothing yet
+      return;  // the test sends the first list itself
     }
     list(hosts);
     wait_ready();
@@ -50,64 +55,81 @@
       ::kill(pid_, SIGKILL);
       ::waitpid(pid_, nullptr, 0);
     }
-    std::remove(path_.c_str());
+    std::remove(configuration_path_.c_str());
   }
+  // Sends `text` on the watch as one chunk of HTTP chunked encoding.
   void chunk(const std::string& text) const {
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", text.size());
     watch_.send(size + text + "\r\n");
   }
-  void list(const std::string& hosts, bool whole = true) {
-    chunk(R"({"seq":)" + std::to_string(++version_) + R"(,"whole":)" + (whole ? "true" : "false") +
-          R"(,"hosts":)" + hosts + "}\n");
+  // Sends an endpoint list with the next version: a snapshot, or a delta if `snapshot` is false.
+  void list(const std::string& hosts, bool snapshot = true) {
+    chunk(R"({"seq":)" + std::to_string(++version_) + R"(,"whole":)" +
+          (snapshot ? "true" : "false") + R"(,"hosts":)" + hosts + "}\n");
   }
-  void say(const std::string& bytes) const { watch_.send(bytes); }  // on the watch, as they are
-  // Takes the next call to discovery and says nothing on it; those before stay open.
+  // Sends `bytes` on the watch without chunk framing.
+  void say(const std::string& bytes) const { watch_.send(bytes); }
+  // Accepts the proxy's next connection to discovery and keeps it open without responding.
   void leave_mute() { mute_.push_back(discovery_.accept()); }
-  const std::string& first_call() const { return first_call_; }  // of discovery, after its start
-  bool calls() const { return discovery_.pending(0ms); }         // discovery anew
+  // Returns the request target of the first watch after the start.
+  const std::string& first_call() const { return first_call_; }
+  // Returns whether the proxy has opened a connection to discovery that is not yet accepted.
+  bool calls() const { return discovery_.pending(0ms); }
+  // Accepts the proxy's next watch and starts the response. Later lists are sent on this watch.
+  // Returns the target of its request.
   std::string watch_again() { return watch_again(discovery_); }
-  // The proxy has come back to discovery, there; returns what it asks for.
+  // Does the same for a watch that arrives at `discovery`.
   std::string watch_again(const FakeListener& discovery) {
     watch_ = discovery.accept();
     const std::string target = watch_.request().target;
     watch_.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     return target;
   }
+  // Rewrites the configuration with a new address of discovery and an empty endpoint list, and
+  // sends SIGHUP, on which the proxy reloads it.
   void reconfigure(const std::string& discovery) const {
-    std::ofstream(path_) << config_json("127.0.0.1:0", discovery, "[]");
+    std::ofstream(configuration_path_) << config_json("127.0.0.1:0", discovery, "[]");
     signal(SIGHUP);
   }
   TestConnection client() const { return TestConnection::to(address_); }
-  TestConnection caller() const { return TestConnection::to(admin_); }
-  http::Message call(const std::string& method, const std::string& target) const {  // an operator's
-    TestConnection wire = caller();
-    wire.send(method + " " + target + " HTTP/1.1\r\nHost: op\r\n\r\n");
-    return wire.answer();
+  TestConnection caller() const { return TestConnection::to(admin_address_); }
+  // Sends a request to the admin interface and returns its response.
+  http::Message call(const std::string& method, const std::string& target) const {
+    TestConnection connection = caller();
+    connection.send(method + " " + target + " HTTP/1.1\r\nHost: op\r\n\r\n");
+    return connection.answer();
   }
+  // Returns a GET request of class "ver" that expires in `ms` milliseconds. `extra` contains
+  // complete header lines or is empty.
   static std::string get(const std::string& id, int ms = 3000, const std::string& extra = "") {
     return "GET /ver/x?user=1 HTTP/1.1\r\nX-Trace-Id: " + id +
            "\r\nX-Customer: telnorte\r\nX-Expires-In-Ms: " + std::to_string(ms) + "\r\n" + extra +
            "\r\n";
   }
+  // Returns a POST request of class "ajuste" that expires in `ms` milliseconds. The trace ID `id`
+  // also gives the idempotency key.
   static std::string post(const std::string& id, const std::string& body, int ms = 2000) {
     return "POST /ajuste HTTP/1.1\r\nX-Trace-Id: " + id + "\r\nIdempotency-Key: k" + id +
            "\r\nX-Expires-In-Ms: " + std::to_string(ms) +
            "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   }
+  // Returns the status of the readiness check on the clients' port.
   int ready() const {
-    TestConnection wire = client();
-    wire.send("GET /health/ready HTTP/1.1\r\nConnection: close\r\n\r\n");
-    return wire.answer().status;
+    TestConnection connection = client();
+    connection.send("GET /health/ready HTTP/1.1\r\nConnection: close\r\n\r\n");
+    return connection.answer().status;
   }
   pid_t pid() const { return pid_; }
-  int log_fd() const { return log_.get(); }  // its log from the line "serving" on
+  // Returns a descriptor from which the log after its line "serving" can be read.
+  int log_fd() const { return log_.get(); }
   void signal(int number) const { ::kill(pid_, number); }
+  // Waits for the process to exit. Returns its exit status, or -1 if a signal has terminated it.
   int exit_status() {
     int status = 0;
-    const auto end = Clock::now() + kTestTimeout;
+    const auto deadline = Clock::now() + kTestTimeout;
     while (::waitpid(pid_, &status, WNOHANG) == 0) {
-      require(Clock::now() < end);
+      require(Clock::now() < deadline);
       ::usleep(5000);
     }
     pid_ = 0;
@@ -115,17 +137,18 @@
   }
 
  private:
+  // Starts the process and reads its log up to the line "serving", which contains its addresses.
   void start(const std::string& known) {
     char path[] = "/tmp/proxy_test_XXXXXX";
     ::close(::mkstemp(path));
-    path_ = path;
-    std::ofstream(path_) << config_json("127.0.0.1:0", discovery_.address(), known);
-    int out[2];
-    require(::pipe(out) == 0);
+    configuration_path_ = path;
+    std::ofstream(configuration_path_) << config_json("127.0.0.1:0", discovery_.address(), known);
+    int log_pipe[2];
+    require(::pipe(log_pipe) == 0);
     pid_ = ::fork();
     if (pid_ == 0) {
-      ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // a failed test must not leave it running
-      ::dup2(out[1], 1);
+      ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // no process outlives a failed test
+      ::dup2(log_pipe[1], 1);
       ::setenv("GW_CONFIG", path, 1);
       for (const char* name : {"GW_NAME", "GW_LISTEN"}) {
         ::unsetenv(name);
@@ -140,26 +163,28 @@
       ::execl(PROXY_PROGRAM, PROXY_PROGRAM, nullptr);
       ::_exit(127);
     }
-    ::close(out[1]);
-    log_ = net::FileDescriptor(out[0]);
+    ::close(log_pipe[1]);
+    log_ = net::FileDescriptor(log_pipe[0]);
     std::string line;
     while (!line.starts_with("serving ")) {
       line.clear();
       for (char c = 0; c != '\n'; line += c) {
-        require(::read(out[0], &c, 1) == 1);
+        require(::read(log_pipe[0], &c, 1) == 1);
       }
     }
     const auto address = [&line](const std::string& field) {
-      const auto from = line.find(field) + field.size();
-      return *net::parse_address(line.substr(from, line.find_first_of(" \n", from) - from));
+      const auto begin = line.find(field) + field.size();
+      return *net::parse_address(line.substr(begin, line.find_first_of(" \n", begin) - begin));
     };
     address_ = address("address=");
-    admin_ = address("admin=");
+    admin_address_ = address("admin=");
   }
+  // Waits until the proxy is ready. With a shared listening socket, only the admin interface is
+  // sure to reach this process.
   void wait_ready() const {
-    const auto end = Clock::now() + kTestTimeout;
+    const auto deadline = Clock::now() + kTestTimeout;
     while ((shared_ ? call("GET", "/api/ready").status : ready()) != 200) {
-      require(Clock::now() < end);
+      require(Clock::now() < deadline);
       ::usleep(5000);
     }
   }
@@ -167,9 +192,10 @@
   const SharedListener* shared_;
   FakeListener discovery_;
   net::FileDescriptor log_;
-  std::string path_;
+  std::string configuration_path_;
   pid_t pid_ = 0;
-  sockaddr_in address_{}, admin_{};
+  sockaddr_in address_{};
+  sockaddr_in admin_address_{};
   TestConnection watch_;
   std::vector<TestConnection> mute_;
   std::string first_call_;
--- a/tests/support/proxy_test_util.h
+++ b/tests/support/proxy_test_util.h
@@ -1,4 +1,4 @@
-// SharedListener by the tests of the proxy package, beside proxy_fixture.h.
+// Helpers for tests of the proxy package that proxy_fixture.h does not provide.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -28,18 +28,19 @@
   std::string_view trace_id() const override { return "a1"; }
 };
 
-/// Gives the scheduler's other tasks `rounds` turns; the default is more than the longest chain of
-/// notifications between the actors needs.
+/// Yields to the scheduler's other tasks `rounds` times. The default exceeds the length of the
+/// longest chain of messages between actors.
 inline runtime::Task<> let_others_run(runtime::Scheduler& scheduler, int rounds = 8) {
   while (rounds-- > 0) {
-    runtime::Wait turn(scheduler);
-    turn.until(Clock::now());
-    co_await turn;
+    runtime::Wait wait(scheduler);
+    wait.until(Clock::now());
+    co_await wait;
   }
 }
 
-/// Sends `request` as `client`, responds to it as `backend` on a new connection with 200 and
-/// `body`, and expects the client to get that. Returns the backend's connection.
+/// Sends `request` on `client`, accepts the proxy's connection to `backend`, responds there with
+/// status 200 and `body`, and expects the client to receive this response. Returns the backend's
+/// side of the connection.
 inline TestConnection exchange(TestConnection& client, const FakeListener& backend,
                                const std::string& request, const std::string& body) {
   client.send(request);
@@ -52,7 +53,7 @@
   return server;
 }
 
-/// A proxy that knows one backend, and a client that has connected to it.
+/// Fixture with a proxy that has one backend, and a client connection to the proxy.
 class OneBackendTest : public testing::Test {
  protected:
   const FakeListener backend;
@@ -60,19 +61,20 @@
   TestConnection client = proxy.client();
 };
 
-/// Reads a proxy's log as it is written.
+/// Reads the log of a running proxy.
 class LogReader {
  public:
   explicit LogReader(const ProxyUnderTest& proxy) : fd_(proxy.log_fd()) {}
 
-  /// The sum over the gaps logged so far in which the process did not run ("away ms=N").
+  /// Returns the total length of the gaps in execution that the proxy has logged so far. It logs
+  /// each gap, a time in which the process did not run, as "away ms=N".
   std::chrono::milliseconds logged_gaps() {
     while (read_available(0ms)) {}
     return sum_of_gaps();
   }
 
-  /// Waits for a gap to be logged: the log's writer is a thread of its own. Zero where there is
-  /// none within `timeout`.
+  /// Waits up to `timeout` until a gap has been logged, as a separate thread writes the log.
+  /// Returns the total length of the gaps, or zero if there is none.
   std::chrono::milliseconds wait_for_gap(std::chrono::milliseconds timeout) {
     const auto deadline = Clock::now() + timeout;
     while (sum_of_gaps() == 0ms && Clock::now() < deadline) {
@@ -83,16 +85,16 @@
 
  private:
   bool read_available(std::chrono::milliseconds timeout) {
-    pollfd p{fd_, POLLIN, 0};
-    if (::poll(&p, 1, static_cast<int>(timeout.count())) <= 0) {
+    pollfd polled{fd_, POLLIN, 0};
+    if (::poll(&polled, 1, static_cast<int>(timeout.count())) <= 0) {
       return false;
     }
     char chunk[4096];
-    const ssize_t n = ::read(fd_, chunk, sizeof chunk);
-    if (n > 0) {
-      text_.append(chunk, static_cast<std::size_t>(n));
+    const ssize_t received = ::read(fd_, chunk, sizeof chunk);
+    if (received > 0) {
+      text_.append(chunk, static_cast<std::size_t>(received));
     }
-    return n > 0;
+    return received > 0;
   }
 
   std::chrono::milliseconds sum_of_gaps() const {
--- a/tests/support/require.h
+++ b/tests/support/require.h
@@ -1,5 +1,5 @@
-// Preconditions and bounded waits of test helpers, which may return values and so cannot use
-// GoogleTest's ASSERT macros.
+// Checks and waits with a time limit for test helpers. They replace GoogleTest's ASSERT macros,
+// which cannot be used in functions that return a value.
 #pragma once
 
 #include <chrono>
@@ -13,12 +13,12 @@
 using namespace std::chrono_literals;
 using Clock = std::chrono::steady_clock;
 
-/// The longest that a helper waits for anything; far beyond what any of it takes.
+/// Time limit of every wait in test helpers; none takes nearly as long unless the test fails.
 inline constexpr std::chrono::milliseconds kTestTimeout = 20s;
 
-/// Throws std::runtime_error naming the place where `condition` does not hold. GoogleTest reports
-/// it as a failure of the test, after the test's locals (processes, sockets, directories) are
-/// destroyed.
+/// Throws std::runtime_error with the caller's file, line and function if `condition` is false.
+/// GoogleTest reports the exception as a failure of the test, after the destructors of the test's
+/// processes, sockets and directories have run.
 inline void require(bool condition, std::source_location where = std::source_location::current()) {
   if (!condition) {
     throw std::runtime_error(std::string(where.file_name()) + ":" + std::to_string(where.line()) +
@@ -26,7 +26,8 @@
   }
 }
 
-/// Polls until `holds()`; false where it does not within kTestTimeout.
+/// Calls `holds()` every 5 ms until it returns true. Returns false if it does not within
+/// kTestTimeout.
 template <typename Condition>
 bool eventually(const Condition& holds) {
   const auto deadline = Clock::now() + kTestTimeout;
--- a/tests/support/temporary_directory.h
+++ b/tests/support/temporary_directory.h
@@ -1,4 +1,4 @@
-// A directory of one test, removed with it.
+// Temporary directories and file access for tests.
 #pragma once
 
 #include <stdlib.h>
@@ -12,7 +12,8 @@
 
 namespace beechhill::test {
 
-struct TemporaryDirectory {  // of the test's own, gone with it
+// Creates a directory and removes it, with its content, on destruction.
+struct TemporaryDirectory {
   TemporaryDirectory() {
     char name[] = "/tmp/proxy_folder_XXXXXX";
     require(::mkdtemp(name));
@@ -25,6 +26,7 @@
   std::string path;
 };
 
+// Returns the file's content, or an empty string if the file cannot be read.
 inline std::string read_file(const std::string& file) {
   std::ifstream in(file, std::ios::binary);
   return {std::istreambuf_iterator<char>(in), {}};
--- a/tests/support/test_connection.h
+++ b/tests/support/test_connection.h
@@ -1,4 +1,4 @@
-// A TCP connection of a test, with blocking, bounded reads.
+// The test's side of an HTTP connection over TCP.
 #pragma once
 
 #include <poll.h>
@@ -15,13 +15,13 @@
 
 namespace beechhill::test {
 
-// A connected socket with blocking, bounded reads.
+// A connected socket. Reads block for up to kTestTimeout and then throw.
 class TestConnection {
  public:
   explicit TestConnection(net::FileDescriptor fd) : fd_(std::move(fd)) {}
   static TestConnection to(const sockaddr_in& address) {
-    net::FileDescriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC,
-                                    0));  // a program started later must not hold it too
+    // Close-on-exec prevents proxies that the test starts later from holding the connection open.
+    net::FileDescriptor fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     require(::connect(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0);
     return TestConnection(std::move(fd));
   }
@@ -29,20 +29,23 @@
     require(::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL) ==
             static_cast<ssize_t>(bytes.size()));
   }
-  bool readable(std::chrono::milliseconds within) const {
-    pollfd p{fd_.get(), POLLIN, 0};
-    return ::poll(&p, 1, static_cast<int>(within.count())) > 0;
+  // Returns whether data or the end of the stream arrives within `timeout`.
+  bool readable(std::chrono::milliseconds timeout) const {
+    pollfd polled{fd_.get(), POLLIN, 0};
+    return ::poll(&polled, 1, static_cast<int>(timeout.count())) > 0;
   }
-  // False when the other side has ended.
+  // Waits for data and appends it to `buffer`. Returns false if the remote side has closed or reset
+  // the connection.
   bool fill() {
     require(readable(kTestTimeout));
     char chunk[4096];
-    const ssize_t n = ::recv(fd_.get(), chunk, sizeof chunk, 0);
-    if (n > 0) {
-      buffer.append(chunk, static_cast<std::size_t>(n));
+    const ssize_t received = ::recv(fd_.get(), chunk, sizeof chunk, 0);
+    if (received > 0) {
+      buffer.append(chunk, static_cast<std::size_t>(received));
     }
-    return n > 0;
+    return received > 0;
   }
+  // Receives one complete HTTP message; bytes after it stay in `buffer`.
   http::Message message(http::Parser::Kind kind) {
     http::Parser parser(kind);
     http::Progress progress = parser.feed(buffer);
@@ -54,16 +57,18 @@
   }
   http::Message request() { return message(http::Parser::Kind::kRequest); }
   http::Message answer() { return message(http::Parser::Kind::kResponse); }
+  // Sends a response. `extra` contains complete header lines or is empty.
   void reply(int status, const std::string& extra, const std::string& body) const {
     send(http::write_response(status, extra, body, false));
   }
   int fd() const { return fd_.get(); }
-  std::string buffer;
+  std::string buffer;  // received bytes that no message has consumed yet
 
  private:
   net::FileDescriptor fd_;
 };
 
+// Receives a response and requires that it has `status`.
 inline void expect_status(TestConnection& client, int status) {
   require(client.answer().status == status);
 }
