--- a/tests/backend_actor_test.cpp
+++ b/tests/backend_actor_test.cpp
@@ -85,7 +85,7 @@
   };
   ASSERT_EQ(outcome(drain), Result::kConnectFailed);
   TestConnection server = backend.accept();
-  ASSERT_FALSE(server.fill());
+  ASSERT_FALSE(server.receive());
   ASSERT_TRUE(server.buffer.empty());
 }
 
--- a/tests/bodies_test.cpp
+++ b/tests/bodies_test.cpp
@@ -77,7 +77,7 @@
       progress = parser.end();
     }
     if (open) {
-      open = connection.fill();
+      open = connection.receive();
     }
   }
   received.complete = progress == http::Progress::kComplete;
@@ -141,7 +141,7 @@
   expect_status(other, 400);
   slow.send(post_head("s1", content_length(body.size()) + "Expect: 100-continue\r\n"));
   while (slow.buffer.find("\r\n\r\n") == std::string::npos) {
-    ASSERT_TRUE(slow.fill());
+    ASSERT_TRUE(slow.receive());
   }
   ASSERT_EQ(slow.buffer, "HTTP/1.1 100 Continue\r\n\r\n");
   slow.buffer.clear();
@@ -163,7 +163,7 @@
   };
   std::thread first(serve, backend.accept());
   std::thread second(serve, backend.accept());
-  ASSERT_EQ(slow.answer().body, "s1");
+  ASSERT_EQ(slow.response().body, "s1");
   for (std::thread* thread : {&writing, &first, &second}) {
     thread->join();
   }
@@ -230,8 +230,9 @@
     ASSERT_EQ(received.message.status, 200);
     ASSERT_LE(received.message.body.size(), 150'000u);
   }
-  ASSERT_NE(proxy.call("GET", "/api/telemetry").body.find("\"failed\":{\"ajuste\":0,\"ver\":2}"),
-            std::string::npos);
+  ASSERT_NE(
+      proxy.admin_request("GET", "/api/telemetry").body.find("\"failed\":{\"ajuste\":0,\"ver\":2}"),
+      std::string::npos);
 }
 
 TEST(Bodies, CancelsStreamsWhenClientDisconnects) {
@@ -240,7 +241,7 @@
   auto client = std::make_unique<TestConnection>(proxy.client());
   client->send(post_head("l1", content_length(5'000'000)) + std::string(100'000, 'x'));
   TestConnection upload = backend.accept();
-  ASSERT_TRUE(upload.fill());
+  ASSERT_TRUE(upload.receive());
   client.reset();
   ASSERT_FALSE(read_large(upload, http::Parser::Kind::kRequest).complete);
   client = std::make_unique<TestConnection>(proxy.client());
@@ -250,11 +251,12 @@
   std::thread answering =
       send_in_thread(download, "HTTP/1.1 200 OK\r\n" + content_length(30'000'000) + "\r\n" +
                                    std::string(30'000'000, 'x'));
-  ASSERT_TRUE(client->fill());
+  ASSERT_TRUE(client->receive());
   client.reset();
   answering.join();  // ends once all is sent or the proxy has closed the connection
-  ASSERT_FALSE(download.fill());
-  ASSERT_NE(proxy.call("GET", "/api/telemetry").body.find("\"pending\":0"), std::string::npos);
+  ASSERT_FALSE(download.receive());
+  ASSERT_NE(proxy.admin_request("GET", "/api/telemetry").body.find("\"pending\":0"),
+            std::string::npos);
 }
 
 // A streamed request that was sent in part is not buffered, so it cannot be retried on another
@@ -270,10 +272,10 @@
   {
     TestConnection server = (first.pending(0ms) ? first : second).accept();
     while (server.buffer.size() < 150'000) {
-      ASSERT_TRUE(server.fill());
+      ASSERT_TRUE(server.receive());
     }
   }  // closes before the last byte, so the request is not executed
-  const http::Message answer = client.answer();
+  const http::Message answer = client.response();
   ASSERT_EQ(answer.status, 503);
   ASSERT_TRUE(answer.headers.find("Retry-After"));
   ASSERT_FALSE(answer.keep_alive());
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -28,7 +28,7 @@
     }
     client.send(early);
   }
-  ASSERT_FALSE(servers[0].fill());
+  ASSERT_FALSE(servers[0].receive());
   ASSERT_LT(Clock::now() - sent, 2s);  // the request's deadline is after 3 s
   ASSERT_FALSE(backend.pending(50ms));
 }
@@ -44,7 +44,7 @@
   proxy.signal(SIGCONT);
   TestConnection client = proxy.client();
   TestConnection server = exchange(client, backend, ProxyUnderTest::get("a1"), "1");
-  ASSERT_NE(proxy.call("GET", "/api/telemetry").body.find("full"),
+  ASSERT_NE(proxy.admin_request("GET", "/api/telemetry").body.find("full"),
             std::string::npos);  // the resync ended before its deadline
 }
 
@@ -52,15 +52,15 @@
 // cached one and may number its versions differently.
 TEST(Crossings, RequestsCompleteListAtStart) {
   const ProxyUnderTest proxy("", "[" + host_json("s-1", "127.0.0.1:9") + "]");
-  ASSERT_TRUE(proxy.first_call().ends_with("from=0"));
+  ASSERT_TRUE(proxy.first_watch_target().ends_with("from=0"));
 }
 
 // Reads a list over several lines, with an empty line in it and a name that looks like its end.
 TEST(Crossings, ReadsIndentedEndpointList) {
   const FakeListener backend;
   ProxyUnderTest proxy("[]");
-  proxy.chunk("\n{\n  \"seq\": 9,\n  \"whole\": true,\n\n  \"hosts\": [\n    " +
-              host_json("s-}\\\"{", backend.address()) + "\n  ]\n}\n");
+  proxy.send_chunk("\n{\n  \"seq\": 9,\n  \"whole\": true,\n\n  \"hosts\": [\n    " +
+                   host_json("s-}\\\"{", backend.address()) + "\n  ]\n}\n");
   TestConnection client = proxy.client();
   TestConnection server = exchange(client, backend, ProxyUnderTest::get("a1"), "");
 }
@@ -68,13 +68,13 @@
 // A watch that delivers the start of a list and then single bytes must be closed, as if silent.
 TEST(Crossings, LeavesWatchThatCompletesNothing) {
   ProxyUnderTest proxy("[]");
-  proxy.chunk("{\"seq\":5,\"whole\":true,\"hosts\":[");
+  proxy.send_chunk("{\"seq\":5,\"whole\":true,\"hosts\":[");
   // These 4 s are longer than the silence timeout.
-  for (int i = 0; i < 40 && !proxy.calls(); ++i) {
-    proxy.chunk(" ");
+  for (int i = 0; i < 40 && !proxy.has_pending_watch(); ++i) {
+    proxy.send_chunk(" ");
     ::usleep(100'000);
   }
-  ASSERT_TRUE(proxy.calls());
+  ASSERT_TRUE(proxy.has_pending_watch());
 }
 
 // Malformed data closes the watch at once, even without a line end. One case is a list that is
@@ -83,8 +83,8 @@
   ProxyUnderTest proxy("[]");
   const auto started_at = Clock::now();
   for (const char* malformed : {"xxxx", "{\"seq\":5,\"who\n", "]"}) {
-    proxy.chunk(malformed);
-    proxy.watch_again();
+    proxy.send_chunk(malformed);
+    proxy.accept_watch();
   }
   ASSERT_LT(Clock::now() - started_at, 2s);  // a silent watch is closed after 2.5 s
 }
@@ -98,13 +98,13 @@
   // After this second round trip the first watch has been read to its end, so the resync at start
   // is over.
   ASSERT_EQ(proxy.ready(), 200);
-  proxy.list("[]");
-  proxy.say("0\r\n\r\n");  // ends the watch
+  proxy.send_endpoint_list("[]");
+  proxy.send_raw("0\r\n\r\n");  // ends the watch
   const auto started_at = Clock::now();
   for (int i = 0; i < 3; ++i) {
-    proxy.leave_mute();
+    proxy.accept_silent_watch();
   }
-  const std::string target = proxy.watch_again();
+  const std::string target = proxy.accept_watch();
   const auto took = Clock::now() - started_at;
   // A process that was denied the CPU logs a gap and requests the complete list, with a delay.
   LogReader log(proxy);
@@ -112,7 +112,7 @@
   ASSERT_TRUE(from_held_version || (target.ends_with("from=0") && log.wait_for_gap(5s) > 0ms))
       << target;
   ASSERT_LT(took, 2500ms + log.logged_gaps());
-  proxy.list(single_backend_list(backend), false);
+  proxy.send_endpoint_list(single_backend_list(backend), false);
   TestConnection client = proxy.client();
   client.send(ProxyUnderTest::get("a1"));
   backend.accept().request();
@@ -123,17 +123,17 @@
 TEST(Crossings, RequestsCompleteListAfterGapBetweenCalls) {
   ProxyUnderTest proxy("[]");
   ASSERT_EQ(proxy.ready(), 200);  // after this round trip the resync at start is over
-  proxy.list("[]");
-  proxy.say("0\r\n\r\n");
-  proxy.leave_mute();
+  proxy.send_endpoint_list("[]");
+  proxy.send_raw("0\r\n\r\n");
+  proxy.accept_silent_watch();
   proxy.signal(SIGSTOP);
   ::usleep(2'800'000);  // longer than the silence timeout
   proxy.signal(SIGCONT);
   LogReader log(proxy);
   ASSERT_GE(log.wait_for_gap(kTestTimeout), 2500ms);
-  std::string target = proxy.watch_again();
+  std::string target = proxy.accept_watch();
   if (target.ends_with("from=3")) {  // sent before the gap was detected
-    target = proxy.watch_again();
+    target = proxy.accept_watch();
   }
   ASSERT_TRUE(target.ends_with("from=0")) << target;
 }
@@ -142,7 +142,7 @@
 TEST(Crossings, AnswersBacklogAtShutdown) {
   const FakeListener backend;
   ProxyUnderTest proxy("[]");
-  proxy.list("[]");
+  proxy.send_endpoint_list("[]");
   proxy.signal(SIGTERM);
   while (proxy.ready() != 503) {
     ::usleep(1000);
@@ -177,7 +177,7 @@
   for (const char* id : {"a1", "a2"}) {
     ASSERT_EQ(*server.request().headers.find("X-Trace-Id"), id);
     server.reply(200, "", id);
-    const http::Message answer = client.answer();
+    const http::Message answer = client.response();
     ASSERT_EQ(answer.body, id);
     ASSERT_EQ(answer.keep_alive(), (std::string_view(id) == "a1"));
   }
@@ -197,7 +197,7 @@
   TestConnection server = backend.accept();
   server.request();
   server.reply(200, "", "1");
-  ASSERT_FALSE(client.answer().keep_alive());
+  ASSERT_FALSE(client.response().keep_alive());
   client.send(ProxyUnderTest::get("a2"));
   char byte = 0;
   ASSERT_TRUE(client.readable(kTestTimeout));
@@ -211,7 +211,7 @@
     ::getsockopt(client.fd(), SOL_SOCKET, SO_ERROR, &error, &size);
   }
   ASSERT_TRUE(error == ECONNRESET || error == EPIPE);
-  ASSERT_TRUE(!server.readable(0ms) || !server.fill());  // nothing of the request was forwarded
+  ASSERT_TRUE(!server.readable(0ms) || !server.receive());  // nothing of the request was forwarded
 }
 
 // An idle connection on which the backend writes part of a line or a second response is closed, and
@@ -224,7 +224,7 @@
     TestConnection client = proxy.client();
     TestConnection server = exchange(client, backend, ProxyUnderTest::get("a1"), "first");
     server.send(late);
-    ASSERT_FALSE(server.fill());  // the proxy has read the bytes and closed the connection
+    ASSERT_FALSE(server.receive());  // the proxy has read the bytes and closed the connection
     TestConnection other = exchange(client, backend, ProxyUnderTest::get("a2"), "second's own");
   }
 }
@@ -254,12 +254,12 @@
   for (int i = 0; i < 300; ++i) {
     idle.push_back(proxy.client());  // the process may hold 256 descriptors
   }
-  proxy.say("0\r\n\r\n");
+  proxy.send_raw("0\r\n\r\n");
   for (int i = 0; i < 100; ++i) {
     idle.push_back(proxy.client());
   }
-  proxy.watch_again();
-  proxy.list(single_backend_list(backend), false);
+  proxy.accept_watch();
+  proxy.send_endpoint_list(single_backend_list(backend), false);
   TestConnection client = proxy.client();
   TestConnection server = exchange(client, backend, ProxyUnderTest::get("a1"), "1");
 }
@@ -281,11 +281,11 @@
   proxy.reconfigure("nowhere");
   proxy.signal(SIGTERM);
   proxy.reconfigure(elsewhere.address());
-  ASSERT_TRUE(proxy.watch_again(elsewhere).ends_with("from=0"));
-  proxy.say("{");
+  ASSERT_TRUE(proxy.accept_watch(elsewhere).ends_with("from=0"));
+  proxy.send_raw("{");
   proxy.signal(SIGINT);
   server.reply(200, "", "1");
-  ASSERT_EQ(client.answer().body, "1");
+  ASSERT_EQ(client.response().body, "1");
   ASSERT_EQ(proxy.exit_status(), 0);
 }
 
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -54,7 +54,7 @@
   // Reads the available bytes and answers the request once it is complete. Returns false if the
   // connection was closed.
   bool serve(TestConnection& connection) const {
-    if (!connection.fill()) {
+    if (!connection.receive()) {
       return false;
     }
     http::Parser parser(http::Parser::Kind::kRequest);
@@ -89,7 +89,7 @@
 std::optional<std::string> serving_backend(const ProxyUnderTest& proxy, const std::string& id) {
   TestConnection client = proxy.client();
   client.send(ProxyUnderTest::get(id));
-  const http::Message answer = client.answer();
+  const http::Message answer = client.response();
   if (answer.status != 200 || !answer.body.starts_with(id + " ")) {
     return std::nullopt;
   }
@@ -98,7 +98,7 @@
 
 bool has_unavailable_backends(const ProxyUnderTest& proxy, int count) {
   const std::string field = "\"members_unavailable\":" + std::to_string(count);
-  return proxy.call("GET", "/api/telemetry").body.find(field) != std::string::npos;
+  return proxy.admin_request("GET", "/api/telemetry").body.find(field) != std::string::npos;
 }
 
 // Clients that send requests continuously. Half of them use a new connection for each request, the
@@ -138,7 +138,7 @@
         connection = proxy.client();  // the proxy has closed it between requests
       }
       connection->send(ProxyUnderTest::get(id));
-      const http::Message answer = connection->answer();
+      const http::Message answer = connection->response();
       if (answer.status != 200 || !answer.body.starts_with(id)) {
         ADD_FAILURE() << id << ": status " << answer.status << ", body " << answer.body;
         return;
@@ -172,7 +172,7 @@
     ASSERT_TRUE(load.makes_progress());
     ProxyUnderTest& predecessor = processes.back();
     ProxyUnderTest& successor = processes.emplace_back(hosts(backend), "[]", &shared_);
-    ASSERT_EQ(successor.call("GET", "/api/ready").status, 200);
+    ASSERT_EQ(successor.admin_request("GET", "/api/ready").status, 200);
     predecessor.signal(SIGTERM);
     const auto signalled_at = Clock::now();
     ASSERT_EQ(predecessor.exit_status(), 0);
@@ -188,17 +188,17 @@
   const EchoBackend first("s-1");
   const EchoBackend second("s-2");
   ProxyUnderTest old(hosts(first, second), "[]", &shared_);
-  ASSERT_EQ(old.call("PUT", "/api/exclude?target=s-1").status, 200);
-  ASSERT_EQ(old.call("PUT", "/api/evacuate").status, 200);
+  ASSERT_EQ(old.admin_request("PUT", "/api/exclude?target=s-1").status, 200);
+  ASSERT_EQ(old.admin_request("PUT", "/api/evacuate").status, 200);
   ProxyUnderTest fresh(hosts(first, second), "[]", &shared_);  // starts up although it is drained
   for (int n = 0; n < 6; ++n) {
     EXPECT_EQ(serving_backend(fresh, "a" + std::to_string(n)), "s-2");
     EXPECT_EQ(fresh.ready(), 503);
   }
-  EXPECT_EQ(fresh.call("PUT", "/api/rejoin").status, 200);
-  EXPECT_EQ(fresh.call("PUT", "/api/exclude?target=s-2").status, 200);
+  EXPECT_EQ(fresh.admin_request("PUT", "/api/rejoin").status, 200);
+  EXPECT_EQ(fresh.admin_request("PUT", "/api/exclude?target=s-2").status, 200);
   EXPECT_TRUE(eventually([&] { return has_unavailable_backends(old, 2); }));
-  EXPECT_EQ(fresh.call("PUT", "/api/include?target=s-1").status, 200);
+  EXPECT_EQ(fresh.admin_request("PUT", "/api/include?target=s-1").status, 200);
   EXPECT_TRUE(eventually([&] { return has_unavailable_backends(old, 1); }));
   old.signal(SIGTERM);
   EXPECT_EQ(fresh.ready(), 200);
@@ -216,7 +216,7 @@
   ProxyUnderTest old(hosts(backend), "[]", &shared_);
   {
     const ProxyUnderTest never_ready("", "[]", &shared_);
-    EXPECT_EQ(never_ready.call("GET", "/api/ready").status, 503);
+    EXPECT_EQ(never_ready.admin_request("GET", "/api/ready").status, 503);
     for (int n = 0; n < 4; ++n) {
       EXPECT_EQ(serving_backend(old, "a" + std::to_string(n)), "s-1");
     }
@@ -230,12 +230,12 @@
 TEST_F(HotRestart, SurvivesAPredecessorThatIsKilled) {
   const EchoBackend backend("s-1");
   auto old = std::make_unique<ProxyUnderTest>(hosts(backend), "[]", &shared_);
-  ASSERT_EQ(old->call("PUT", "/api/evacuate").status, 200);
+  ASSERT_EQ(old->admin_request("PUT", "/api/evacuate").status, 200);
   const ProxyUnderTest fresh(hosts(backend), "[]", &shared_);
   old.reset();  // kills the process
-  EXPECT_EQ(fresh.call("GET", "/api/ready").status, 200);
+  EXPECT_EQ(fresh.admin_request("GET", "/api/ready").status, 200);
   EXPECT_EQ(fresh.ready(), 503);
-  EXPECT_EQ(fresh.call("PUT", "/api/rejoin").status, 200);
+  EXPECT_EQ(fresh.admin_request("PUT", "/api/rejoin").status, 200);
   for (int n = 0; n < 4; ++n) {
     EXPECT_EQ(serving_backend(fresh, "a" + std::to_string(n)), "s-1");
   }
@@ -245,14 +245,14 @@
 // served and commands stored afterwards.
 TEST_F(HotRestart, SetsADamagedStateAside) {
   const EchoBackend backend("s-1");
-  const std::string state = shared_.folder + "/beechhill-t.state";
+  const std::string state = shared_.state_directory.path + "/beechhill-t.state";
   std::ofstream(state) << "{\"is\":\"beechhill-hand";
   const ProxyUnderTest proxy(hosts(backend), "[]", &shared_);
   EXPECT_EQ(serving_backend(proxy, "a"), "s-1");
   EXPECT_TRUE(std::filesystem::exists(state + ".faulty"));
   std::ofstream(state) << "other bytes";
   EXPECT_TRUE(eventually([&] { return !std::filesystem::exists(state); }));
-  EXPECT_EQ(proxy.call("PUT", "/api/evacuate").status, 200);
+  EXPECT_EQ(proxy.admin_request("PUT", "/api/evacuate").status, 200);
   EXPECT_TRUE(std::filesystem::exists(state));
 }
 
--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -14,7 +14,7 @@
 }
 
 Json::Value telemetry(const ProxyUnderTest& proxy) {
-  const http::Message answer = proxy.call("GET", "/api/telemetry");
+  const http::Message answer = proxy.admin_request("GET", "/api/telemetry");
   Json::Value root;
   std::string errors;
   const std::unique_ptr<Json::CharReader> reader(Json::CharReaderBuilder().newCharReader());
@@ -35,18 +35,18 @@
     clients.push_back(proxy.client());
   }
   for (int i = 0; i < 40; ++i) {
-    silent.push_back(proxy.caller());
-    half.push_back(proxy.caller());
+    silent.push_back(proxy.admin_client());
+    half.push_back(proxy.admin_client());
     half.back().send("PUT /api/evacuate HT");
   }
   const auto sent = Clock::now();
-  EXPECT_EQ(proxy.call("GET", "/api/ready").status, 200);
+  EXPECT_EQ(proxy.admin_request("GET", "/api/ready").status, 200);
   EXPECT_LT(Clock::now() - sent, 5s);
   for (TestConnection& caller : silent) {
-    EXPECT_FALSE(caller.fill());
+    EXPECT_FALSE(caller.receive());
   }
-  EXPECT_EQ(proxy.call("DELETE", "/api/ready").status, 405);
-  EXPECT_EQ(proxy.call("GET", "/").status, 404);
+  EXPECT_EQ(proxy.admin_request("DELETE", "/api/ready").status, 405);
+  EXPECT_EQ(proxy.admin_request("GET", "/").status, 404);
 }
 
 // Each accepted request is counted exactly once, as pending, completed, rejected or failed, unless
@@ -81,7 +81,7 @@
     leaving_client.send(ProxyUnderTest::get("a4"));
     server.request();
   }
-  EXPECT_FALSE(server.fill());
+  EXPECT_FALSE(server.receive());
   // The path names no class, so the request is not counted.
   client.send("GET /nowhere HTTP/1.1\r\nX-Trace-Id: a5\r\n\r\n");
   expect_status(client, 404);
@@ -122,10 +122,10 @@
 TEST(OperatorExclusion, PersistsThroughChangesOfTheEndpointList) {
   const FakeListener first, second;
   ProxyUnderTest proxy(hosts_json(first, second));
-  EXPECT_EQ(proxy.call("PUT", "/api/exclude?target=nobody").status, 404);
-  EXPECT_EQ(proxy.call("PUT", "/api/include?target=nobody").status, 404);
+  EXPECT_EQ(proxy.admin_request("PUT", "/api/exclude?target=nobody").status, 404);
+  EXPECT_EQ(proxy.admin_request("PUT", "/api/include?target=nobody").status, 404);
   for (int i = 0; i < 2; ++i) {
-    EXPECT_EQ(proxy.call("PUT", "/api/exclude?target=s-1").status, 200);
+    EXPECT_EQ(proxy.admin_request("PUT", "/api/exclude?target=s-1").status, 200);
   }
   const Json::Value counters = telemetry(proxy);
   EXPECT_EQ(counters["members"], 2);
@@ -141,16 +141,16 @@
   };
   all_go_to(second, first);
   // The backend is removed, and added again as restarted.
-  proxy.list("[" + host_json("s-1", first.address(), "terminated") + "]", false);
-  proxy.list("[" + host_json("s-1", first.address(), "in_service", 1) + "]", false);
+  proxy.send_endpoint_list("[" + host_json("s-1", first.address(), "terminated") + "]", false);
+  proxy.send_endpoint_list("[" + host_json("s-1", first.address(), "in_service", 1) + "]", false);
   all_go_to(second, first);
-  proxy.list("[" + host_json("s-1", first.address(), "terminated") + "]", false);
+  proxy.send_endpoint_list("[" + host_json("s-1", first.address(), "terminated") + "]", false);
   all_go_to(second, first);
   // A removed backend that is excluded is still known.
-  EXPECT_EQ(proxy.call("PUT", "/api/exclude?target=s-1").status, 200);
-  EXPECT_EQ(proxy.call("PUT", "/api/include?target=s-1").status, 200);
-  proxy.list("[" + host_json("s-1", first.address()) + "]", false);
-  EXPECT_EQ(proxy.call("PUT", "/api/exclude?target=s-2").status, 200);
+  EXPECT_EQ(proxy.admin_request("PUT", "/api/exclude?target=s-1").status, 200);
+  EXPECT_EQ(proxy.admin_request("PUT", "/api/include?target=s-1").status, 200);
+  proxy.send_endpoint_list("[" + host_json("s-1", first.address()) + "]", false);
+  EXPECT_EQ(proxy.admin_request("PUT", "/api/exclude?target=s-2").status, 200);
   answer_eventually(first, client, "last");
   EXPECT_FALSE(second.pending(0ms));
 }
@@ -166,14 +166,14 @@
   server.request();
   server.reply(200, "", "1");
   expect_status(client, 200);
-  EXPECT_EQ(proxy.call("PUT", "/api/exclude?target=s-1").status, 200);
-  EXPECT_FALSE(server.fill());
+  EXPECT_EQ(proxy.admin_request("PUT", "/api/exclude?target=s-1").status, 200);
+  EXPECT_FALSE(server.receive());
   // If it were queued, it would wait for half of its latency objective.
   client.send(ProxyUnderTest::get("a2", 60000));
-  const http::Message answer = client.answer();
+  const http::Message answer = client.response();
   EXPECT_EQ(answer.status, 503);
   EXPECT_TRUE(answer.headers.find("Retry-After"));
-  EXPECT_EQ(proxy.call("PUT", "/api/include?target=s-1").status, 200);
+  EXPECT_EQ(proxy.admin_request("PUT", "/api/include?target=s-1").status, 200);
   answer_eventually(backend, client, "c");
 }
 
@@ -191,10 +191,10 @@
   TestConnection server = backend.accept();
   server.request();
   for (int i = 0; i < 2; ++i) {
-    EXPECT_EQ(proxy.call("PUT", "/api/evacuate").status, 200);
+    EXPECT_EQ(proxy.admin_request("PUT", "/api/evacuate").status, 200);
   }
   EXPECT_EQ(proxy.ready(), 503);
-  EXPECT_EQ(proxy.call("GET", "/api/ready").status, 200);
+  EXPECT_EQ(proxy.admin_request("GET", "/api/ready").status, 200);
   ::usleep(350'000);
   // The second request has been read when the proxy decides to close the connection, so it is
   // answered first.
@@ -202,38 +202,38 @@
   TestConnection other = backend.accept();
   other.request();
   other.reply(200, "", "2");
-  http::Message answer = pipelining.answer();
+  http::Message answer = pipelining.response();
   EXPECT_EQ(answer.body, "2");
   EXPECT_TRUE(answer.keep_alive());
   EXPECT_EQ(*other.request().headers.find("X-Trace-Id"), "a3");
   other.reply(200, "", "3");
-  answer = pipelining.answer();
+  answer = pipelining.response();
   EXPECT_EQ(answer.body, "3");
   EXPECT_FALSE(answer.keep_alive());
-  EXPECT_FALSE(pipelining.fill());
+  EXPECT_FALSE(pipelining.receive());
   EXPECT_FALSE(other.readable(0ms));
   TestConnection fresh = proxy.client();
   fresh.send(ProxyUnderTest::get("a4"));
   other.request();
   other.reply(200, "", "4");
-  EXPECT_EQ(fresh.answer().body, "4");
-  EXPECT_FALSE(idle.fill());  // closed by the drain, as it has no pending request
+  EXPECT_EQ(fresh.response().body, "4");
+  EXPECT_FALSE(idle.receive());  // closed by the drain, as it has no pending request
   server.reply(200, "", "1");
-  answer = busy.answer();
+  answer = busy.response();
   EXPECT_EQ(answer.body, "1");
   EXPECT_FALSE(answer.keep_alive());
-  EXPECT_EQ(proxy.call("PUT", "/api/rejoin").status, 200);
-  EXPECT_EQ(proxy.call("PUT", "/api/rejoin").status, 200);
+  EXPECT_EQ(proxy.admin_request("PUT", "/api/rejoin").status, 200);
+  EXPECT_EQ(proxy.admin_request("PUT", "/api/rejoin").status, 200);
   EXPECT_EQ(proxy.ready(), 200);
   TestConnection resumed = proxy.client();
   resumed.send(ProxyUnderTest::get("a5"));
   TestConnection* const free = server.readable(200ms) ? &server : &other;
   free->request();
   free->reply(200, "", "5");
-  answer = resumed.answer();
+  answer = resumed.response();
   EXPECT_EQ(answer.body, "5");
   EXPECT_TRUE(answer.keep_alive());
-  EXPECT_EQ(proxy.call("PUT", "/api/evacuate").status, 200);
+  EXPECT_EQ(proxy.admin_request("PUT", "/api/evacuate").status, 200);
   proxy.signal(SIGTERM);  // must also work during a drain
   EXPECT_EQ(proxy.exit_status(), 0);
 }
--- a/tests/proxy_rules.cpp
+++ b/tests/proxy_rules.cpp
@@ -35,14 +35,14 @@
   ASSERT_GT(*expires_in_ms, 0);
   ASSERT_LE(*expires_in_ms, 2000);
   server.reply(200, "Content-Type: text/x\r\n", "answer");
-  const http::Message answer = client.answer();
+  const http::Message answer = client.response();
   ASSERT_EQ(answer.status, 200);
   ASSERT_EQ(answer.body, "answer");
   ASSERT_EQ(*answer.headers.find("Content-Type"), "text/x");
   client.send(ProxyUnderTest::get("a2"));
   ASSERT_EQ(server.request().target, "/ver/x?user=1");  // the connection is used again
   server.reply(200, "", "more");
-  ASSERT_EQ(client.answer().body, "more");
+  ASSERT_EQ(client.response().body, "more");
 }
 
 // Rule 1: a request is answered by its deadline plus a slack, even if the backend never responds.
@@ -50,9 +50,9 @@
   client.send(ProxyUnderTest::get("a1", 200));
   TestConnection server = backend.accept();
   server.request();
-  const int status = client.answer().status;
+  const int status = client.response().status;
   ASSERT_TRUE(status == 503 || status == 502);
-  ASSERT_FALSE(server.fill());  // closed: HTTP/1.1 has no other way to cancel
+  ASSERT_FALSE(server.receive());  // closed: HTTP/1.1 has no other way to cancel
 }
 
 // Rule 2: a request that may have been executed is not retried by the proxy. It is not rejected
@@ -81,7 +81,7 @@
   TestConnection server = backend.accept();
   server.request();
   server.reply(503, "X-Never-Ran: 1\r\n", "");
-  const http::Message answer = client.answer();
+  const http::Message answer = client.response();
   // The delay is about a fifth of the longest that clients honour.
   const double retry_after_s = std::stod(*answer.headers.find("Retry-After"));
   ASSERT_EQ(answer.status, 503);
@@ -96,10 +96,10 @@
   ProxyUnderTest proxy("[" + host_json("s-1", first.address()) + "]");
   TestConnection client = proxy.client();
   TestConnection server = exchange(client, first, ProxyUnderTest::get("a1"), "1");
-  proxy.list("[" + host_json("s-1", first.address(), "terminating") + "," +
-                 host_json("s-2", second.address()) + "]",
-             false);
-  ASSERT_FALSE(server.fill());
+  proxy.send_endpoint_list("[" + host_json("s-1", first.address(), "terminating") + "," +
+                               host_json("s-2", second.address()) + "]",
+                           false);
+  ASSERT_FALSE(server.receive());
   for (const char* id : {"a2", "a3"}) {
     client.send(ProxyUnderTest::get(id));
     TestConnection other = second.accept();
@@ -143,7 +143,7 @@
     servers.push_back(backend.accept());
     servers[0].request();
   }
-  ASSERT_FALSE(servers[0].fill());
+  ASSERT_FALSE(servers[0].receive());
 }
 
 TEST_F(ProxyRulesOneBackend, AnswersPipelinedRequestsInOrder) {
@@ -153,7 +153,7 @@
     ASSERT_EQ(*server.request().headers.find("X-Trace-Id"), id);
     ASSERT_FALSE(server.readable(20ms));  // requests are forwarded one at a time
     server.reply(200, "", id);
-    ASSERT_EQ(client.answer().body, id);
+    ASSERT_EQ(client.response().body, id);
   }
 }
 
@@ -194,7 +194,7 @@
     TestConnection client = proxy.client();
     client.send(c.bytes);
     expect_status(client, c.status);
-    ASSERT_FALSE(client.fill());
+    ASSERT_FALSE(client.receive());
   }
   ASSERT_FALSE(backend.pending(0ms));
   ASSERT_EQ(proxy.ready(), 200);
@@ -216,7 +216,7 @@
   usual.send("GET /health/ready HTTP/1.1\r\n\r\n");
   expect_status(usual, 200);
   for (TestConnection& client : silent) {
-    ASSERT_FALSE(client.fill());
+    ASSERT_FALSE(client.receive());
   }
 }
 
@@ -255,7 +255,7 @@
   other.send(ProxyUnderTest::post("a1", "x"));
   expect_status(other, 409);
   server.reply(200, "", "first");
-  ASSERT_EQ(client.answer().body, "first");
+  ASSERT_EQ(client.response().body, "first");
   ASSERT_FALSE(backend.pending(0ms));
 }
 
@@ -267,7 +267,7 @@
   server.request();
   client.send("more of the body");
   expect_status(client, 400);
-  ASSERT_FALSE(server.fill());
+  ASSERT_FALSE(server.receive());
 }
 
 // A malformed response fails its own request only: the proxy stays ready.
@@ -284,7 +284,7 @@
         continue;
       }
       TestConnection server = backend.accept();
-      if (server.fill()) {
+      if (server.receive()) {
         ::send(server.fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
       }
     }
@@ -300,8 +300,8 @@
   TestConnection server = backend.accept();
   server.request();
   server.send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\na1");
-  ASSERT_FALSE(server.fill());
-  ASSERT_NE(client.answer().status, 200);
+  ASSERT_FALSE(server.receive());
+  ASSERT_NE(client.response().status, 200);
   ASSERT_LT(Clock::now() - sent, 2500ms);
 }
 
@@ -312,7 +312,7 @@
   server.request();
   server.reply(200, "", "a1 first");
   expect_status(client, 502);
-  ASSERT_FALSE(server.fill());
+  ASSERT_FALSE(server.receive());
 }
 
 TEST(ProxyRules, ReconnectsAfterMalformedEndpointList) {
@@ -320,10 +320,10 @@
   ProxyUnderTest proxy("[]");
   for (const std::string malformed :
        {"{\n", "[1]\n", "{\"seq\":9,\"whole\":true,\"hosts\":[{\"host\":3}]}\n"}) {
-    proxy.chunk(malformed);
-    proxy.watch_again();
+    proxy.send_chunk(malformed);
+    proxy.accept_watch();
   }
-  proxy.list(single_backend_list(backend));
+  proxy.send_endpoint_list(single_backend_list(backend));
   TestConnection client = proxy.client();
   TestConnection server = exchange(client, backend, ProxyUnderTest::get("a1", 3000), "");
 }
@@ -331,7 +331,7 @@
 // A watch on which nothing arrives, not even an empty line, is closed and opened again.
 TEST(ProxyRules, ReconnectsToSilentDiscovery) {
   ProxyUnderTest proxy("[]");
-  proxy.watch_again();
+  proxy.accept_watch();
   ASSERT_EQ(proxy.ready(), 200);
 }
 
@@ -346,11 +346,11 @@
   proxy.reconfigure("nowhere");
   TestConnection client = proxy.client();
   TestConnection server = exchange(client, first, ProxyUnderTest::get("a1"), "1");
-  proxy.list("[" + host_json("s-1", first.address(), "terminating") + "]", false);
-  ASSERT_FALSE(server.fill());  // the list has been applied
+  proxy.send_endpoint_list("[" + host_json("s-1", first.address(), "terminating") + "]", false);
+  ASSERT_FALSE(server.receive());  // the list has been applied
   proxy.reconfigure(elsewhere.address());
-  ASSERT_TRUE(proxy.watch_again(elsewhere).ends_with("from=0"));
-  proxy.list("[" + host_json("s-2", second.address()) + "]", false);
+  ASSERT_TRUE(proxy.accept_watch(elsewhere).ends_with("from=0"));
+  proxy.send_endpoint_list("[" + host_json("s-2", second.address()) + "]", false);
   TestConnection other = exchange(client, second, ProxyUnderTest::get("a2"), "2");
   ASSERT_FALSE(first.pending(0ms));
   proxy.signal(SIGTERM);
@@ -360,10 +360,10 @@
 // A new backend at the address of a removed one must not use the removed one's connections.
 TEST_F(ProxyRulesOneBackend, SharesNoConnectionsAtReusedAddress) {
   TestConnection previous = exchange(client, backend, ProxyUnderTest::get("a1"), "");
-  proxy.list("[" + host_json("s-1", backend.address(), "terminated") + "," +
-                 host_json("s-2", backend.address()) + "]",
-             false);
-  ASSERT_FALSE(previous.fill());
+  proxy.send_endpoint_list("[" + host_json("s-1", backend.address(), "terminated") + "," +
+                               host_json("s-2", backend.address()) + "]",
+                           false);
+  ASSERT_FALSE(previous.receive());
   TestConnection server = exchange(client, backend, ProxyUnderTest::get("a2"), "new");
 }
 
@@ -382,11 +382,11 @@
       previous.reply(200, "", "1");
       expect_status(client, 200);
     }
-    proxy.list("[" +
-                   host_json("s-1", (moves ? second : first).address(), "in_service",
-                             moves ? 0 : unix_ms() - 60'000) +
-                   "]",
-               false);
+    proxy.send_endpoint_list("[" +
+                                 host_json("s-1", (moves ? second : first).address(), "in_service",
+                                           moves ? 0 : unix_ms() - 60'000) +
+                                 "]",
+                             false);
     if (moves) {  // the request is still in flight
       TestConnection other = proxy.client();
       other.send(ProxyUnderTest::get("a2"));
@@ -397,7 +397,7 @@
       previous.reply(200, "", "1");
       expect_status(client, 200);
     }
-    ASSERT_FALSE(previous.fill());
+    ASSERT_FALSE(previous.receive());
     TestConnection server =
         exchange(client, (moves ? second : first), ProxyUnderTest::get("a3"), "3");
   }
@@ -411,7 +411,7 @@
   for (int i = 0; i < 12'000; ++i) {
     hosts += host_json("far-" + std::to_string(i), "127.0.0.1:9", "terminating") + ",";
   }
-  proxy.list(hosts + host_json("s-1", backend.address()) + "]");
+  proxy.send_endpoint_list(hosts + host_json("s-1", backend.address()) + "]");
   TestConnection client = proxy.client();
   client.send(ProxyUnderTest::get("a1"));
   const auto end = Clock::now() + kTestTimeout;
@@ -463,17 +463,17 @@
   TestConnection second = backend.accept();
   second.request();
   second.reply(200, "", "2");
-  http::Message answer = late.answer();
+  http::Message answer = late.response();
   ASSERT_EQ(answer.status, 200);
   ASSERT_FALSE(answer.keep_alive());
   server.reply(200, "", "1");
-  ASSERT_EQ(running.answer().body, "1");
+  ASSERT_EQ(running.response().body, "1");
   running.send(ProxyUnderTest::get("a3"));
   server.request();
   server.reply(200, "", "3");
-  ASSERT_EQ(running.answer().body, "3");
-  ASSERT_FALSE(running.fill());
-  ASSERT_FALSE(idle.fill());
+  ASSERT_EQ(running.response().body, "3");
+  ASSERT_FALSE(running.receive());
+  ASSERT_FALSE(idle.receive());
   ASSERT_EQ(proxy.exit_status(), 0);
 }
 
@@ -487,7 +487,7 @@
     clients.back().send("GET /health/ready HTTP/1.1\r\n\r\n");
     expect_status(clients.back(), 200);
   }
-  ASSERT_FALSE(clients.front().fill());
+  ASSERT_FALSE(clients.front().receive());
 }
 
 }  // namespace
--- a/tests/return_test.cpp
+++ b/tests/return_test.cpp
@@ -62,12 +62,12 @@
 
   void expect_all_answered() {
     for (std::size_t i = 0; i < clients_.size(); ++i) {
-      EXPECT_EQ(clients_[i].answer().status, 200) << "client " << i;
+      EXPECT_EQ(clients_[i].response().status, 200) << "client " << i;
     }
   }
 
   static bool telemetry_has(const ProxyUnderTest& proxy, const std::string& field) {
-    return proxy.call("GET", "/api/telemetry").body.find(field) != std::string::npos;
+    return proxy.admin_request("GET", "/api/telemetry").body.find(field) != std::string::npos;
   }
 
   FakeListener first_;
@@ -84,7 +84,7 @@
   send_requests("a");
   const std::string draining = host_json("s-1", first_.address(), "terminating");
   for (const auto& proxy : proxies_) {
-    proxy->list("[" + draining + "]", false);
+    proxy->send_endpoint_list("[" + draining + "]", false);
   }
   ::usleep(kPauseBeyondTheDrainGrace.count());
   signal_all(SIGCONT);
@@ -100,10 +100,10 @@
   ::usleep(kPauseBeyondTheWatchSilence.count());
   signal_all(SIGCONT);
   for (const auto& proxy : proxies_) {
-    EXPECT_TRUE(proxy->watch_again().ends_with("from=0"));
-    proxy->list("[" + host_json("s-1", first_.address(), "terminating") + "," +
-                host_json("s-2", second_.address()) + "," + host_json("s-3", second_.address()) +
-                "]");
+    EXPECT_TRUE(proxy->accept_watch().ends_with("from=0"));
+    proxy->send_endpoint_list("[" + host_json("s-1", first_.address(), "terminating") + "," +
+                              host_json("s-2", second_.address()) + "," +
+                              host_json("s-3", second_.address()) + "]");
     const auto deadline = Clock::now() + kTestTimeout;
     while (!telemetry_has(*proxy, "\"members\":3")) {
       ASSERT_LT(Clock::now(), deadline);
--- a/tests/snapshot_process_test.cpp
+++ b/tests/snapshot_process_test.cpp
@@ -115,7 +115,7 @@
   configure_snapshots(folder_.path);
   {
     const ProxyUnderTest proxy(hosts());
-    ASSERT_EQ(proxy.call("PUT", "/api/exclude?target=s-1").status, 200);
+    ASSERT_EQ(proxy.admin_request("PUT", "/api/exclude?target=s-1").status, 200);
     ASSERT_TRUE(eventually([this] { return stored().excluded_backends.contains("s-1"); }));
   }
   Snapshot old = stored();
@@ -129,8 +129,8 @@
     expect_status(client, 200);
   }
   EXPECT_FALSE(slow_.pending(0ms));
-  EXPECT_EQ(proxy.call("PUT", "/api/include?target=s-1").status, 200);
-  EXPECT_EQ(proxy.call("PUT", "/api/exclude?target=s-2").status, 200);
+  EXPECT_EQ(proxy.admin_request("PUT", "/api/include?target=s-1").status, 200);
+  EXPECT_EQ(proxy.admin_request("PUT", "/api/exclude?target=s-2").status, 200);
   client.send(ProxyUnderTest::get("c"));
   serve(slow_, "");
   expect_status(client, 200);
--- a/tests/support/proxy_fixture.h
+++ b/tests/support/proxy_fixture.h
@@ -28,8 +28,7 @@
 // restart. In production the platform owns them; in tests this object does.
 struct SharedListener {
   FakeListener socket;
-  const TemporaryDirectory kept;
-  const std::string folder = kept.path;
+  const TemporaryDirectory state_directory;
 };
 
 // A proxy process. The test has accepted its first watch and sends endpoint lists on it.
@@ -42,12 +41,12 @@
   explicit ProxyUnderTest(const std::string& hosts, const std::string& known = "[]",
                           const SharedListener* shared = nullptr)
       : shared_(shared), watch_((start(known), discovery_.accept())) {
-    first_call_ = watch_.request().target;
+    first_watch_target_ = watch_.request().target;
     watch_.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     if (hosts.empty()) {
       return;  // the test sends the first list itself
     }
-    list(hosts);
+    send_endpoint_list(hosts);
     wait_ready();
   }
   ~ProxyUnderTest() {
@@ -58,29 +57,29 @@
     std::remove(configuration_path_.c_str());
   }
   // Sends `text` on the watch as one chunk of HTTP chunked encoding.
-  void chunk(const std::string& text) const {
+  void send_chunk(const std::string& text) const {
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", text.size());
     watch_.send(size + text + "\r\n");
   }
   // Sends an endpoint list with the next version: a snapshot, or a delta if `snapshot` is false.
-  void list(const std::string& hosts, bool snapshot = true) {
-    chunk(R"({"seq":)" + std::to_string(++version_) + R"(,"whole":)" +
-          (snapshot ? "true" : "false") + R"(,"hosts":)" + hosts + "}\n");
+  void send_endpoint_list(const std::string& hosts, bool snapshot = true) {
+    send_chunk(R"({"seq":)" + std::to_string(++version_) + R"(,"whole":)" +
+               (snapshot ? "true" : "false") + R"(,"hosts":)" + hosts + "}\n");
   }
   // Sends `bytes` on the watch without chunk framing.
-  void say(const std::string& bytes) const { watch_.send(bytes); }
+  void send_raw(const std::string& bytes) const { watch_.send(bytes); }
   // Accepts the proxy's next connection to discovery and keeps it open without responding.
-  void leave_mute() { mute_.push_back(discovery_.accept()); }
+  void accept_silent_watch() { silent_watches_.push_back(discovery_.accept()); }
   // Returns the request target of the first watch after the start.
-  const std::string& first_call() const { return first_call_; }
+  const std::string& first_watch_target() const { return first_watch_target_; }
   // Returns whether the proxy has opened a connection to discovery that is not yet accepted.
-  bool calls() const { return discovery_.pending(0ms); }
+  bool has_pending_watch() const { return discovery_.pending(0ms); }
   // Accepts the proxy's next watch and starts the response. Later lists are sent on this watch.
   // Returns the target of its request.
-  std::string watch_again() { return watch_again(discovery_); }
+  std::string accept_watch() { return accept_watch(discovery_); }
   // Does the same for a watch that arrives at `discovery`.
-  std::string watch_again(const FakeListener& discovery) {
+  std::string accept_watch(const FakeListener& discovery) {
     watch_ = discovery.accept();
     const std::string target = watch_.request().target;
     watch_.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -93,12 +92,12 @@
     signal(SIGHUP);
   }
   TestConnection client() const { return TestConnection::to(address_); }
-  TestConnection caller() const { return TestConnection::to(admin_address_); }
+  TestConnection admin_client() const { return TestConnection::to(admin_address_); }
   // Sends a request to the admin interface and returns its response.
-  http::Message call(const std::string& method, const std::string& target) const {
-    TestConnection connection = caller();
+  http::Message admin_request(const std::string& method, const std::string& target) const {
+    TestConnection connection = admin_client();
     connection.send(method + " " + target + " HTTP/1.1\r\nHost: op\r\n\r\n");
-    return connection.answer();
+    return connection.response();
   }
   // Returns a GET request of class "ver" that expires in `ms` milliseconds. `extra` contains
   // complete header lines or is empty.
@@ -118,7 +117,7 @@
   int ready() const {
     TestConnection connection = client();
     connection.send("GET /health/ready HTTP/1.1\r\nConnection: close\r\n\r\n");
-    return connection.answer().status;
+    return connection.response().status;
   }
   pid_t pid() const { return pid_; }
   // Returns a descriptor from which the log after its line "serving" can be read.
@@ -158,7 +157,7 @@
       if (shared_) {
         ::dup2(shared_->socket.fd(), 3);
         ::setenv("GW_FD", "3", 1);
-        ::setenv("TMPDIR", shared_->folder.c_str(), 1);
+        ::setenv("TMPDIR", shared_->state_directory.path.c_str(), 1);
       }
       ::execl(PROXY_PROGRAM, PROXY_PROGRAM, nullptr);
       ::_exit(127);
@@ -183,7 +182,7 @@
   // sure to reach this process.
   void wait_ready() const {
     const auto deadline = Clock::now() + kTestTimeout;
-    while ((shared_ ? call("GET", "/api/ready").status : ready()) != 200) {
+    while ((shared_ ? admin_request("GET", "/api/ready").status : ready()) != 200) {
       require(Clock::now() < deadline);
       ::usleep(5000);
     }
@@ -197,8 +196,8 @@
   sockaddr_in address_{};
   sockaddr_in admin_address_{};
   TestConnection watch_;
-  std::vector<TestConnection> mute_;
-  std::string first_call_;
+  std::vector<TestConnection> silent_watches_;
+  std::string first_watch_target_;
   int version_ = 1;
 };
 
--- a/tests/support/proxy_test_util.h
+++ b/tests/support/proxy_test_util.h
@@ -47,7 +47,7 @@
   TestConnection server = backend.accept();
   server.request();
   server.reply(200, "", body);
-  const http::Message response = client.answer();
+  const http::Message response = client.response();
   EXPECT_EQ(response.status, 200);
   EXPECT_EQ(response.body, body);
   return server;
--- a/tests/support/test_connection.h
+++ b/tests/support/test_connection.h
@@ -36,7 +36,7 @@
   }
   // Waits for data and appends it to `buffer`. Returns false if the remote side has closed or reset
   // the connection.
-  bool fill() {
+  bool receive() {
     require(readable(kTestTimeout));
     char chunk[4096];
     const ssize_t received = ::recv(fd_.get(), chunk, sizeof chunk, 0);
@@ -50,13 +50,13 @@
     http::Parser parser(kind);
     http::Progress progress = parser.feed(buffer);
     while (progress == http::Progress::kNeedsMore) {
-      progress = fill() ? parser.feed(buffer) : parser.end();
+      progress = receive() ? parser.feed(buffer) : parser.end();
     }
     require(progress == http::Progress::kComplete);
     return parser.message();
   }
   http::Message request() { return message(http::Parser::Kind::kRequest); }
-  http::Message answer() { return message(http::Parser::Kind::kResponse); }
+  http::Message response() { return message(http::Parser::Kind::kResponse); }
   // Sends a response. `extra` contains complete header lines or is empty.
   void reply(int status, const std::string& extra, const std::string& body) const {
     send(http::write_response(status, extra, body, false));
@@ -70,7 +70,7 @@
 
 // Receives a response and requires that it has `status`.
 inline void expect_status(TestConnection& client, int status) {
-  require(client.answer().status == status);
+  require(client.response().status == status);
 }
 
 }  // namespace beechhill::test
