--- a/src/proxy/active_request.h
+++ b/src/proxy/active_request.h
@@ -60,8 +60,8 @@
   /// Whether a backend has received the whole request or may still receive it from an outstanding
   /// attempt.
   bool may_have_reached_backend() const { return reached_backend_ || outstanding_attempts_ > 0; }
-  /// Start time of the attempt that was the first to end in a way that a backend may have executed
-  /// the request; empty if there is none.
+  /// Start time of the first attempt whose outcome leaves open that a backend executed the request;
+  /// empty if there is no such attempt.
   std::optional<Time> possibly_executed_at() const {
     return first_possibly_executed_ ? std::optional(attempts_[*first_possibly_executed_].started_at)
                                     : std::nullopt;
--- a/src/proxy/backend_actor.cpp
+++ b/src/proxy/backend_actor.cpp
@@ -24,7 +24,7 @@
 
 constexpr std::size_t kInboxCapacity = 2048;
 
-// Attempts are accepted only below this number of queued messages; the rest of the mailbox is
+// Attempts are accepted only while fewer messages than this are queued; the rest of the mailbox is
 // reserved for cancellations and status updates.
 constexpr std::size_t kMaxQueuedAttempts = 1024;
 
@@ -38,8 +38,8 @@
   }
 };
 
-// Whether the outcome is still needed: the client has neither disconnected nor received a response.
-// Always true for a health check, for which `attempt` is null.
+// Whether the outcome of `attempt` is still needed: its client has neither disconnected nor
+// received a response. Always true for a health check, for which `attempt` is null.
 bool is_wanted(const AttemptRequest* attempt) {
   return !attempt || !attempt->request || attempt->request->awaits_response();
 }
@@ -102,9 +102,10 @@
 void BackendActor::on(CancelAttempt& cancel) {
   const auto it = attempts_.find({cancel.request_id, cancel.attempt_number});
   if (it == attempts_.end()) {
-    return;  // the attempt has already ended
+    return;  // The attempt has already ended.
   }
-  scheduler_.cancel(it->second);  // closes the connection: HTTP/1.1 has no other way to cancel
+  // Cancelling the task closes the connection, as HTTP/1.1 has no other way to cancel a request.
+  scheduler_.cancel(it->second);
   attempts_.erase(it);
   AttemptCompleted outcome{cancel.request_id, cancel.attempt_number, Result::kCancelled, {}, {}};
   scheduler_.spawn(post_reliably(scheduler_, decisions_, std::move(outcome)));
@@ -118,8 +119,8 @@
   if (status.status == EndpointStatus::kRemoved) {
     status.address = status_.address;
   }
-  // Connections to a process that has ended are closed, because a request that was written to one
-  // of them counts as possibly executed.
+  // After a restart or a move, closes the connections to the previous process, because a request
+  // that is written to one of them counts as possibly executed.
   const bool restarted =
       !net::same(status.address, status_.address) || status.started_at != status_.started_at;
   status_ = status;
@@ -130,16 +131,17 @@
 
 // ---- Attempts
 
-// Nothing is sent to a draining backend, even within its drain grace. The grace starts when
-// discovery's agent learns of the drain and may be over before this process learns of it, at its
-// start or after the watch broke or fell silent.
+// Whether requests may be sent to the backend. A draining backend receives none, even within its
+// drain grace. The grace starts when discovery's agent learns of the drain, so that it may be over
+// before this process learns of the drain, for example after the watch broke.
 bool BackendActor::may_send() const {
   return pool_.endpoints_are_current() && now() < status_.permitted_until &&
          status_.status == EndpointStatus::kUp;
 }
 
-// The result of an attempt that may not be sent. While the endpoint list is not current, the result
-// does not count against the backend, because it is unknown whether the backend still serves.
+// Returns the result of an attempt that was not sent. While the endpoint list is not current, the
+// result does not count against the backend, because it is unknown whether the backend still
+// serves.
 Result BackendActor::unsent_result(const AttemptRequest* attempt) const {
   return is_wanted(attempt) && pool_.endpoints_are_current() ? Result::kConnectFailed
                                                              : Result::kSkipped;
@@ -164,9 +166,9 @@
     outcome.result = exchange_result.result;
     outcome.load_report = exchange_result.load_report;
     outcome.response = std::move(exchange_result.response);
-  } catch (const std::exception& error) {  // an attempt must always have an outcome
+  } catch (const std::exception& error) {  // Every attempt must have an outcome.
     log::fault("step_fault", error);
-    outcome.result = Result::kError;  // the request may have been executed
+    outcome.result = Result::kError;  // The request may have been executed.
   }
   attempts_.erase({attempt.request_id, attempt.attempt_number});
   DecisionMessage message(std::move(outcome));
@@ -182,7 +184,8 @@
   co_await post_reliably(scheduler_, decisions_, std::move(message));
 }
 
-// `attempt` is null for a health check.
+// Sends one request and receives its response, on an idle connection if there is one. `attempt` is
+// null for a health check.
 Task<ExchangeResult> BackendActor::exchange(const Payload& payload, Time connect_deadline,
                                             Time deadline, const AttemptRequest* attempt) {
   ExchangeResult unsent;
@@ -197,9 +200,8 @@
     if (!connection) {
       co_return unsent;
     }
-    // While the connection was being established, the backend may have drained or moved, the client
-    // may have disconnected or received its response, or the backend's deduplication window may
-    // have ended.
+    // While the connection was being established, the backend may have begun to drain or moved, the
+    // client may have disconnected or received its response, or the write deadline may have passed.
     const bool usable = may_send() && is_at_current_address(*connection);
     if (!usable || !is_wanted(attempt) || now() >= write_deadline) {
       connection->end_reason = usable ? EndReason::kAttemptCancelled : EndReason::kBackendDrained;
@@ -220,7 +222,8 @@
   co_return result;
 }
 
-// Returns null if no descriptor is free or the connection is not established in time.
+// Opens a connection. Returns null if no descriptor is free or the connection is not established in
+// time.
 Task<std::unique_ptr<BackendConnection>> BackendActor::connect(Time connect_deadline) {
   if (!pool_.reserve_descriptor()) {
     co_return nullptr;
--- a/src/proxy/backend_actor.h
+++ b/src/proxy/backend_actor.h
@@ -19,13 +19,13 @@
 
 namespace beechhill::proxy {
 
-/// Runs from construction to destruction. The destructor closes the connections and cancels
-/// outstanding attempts without posting their outcomes. All members are called on the scheduler's
-/// thread.
+/// The actor of one HTTP/1.1 backend. It runs from construction to destruction. The destructor
+/// closes the connections and cancels outstanding attempts without posting their outcomes. All
+/// members must be called on the scheduler's thread.
 class BackendActor : public Backend {
  public:
-  /// Posts the outcome of each attempt and health check to `decisions`. All references must outlive
-  /// the actor.
+  /// Posts the outcome of each attempt and health check to `decisions`. All arguments that are
+  /// passed by reference must outlive the actor.
   BackendActor(runtime::Scheduler& scheduler, DecisionMailbox& decisions, BackendPool& pool,
                const Settings& settings, EndpointId endpoint, sockaddr_in address);
   ~BackendActor() override;
--- a/src/proxy/backend_exchange.cpp
+++ b/src/proxy/backend_exchange.cpp
@@ -21,11 +21,11 @@
 
 namespace {
 
-// Maximum time without progress of a streamed body, when reading or writing.
+// Maximum time without progress when part of a streamed body is read or written.
 constexpr auto kStreamTimeout = 5000ms;
 
-// Bytes of a response that are buffered before it is forwarded, if its stated length exceeds
-// http::kMaxBufferedBodyBytes.
+// Number of body bytes beyond which a response is forwarded as it arrives, if its stated length
+// exceeds http::kMaxBufferedBodyBytes.
 constexpr std::size_t kFirstPartBytes = std::size_t{8} * 1024;
 
 LoadReport load_report_of(const http::Headers& headers) {
@@ -42,8 +42,8 @@
     return Result::kOk;
   }
   const std::string* never_ran = message.headers.find("X-Never-Ran");
-  // Only X-Never-Ran proves that the request was not executed. Retrying on every 503 or 504 would
-  // add load to an overloaded tier.
+  // Only X-Never-Ran proves that the request was not executed. Retrying after every 503 or 504
+  // would add load to an overloaded tier.
   if ((message.status == 503 || message.status == 504) && never_ran && *never_ran == "1") {
     return Result::kOverloaded;
   }
@@ -60,7 +60,7 @@
     written = co_await write_remaining_body();
     deadline = now() + attempt_->response_timeout;
   }
-  if (written != IoResult::kOk) {  // the last byte was not sent, so the request was not executed
+  if (written != IoResult::kOk) {  // The last byte was not sent, so the request was not executed.
     connection_.end_reason = EndReason::kReset;
     co_return std::move(result_);
   }
@@ -72,8 +72,8 @@
   co_return std::move(result_);
 }
 
-// Writes the rest of a streamed request at the pace of its client. Any result other than kOk means
-// that the last byte was not sent. Writing ends early if the backend closes the connection or
+// Writes the rest of a streamed request as fast as its client sends it. Any result other than kOk
+// means that the last byte was not sent. Writing ends early if the backend closes the connection or
 // responds before it has received the whole request.
 Task<IoResult> BackendExchange::write_remaining_body() {
   net::Stream& stream = *connection_.stream;
@@ -106,15 +106,15 @@
   }
 }
 
-// Accepts only a complete response to this request. After anything else the request may have been
-// executed, and the connection is not reused.
+// Receives the response. Accepts only a complete response to this request. After anything else the
+// request may have been executed, and the connection is not reused.
 Task<> BackendExchange::receive(Time deadline) {
   const ReadOutcome outcome = co_await read_first_part(deadline);
   if (outcome == ReadOutcome::kFailed || !accept_response()) {
     co_return;
   }
   if (outcome == ReadOutcome::kStreaming) {
-    if (!attempt_ || result_.result != Result::kOk) {  // the rest of the response is not needed
+    if (!attempt_ || result_.result != Result::kOk) {  // The rest of the response is not needed.
       connection_.end_reason = EndReason::kMalformedResponse;
       co_return;
     }
@@ -176,7 +176,7 @@
   }
 }
 
-// Returns false if the response belongs to another request.
+// Stores the response in `result_`. Returns false if the response belongs to another request.
 bool BackendExchange::accept_response() {
   http::Message& message = parser_.message();
   const std::string_view trace_id = payload_.trace_id();
@@ -199,8 +199,9 @@
   return true;
 }
 
-// Posts the outcome with the first part of a streamed response and forwards the rest until it ends.
-// The request's deadline does not limit the rest. Returns whether the response is complete.
+// Posts the outcome with the first part of a streamed response and forwards the rest until the
+// response ends. The request's deadline does not limit the rest. Returns whether the response is
+// complete.
 Task<bool> BackendExchange::stream_response() {
   runtime::Notifier capacity;
   const auto pipe = std::make_shared<BodyPipe>(pool_.body_budget);
@@ -221,7 +222,7 @@
   co_return true;
 }
 
-// Forwards the body until it ends or the reader closes the pipe.
+// Forwards the rest of the response body until it ends or the reader closes the pipe.
 Task<http::Progress> BackendExchange::forward_body(BodyPipe& pipe, runtime::Notifier& capacity) {
   http::Progress progress = http::Progress::kNeedsMore;
   std::string bytes;
--- a/src/proxy/backend_exchange.h
+++ b/src/proxy/backend_exchange.h
@@ -21,15 +21,17 @@
   Result result = Result::kConnectFailed;
   LoadReport load_report;
   BackendResponse response;
-  /// Whether the outcome has already been posted, along with the first part of a streamed response.
+  /// Whether the outcome has already been posted to the decision actor, along with the first part
+  /// of a streamed response.
   bool posted = false;
 };
 
-/// run() is called once. Everything passed to the constructor by reference must outlive that call.
+/// One request and its response on a connection. run() must be called exactly once. The
+/// constructor's arguments, including `*attempt`, must outlive the call.
 class BackendExchange {
  public:
-  /// `attempt` identifies the attempt whose outcome is posted when a streamed response begins; null
-  /// for a health check.
+  /// `attempt` identifies the attempt whose outcome is posted to `decisions` when a streamed
+  /// response begins; null for a health check.
   BackendExchange(runtime::Scheduler& scheduler, DecisionMailbox& decisions, BackendPool& pool,
                   BackendConnection& connection, const Payload& payload,
                   const AttemptRequest* attempt)
@@ -40,9 +42,10 @@
         payload_(payload),
         attempt_(attempt) {}
 
-  /// `write_deadline` limits writing the request, or the first part of a streamed one. `deadline`
-  /// limits receiving the response, or the first part of a streamed one; for a streamed request,
-  /// the attempt's response_timeout replaces it.
+  /// The request, or the first part of a streamed one, must be written by `write_deadline`. The
+  /// response, or the first part of a streamed one, must be received by `deadline`. For a streamed
+  /// request, the time limit for the response is the attempt's response_timeout instead of
+  /// `deadline`.
   runtime::Task<ExchangeResult> run(Time write_deadline, Time deadline);
 
   /// Whether the connection can carry another request after run().
--- a/src/proxy/backend_exclusions.h
+++ b/src/proxy/backend_exclusions.h
@@ -11,8 +11,9 @@
 
 namespace beechhill::proxy {
 
-/// Exclusions made by operators and the dispatch permissions on which the proxies have agreed, by
-/// backend id. Both are kept after the backend has left the endpoint list.
+/// Exclusions made by operators, and dispatch permissions, which state until when this proxy may
+/// send requests and on which the proxies have agreed. Both are indexed by backend id and are kept
+/// after the backend has left the endpoint list.
 class BackendExclusions {
  public:
   explicit BackendExclusions(std::set<std::string> excluded_by_operator)
@@ -35,7 +36,8 @@
   }
   const DispatchPermissions& permissions() const { return permissions_; }
 
-  /// When the permission to send requests to the backend ends; Time::max() if it is not limited.
+  /// Returns when the permission to send requests to the backend ends; Time::max() if it is not
+  /// limited.
   Time permitted_until(const std::string& backend_id) const {
     const auto it = permissions_.permitted_until.find(backend_id);
     return it == permissions_.permitted_until.end() ? Time::max() : it->second;
--- a/src/proxy/backend_messages.h
+++ b/src/proxy/backend_messages.h
@@ -15,24 +15,26 @@
 
 namespace beechhill::proxy {
 
-/// Requests one attempt of a client request. Answered by exactly one AttemptCompleted.
+/// Requests one attempt of a client request. The actor answers it with exactly one
+/// AttemptCompleted.
 struct AttemptRequest {
   RequestId request_id = 0;
   /// Index among the request's attempts, from 0.
   std::uint32_t attempt_number = 0;
   /// The attempt fails if no connection is established by this time.
   Time connect_deadline{0};
-  /// When the proxy stops waiting for the response.
+  /// When the proxy stops waiting for the response. Replaced by response_timeout for a streamed
+  /// request body.
   Time deadline{0};
-  /// For a streamed request body: maximum time from writing its last byte to receiving the
-  /// response.
+  /// For a streamed request body: maximum time from writing its last byte to receiving the response
+  /// or the first part of a streamed response.
   Duration response_timeout{0};
   std::shared_ptr<const Payload> payload;
-  /// The client request, whose state shows whether an outcome is still needed. If null, it always
-  /// is.
+  /// The client request, whose state shows whether the attempt's outcome is still needed. If null,
+  /// the outcome is always needed.
   std::shared_ptr<const ClientRequest> request;
-  /// The request's last byte must be written by this time. If it has passed before writing begins,
-  /// the attempt is not carried out.
+  /// The request, or the first part of a streamed one, must be written by this time. If the time
+  /// has passed before writing begins, nothing is sent.
   Time write_deadline = Time::max();
 };
 
@@ -42,14 +44,14 @@
   std::uint32_t attempt_number = 0;
 };
 
-/// Requests a health check. Answered by exactly one HealthCheckCompleted.
+/// Requests a health check. The actor answers it with exactly one HealthCheckCompleted.
 struct CheckHealth {};
 
-/// Informs the actor of its backend's entry in the endpoint list and of its dispatch permission.
+/// Reports the state of the backend in the endpoint list and its dispatch permission.
 struct BackendStatus {
   EndpointStatus status = EndpointStatus::kUp;
   sockaddr_in address{};
-  /// Unix time of the backend's latest start; 0 if not stated.
+  /// Unix time of the backend's latest start; 0 if discovery does not state it.
   std::chrono::milliseconds started_at{0};
   /// No new request may be sent to the backend from this time on.
   Time permitted_until = Time::max();
@@ -57,7 +59,7 @@
 
 using BackendMessage = std::variant<AttemptRequest, CancelAttempt, CheckHealth, BackendStatus>;
 
-/// A backend as the decision actor uses it, independent of the backend's protocol.
+/// The decision actor's interface to the actor of a backend, independent of the backend's protocol.
 class Backend {
  public:
   virtual ~Backend() = default;
--- a/src/proxy/backend_pool.h
+++ b/src/proxy/backend_pool.h
@@ -1,4 +1,4 @@
-// State shared by the actors of all backends.
+// State shared by the actors of all backends, such as the budget of descriptors.
 #pragma once
 
 #include <algorithm>
@@ -14,8 +14,8 @@
 
 namespace beechhill::proxy {
 
-/// The budget of descriptors for connections to backends, the idle connections, and state that all
-/// backends share. Must outlive the actors.
+/// State shared by the actors of all backends: the budget of descriptors for connections to
+/// backends, and the idle connections. Must outlive the actors.
 struct BackendPool {
   BackendPool(std::size_t descriptors, BodyBudget& body_budget, Telemetry& telemetry,
               const Settings& settings)
@@ -25,8 +25,8 @@
     }
   }
 
-  /// Returns whether another connection may be opened. If the descriptor budget is exhausted, makes
-  /// room by closing the connection that has been idle longest, of any backend.
+  /// Returns whether another connection may be opened. If the descriptor budget is exhausted, frees
+  /// a descriptor by closing the connection that has been idle longest, of any backend.
   bool reserve_descriptor() {
     if (budget.has_capacity()) {
       return true;
@@ -48,14 +48,16 @@
   Telemetry& telemetry;
   /// The idle connections of each backend, in no particular order.
   std::vector<IdleConnections*> idle_connections;
-  /// Maximum time without a byte while a response, or the first part of a streamed one, is
-  /// received. A longer gap shows that the response is shorter than its stated length.
+  /// Maximum time without a byte after a response has begun, until it, or the first part of a
+  /// streamed one, is complete. After a longer gap the attempt fails, as the response is assumed to
+  /// be shorter than its stated length.
   Duration max_response_gap = Duration::max();
   /// Whether the endpoint list is recent enough to choose backends for new requests.
   std::function<bool()> endpoints_are_current = [] { return true; };
 
  private:
-  /// The maximum gap is the shortest deadline divided by this: 250 ms for a deadline of 2 s.
+  /// max_response_gap is the shortest deadline of a class divided by this: 250 ms for a deadline of
+  /// 2 s.
   static constexpr int kResponseGapDivisor = 8;
 };
 
--- a/src/proxy/body_pipe.h
+++ b/src/proxy/body_pipe.h
@@ -10,8 +10,8 @@
 
 namespace beechhill::proxy {
 
-/// Limits the bytes buffered by all pipes together. Once the limit is reached, new streamed
-/// requests are rejected and each pipe buffers less.
+/// Limits the number of bytes buffered by all pipes together. While the limit is reached, new
+/// streamed requests are rejected and each pipe buffers less.
 class BodyBudget {
  public:
   explicit BodyBudget(std::size_t bytes) : limit_(bytes) {}
@@ -28,7 +28,7 @@
 /// The buffer of one body. `budget` must outlive the pipe.
 class BodyPipe {
  public:
-  /// Number of buffered bytes at which the pipe is full. The last push() may exceed it.
+  /// Number of buffered bytes at which the pipe is full. The last push() may exceed this number.
   static constexpr std::size_t kMaxBufferedBytes = std::size_t{64} * 1024;
   /// Replaces kMaxBufferedBytes while the budget has no capacity.
   static constexpr std::size_t kMaxBufferedBytesWhenOverBudget = std::size_t{16} * 1024;
@@ -40,9 +40,9 @@
 
   // ---- Writer
 
-  /// Registers the writer for its lifetime. `capacity_available` is notified when the reader takes
-  /// bytes or closes its side. The destructor aborts a body that is incomplete and unregisters the
-  /// notifier.
+  /// Registers the writer's notifier `capacity_available` while the guard exists. It is notified
+  /// when the reader takes bytes or closes its side. The destructor unregisters the notifier, and
+  /// aborts the body if it is incomplete.
   class WriterGuard {
    public:
     /// `pipe` is null if there is no body to write.
@@ -80,7 +80,7 @@
     state_ = State::kComplete;
     data_available_.notify();
   }
-  /// Marks the body as incomplete for good. Has no effect after finish().
+  /// Marks the body as permanently incomplete. Has no effect on the state after finish().
   void abort() {
     if (state_ == State::kOpen) {
       state_ = State::kAborted;
@@ -88,7 +88,7 @@
     data_available_.notify();
   }
   bool reader_closed() const { return reader_closed_; }
-  /// Whether the reader has taken bytes, so that the body can no longer be read from its start.
+  /// Whether the reader has taken bytes. If so, the body can no longer be read from its start.
   bool reading_started() const { return reading_started_; }
 
   // ---- Reader
@@ -113,7 +113,7 @@
     notify_writer();
     return std::exchange(bytes_, {});
   }
-  /// Whether the writer has finished; the pipe may still hold bytes.
+  /// Whether the writer has called finish(); the pipe may still hold bytes.
   bool is_complete() const { return state_ == State::kComplete; }
   bool is_aborted() const { return state_ == State::kAborted; }
   /// Notified when bytes are pushed and when the body is finished or aborted.
--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -24,18 +24,19 @@
 
 namespace {
 
-// Maximum time between two requests on a connection.
+// Maximum time for which a connection may be idle between two requests.
 constexpr auto kIdleTimeout = 10000ms;
 
-// Maximum time until the first byte of a new client.
+// Maximum time until a new client sends its first byte.
 constexpr auto kFirstByteTimeout = 1000ms;
 
-// Maximum time for a request to arrive from its first byte on, extended by one millisecond for
-// every kMinUploadRate bytes received. Slow clients send 64 bytes per millisecond.
+// Maximum time from the first byte of a request to its last. It is extended by one millisecond for
+// every kMinUploadRate bytes received; the slowest legitimate clients send 64 bytes per
+// millisecond.
 constexpr auto kRequestTimeout = 2500ms;
 constexpr std::uint64_t kMinUploadRate = 32;
 
-// Maximum time for a client to take a response, or a part of a streamed one.
+// Maximum time for a client to receive a response, or a part of a streamed one.
 constexpr auto kWriteTimeout = 5s;
 
 // Maximum time for a client to close the connection after its last response.
@@ -44,7 +45,8 @@
 // A request is failed this long after its deadline if the decision actor has not responded.
 constexpr Duration kResponseOverdue = 10ms;
 
-// Maximum bytes of pipelined requests that are buffered while another request is served.
+// Number of buffered bytes of pipelined requests at which reading stops while another request is
+// served.
 constexpr std::size_t kMaxPipelinedBytes = http::kMaxHeadBytes + http::kMaxBufferedBodyBytes;
 
 bool is_health_check(const http::Message& message) {
@@ -89,7 +91,8 @@
     http::Parser parser(http::Parser::Kind::kRequest);
     const ReadOutcome outcome = co_await read_request(parser);
     // No response is in transit between requests, so the connection is closed without lingering. A
-    // request that arrives at the same time stays unread; its client can detect that and retry it.
+    // request that arrives at the same time is not read; its client can detect that and retry the
+    // request.
     if (outcome == ReadOutcome::kClosed) {
       co_return;
     }
@@ -106,13 +109,13 @@
   }
   enter_phase(Phase::kLingering);
   const bool evicted = close_requested_ && close_reason_ == EndReason::kEvicted;
-  if (!evicted) {  // an evicted connection must free its descriptor at once
+  if (!evicted) {  // An evicted connection must free its descriptor at once.
     co_await lingering_close();
   }
 }
 
-// Keeps the descriptor open until the client closes or kLingerTimeout ends, because a reset could
-// destroy a response in transit.
+// Keeps the descriptor open until the client closes the connection or kLingerTimeout ends, because
+// a reset could destroy a response in transit.
 Task<> ClientConnection::lingering_close() {
   const TimePoint until =
       to_point(std::min(now() + kLingerTimeout, context_.lifecycle.response_deadline()));
@@ -163,7 +166,7 @@
   }
   enter_phase(Phase::kActive);
   // If the bytes after a request cannot begin another one, the stated length of the request is
-  // wrong.
+  // wrong, and it is rejected.
   const bool followed_by_request =
       progress != http::Progress::kComplete || http::may_begin_request(buffer_);
   co_return progress == http::Progress::kMalformed || !followed_by_request ? ReadOutcome::kMalformed
@@ -177,8 +180,8 @@
   return progress;
 }
 
-// Responds to an Expect header, if there is one. Returns an outcome if the rest of the request is
-// not read.
+// Responds to an Expect header, if there is one. Returns an outcome if the rest of the request must
+// not be read.
 Task<std::optional<ClientConnection::ReadOutcome>> ClientConnection::handle_expectation(
     const http::Message& message) {
   if (!message.headers.find("Expect")) {
@@ -195,7 +198,8 @@
   co_return std::nullopt;
 }
 
-// A large body may take longer to arrive, as long as it keeps a minimum rate.
+// Returns when the current request must have arrived. A large body may take longer, as long as it
+// arrives at a minimum rate.
 TimePoint ClientConnection::request_read_deadline() const {
   return request_started_at_ + kRequestTimeout +
          std::chrono::milliseconds(received_bytes_ / kMinUploadRate);
@@ -203,7 +207,7 @@
 
 TimePoint ClientConnection::read_deadline() const {
   const bool reading = phase_ == Phase::kReading;
-  // Bytes that have already arrived are read without waiting for more.
+  // When the connection is to be closed, reads only bytes that have already arrived.
   if (close_requested_ && (!reading || close_reason_ == EndReason::kEvicted)) {
     return Clock::now();
   }
@@ -235,14 +239,15 @@
 // ---- Serving requests
 
 // Whether the connection closes after the current response. If the next request has already been
-// received, it is answered first, unless the response deadline of the shutdown has passed.
+// received, that request is answered first, unless the response deadline of the shutdown has
+// passed.
 bool ClientConnection::closes_after_response() const {
   const ListenerLifecycle& lifecycle = context_.lifecycle;
   return (close_requested_ || lifecycle.closes_after_response(accepted_at_, now())) &&
          (buffer_.empty() || now() >= lifecycle.response_deadline());
 }
 
-// Serves a request. Returns false if it was the connection's last.
+// Serves a request. Returns false if it was the connection's last request.
 Task<bool> ClientConnection::answer_request(http::Parser& parser) {
   http::Message& message = parser.message();
   const bool close = !message.keep_alive();
@@ -271,10 +276,11 @@
   } else if (!co_await await_response(request, parser)) {
     co_return false;
   }
-  // If the response is ready before the request's body, the rest of the body is not a new request.
+  // If the response is ready before the request's body is complete, the rest of the body must not
+  // be parsed as a new request.
   discard_input_ = upload && !upload->is_complete();
   const bool last = close || discard_input_ || closes_after_response();
-  // NOLINTNEXTLINE(bugprone-unchecked-optional-access): set on every path to here
+  // NOLINTNEXTLINE(bugprone-unchecked-optional-access): every path to this line sets `response`
   const ClientResponse& response = *request->response;
   co_return co_await send_response(response, last, client_decodes_chunks, scope);
 }
@@ -286,8 +292,8 @@
   co_return co_await write_response(bytes, last);
 }
 
-// Waits for the response while it watches for a disconnect and forwards the rest of a streamed
-// body. Returns false if the client has disconnected or its request was rejected.
+// Waits for the response. Meanwhile detects a disconnect and forwards the rest of a streamed body.
+// Returns false if the client has disconnected or its request was rejected.
 Task<bool> ClientConnection::await_response(const std::shared_ptr<ClientRequest>& request,
                                             http::Parser& parser) {
   while (!request->response) {
@@ -304,7 +310,8 @@
     if (BodyPipe* upload = request->payload->remaining_body().get()) {
       upload->abort();
     }
-    // Without this message the request would stay queued or be forwarded although no client waits.
+    // Cancels the request, so that it is neither left in a queue nor forwarded, as no client waits
+    // for it.
     DecisionMessage abandoned(RequestAbandoned{request});
     co_await post_reliably(context_.scheduler, context_.decisions, std::move(abandoned));
     if (outcome == WaitOutcome::kOverdue) {
@@ -322,7 +329,8 @@
   co_return true;
 }
 
-// Waits until the response is set, bytes of the client arrive, or the client disconnects.
+// Waits until the response is set, bytes from the client arrive, the client disconnects, or a time
+// limit passes.
 Task<ClientConnection::WaitOutcome> ClientConnection::await_progress(ClientRequest& request,
                                                                      http::Parser& parser) {
   const bool uploading = is_uploading(request);
@@ -336,9 +344,9 @@
     io = co_await stream_.read(buffer_, overdue, &request.response_ready);
     received_bytes_ += buffer_.size() - size_before;
   } else {
-    // Nothing is read while the backend takes no more of the body or while the buffer for pipelined
-    // requests is full, but a disconnect is still detected. Time in which the backend takes no more
-    // does not count as the client's upload time.
+    // While the backend does not accept more of the body or the buffer for pipelined requests is
+    // full, nothing is read, but a disconnect is still detected. The time spent waiting for the
+    // backend does not count as the client's upload time.
     const TimePoint started_at = Clock::now();
     const TimePoint until = uploading ? to_point(request.deadline) : overdue;
     io = co_await stream_.wait_for_peer_close(until, request.response_ready);
@@ -355,7 +363,8 @@
   if (io != IoResult::kOk) {
     co_return WaitOutcome::kDisconnected;
   }
-  // If the bytes cannot begin another request, the stated length of this one is wrong.
+  // If the bytes after a request cannot begin another one, the stated length of the request is
+  // wrong, and it is rejected.
   const bool valid = uploading ? forward_upload(request, parser) : http::may_begin_request(buffer_);
   co_return valid ? WaitOutcome::kPending : WaitOutcome::kMalformed;
 }
@@ -384,7 +393,7 @@
 
 // ---- Sending responses
 
-// Returns whether the connection stays open.
+// Sends the response and counts the request's outcome. Returns whether the connection stays open.
 Task<bool> ClientConnection::send_response(const ClientResponse& response, bool close,
                                            bool client_decodes_chunks,
                                            Telemetry::RequestScope& scope) {
@@ -404,9 +413,9 @@
   co_return open;
 }
 
-// Sends a streamed response at the pace of its backend and client. Returns false if the response
-// ended early or could not be written; the connection is then closed before the body's end, which
-// shows the client that the body is incomplete.
+// Forwards a streamed response, no faster than its client receives it. Returns false if the
+// response ended early or could not be written; the connection is then closed before the body's
+// end, which shows the client that the body is incomplete.
 Task<bool> ClientConnection::stream_response(const BackendResponse& response, bool close,
                                              bool client_decodes_chunks) {
   BodyPipe& pipe = *response.remaining_body;
--- a/src/proxy/client_connection.h
+++ b/src/proxy/client_connection.h
@@ -1,4 +1,4 @@
-// A client's connection. It serves one request at a time, in the order in which they arrive.
+// A client's connection. It serves its requests one at a time, in the order in which they arrive.
 #pragma once
 
 #include <cstdint>
@@ -52,7 +52,8 @@
   ClientConnection(const ClientConnection&) = delete;
   ClientConnection& operator=(const ClientConnection&) = delete;
 
-  /// Except for kActive, the phases are in the order in which connections are evicted.
+  /// What the connection is doing. The phases that allow eviction come first, in the order in which
+  /// connections are evicted; kActive does not allow it.
   enum class Phase {
     /// Accepted, and no byte has been received.
     kNew,
@@ -65,7 +66,7 @@
     /// A response is outstanding, or the connection is being closed.
     kActive,
   };
-  /// Number of phases in which a connection may be evicted.
+  /// Number of phases in which a connection may be evicted, all those before kActive.
   static constexpr std::size_t kEvictablePhases = static_cast<std::size_t>(Phase::kActive);
 
   /// Serves requests until the connection ends.
@@ -74,8 +75,8 @@
   Phase phase() const { return close_requested_ ? Phase::kActive : phase_; }
   runtime::TimePoint phase_started_at() const { return phase_started_at_; }
 
-  /// Closes the connection once no response is outstanding. A request that has been received by
-  /// then is still answered.
+  /// Closes the connection once no response is outstanding. A request that has arrived completely
+  /// is still answered. Unless `reason` is kEvicted, so is a request that has arrived in part.
   void request_close(EndReason reason);
 
  private:
@@ -123,7 +124,7 @@
   bool discard_input_ = false;
   /// When the first byte of the current request was received.
   runtime::TimePoint request_started_at_{};
-  /// Bytes of the current request received so far.
+  /// Number of bytes of the current request that have been received so far.
   std::uint64_t received_bytes_ = 0;
   Phase phase_ = Phase::kNew;
   runtime::TimePoint phase_started_at_ = runtime::Clock::now();
--- a/src/proxy/client_listener.cpp
+++ b/src/proxy/client_listener.cpp
@@ -26,22 +26,22 @@
 // Polling interval while descriptors or endpoints are missing and during a drain or shutdown.
 constexpr auto kRetryInterval = 20ms;
 
-// How often the accept loop checks whether it must stop.
+// Maximum time until the accept loop checks again whether it must stop.
 constexpr auto kAcceptTimeout = 200ms;
 
-// Connections that are accepted before other tasks run.
+// Maximum number of connections that are accepted before other tasks run.
 constexpr std::size_t kAcceptBatch = 32;
 
-// Minimum time that a connection has been in its phase before it may be evicted when descriptors
-// are short. A regular client sends its first byte within kMinNewAge.
+// Minimum time that a new connection, or one that is reading a request, has been in its phase
+// before it may be evicted. Clients that send a request send its first byte within kMinNewAge.
 constexpr auto kMinNewAge = 30ms;
 constexpr auto kMinReadingAge = 500ms;
-// Minimum age for the eviction of an idle connection while there are new connections that may turn
-// out to be silent.
+// Minimum age for the eviction of an idle connection while there are new connections younger than
+// kMinNewAge, which may turn out to be silent.
 constexpr auto kMinIdleAge = 250ms;
 
-// During a drain or shutdown, a new connection without a received byte is closed after this time. A
-// client that sends anything has begun by then.
+// During a drain or shutdown, a new connection without a received byte is closed after this time.
+// Clients that send a request send its first byte within this time.
 constexpr auto kFirstByteGrace = 100ms;
 
 Duration max_deadline(const config::Config& config) {
@@ -75,7 +75,7 @@
 ClientListener::ClientListener(runtime::Scheduler& scheduler, DecisionMailbox& decisions,
                                const config::Config& config, Telemetry& telemetry,
                                BodyBudget& body_budget, std::size_t descriptors,
-                               std::function<bool()> has_endpoints, bool drained)
+                               std::function<bool()> has_endpoints, bool draining)
     : config_(config),
       context_{scheduler,
                decisions,
@@ -89,7 +89,7 @@
                {}},
       listener_(open_listener(scheduler, config)),
       inbox_(kInboxCapacity) {
-  if (drained) {
+  if (draining) {
     context_.lifecycle.drain(now());
   }
 }
@@ -102,12 +102,11 @@
   sockaddr_in remote{};
   net::FileDescriptor fd;
   for (std::size_t round = 1; context_.lifecycle.accepts_connections(now()); ++round) {
-    // Lets the tasks of accepted connections run, so that the first bytes of their clients are
-    // read.
+    // Lets the tasks of the accepted connections run, so that they read their clients' first bytes.
     if (round % kAcceptBatch == 0 || !context_.descriptor_budget.has_capacity()) {
       co_await sleep_for(0ms);
     }
-    // Without a free descriptor nothing is accepted, and clients wait in the backlog.
+    // While no descriptor is free, no connection is accepted, and clients wait in the backlog.
     if (!context_.descriptor_budget.has_capacity()) {
       co_await await_descriptor();
       continue;
@@ -122,11 +121,11 @@
     }
   }
   co_await accept_backlog();
-  listener_.reset();  // from here on connections are rejected instead of kept waiting
+  listener_.reset();  // From now on the kernel rejects connections instead of queueing them.
 }
 
-// Waits for endpoints before accepting from an inherited socket, whose clients another process may
-// be able to serve meanwhile.
+// Waits for endpoints before accepting from an inherited socket, because another process may be
+// able to serve its clients meanwhile.
 Task<> ClientListener::await_endpoints() {
   while (config_.inherited_listener_fd && !context_.has_endpoints() &&
          !context_.lifecycle.is_shutting_down()) {
@@ -136,7 +135,7 @@
 
 // Accepts the clients in the backlog, which would otherwise be reset when the listener closes. No
 // other task runs between the last accept and the close. The backlog of an inherited socket is left
-// to the other processes that hold it.
+// to the other processes that hold the socket.
 Task<> ClientListener::accept_backlog() {
   sockaddr_in remote{};
   net::FileDescriptor fd;
@@ -157,7 +156,7 @@
     auto connection = std::make_unique<ClientConnection>(context_, std::move(fd), remote);
     context_.scheduler.spawn(serve_connection(std::move(connection)));
   } catch (const std::system_error& error) {
-    // epoll accepts no more descriptors, so the client is disconnected.
+    // epoll has rejected the descriptor, so the client is disconnected.
     log::fault("connection_let_go", error);
   }
 }
@@ -170,7 +169,7 @@
 
 // ---- Eviction
 
-// Evicts a client without an outstanding response and waits until any connection ends, for at most
+// Evicts a client without an outstanding response. Waits until any connection ends, for at most
 // kRetryInterval.
 Task<> ClientListener::await_descriptor() {
   evict_one();
@@ -179,11 +178,10 @@
   co_await wait;
 }
 
-// Requests the close of one connection: the one that has been in its phase longest, of the first
-// phase in the order of Phase in which any connection is old enough. While there are new
-// connections too young to count as silent, connections that became idle a moment ago are spared. A
-// crowd of silent clients must not displace regular ones, and clients that keep idle connections
-// open must not block new ones.
+// Requests the close of one connection: the oldest of the first phase, in the order of Phase, that
+// has a connection old enough to be evicted. Connections that became idle less than kMinIdleAge ago
+// are not evicted while there are new connections younger than kMinNewAge. So many silent clients
+// do not displace active ones, and clients that keep idle connections open do not block new ones.
 void ClientListener::evict_one() {
   const TimePoint current_time = Clock::now();
   std::array<ClientConnection*, ClientConnection::kEvictablePhases> oldest{};
@@ -211,14 +209,15 @@
   const auto victim = std::find_if(oldest.begin(), oldest.end(),
                                    [](const ClientConnection* candidate) { return candidate; });
   if (victim != oldest.end()) {
-    (*victim)->request_close(EndReason::kEvicted);  // its descriptor is free once it has closed
+    // The descriptor is released when the connection has closed.
+    (*victim)->request_close(EndReason::kEvicted);
   }
 }
 
 // ---- Lifecycle
 
 Task<> ClientListener::run_lifecycle() {
-  // While `listener_` is set, its backlog may hold clients.
+  // While `listener_` is set, its backlog may hold clients that must still be served.
   while (listener_ || !context_.connections.empty()) {
     while (!inbox_.empty()) {
       process(inbox_.take());
--- a/src/proxy/client_listener.h
+++ b/src/proxy/client_listener.h
@@ -20,22 +20,23 @@
  public:
   /// Starts to listen. `descriptors` is the maximum number of open client connections.
   /// `has_endpoints` returns whether there are endpoints to which requests can be sent. If
-  /// `drained` is set, the listener starts drained. All references must outlive the listener.
+  /// `draining` is set, the listener starts in the draining state. All arguments that are passed by
+  /// reference must outlive the listener.
   ClientListener(runtime::Scheduler& scheduler, DecisionMailbox& decisions,
                  const config::Config& config, Telemetry& telemetry, BodyBudget& body_budget,
                  std::size_t descriptors, std::function<bool()> has_endpoints,
-                 bool drained = false);
+                 bool draining = false);
 
   sockaddr_in address() const { return listener_->address(); }
   ListenerMailbox& inbox() { return inbox_; }
 
-  /// Accepts connections until a shutdown ends that.
+  /// Accepts connections. Returns when a shutdown no longer allows it.
   runtime::Task<> run_accept_loop();
 
   /// Processes commands. Returns after a shutdown, once all client connections are closed.
   runtime::Task<> run_lifecycle();
 
-  /// Whether this process accepts clients and has endpoints for them. Remains true while drained.
+  /// Whether this process accepts clients and has endpoints for them. Remains true while draining.
   bool is_serving() const {
     return accepting_ && context_.has_endpoints() && !context_.lifecycle.is_shutting_down();
   }
--- a/src/proxy/client_request.h
+++ b/src/proxy/client_request.h
@@ -26,13 +26,13 @@
   std::optional<std::uint64_t> content_length;
 };
 
-/// The request was not executed, so the client may retry it.
+/// The response to a request that was not executed, so that the client may retry it.
 struct Rejection {
   /// Delay after which the client should retry; zero if none is stated.
   Duration retry_after{0};
 };
 
-/// The request failed and may have been executed.
+/// The response to a request that failed and may have been executed.
 struct Failure {};
 
 /// The final response to a request.
@@ -46,8 +46,8 @@
   ClassId class_id = 0;
   TenantId tenant = kNoTenant;
   Time arrived_at{0};
-  /// When the proxy stops waiting for a response. For a streamed body this is an estimate until the
-  /// body's last byte has been received.
+  /// When the proxy stops waiting for a response. For a streamed body this is an estimate, as the
+  /// client's timeout starts only when the body's last byte has been received.
   Time deadline{0};
   /// How long the client waits for a response after the last byte of its request.
   Duration client_timeout{0};
--- a/src/proxy/client_request_parser.cpp
+++ b/src/proxy/client_request_parser.cpp
@@ -16,8 +16,8 @@
 // Estimated time for a streamed body to arrive, included in the deadline that the balancer uses.
 constexpr Duration kEstimatedUploadTime = 60s;
 
-// How long a trace id stays reserved after its request's deadline. No attempt of the request is
-// outstanding any more by then.
+// How long a trace id stays reserved after its request's deadline. After this time no attempt of
+// the request is outstanding.
 constexpr Duration kIdRetention = 1s;
 
 constexpr std::size_t kMaxTraceIdBytes = 128;
@@ -33,7 +33,8 @@
                      });
 }
 
-// Whether the request has the headers and body that its class requires and none that it forbids.
+// Whether the request's headers are unambiguous and include those that its class requires, and
+// whether a request of an idempotent class has no body.
 bool is_well_formed(const http::Message& message, Idempotency idempotency) {
   const http::Headers& headers = message.headers;
   if (idempotency == Idempotency::kIdempotent &&
@@ -50,8 +51,8 @@
   return idempotency != Idempotency::kIdempotencyKey || headers.find("Idempotency-Key");
 }
 
-// Returns how long the client waits: the time that it states, limited to the deadline of the class.
-// Returns nothing if the header is malformed.
+// Returns how long the client waits: the time in its X-Expires-In-Ms header, limited to the
+// deadline of the class. Returns nothing if the header is malformed.
 std::optional<Duration> client_timeout(const http::Headers& headers, Duration class_deadline) {
   const std::string* text = headers.find("X-Expires-In-Ms");
   if (!text) {
@@ -80,7 +81,8 @@
   return class_ids_.known(target.substr(1, target.find_first_of("/?", 1) - 1));
 }
 
-// Returns kNoTenant if the header is absent, and nothing if it names an unknown tenant.
+// Returns the tenant that the X-Customer header names, kNoTenant if the header is absent, and
+// nothing if it names an unknown tenant.
 std::optional<TenantId> ClientRequestParser::find_tenant(const http::Headers& headers) const {
   const std::string* name = headers.find("X-Customer");
   return name ? tenant_ids_.known(*name) : std::optional<TenantId>(kNoTenant);
--- a/src/proxy/client_request_parser.h
+++ b/src/proxy/client_request_parser.h
@@ -20,7 +20,7 @@
   kBadRequest = 400,
   kNotFound = 404,
   kMethodNotAllowed = 405,
-  /// Another open request has the same trace id.
+  /// Another request with the same trace id is open or ended recently.
   kConflict = 409,
 };
 
--- a/src/proxy/client_response_encoder.h
+++ b/src/proxy/client_response_encoder.h
@@ -18,7 +18,7 @@
 std::string encode_stream_head(const BackendResponse& response, bool close,
                                bool client_decodes_chunks);
 
-/// Returns the outcome as which a request with this response is counted.
+/// Returns the outcome under which Telemetry counts a request with this response.
 RequestOutcome outcome_of(const ClientResponse& response);
 
 }  // namespace beechhill::proxy
--- a/src/proxy/connection_log.h
+++ b/src/proxy/connection_log.h
@@ -17,7 +17,8 @@
   kClosedAfterResponse,
   /// Closed after an invalid request was rejected.
   kBadRequest,
-  /// A new client sent nothing, or a client did not complete its request, within the time limit.
+  /// A new client sent nothing within the time limit, or a client did not complete its request in
+  /// time.
   kReadTimeout,
   /// The client did not read its response within the time limit.
   kWriteFailed,
@@ -34,7 +35,7 @@
   kBackendClosed,
   /// Closed because the backend is draining, was removed, or has restarted or moved.
   kBackendDrained,
-  /// Refused, or not established in time. Also used for connections to discovery.
+  /// The connection was refused or not established in time. Also used for connections to discovery.
   kConnectFailed,
   /// The attempt on the connection was cancelled.
   kAttemptCancelled,
@@ -42,7 +43,8 @@
   kAttemptTimeout,
   /// The connection was reset or closed during an attempt.
   kReset,
-  /// The backend sent a malformed response, or the response to another request.
+  /// The backend sent a malformed response, or the response to another request. Also used if a
+  /// response stalls.
   kMalformedResponse,
 
   // Connections to discovery.
@@ -55,7 +57,7 @@
   /// A new configuration names another address of discovery.
   kDiscoveryMoved,
   /// Closed to request the complete list on a new connection, after a gap in which the process did
-  /// not run.
+  /// not run, because updates may be missing on the old one.
   kDiscoveryResync,
 
   /// An unexpected error, such as an exception.
@@ -66,8 +68,8 @@
 const char* reason_code(EndReason reason);
 
 /// Logs the end of a connection. `side` is "front" for a client, "peer" for a backend, or
-/// "discovery". `requests` is the number of requests that the connection carried, or of endpoint
-/// lists received from discovery.
+/// "discovery". `requests` is the number of requests that the connection carried, or for discovery
+/// the number of endpoint lists that it delivered.
 void log_connection_end(const char* side, const std::string& remote, EndReason reason,
                         std::uint64_t requests);
 
--- a/src/proxy/decision_actor.cpp
+++ b/src/proxy/decision_actor.cpp
@@ -13,11 +13,12 @@
 
 namespace {
 
-// Not reached in operation: every message other than an endpoint list stems from an event on a
-// descriptor, and the number of descriptors is limited.
+// The number of queued messages stays below this, as every message other than an endpoint list
+// results from an event on a descriptor, and the number of descriptors is limited.
 constexpr std::size_t kInboxCapacity = 8192;
 
-// Messages that update the endpoint list are processed during a resync; all others are deferred.
+// Whether `message` is processed during a resync, as it concerns the endpoint list. All other
+// messages are deferred.
 bool is_processed_while_resyncing(const DecisionMessage& message) {
   return std::holds_alternative<config::EndpointList>(message) ||
          std::holds_alternative<ResyncComplete>(message) ||
@@ -56,7 +57,7 @@
     deduplication_windows_.push_back(keyed ? std::optional(class_settings.deduplication_window)
                                            : std::nullopt);
   }
-  zone_ids_.id(config.named_settings.zone);  // zone id 0 is the balancer's own zone
+  zone_ids_.id(config.named_settings.zone);  // The id of this proxy's zone is always 0.
   perform_actions();
   apply_list(config.cached_endpoints, UpdateKind::kCached);
 }
@@ -128,8 +129,8 @@
 
 // ---- Recovery
 
-// Detects a gap in which the process did not run, so that no decision is based on outdated state.
-// Returns whether a resync is in progress.
+// Begins a resync after a gap in which the process did not run, so that no decision is based on
+// outdated state. Returns whether a resync is in progress.
 bool DecisionActor::update_recovery() {
   const Time current_time = now();
   if (recovery_.observe_clock(current_time)) {
@@ -167,8 +168,8 @@
   for (const Action& action : actions) {
     std::visit([this](const auto& content) { perform(content); }, action);
   }
-  // Processed only now, because the balancer requires that the actions of an event are performed
-  // before the next event.
+  // Outcomes are processed only after the loop above, because the balancer requires that all
+  // actions of an event are performed before the next event.
   while (!immediate_outcomes_.empty()) {
     std::vector<DecisionMessage> outcomes = std::exchange(immediate_outcomes_, {});
     for (DecisionMessage& outcome : outcomes) {
--- a/src/proxy/decision_actor.h
+++ b/src/proxy/decision_actor.h
@@ -34,18 +34,19 @@
 
 namespace beechhill::proxy {
 
-/// Uses the balancer to decide what happens to each request. All members are called on the
-/// scheduler's thread.
+/// Uses the balancer to decide what happens to each request. At start and after a gap in which the
+/// process did not run, it resyncs: it applies all endpoint updates that discovery has written
+/// before it processes requests. All members must be called on the scheduler's thread.
 class DecisionActor {
  public:
   using BackendFactory =
       std::function<std::unique_ptr<Backend>(DecisionMailbox&, EndpointId, const sockaddr_in&)>;
 
-  /// Posts the balancer's requests to watch discovery to `watch`. If `subset.min_endpoints` is 0,
-  /// the balancer uses all endpoints. `excluded` holds the ids of backends that operators had
-  /// excluded when this process started. `records` holds the statistics that an earlier process of
-  /// this proxy saved; a record is restored only if a list names its backend with the same start
-  /// time.
+  /// Posts a message to `watch` when the balancer asks to watch discovery. If
+  /// `subset.min_endpoints` is 0, the balancer uses all endpoints. `excluded` holds the ids of
+  /// backends that operators had excluded when this process started. `records` holds the statistics
+  /// that an earlier process of this proxy saved; a record is restored only if an endpoint list
+  /// names its backend with the same start time.
   DecisionActor(runtime::Scheduler& scheduler, const config::Config& config,
                 BackendFactory make_backend, EndpointWatchMailbox& watch,
                 const routing::SubsetSettings& subset = {}, std::set<std::string> excluded = {},
@@ -75,11 +76,12 @@
     std::string zone;
     std::string instance_type;
     std::uint32_t cell = 0;
-    /// Whether the backend is in service and not excluded by an operator.
+    /// Whether the backend is in service and not excluded by an operator. Dispatch permissions do
+    /// not matter.
     bool up = false;
     /// Whether the backend is past its slow start window.
     bool warm = false;
-    /// Unix time of the backend's latest start; 0 if not stated.
+    /// Unix time of the backend's latest start; 0 if discovery does not state it.
     std::chrono::milliseconds started_at{0};
     /// Capacity relative to the average backend, from load reports, rounded to half powers of two.
     double relative_capacity = 1;
@@ -93,8 +95,8 @@
   /// grace is not over.
   std::set<std::string> busy_excluded_backends() const;
 
-  /// Statistics of backends for a snapshot: all restored records that no list has claimed yet, and
-  /// records of current backends up to a total of snapshot::kMaxRecords.
+  /// Returns statistics of backends for a snapshot: all restored records that no endpoint list has
+  /// claimed yet, and records of current backends up to a total of snapshot::kMaxRecords.
   std::vector<snapshot::EndpointRecord> endpoint_records() const;
 
   const std::set<std::string>& excluded_backends() const {
@@ -194,8 +196,8 @@
   bool has_discovery_update_ = false;
   recovery::RecoveryTracker recovery_;
   recovery::Stage logged_stage_ = recovery::Stage::kNoEndpoints;
-  /// Messages that arrived during a resync, in order. Each stems from an event on a descriptor, so
-  /// the number of descriptors limits them.
+  /// Messages that arrived during a resync, in order of arrival. Their number is limited by the
+  /// number of descriptors, as each message results from an event on a descriptor.
   std::deque<DecisionMessage> deferred_messages_;
   config::Interner endpoint_ids_;
   config::Interner zone_ids_;
@@ -204,11 +206,11 @@
   DepartedBackends departed_backends_;
   std::unordered_map<RequestId, ActiveRequest> requests_;
   std::multimap<Time, TimerToken> timers_;
-  /// Actions of the balancer that have not been performed yet. The balancer's constructor adds to
-  /// them.
+  /// Actions of the balancer that have not been performed yet. Declared before `balancer_`, whose
+  /// constructor adds actions.
   std::vector<Action> actions_;
-  /// Outcomes of attempts and health checks that were never posted to a backend, to be processed
-  /// after the current event.
+  /// Outcomes of attempts and health checks that could not be posted to a backend. They are
+  /// processed after the current event.
   std::vector<DecisionMessage> immediate_outcomes_;
   RequestId next_request_id_ = 1;
   Balancer balancer_;
--- a/src/proxy/decision_actor_endpoints.cpp
+++ b/src/proxy/decision_actor_endpoints.cpp
@@ -22,7 +22,7 @@
   std::vector<std::uint64_t> name_hashes;
   for (const config::EndpointListEntry& row : list.entries) {
     if (row.status == EndpointStatus::kRemoved && !endpoint_ids_.known(row.host)) {
-      continue;  // the backend has already been released
+      continue;  // The backend has already been released.
     }
     update.endpoints.push_back(upsert_backend(row));
     listed.push_back(update.endpoints.back().id);
@@ -51,8 +51,8 @@
   }
 }
 
-// Applies a row of the list, creating an actor for a new backend. Returns the balancer's view of
-// it.
+// Applies an entry of the endpoint list, and creates an actor if its backend is new. Returns the
+// endpoint in the form that the balancer uses.
 Endpoint DecisionActor::upsert_backend(const config::EndpointListEntry& row) {
   Endpoint endpoint;
   endpoint.id = endpoint_ids_.id(row.host);
@@ -72,7 +72,8 @@
   entry.cell = endpoint.cell;
   if (!entry.backend) {
     entry.backend = make_backend_(inbox_, endpoint.id, row.address);
-    // Applied before the balancer knows the endpoint: exclusions are kept for unlisted backends.
+    // Exclusions are kept for unlisted backends, so one is applied before the balancer knows the
+    // endpoint.
     if (exclusions_.is_excluded(row.host, now())) {
       set_excluded(endpoint.id, true);
     }
@@ -94,7 +95,8 @@
   }
 }
 
-// Returns the part of the update that the balancer uses: all of it, or this proxy's subset.
+// Returns the part of the update that the balancer uses: the endpoints in this proxy's subset, or
+// all of them if no subset is configured.
 EndpointUpdate DecisionActor::select_subset(EndpointUpdate update,
                                             const std::vector<std::uint64_t>& hashes) {
   if (!subset_) {
@@ -126,7 +128,7 @@
 // ---- Exclusions and permissions
 
 void DecisionActor::on(ExcludeBackend& command) {
-  // A command without a reply has been validated by another process of this proxy.
+  // A command without a reply has already been validated by another process of this proxy.
   const bool known = !command.reply || was_ever_listed(command.backend_id);
   if (known && exclusions_.set_excluded_by_operator(command.backend_id, command.excluded)) {
     update_exclusion(command.backend_id);
@@ -192,8 +194,8 @@
     entry.started_at = status.started_at;
   }
   status.permitted_until = entry.permitted_until;
-  // The actor treats an excluded backend as draining: it sends no attempt that has not begun and
-  // closes idle connections.
+  // The actor treats an excluded backend as draining: it starts no further attempt and closes idle
+  // connections.
   if (entry.excluded && status.status == EndpointStatus::kUp) {
     status.status = EndpointStatus::kDraining;
   }
@@ -202,8 +204,8 @@
   }
 }
 
-// Releases the actor and the id of a removed backend once nothing refers to it. Otherwise both
-// would accumulate in a process that runs for a long time.
+// Releases the actor and the id of a removed backend once nothing refers to it, so that they do not
+// accumulate in a long-running process.
 void DecisionActor::release_backend_if_unused(EndpointId endpoint) {
   BackendEntry& entry = backends_[endpoint];
   if (!entry.backend || entry.status != EndpointStatus::kRemoved || entry.references > 0) {
@@ -211,7 +213,7 @@
   }
   entry.backend.reset();
   if (entry.excluded) {
-    set_excluded(endpoint, false);  // another backend may get this id; exclusions_ is keyed by name
+    set_excluded(endpoint, false);  // Another backend may get this id; exclusions_ uses names.
   }
   departed_backends_.add(endpoint_ids_.name(endpoint));
   endpoint_ids_.forget(endpoint);
--- a/src/proxy/decision_actor_queries.cpp
+++ b/src/proxy/decision_actor_queries.cpp
@@ -13,8 +13,8 @@
 constexpr double kMinRelativeCapacity = 0.1;
 constexpr double kMaxRelativeCapacity = 10;
 
-// Rounds to the nearest half power of two, so that an agreed plan does not change with every load
-// report.
+// Rounds to the nearest half power of two, so that a maintenance plan does not change with every
+// load report.
 double round_to_half_octave(double ratio) {
   const double bounded = std::clamp(ratio, kMinRelativeCapacity, kMaxRelativeCapacity);
   return std::exp2(std::round(2 * std::log2(bounded)) / 2);
@@ -34,7 +34,8 @@
   return listed;
 }
 
-// Average requests per second of a backend at full utilization; 0 if no backend reports a rate.
+// Returns the average requests per second of a backend at full utilization; 0 if no backend reports
+// a rate.
 double DecisionActor::average_capacity() const {
   double rates = 0;
   double utilizations = 0;
--- a/src/proxy/decision_actor_requests.cpp
+++ b/src/proxy/decision_actor_requests.cpp
@@ -10,8 +10,9 @@
 
 namespace {
 
-// Percentage of a request's time that its first connection may take. Past half of the time, a
-// client is served better by a response that nothing was sent than by waiting for a connection.
+// Maximum percentage of a request's time until its deadline that establishing the first connection
+// may take. If it takes longer, a rejection, which the client can retry, is better than waiting for
+// the connection.
 constexpr int kFirstConnectPercent = 45;
 
 }  // namespace
@@ -60,7 +61,7 @@
       request.streams_body() && request.payload->remaining_body()->reading_started();
   const std::shared_ptr<BodyPipe> response_stream = outcome.response.remaining_body;
   if (response_stream) {
-    // This reference is dropped when ResponseStreamEnded arrives.
+    // Counted as a reference until ResponseStreamEnded arrives.
     add_reference(active->attempts()[outcome.attempt_number].endpoint);
   }
   if (outcome.result == Result::kOk && !active->closed()) {
@@ -136,8 +137,8 @@
     attempt.connect_deadline =
         request.arrived_at + (request.deadline - request.arrived_at) * kFirstConnectPercent / 100;
   }
-  // Limits how long a retry may wait in a mailbox or for a connection: it must be written before
-  // the deduplication window of the first attempt ends.
+  // A retry must be written before the deduplication window of the first possibly executed attempt
+  // ends, however long it waits in a mailbox or for a connection.
   const std::optional<Duration>& window = deduplication_windows_[request.class_id];
   const std::optional<Time> executed_at = active.possibly_executed_at();
   if (window && executed_at) {
@@ -146,7 +147,8 @@
   return attempt;
 }
 
-// Returns kOk if the attempt was posted, and otherwise its outcome without having been started.
+// Returns kOk if the attempt was posted. Otherwise returns the outcome of the attempt, which was
+// not started.
 Result DecisionActor::post_attempt(const ActiveRequest& active, EndpointId endpoint,
                                    AttemptRequest&& attempt) {
   const BackendEntry& backend = backends_[endpoint];
--- a/src/proxy/decision_messages.h
+++ b/src/proxy/decision_messages.h
@@ -52,8 +52,8 @@
 struct ExcludeBackend {
   std::string backend_id;
   bool excluded = true;
-  /// Completed with 200, or with 404 if no list ever named the backend. Null if another process of
-  /// this proxy received the command.
+  /// Completed with 200, or with 404 if no endpoint list is known to have named the backend. Null
+  /// if another process of this proxy received the command.
   std::shared_ptr<runtime::PendingReply> reply;
 };
 
@@ -62,16 +62,16 @@
   std::shared_ptr<runtime::PendingReply> reply;
 };
 
-/// States where new requests may be sent, as agreed among the proxies.
+/// States until when new requests may be sent, as agreed among the proxies.
 struct DispatchPermissions {
-  /// When the permission ends, by id of a backend under maintenance or selected for it next;
-  /// Time::min() if sending is not permitted.
+  /// When the permission to send requests to a backend ends, by backend id; Time::min() if there is
+  /// no permission. Lists only backends that are under maintenance or selected for it next.
   std::map<std::string, Time> permitted_until;
   /// When the permission to send requests to any backend ends.
   Time serving_permitted_until = Time::max();
 };
 
-/// All updates that discovery had written when a Resync was received have been posted.
+/// Reports that all updates that discovery had written when a Resync was received have been posted.
 struct ResyncComplete {};
 
 using DecisionMessage =
--- a/src/proxy/departed_backends.h
+++ b/src/proxy/departed_backends.h
@@ -8,11 +8,11 @@
 
 namespace beechhill::proxy {
 
-/// Holds the ids of the backends that left the list most recently, to distinguish an operator's
-/// command for one of them from a command for an id that never existed.
+/// Holds the ids of the backends that left the endpoint list most recently. They distinguish an
+/// operator's command for such a backend from a command for an id that never existed.
 class DepartedBackends {
  public:
-  /// Maximum number of ids. Beyond it the id that was added first is evicted.
+  /// Maximum number of ids. When it is exceeded, the id that was added first is evicted.
   static constexpr std::size_t kMaxIds = std::size_t{16} * 1024;
 
   void add(const std::string& id) {
--- a/src/proxy/endpoint_watch_actor.cpp
+++ b/src/proxy/endpoint_watch_actor.cpp
@@ -24,21 +24,22 @@
 
 constexpr auto kConnectTimeout = 500ms;
 
-// Discovery's agent runs on this machine or nearby and answers at once. A connection without a
-// response head within this time counts as unanswered.
+// A connection on which discovery sends no response head within this time counts as unanswered.
+// Discovery's agent runs on this machine or nearby and answers much faster.
 constexpr auto kResponseHeadTimeout = 500ms;
 
-// After each group of this many consecutive unanswered connections, the timeout for the response
+// After every group of this many consecutive unanswered connections, the timeout for the response
 // head grows by kResponseHeadTimeout, up to kWatchSilenceTimeout, in case the agent is slow.
 constexpr int kUnansweredPerTimeoutStep = 8;
 
-// Backoff after a connection that lasted less than kResponseHeadTimeout. A drain's grace starts
-// when discovery learns of the drain, so the backoff stays well below the shortest known grace, 200
-// ms.
+// Range of the backoff after a connection that lasted less than kResponseHeadTimeout. A drain's
+// grace starts when discovery learns of the drain, so the backoff must stay well below the shortest
+// known grace, 200 ms.
 constexpr auto kMinBackoff = 50ms;
 constexpr auto kMaxBackoff = 100ms;
 
-// Minimum rate at which an endpoint list is received, in bytes per millisecond.
+// Rate in bytes per millisecond at which an endpoint list is expected to arrive at least. The
+// silence timeout is extended accordingly while a list is incomplete.
 constexpr std::size_t kMinListRate = 100;
 
 constexpr std::size_t kInboxCapacity = 16;
@@ -55,8 +56,8 @@
       : address(to), decoder(max_object_bytes) {}
 
   sockaddr_in address;
-  /// Whether changes since version 0 were requested, which is the complete list and is sent at
-  /// once.
+  /// Whether the watch requested changes since version 0. Discovery answers this with the complete
+  /// list at once.
   bool requested_snapshot = false;
   TimePoint silence_deadline{};
   http::Parser head{http::Parser::Kind::kResponseHead};
@@ -79,13 +80,13 @@
 Task<> EndpointWatchActor::run(DecisionMailbox& decisions) {
   for (;;) {
     process_messages();
-    reconnect_for_resync_ = false;  // the next watch is a new connection
+    reconnect_for_resync_ = false;  // The next watch is a new connection.
     const TimePoint started_at = Clock::now();
     Watch watch(address_, max_object_bytes_);
     EndReason reason = EndReason::kDiscoveryMalformed;
     try {
       reason = co_await run_watch(decisions, watch);
-    } catch (const std::exception& error) {  // data from discovery must not end the actor
+    } catch (const std::exception& error) {  // Malformed data must not end the actor.
       log::fault("discovery_fault", error);
     }
     log_connection_end("discovery", net::to_string(watch.address), reason, watch.lists);
@@ -97,7 +98,8 @@
   }
 }
 
-// Waits with jitter, because all proxies lose their watch at the same moment when discovery fails.
+// Waits for a random time, because all proxies lose their watch at the same moment when discovery
+// fails.
 Task<> EndpointWatchActor::back_off() {
   std::uniform_int_distribution<std::int64_t> backoff_ms(kMinBackoff.count(), kMaxBackoff.count());
   runtime::Wait wait(scheduler_);
@@ -115,14 +117,14 @@
       resync_pending_ = true;
       reconnect_for_resync_ = reconnect_for_resync_ || resync->from_snapshot;
     }
-    // StartWatch only wakes the actor.
+    // StartWatch needs no processing, as its arrival has woken the actor.
     const auto* redirect = std::get_if<RedirectWatch>(&message);
     if (!redirect || net::same(redirect->address, address_)) {
       continue;
     }
     moved = true;
     address_ = redirect->address;
-    // Another discovery may number its versions differently, so the complete list is requested.
+    // The new discovery may number its versions differently, so the complete list is requested.
     resync_pending_ = true;
     unanswered_connections_ = 0;
   }
@@ -138,12 +140,13 @@
   }
   DecisionMessage message(std::in_place_type<ResyncComplete>);
   if (!decisions.post(std::move(message))) {
-    log::dropped_message("resync_complete");  // the resync ends at its deadline instead
+    log::dropped_message("resync_complete");  // The resync ends at its deadline instead.
   }
 }
 
-// Whether to read without waiting until everything that discovery has written has been read. If the
-// complete list was requested, it must have arrived before.
+// Whether reads must return at once if no data is available, which shows that everything that
+// discovery has written has been read. If the complete list was requested, this applies only after
+// it has arrived.
 bool EndpointWatchActor::is_catching_up(const Watch& watch) const {
   return resync_pending_ && (!watch.requested_snapshot || watch.lists > 0);
 }
@@ -201,7 +204,7 @@
   }
 }
 
-// Returns the reason to end the watch, if there is one.
+// Processes received bytes. Returns the reason to end the watch, if there is one.
 std::optional<EndReason> EndpointWatchActor::process_bytes(DecisionMailbox& decisions,
                                                            Watch& watch) {
   if (!watch.head.head_done()) {
@@ -218,8 +221,8 @@
     body = std::exchange(watch.buffer, {});
   }
   watch.decoder.feed(body);
-  // Only complete tokens show that the watch is alive; a broken watch may still send bytes that
-  // complete nothing.
+  // Only complete tokens show that the watch is alive; a broken watch may still deliver bytes that
+  // complete no token.
   const std::optional<bool> alive = post_lists(decisions, watch);
   if (!alive || progress == http::Progress::kMalformed) {
     return EndReason::kDiscoveryMalformed;
@@ -241,7 +244,8 @@
     return EndReason::kDiscoveryMalformed;
   }
   if (!watch.requested_snapshot) {
-    watch.silence_deadline = Clock::now() + kWatchSilenceTimeout;  // there may be no change to send
+    // There may be no change that discovery could send at once.
+    watch.silence_deadline = Clock::now() + kWatchSilenceTimeout;
   }
   return std::nullopt;
 }
@@ -265,7 +269,7 @@
         config::parse(object.data(), object.data() + object.size(), "server list"));
     const std::uint64_t version = list.version;
     if (!decisions.post(std::move(list))) {
-      return std::nullopt;  // the list is requested again, from the same version
+      return std::nullopt;  // The next watch requests the list again, from the same version.
     }
     version_ = version;
     ++watch.lists;
--- a/src/proxy/endpoint_watch_actor.h
+++ b/src/proxy/endpoint_watch_actor.h
@@ -18,12 +18,12 @@
 
 namespace beechhill::proxy {
 
-/// Keeps one watch on discovery open and opens another whenever it ends. All members are called on
-/// the scheduler's thread.
+/// Keeps one watch on discovery open, and opens a new one whenever the watch ends. All members must
+/// be called on the scheduler's thread.
 class EndpointWatchActor {
  public:
-  /// Maximum silence on a watch before it is closed. Discovery sends at least an empty line every 2
-  /// s.
+  /// Maximum time without a complete list or an empty line on a watch before it is closed.
+  /// Discovery sends at least an empty line every 2 s.
   static constexpr std::chrono::milliseconds kWatchSilenceTimeout{2500};
 
   EndpointWatchActor(runtime::Scheduler& scheduler, const config::Config& config);
@@ -52,7 +52,7 @@
   sockaddr_in address_;
   std::size_t max_object_bytes_;
   std::uint64_t version_;
-  /// Consecutive connections that discovery accepted but did not answer.
+  /// Number of consecutive connections that discovery accepted but did not answer.
   int unanswered_connections_ = 0;
   /// Whether a ResyncComplete must be posted. Also true at start, as discovery may have a newer
   /// list than the cached one.
--- a/src/proxy/endpoint_watch_messages.h
+++ b/src/proxy/endpoint_watch_messages.h
@@ -12,7 +12,7 @@
 /// Asks the actor to connect to discovery immediately, without further backoff.
 struct StartWatch {};
 
-/// Discovery has moved to another address.
+/// Reports that discovery has moved to another address.
 struct RedirectWatch {
   sockaddr_in address{};
 };
--- a/src/proxy/idle_connections.cpp
+++ b/src/proxy/idle_connections.cpp
@@ -13,7 +13,8 @@
 
 constexpr std::chrono::milliseconds kSettlingTime{5};
 
-// The backend's own idle timeout is divided by this, so that the proxy closes the connection first.
+// Connections are closed after the backend's idle timeout divided by this, so that the proxy closes
+// them before the backend does.
 constexpr int kIdleTimeoutDivisor = 2;
 
 }  // namespace
@@ -26,8 +27,8 @@
   close_stale();
   while (!connections_.empty()) {
     const auto position = find_preferred();
-    // A request on a connection that the backend has closed would be reset, and epoll may not have
-    // reported the close yet.
+    // A request on a connection that the backend has closed would be reset. epoll may not have
+    // reported the close yet, so the socket is checked.
     if (!(*position)->stream->stale()) {
       return remove(position);
     }
@@ -37,8 +38,8 @@
 }
 
 // Returns the most recently used connection that has been idle for kSettlingTime, or the most
-// recently used one if there is none. The list is ordered by time, so that only connections of the
-// last few milliseconds are skipped.
+// recently used one if there is none. The list is ordered by the start of idleness, so only the
+// connections of the last few milliseconds are skipped.
 IdleConnections::List::iterator IdleConnections::find_preferred() {
   const TimePoint settled = Clock::now() - kSettlingTime;
   const auto last = std::prev(connections_.end());
@@ -54,7 +55,8 @@
   idle.idle_since_ = Clock::now();
   idle.owner_ = this;
   idle.stream->watch(&idle);
-  // The backend's close may have arrived along with the response; epoll does not report it again.
+  // The backend may have closed the connection along with its response; epoll does not report that
+  // again, so the socket is checked.
   if (idle.stream->stale()) {
     idle.end_reason = EndReason::kBackendClosed;
     return;
--- a/src/proxy/idle_connections.h
+++ b/src/proxy/idle_connections.h
@@ -52,28 +52,28 @@
   std::optional<std::size_t> readable_index_;
 };
 
-/// The idle connections of one backend, ordered by when they became idle. A connection that the
-/// backend has closed or written to is closed by the next take() or close_stale().
+/// The idle connections of one backend, ordered by the time at which they became idle. A connection
+/// that the backend has closed or written to is closed by the next take() or close_stale().
 class IdleConnections {
  public:
   /// `changed` is notified when a connection becomes readable and when the first connection is
-  /// added; the owner then calls close_stale(), and again at next_expiry(). `settings` states the
-  /// idle timeout. Both references must outlive the object.
+  /// added. The owner must then call close_stale(), and call it again at next_expiry(). `settings`
+  /// states the idle timeout. Both arguments must outlive the object.
   IdleConnections(runtime::Notifier& changed, const Settings& settings)
       : changed_(changed), settings_(settings) {}
   ~IdleConnections() { close_all(EndReason::kBackendDrained); }
   IdleConnections(const IdleConnections&) = delete;
   IdleConnections& operator=(const IdleConnections&) = delete;
 
-  /// Returns the most recently used connection, or null if there is none. Connections used within
-  /// the last kSettlingTime are the last choice, because bytes that do not belong to the previous
-  /// response may still arrive on them.
+  /// Returns the most recently used connection, or null if there is none. Prefers connections that
+  /// have been idle for at least kSettlingTime, because bytes that do not belong to the previous
+  /// response may still arrive on the others.
   std::unique_ptr<BackendConnection> take();
   /// Adds `connection`, or closes it if the backend has closed it.
   void put(std::unique_ptr<BackendConnection> connection);
 
   /// Closes the connections that the backend has closed or written to and those past the idle
-  /// timeout. Takes O(1) for each of them.
+  /// timeout. Takes constant time for each closed connection.
   void close_stale();
   void close_all(EndReason reason);
   /// Requires !empty().
--- a/src/proxy/open_request_ids.h
+++ b/src/proxy/open_request_ids.h
@@ -1,4 +1,4 @@
-// Trace ids of requests that are open or ended recently.
+// A bounded set of the trace ids of requests that are open or ended recently.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +13,7 @@
 /// A set of ids that expire. Each call takes O(log n).
 class OpenRequestIds {
  public:
-  /// Maximum number of ids. Beyond it the ids that expire first are evicted early.
+  /// Maximum number of ids. When it is reached, the ids that expire first are evicted early.
   static constexpr std::size_t kMaxIds = std::size_t{32} * 1024;
 
   /// Inserts `id` until `expiry`. Returns false if the set already contains it.
--- a/src/proxy/payload.h
+++ b/src/proxy/payload.h
@@ -16,8 +16,8 @@
  public:
   virtual ~Payload() = default;
 
-  /// Returns the whole request, or the head and the first part of a streamed body. `host` is the
-  /// backend's address; `time_left` is how long the proxy waits for the response.
+  /// Returns the whole request, or the head and the first part of the body if the body is streamed.
+  /// `host` is the backend's address; `time_left` is how long the proxy waits for the response.
   virtual std::string encode(const std::string& host, Duration time_left) const = 0;
 
   /// The part of a streamed body that follows encode(), for a single reader; null if encode()
--- a/src/proxy/restored_records.h
+++ b/src/proxy/restored_records.h
@@ -15,7 +15,7 @@
 
 namespace beechhill::proxy {
 
-/// Records of a snapshot by backend id. Each record can be claimed once.
+/// Records of a snapshot, indexed by backend id. Each record can be claimed once.
 class RestoredRecords {
  public:
   /// Numbers of records restored and discarded since the last summary.
@@ -31,8 +31,9 @@
   }
 
   /// Removes the record of a listed backend and returns its statistics, discounted for their age.
-  /// `started_at` is the backend's latest start in the list. Returns nothing if there is no record
-  /// or if it no longer applies.
+  /// `started_at` is the Unix time of the backend's latest start in the endpoint list. Returns
+  /// nothing if there is no record, if the backend has restarted since, or if the record is too old
+  /// or invalid.
   std::optional<EndpointStats> claim(const std::string& backend_id,
                                      std::chrono::milliseconds started_at, Time unix_now) {
     const auto it = unclaimed_.find(backend_id);
@@ -48,8 +49,8 @@
     return stats;
   }
 
-  /// Discards all unclaimed records; called after a complete list. Returns nothing if no record was
-  /// restored or discarded since the last summary.
+  /// Discards all unclaimed records. Must be called after a complete list, when no further record
+  /// can be claimed. Returns the numbers since the last summary, or nothing if they are 0.
   std::optional<Summary> discard_unclaimed() {
     summary_.discarded += unclaimed_.size();
     unclaimed_.clear();
--- a/src/proxy/telemetry.h
+++ b/src/proxy/telemetry.h
@@ -21,10 +21,10 @@
   kAbandoned,
 };
 
-/// Counters without synchronization: all members are called on the scheduler's thread.
+/// Counts requests. Not synchronized: all members must be called on the scheduler's thread.
 class Telemetry {
  public:
-  /// Outcomes of the requests of one class.
+  /// Numbers of requests of one class by outcome.
   struct Counts {
     std::uint64_t completed = 0;
     std::uint64_t rejected = 0;
@@ -59,7 +59,7 @@
     ClassId class_id_;
   };
 
-  /// Called when the last byte of a request has been written to a backend.
+  /// Must be called when the last byte of a request has been written to a backend.
   void count_upstream_request() { ++upstream_requests_; }
 
   const Counts& of(ClassId class_id) const { return by_class_[class_id]; }
--- a/src/proxy/watch_stream_decoder.cpp
+++ b/src/proxy/watch_stream_decoder.cpp
@@ -37,7 +37,7 @@
 
 WatchStreamDecoder::Step WatchStreamDecoder::scan_in_string(char c) {
   if (c == '\n') {
-    return Step::kInvalid;  // a JSON string cannot contain a line end: the line is truncated
+    return Step::kInvalid;  // A JSON string cannot contain a line end, so the line is truncated.
   }
   in_string_ = escaped_ || c != '"';
   escaped_ = !escaped_ && c == '\\';
--- a/src/proxy/watch_stream_decoder.h
+++ b/src/proxy/watch_stream_decoder.h
@@ -8,7 +8,8 @@
 
 namespace beechhill::proxy {
 
-/// Call feed() with received bytes, then next() until it returns kIncomplete.
+/// Decodes the data of one watch. Call feed() with received bytes, then next() until it returns
+/// kIncomplete.
 class WatchStreamDecoder {
  public:
   enum class Token {
@@ -18,8 +19,8 @@
     kEmptyLine,
     /// A complete object, from its first brace to its last.
     kObject,
-    /// Bytes that cannot begin or continue an object, or an object beyond the size limit. What
-    /// follows cannot be decoded reliably.
+    /// Bytes that cannot begin or continue an object, or an object beyond the size limit. The data
+    /// that follows cannot be decoded reliably.
     kInvalid,
   };
 
@@ -32,7 +33,7 @@
   /// member. Takes time linear in the bytes fed; no byte is scanned twice.
   Token next(std::string_view& object);
 
-  /// Number of bytes held of an object that is not complete yet.
+  /// Number of buffered bytes of an object that is not complete yet; 0 if there is none.
   std::size_t incomplete_object_bytes() const {
     return depth_ > 0 ? bytes_.size() - object_start_ : 0;
   }
--- a/src/proxy/zone_utilization.h
+++ b/src/proxy/zone_utilization.h
@@ -8,7 +8,7 @@
 
 namespace beechhill::proxy {
 
-/// Exponentially weighted moving averages of the utilization, by zone id.
+/// Exponentially weighted moving averages of the utilization, indexed by zone id.
 class ZoneUtilization {
  public:
   /// Ignores reports without a utilization or with one outside 0 to 1.
