--- a/src/proxy/backend_exclusions.h
+++ b/src/proxy/backend_exclusions.h
@@ -11,9 +11,10 @@
 
 namespace beechhill::proxy {
 
-/// Exclusions made by operators, and dispatch permissions, which state until when this proxy may
-/// send requests and on which the proxies have agreed. Both are indexed by backend id and are kept
-/// after the backend has left the endpoint list.
+/// Backends to which this proxy must not send requests: those that operators have excluded, and
+/// those whose dispatch permission has ended. Dispatch permissions state until when the proxy may
+/// send requests, as agreed among the proxies. Exclusions and permissions are kept after the
+/// backend has left the endpoint list.
 class BackendExclusions {
  public:
   explicit BackendExclusions(std::set<std::string> excluded_by_operator)
--- a/src/proxy/client_listener.cpp
+++ b/src/proxy/client_listener.cpp
@@ -178,8 +178,9 @@
   co_await wait;
 }
 
-// Requests the close of one connection: the oldest of the first phase, in the order of Phase, that
-// has a connection old enough to be evicted. Connections that became idle less than kMinIdleAge ago
+// Requests the close of one connection. Goes through the phases in the order of Phase and takes the
+// first phase with a connection that is old enough to be evicted; in that phase it closes the
+// connection that has been there longest. Connections that became idle less than kMinIdleAge ago
 // are not evicted while there are new connections younger than kMinNewAge. So many silent clients
 // do not displace active ones, and clients that keep idle connections open do not block new ones.
 void ClientListener::evict_one() {
--- a/src/proxy/decision_actor.cpp
+++ b/src/proxy/decision_actor.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-// The number of queued messages stays below this, as every message other than an endpoint list
-// results from an event on a descriptor, and the number of descriptors is limited.
+// Capacity of the mailbox. It is not reached in operation, as every message other than an endpoint
+// list results from an event on a descriptor, and the number of descriptors is limited.
 constexpr std::size_t kInboxCapacity = 8192;
 
 // Whether `message` is processed during a resync, as it concerns the endpoint list. All other
--- a/src/proxy/decision_messages.h
+++ b/src/proxy/decision_messages.h
@@ -62,7 +62,7 @@
   std::shared_ptr<runtime::PendingReply> reply;
 };
 
-/// States until when new requests may be sent, as agreed among the proxies.
+/// Tells this proxy until when it may send new requests, as agreed among the proxies.
 struct DispatchPermissions {
   /// When the permission to send requests to a backend ends, by backend id; Time::min() if there is
   /// no permission. Lists only backends that are under maintenance or selected for it next.
--- a/src/proxy/endpoint_watch_actor.cpp
+++ b/src/proxy/endpoint_watch_actor.cpp
@@ -64,7 +64,7 @@
   http::ChunkedDecoder chunked;
   WatchStreamDecoder decoder;
   std::string buffer;
-  /// Number of endpoint lists posted.
+  /// Number of endpoint lists posted to the decision actor.
   std::uint64_t lists = 0;
 };
 
--- a/src/proxy/listener_lifecycle.h
+++ b/src/proxy/listener_lifecycle.h
@@ -81,8 +81,8 @@
   /// too late to be answered.
   static constexpr Duration kReadCutoffMargin = std::chrono::milliseconds(600);
   /// Accepting connections ends at the latest this long before the response deadline. Clients
-  /// connect for up to 0.4 s after the signal; if the maximum request deadline is close to 0, that
-  /// is 0.1 s before the response deadline.
+  /// connect for up to 0.4 s after the shutdown begins; if the maximum request deadline is close to
+  /// 0, that is 0.1 s before the response deadline.
   static constexpr Duration kAcceptCutoffMargin = std::chrono::milliseconds(100);
   /// During a drain, connections stay open for at least this time. The load balancer in front of
   /// the proxy polls readiness every 100 ms and stops routing clients to this process 200 ms after
--- a/tests/backend_actor_test.cpp
+++ b/tests/backend_actor_test.cpp
@@ -1,4 +1,4 @@
-// Tests of BackendActor in the test's own process, on a scheduler that the test stops.
+// Tests of BackendActor within the test's process, on a scheduler that the test stops.
 #include "proxy/backend_actor.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 
 namespace {
 
-// Provides an actor for a backend that is a listening socket.
+// Provides a BackendActor whose backend is a listening socket.
 class BackendActorTest : public testing::Test {
  protected:
   BackendActorTest() {
@@ -30,8 +30,8 @@
     return {1, 0, now + 3s, now + 3s, {}, std::make_shared<TestPayload>(), std::move(request)};
   }
 
-  // Runs until the attempt's outcome has been posted. If `while_connecting` is set, it is called
-  // once the attempt waits for its connection.
+  // Runs the actor until the attempt's outcome has been posted, and returns the outcome. If
+  // `while_connecting` is set, calls it once the attempt waits for its connection.
   Result outcome(const std::function<void()>& while_connecting = {}) {
     scheduler.spawn(await_outcome(while_connecting));
     scheduler.run();
@@ -67,8 +67,8 @@
   }
 };
 
-// A draining backend receives no request even within its drain grace, because discovery's agent may
-// have learned of the drain that long ago.
+// A draining backend must receive no request even within its drain grace, because the grace starts
+// when discovery's agent learns of the drain and may already be over.
 TEST_F(BackendActorTest, SkipsQueuedAttemptWhenBackendDrains) {
   settings.drain_grace = 2s;
   ASSERT_TRUE(actor.post(attempt(nullptr)));
@@ -89,14 +89,14 @@
   ASSERT_TRUE(server.buffer.empty());
 }
 
-// The client's disconnect must prevent the request without a CancelAttempt, which the settings may
-// disable and a full mailbox may delay.
+// A request must not be sent after its client has disconnected, even without a CancelAttempt, which
+// the settings may disable and a full mailbox may delay.
 TEST_F(BackendActorTest, SendsNothingWhenClientDisconnectsDuringConnect) {
   const auto request = std::make_shared<proxy::ClientRequest>();
   ASSERT_TRUE(actor.post(attempt(request)));
   ASSERT_EQ(outcome([&request] { request->abandoned = true; }), Result::kSkipped);
   const TestConnection server = backend.accept();
-  ASSERT_FALSE(server.readable(50ms));  // the connection stays open for another request
+  ASSERT_FALSE(server.readable(50ms));  // The connection stays open for another request.
 }
 
 TEST_F(BackendActorTest, SendsNothingWhenRequestIsAnsweredDuringConnect) {
@@ -107,7 +107,7 @@
   ASSERT_FALSE(server.readable(50ms));
 }
 
-// A retry is not sent if its connection is established only after the deduplication window.
+// A retry must not be sent if its connection is established only after the deduplication window.
 TEST_F(BackendActorTest, SendsNothingPastWriteDeadline) {
   proxy::AttemptRequest late = attempt(nullptr);
   late.write_deadline = runtime::now() + 20ms;
--- a/tests/bodies_test.cpp
+++ b/tests/bodies_test.cpp
@@ -1,4 +1,4 @@
-// Bodies that are too large to be buffered and are forwarded as they arrive.
+// Tests of bodies that are too large to be buffered and are forwarded as they arrive.
 #include <gtest/gtest.h>
 
 #include <cstring>
@@ -39,8 +39,8 @@
   return out + http::write_chunk({});
 }
 
-// Sends from a separate thread, because the receiver may stop reading. Ends early if the receiver
-// closes the connection.
+// Sends `bytes` from a separate thread, because the receiver may stop reading. The thread ends
+// early if the receiver closes the connection.
 std::thread send_in_thread(const TestConnection& connection, std::string bytes) {
   return std::thread([fd = connection.fd(), bytes = std::move(bytes)] {
     for (std::size_t offset = 0; offset < bytes.size();) {
@@ -86,8 +86,8 @@
   return received;
 }
 
-// Streams large bodies with a stated length, with chunked encoding, and with a response that ends
-// with the connection. Each client connection carries two requests.
+// Streams large bodies with a stated length, with chunked encoding, and a response that ends with
+// the connection. Each client connection carries two requests.
 TEST(Bodies, StreamsLargeBodiesBothWays) {
   const FakeListener backend;
   const ProxyUnderTest proxy(single_backend_list(backend));
@@ -114,7 +114,7 @@
                                  : head + "\r\n" + response_body);
       if (framing == 2) {
         answering.join();
-        ::shutdown(server.fd(), SHUT_WR);  // the end of the connection ends the body
+        ::shutdown(server.fd(), SHUT_WR);  // The end of the connection ends the body.
       }
       const LargeMessage answer = read_large(client, http::Parser::Kind::kResponse);
       ASSERT_TRUE(answer.complete);
@@ -127,8 +127,8 @@
   }
 }
 
-// A slow upload with Expect: 100-continue may take longer than a request's head is allowed to. An
-// upload that stalls gets 408, and a request with an unknown expectation gets 400.
+// A slow upload with Expect: 100-continue may take longer than the time limit for a request without
+// a body. An upload that stalls gets 408, and a request with an unknown expectation gets 400.
 TEST(Bodies, WaitsForSlowUploadAndTimesOutStalledOne) {
   const FakeListener backend;
   const ProxyUnderTest proxy(single_backend_list(backend));
@@ -180,7 +180,8 @@
   return -1;
 }
 
-// Large responses to many clients that do not read must not be buffered completely.
+// Sends large responses to many clients that do not read. The proxy must not buffer the complete
+// bodies.
 TEST(Bodies, BoundsMemoryForSlowReaders) {
   constexpr int kClients = 24;
   constexpr std::size_t kSize = 8'000'000;
@@ -200,18 +201,18 @@
     answering.push_back(send_in_thread(
         servers.back(), "HTTP/1.1 200 OK\r\n" + content_length(kSize) + "\r\n" + body));
   }
-  ::usleep(1'000'000);  // by now all buffers are full
+  ::usleep(1'000'000);  // By now all buffers are full.
   for (TestConnection& client : clients) {
     ASSERT_TRUE(read_large(client, http::Parser::Kind::kResponse).message.body == body);
   }
   for (std::thread& thread : answering) {
     thread.join();
   }
-  ASSERT_LT(peak_kb(proxy.pid()) - before, 64 * 1024);  // the bodies are 192 MB in total
+  ASSERT_LT(peak_kb(proxy.pid()) - before, 64 * 1024);  // The bodies are 192 MB in total.
 }
 
-// If the backend breaks off a response, the client can tell in either framing that it is
-// incomplete.
+// If the backend ends a response early, the client must be able to tell that it is incomplete, with
+// a stated length and with chunked encoding.
 TEST(Bodies, CutsClientResponseWhenBackendBreaksOff) {
   const FakeListener backend;
   const ProxyUnderTest proxy(single_backend_list(backend));
@@ -252,13 +253,13 @@
                                    std::string(30'000'000, 'x'));
   ASSERT_TRUE(client->fill());
   client.reset();
-  answering.join();  // ends once all is sent or the proxy has closed the connection
+  answering.join();  // Ends when all is sent or the proxy has closed the connection.
   ASSERT_FALSE(download.fill());
   ASSERT_NE(proxy.call("GET", "/api/telemetry").body.find("\"pending\":0"), std::string::npos);
 }
 
-// A streamed request that was sent in part is not buffered, so it cannot be retried on another
-// backend. It was not executed, so it is rejected and the client may retry it.
+// A streamed request that was sent in part is not buffered, so the proxy cannot retry it on another
+// backend. As it was not executed, the proxy must reject it, so that the client may retry it.
 TEST(Bodies, RejectsPartlySentRequest) {
   const FakeListener first;
   const FakeListener second;
@@ -272,7 +273,7 @@
     while (server.buffer.size() < 150'000) {
       ASSERT_TRUE(server.fill());
     }
-  }  // closes before the last byte, so the request is not executed
+  }  // Closes the connection before the last byte, so the request is not executed.
   const http::Message answer = client.answer();
   ASSERT_EQ(answer.status, 503);
   ASSERT_TRUE(answer.headers.find("Retry-After"));
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -29,23 +29,23 @@
     client.send(early);
   }
   ASSERT_FALSE(servers[0].fill());
-  ASSERT_LT(Clock::now() - sent, 2s);  // the request's deadline is after 3 s
+  ASSERT_LT(Clock::now() - sent, 2s);  // The request's deadline is after 3 s.
   ASSERT_FALSE(backend.pending(50ms));
 }
 
 // After a gap in which the process did not run and discovery sent no update, the resync must end as
-// soon as the watch has been read to its end, even on the first watch, which requested the complete
-// list.
+// soon as all data of the watch has been read. This must also hold on the first watch, which
+// requested the complete list and has already received it.
 TEST(Crossings, ResyncsAfterGapWithoutUpdates) {
   const FakeListener backend;
   ProxyUnderTest proxy(single_backend_list(backend));
   proxy.signal(SIGSTOP);
-  ::usleep(1'200'000);  // more than half of the drain grace, less than the silence timeout
+  ::usleep(1'200'000);  // More than half of the drain grace, less than the silence timeout.
   proxy.signal(SIGCONT);
   TestConnection client = proxy.client();
   TestConnection server = exchange(client, backend, ProxyUnderTest::get("a1"), "1");
-  ASSERT_NE(proxy.call("GET", "/api/telemetry").body.find("full"),
-            std::string::npos);  // the resync ended before its deadline
+  // The stage "full" shows that the resync ended before its deadline.
+  ASSERT_NE(proxy.call("GET", "/api/telemetry").body.find("full"), std::string::npos);
 }
 
 // At start the proxy requests the complete list, because discovery may have a newer list than the
@@ -55,7 +55,8 @@
   ASSERT_TRUE(proxy.first_call().ends_with("from=0"));
 }
 
-// Reads a list over several lines, with an empty line in it and a name that looks like its end.
+// The proxy must accept a list that spans several lines, with an empty line in it and a name that
+// looks like the end of the list.
 TEST(Crossings, ReadsIndentedEndpointList) {
   const FakeListener backend;
   ProxyUnderTest proxy("[]");
@@ -65,11 +66,12 @@
   TestConnection server = exchange(client, backend, ProxyUnderTest::get("a1"), "");
 }
 
-// A watch that delivers the start of a list and then single bytes must be closed, as if silent.
+// A watch that delivers the start of a list and then single bytes must be closed, just as if
+// nothing arrived.
 TEST(Crossings, LeavesWatchThatCompletesNothing) {
   ProxyUnderTest proxy("[]");
   proxy.chunk("{\"seq\":5,\"whole\":true,\"hosts\":[");
-  // These 4 s are longer than the silence timeout.
+  // These bytes arrive for 4 s, which is longer than the silence timeout.
   for (int i = 0; i < 40 && !proxy.calls(); ++i) {
     proxy.chunk(" ");
     ::usleep(100'000);
@@ -86,27 +88,27 @@
     proxy.chunk(malformed);
     proxy.watch_again();
   }
-  ASSERT_LT(Clock::now() - started_at, 2s);  // a silent watch is closed after 2.5 s
+  ASSERT_LT(Clock::now() - started_at, 2s);  // A silent watch is closed after 2.5 s.
 }
 
-// A connection that discovery accepts but never answers is replaced several times within the
-// silence timeout, and the first list that arrives serves the waiting requests. A gap in the log is
-// the only accepted reason for another version or a delay.
+// Discovery accepts connections but does not answer. The proxy must replace the connection several
+// times within the silence timeout, and must serve the waiting requests when the first list
+// arrives. Only after a logged gap may the request state another version or be late.
 TEST(Crossings, ReconnectsWhenDiscoveryDoesNotAnswer) {
   const FakeListener backend;
   ProxyUnderTest proxy("[]");
-  // After this second round trip the first watch has been read to its end, so the resync at start
-  // is over.
+  // The response to this second call shows that the first watch has been read to its end, so the
+  // resync at start is over.
   ASSERT_EQ(proxy.ready(), 200);
   proxy.list("[]");
-  proxy.say("0\r\n\r\n");  // ends the watch
+  proxy.say("0\r\n\r\n");  // Ends the watch.
   const auto started_at = Clock::now();
   for (int i = 0; i < 3; ++i) {
     proxy.leave_mute();
   }
   const std::string target = proxy.watch_again();
   const auto took = Clock::now() - started_at;
-  // A process that was denied the CPU logs a gap and requests the complete list, with a delay.
+  // A process that got no CPU time logs a gap and requests the complete list, with a delay.
   LogReader log(proxy);
   const bool from_held_version = target.ends_with("from=3");
   ASSERT_TRUE(from_held_version || (target.ends_with("from=0") && log.wait_for_gap(5s) > 0ms))
@@ -118,27 +120,28 @@
   backend.accept().request();
 }
 
-// After a gap in which the process did not run, longer than the silence timeout, the next watch
-// must request the complete list, even if discovery did not answer the connection before it.
+// After a gap longer than the silence timeout in which the process did not run, the next watch must
+// request the complete list, even if discovery did not answer the connection before it.
 TEST(Crossings, RequestsCompleteListAfterGapBetweenCalls) {
   ProxyUnderTest proxy("[]");
-  ASSERT_EQ(proxy.ready(), 200);  // after this round trip the resync at start is over
+  ASSERT_EQ(proxy.ready(), 200);  // The response shows that the resync at start is over.
   proxy.list("[]");
   proxy.say("0\r\n\r\n");
   proxy.leave_mute();
   proxy.signal(SIGSTOP);
-  ::usleep(2'800'000);  // longer than the silence timeout
+  ::usleep(2'800'000);  // Longer than the silence timeout.
   proxy.signal(SIGCONT);
   LogReader log(proxy);
   ASSERT_GE(log.wait_for_gap(kTestTimeout), 2500ms);
   std::string target = proxy.watch_again();
-  if (target.ends_with("from=3")) {  // sent before the gap was detected
+  if (target.ends_with("from=3")) {  // This request was sent before the gap was detected.
     target = proxy.watch_again();
   }
   ASSERT_TRUE(target.ends_with("from=0")) << target;
 }
 
-// After SIGTERM, all connections that the kernel accepts until the listener closes are answered.
+// After SIGTERM, the proxy must answer all connections that the kernel accepts until the listener
+// closes.
 TEST(Crossings, AnswersBacklogAtShutdown) {
   const FakeListener backend;
   ProxyUnderTest proxy("[]");
@@ -153,7 +156,7 @@
     clients.push_back(proxy.client());
     clients.back().send("GET /health/ready HTTP/1.1\r\nHost: t\r\n\r\n");
   }
-  ::usleep(1'200'000);  // past the 1 s in which the proxy accepts during a shutdown
+  ::usleep(1'200'000);  // Longer than the 1 s in which the proxy accepts during a shutdown.
   proxy.signal(SIGCONT);
   for (TestConnection& client : clients) {
     expect_status(client, 503);
@@ -170,7 +173,8 @@
   while (proxy.ready() != 503) {
     ::usleep(1000);
   }
-  // Accepted after SIGTERM, so without a pipelined request the connection closes after a response.
+  // The connection is accepted after SIGTERM, so without the pipelined request it would close after
+  // one response.
   TestConnection client = proxy.client();
   client.send(ProxyUnderTest::get("a1") + ProxyUnderTest::get("a2"));
   TestConnection server = backend.accept();
@@ -183,8 +187,9 @@
   }
 }
 
-// A request that arrives after its connection's last response is left unread. The connection is
-// then reset and not closed in order, so that the client can tell that it must retry.
+// A request that arrives after the last response on its connection is not read. The proxy must then
+// reset the connection instead of closing it normally, so that the client can tell that it must
+// retry.
 TEST(Crossings, ResetsConnectionOverUnansweredRequest) {
   const FakeListener backend;
   ProxyUnderTest proxy(single_backend_list(backend));
@@ -201,7 +206,7 @@
   client.send(ProxyUnderTest::get("a2"));
   char byte = 0;
   ASSERT_TRUE(client.readable(kTestTimeout));
-  ASSERT_EQ(::recv(client.fd(), &byte, 1, 0), 0);  // the proxy has closed its sending side
+  ASSERT_EQ(::recv(client.fd(), &byte, 1, 0), 0);  // The proxy has closed its sending side.
   const auto end = Clock::now() + kTestTimeout;
   int error = 0;
   socklen_t size = sizeof error;
@@ -211,11 +216,11 @@
     ::getsockopt(client.fd(), SOL_SOCKET, SO_ERROR, &error, &size);
   }
   ASSERT_TRUE(error == ECONNRESET || error == EPIPE);
-  ASSERT_TRUE(!server.readable(0ms) || !server.fill());  // nothing of the request was forwarded
+  ASSERT_TRUE(!server.readable(0ms) || !server.fill());  // The second request was not forwarded.
 }
 
-// An idle connection on which the backend writes part of a line or a second response is closed, and
-// the next request uses another connection.
+// A backend writes part of a line or a second response on an idle connection. The proxy must close
+// the connection and use another one for the next request.
 TEST(Crossings, DropsIdleConnectionThatBackendWritesTo) {
   for (const std::string& late :
        {std::string("HTTP/1.1 2"), http::write_response(200, "", "second", false)}) {
@@ -224,35 +229,35 @@
     TestConnection client = proxy.client();
     TestConnection server = exchange(client, backend, ProxyUnderTest::get("a1"), "first");
     server.send(late);
-    ASSERT_FALSE(server.fill());  // the proxy has read the bytes and closed the connection
+    ASSERT_FALSE(server.fill());  // The proxy has read the bytes and closed the connection.
     TestConnection other = exchange(client, backend, ProxyUnderTest::get("a2"), "second's own");
   }
 }
 
-// A response without a length whose connection is reset counts as incomplete, however much of it
-// arrived.
+// A response without a stated length whose connection is reset must count as incomplete, however
+// much of it has arrived.
 TEST_F(CrossingsOneBackend, TreatsResetAsFailedResponse) {
   client.send(ProxyUnderTest::post("a1", "x"));
   {
     TestConnection server = backend.accept();
     server.request();
     server.send("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\na1 and a part");
-    ::usleep(50'000);  // lets the proxy read the part before the reset
+    ::usleep(50'000);  // Lets the proxy read the first part before the reset.
     const linger reset{1, 0};
     ::setsockopt(server.fd(), SOL_SOCKET, SO_LINGER, &reset, sizeof reset);
   }
-  expect_status(client, 502);  // the request may have been executed
+  expect_status(client, 502);  // The request may have been executed.
   ASSERT_FALSE(backend.pending(0ms));
 }
 
-// Idle clients hold all descriptors while discovery is unavailable. The watch must be opened again,
-// its list applied, and a new client must get a backend's response.
+// Idle clients hold all descriptors while discovery is unavailable. The proxy must open the watch
+// again, apply its list, and forward a new client's request to the backend.
 TEST(Crossings, ServesWhileIdleClientsHoldAllDescriptors) {
   const FakeListener backend;
   ProxyUnderTest proxy("[]");
   std::vector<TestConnection> idle;
   for (int i = 0; i < 300; ++i) {
-    idle.push_back(proxy.client());  // the process may hold 256 descriptors
+    idle.push_back(proxy.client());  // 300 are more than the proxy's limit of 256 descriptors.
   }
   proxy.say("0\r\n\r\n");
   for (int i = 0; i < 100; ++i) {
@@ -264,8 +269,8 @@
   TestConnection server = exchange(client, backend, ProxyUnderTest::get("a1"), "1");
 }
 
-// During a shutdown, an invalid configuration, a new address of discovery and further signals
-// arrive. The request in flight must still be answered, and the process must exit with 0.
+// An invalid configuration, a new address of discovery and further signals arrive during a
+// shutdown. The request in flight must still be answered, and the process must exit with status 0.
 TEST(Crossings, HandlesReloadDuringShutdown) {
   const FakeListener backend;
   const FakeListener elsewhere;
--- a/tests/decision_actor_test.cpp
+++ b/tests/decision_actor_test.cpp
@@ -1,4 +1,4 @@
-// Tests of DecisionActor in the test's own process, on a scheduler that the test stops.
+// Tests of DecisionActor within the test's process, on a scheduler that the test stops.
 #include "proxy/decision_actor.h"
 
 #include <gtest/gtest.h>
@@ -84,7 +84,8 @@
     return found;
   }
 
-  // Lets the actor process all messages, calls `next`, and lets the actor process what that posted.
+  // Lets the actor process all messages, calls `next`, and lets the actor process what `next`
+  // posted.
   void run(const std::function<void()>& next) {
     scheduler.spawn(run_around(next));
     scheduler.run();
@@ -100,14 +101,14 @@
   runtime::Scheduler scheduler;
   config::Config config;
   proxy::EndpointWatchMailbox watch{4};
-  // Messages posted to each backend, by endpoint.
+  // Messages posted to each backend, indexed by endpoint id.
   std::vector<std::vector<proxy::BackendMessage>> messages =
       std::vector<std::vector<proxy::BackendMessage>>(kMaxBackends);
   std::optional<proxy::DecisionActor> actor;
 };
 
-// A request that arrives before discovery's first update must wait: a backend that serves according
-// to the cached list may be draining, and its drain grace may be over.
+// A request that arrives before discovery's first update must wait, because a backend that is in
+// service in the cached list may be draining by now, and its drain grace may be over.
 TEST_F(DecisionActorTest, WaitsForDiscoveryAtStart) {
   start("[" + host_json("s-1", "127.0.0.1:9") + "]");
   const auto request = client_request(0, 3s);
@@ -124,14 +125,14 @@
   ASSERT_EQ(attempts(1).size(), 1u);
 }
 
-// A request is not forwarded if its client disconnects while the RequestReceived message is in the
-// mailbox, or while the request is queued because there is no backend.
+// A request must not be forwarded if its client disconnects while the RequestReceived message is in
+// the mailbox, or while the request is queued because there is no backend.
 TEST_F(DecisionActorTest, ForwardsNothingForDisconnectedClients) {
   start("[]");
   const auto disconnected = client_request(0, 3s);
   const auto waiting = client_request(0, 3s);
   const auto queued = client_request(0, 3s);
-  // The connection sets this flag; the RequestAbandoned message may arrive much later.
+  // The client's connection sets this flag; the RequestAbandoned message may arrive much later.
   disconnected->abandoned = true;
   post(proxy::RequestReceived{disconnected});
   post(proxy::RequestReceived{waiting});
@@ -144,8 +145,8 @@
   ASSERT_EQ(attempts(0)[0].request, waiting);
 }
 
-// The retry of a request with an idempotency key that may have been executed states a write
-// deadline, which is the end of the deduplication window.
+// If a request with an idempotency key may have been executed, its retry must have the end of the
+// deduplication window as its write deadline.
 TEST_F(DecisionActorTest, RetryCarriesDeduplicationDeadline) {
   start("[]", 3);
   const auto request = client_request(1, 2s);
@@ -163,7 +164,7 @@
   ASSERT_LE(write_deadline, runtime::now() + 3s);
 }
 
-// Counts its instances.
+// A backend that counts its live instances in `count`.
 class CountedBackend : public proxy::Backend {
  public:
   explicit CountedBackend(int& count) : count_(count) { ++count_; }
@@ -176,8 +177,8 @@
 
 constexpr std::uint64_t kReplacements = 500;
 
-// Posts lists with one new backend each: alternately a change that also removes the previous
-// backend, and a complete list without it.
+// Posts kReplacements lists with one new backend each. Odd versions are changes that also remove
+// the previous backend; even versions are complete lists without it.
 runtime::Task<> replace_backends(runtime::Scheduler& scheduler, proxy::DecisionMailbox& inbox) {
   for (std::uint64_t version = 1; version <= kReplacements; ++version) {
     const bool complete = version % 2 == 0;
@@ -195,7 +196,8 @@
   scheduler.stop();
 }
 
-// Removed backends release their actors and ids, whether a change or a complete list removes them.
+// The actors and ids of removed backends must be released, whether a change or a complete list
+// removes the backends.
 TEST(DecisionActor, ReleasesRemovedBackends) {
   const config::Config config = test_config("[]");
   int alive = 0;
--- a/tests/listener_lifecycle_test.cpp
+++ b/tests/listener_lifecycle_test.cpp
@@ -1,4 +1,4 @@
-// Drain and shutdown of the listener, each alone and both together.
+// Tests of the drain and the shutdown of a listener, each alone and both together.
 #include "proxy/listener_lifecycle.h"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
 TEST(ListenerLifecycle, DrainsInStagesFromItsFirstCommand) {
   ListenerLifecycle lifecycle(kMaxDeadline);
   lifecycle.drain(kStart);
-  lifecycle.drain(kStart + 5s);  // a repeated command does not restart the drain
+  lifecycle.drain(kStart + 5s);  // A repeated command does not restart the drain.
   EXPECT_FALSE(lifecycle.is_ready());
   EXPECT_TRUE(lifecycle.accepts_connections(kStart + 1h));
   EXPECT_FALSE(lifecycle.closes_after_response(kStart, kStart));
@@ -44,7 +44,7 @@
 TEST(ListenerLifecycle, AcceptsBrieflyDuringShutdownWithoutSuccessor) {
   ListenerLifecycle lifecycle(kMaxDeadline);
   lifecycle.begin_shutdown(kStart, false);
-  lifecycle.drain(kStart + 100ms);  // has no effect on the shutdown
+  lifecycle.drain(kStart + 100ms);  // The drain does not prolong the shutdown.
   EXPECT_FALSE(lifecycle.is_ready());
   EXPECT_TRUE(lifecycle.accepts_connections(kStart + 500ms));
   EXPECT_FALSE(lifecycle.accepts_connections(kStart + 1100ms));
--- a/tests/proxy_rules.cpp
+++ b/tests/proxy_rules.cpp
@@ -1,4 +1,4 @@
-// Tests of the proxy process over real sockets, one for each rule that the proxy must keep.
+// Tests of the rules that the proxy must keep, with a proxy process and real sockets.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -40,22 +40,23 @@
   ASSERT_EQ(answer.body, "answer");
   ASSERT_EQ(*answer.headers.find("Content-Type"), "text/x");
   client.send(ProxyUnderTest::get("a2"));
-  ASSERT_EQ(server.request().target, "/ver/x?user=1");  // the connection is used again
+  ASSERT_EQ(server.request().target, "/ver/x?user=1");  // The connection is used again.
   server.reply(200, "", "more");
   ASSERT_EQ(client.answer().body, "more");
 }
 
-// Rule 1: a request is answered by its deadline plus a slack, even if the backend never responds.
+// A request is answered by its deadline plus a small margin, even if the backend never responds.
 TEST_F(ProxyRulesOneBackend, AnswersRequestThatBackendNeverAnswers) {
   client.send(ProxyUnderTest::get("a1", 200));
   TestConnection server = backend.accept();
   server.request();
   const int status = client.answer().status;
   ASSERT_TRUE(status == 503 || status == 502);
-  ASSERT_FALSE(server.fill());  // closed: HTTP/1.1 has no other way to cancel
+  // The proxy must close the connection, as HTTP/1.1 has no other way to cancel a request.
+  ASSERT_FALSE(server.fill());
 }
 
-// Rule 2: a request that may have been executed is not retried by the proxy. It is not rejected
+// The proxy does not retry a request that may have been executed. It does not reject such a request
 // either, because a rejection invites the client to retry.
 TEST(ProxyRules, NeverRepeatsRequestThatMayHaveRun) {
   for (const bool answered : {false, true}) {
@@ -67,29 +68,30 @@
       TestConnection server = backend.accept();
       server.request();
       if (answered) {
-        server.reply(503, "", "");  // without X-Never-Ran the request may have been executed
+        server.reply(503, "", "");  // Without X-Never-Ran the request may have been executed.
       }
-    }  // closes after the complete request was received
+    }  // Closes the connection after the complete request was received.
     expect_status(client, 502);
     ASSERT_FALSE(backend.pending(0ms));
   }
 }
 
-// Only X-Never-Ran proves that a request was not executed and may be retried or rejected.
+// A response with X-Never-Ran proves that the request was not executed. The client gets a rejection
+// with Retry-After, which invites it to retry.
 TEST_F(ProxyRulesOneBackend, RejectsWithRetryAfterWhenBackendIsMarkedFull) {
   client.send(ProxyUnderTest::post("a1", "x", 250));
   TestConnection server = backend.accept();
   server.request();
   server.reply(503, "X-Never-Ran: 1\r\n", "");
   const http::Message answer = client.answer();
-  // The delay is about a fifth of the longest that clients honour.
+  // The delay should be about a fifth of the longest delay that clients honour.
   const double retry_after_s = std::stod(*answer.headers.find("Retry-After"));
   ASSERT_EQ(answer.status, 503);
   ASSERT_GE(retry_after_s, 0.15);
   ASSERT_LE(retry_after_s, 0.45);
 }
 
-// Rule 3: a draining backend receives no request, and its idle connection is closed.
+// A draining backend receives no request, and its idle connection is closed.
 TEST(ProxyRules, SendsNothingToDrainingBackend) {
   const FakeListener first;
   const FakeListener second;
@@ -110,7 +112,7 @@
   ASSERT_FALSE(first.pending(0ms));
 }
 
-// Rule 4: a backend in its slow start window receives fewer requests than a warm one.
+// A backend in its slow start window receives less than a quarter of the requests of a warm one.
 TEST(ProxyRules, SendsLessToBackendInSlowStart) {
   const FakeListener warm;
   const FakeListener cold;
@@ -151,13 +153,14 @@
   TestConnection server = backend.accept();
   for (const char* id : {"a1", "a2"}) {
     ASSERT_EQ(*server.request().headers.find("X-Trace-Id"), id);
-    ASSERT_FALSE(server.readable(20ms));  // requests are forwarded one at a time
+    ASSERT_FALSE(server.readable(20ms));  // Requests are forwarded one at a time.
     server.reply(200, "", id);
     ASSERT_EQ(client.answer().body, id);
   }
 }
 
-// Each malformed request gets its status and has its connection closed, and the proxy stays ready.
+// Each malformed request is answered with its status, and its connection is closed. The proxy stays
+// ready.
 TEST(ProxyRules, RejectsMalformedRequests) {
   const FakeListener backend;
   const ProxyUnderTest proxy(single_backend_list(backend));
@@ -190,18 +193,18 @@
        "1\r\n\r\nabc",
        400},
   };
-  for (const auto& c : cases) {
+  for (const auto& test_case : cases) {
     TestConnection client = proxy.client();
-    client.send(c.bytes);
-    expect_status(client, c.status);
+    client.send(test_case.bytes);
+    expect_status(client, test_case.status);
     ASSERT_FALSE(client.fill());
   }
   ASSERT_FALSE(backend.pending(0ms));
   ASSERT_EQ(proxy.ready(), 200);
 }
 
-// A client that stops within its request gets 408. Silent clients are disconnected, and a new
-// client is served even if they outnumber the descriptors.
+// A client that stops within its request gets 408. Silent clients are disconnected. A new client is
+// served even if the silent clients outnumber the proxy's descriptors.
 TEST(ProxyRules, TimesOutSilentClients) {
   const FakeListener backend;
   const ProxyUnderTest proxy(single_backend_list(backend));
@@ -212,9 +215,9 @@
   for (int i = 0; i < 300; ++i) {
     silent.push_back(proxy.client());
   }
-  TestConnection usual = proxy.client();
-  usual.send("GET /health/ready HTTP/1.1\r\n\r\n");
-  expect_status(usual, 200);
+  TestConnection regular = proxy.client();
+  regular.send("GET /health/ready HTTP/1.1\r\n\r\n");
+  expect_status(regular, 200);
   for (TestConnection& client : silent) {
     ASSERT_FALSE(client.fill());
   }
@@ -231,19 +234,19 @@
     idle.back().send("GET /health/ready HTTP/1.1\r\n\r\n");
     expect_status(idle.back(), 200);
   }
-  ::usleep(300'000);  // beyond the age up to which idle clients are spared
+  ::usleep(300'000);  // Idle connections younger than 250 ms might not be evicted.
   for (int i = 0; i < 60; ++i) {
     silent.push_back(proxy.client());
   }
-  TestConnection usual = proxy.client();
-  usual.send("GET /health/ready HTTP/1.1\r\n\r\n");
-  expect_status(usual, 200);
+  TestConnection regular = proxy.client();
+  regular.send("GET /health/ready HTTP/1.1\r\n\r\n");
+  expect_status(regular, 200);
   const auto closed = std::count_if(
       idle.begin(), idle.end(), [](const TestConnection& client) { return client.readable(0ms); });
   ASSERT_GE(closed, 10);
 }
 
-// A request with the trace id of an open one gets 409, and the open one is still answered.
+// A request with the trace id of an open one gets 409. The open request is still answered.
 TEST(ProxyRules, RejectsTraceIdOfOpenRequest) {
   const FakeListener backend;
   const ProxyUnderTest proxy(single_backend_list(backend));
@@ -259,8 +262,8 @@
   ASSERT_FALSE(backend.pending(0ms));
 }
 
-// Bytes that cannot begin a request show that the stated length of the previous one was wrong, even
-// if they arrive after it was forwarded.
+// Bytes that cannot begin a request show that the stated length of the previous request was wrong.
+// That request gets 400, even if the bytes arrive after it was forwarded.
 TEST_F(ProxyRulesOneBackend, RejectsRequestFollowedByGarbage) {
   client.send(ProxyUnderTest::post("a1", "x"));
   TestConnection server = backend.accept();
@@ -270,7 +273,7 @@
   ASSERT_FALSE(server.fill());
 }
 
-// A malformed response fails its own request only: the proxy stays ready.
+// A malformed response makes only its own request fail with 502. The proxy stays ready.
 TEST(ProxyRules, AnswersBadGatewayToMalformedResponses) {
   const FakeListener backend;
   const ProxyUnderTest proxy(single_backend_list(backend));
@@ -328,16 +331,16 @@
   TestConnection server = exchange(client, backend, ProxyUnderTest::get("a1", 3000), "");
 }
 
-// A watch on which nothing arrives, not even an empty line, is closed and opened again.
+// A watch on which not even an empty line arrives is closed, and a new one is opened.
 TEST(ProxyRules, ReconnectsToSilentDiscovery) {
   ProxyUnderTest proxy("[]");
   proxy.watch_again();
   ASSERT_EQ(proxy.ready(), 200);
 }
 
-// SIGHUP with an invalid configuration changes nothing. A valid one moves the watch at once and
-// requests the complete list, because another discovery may number its versions differently.
-// SIGTERM still works after a reload.
+// SIGHUP with an invalid configuration changes nothing. With a valid one the proxy connects at once
+// to the new address of discovery and requests the complete list, because another discovery may
+// number its versions differently. SIGTERM still ends the process after a reload.
 TEST(ProxyRules, MovesWatchOnReload) {
   const FakeListener first;
   const FakeListener second;
@@ -347,7 +350,7 @@
   TestConnection client = proxy.client();
   TestConnection server = exchange(client, first, ProxyUnderTest::get("a1"), "1");
   proxy.list("[" + host_json("s-1", first.address(), "terminating") + "]", false);
-  ASSERT_FALSE(server.fill());  // the list has been applied
+  ASSERT_FALSE(server.fill());  // The proxy has applied the list.
   proxy.reconfigure(elsewhere.address());
   ASSERT_TRUE(proxy.watch_again(elsewhere).ends_with("from=0"));
   proxy.list("[" + host_json("s-2", second.address()) + "]", false);
@@ -357,7 +360,8 @@
   ASSERT_EQ(proxy.exit_status(), 0);
 }
 
-// A new backend at the address of a removed one must not use the removed one's connections.
+// A new backend has the address of a removed one. The connections of the removed backend must not
+// be used for the new one.
 TEST_F(ProxyRulesOneBackend, SharesNoConnectionsAtReusedAddress) {
   TestConnection previous = exchange(client, backend, ProxyUnderTest::get("a1"), "");
   proxy.list("[" + host_json("s-1", backend.address(), "terminated") + "," +
@@ -367,8 +371,8 @@
   TestConnection server = exchange(client, backend, ProxyUnderTest::get("a2"), "new");
 }
 
-// The connections of a backend that moves while a request is in flight, or restarts while its
-// connection is idle, are not used for further requests.
+// A backend moves while a request is in flight, or restarts while its connection is idle. Its
+// previous connections must not be used for further requests.
 TEST(ProxyRules, DropsConnectionsOfRestartedOrMovedBackend) {
   for (const bool moves : {true, false}) {
     const FakeListener first;
@@ -378,7 +382,7 @@
     client.send(ProxyUnderTest::get("a1"));
     TestConnection previous = first.accept();
     previous.request();
-    if (!moves) {  // the connection is idle when the restart becomes known
+    if (!moves) {  // The connection is idle when the proxy learns of the restart.
       previous.reply(200, "", "1");
       expect_status(client, 200);
     }
@@ -387,11 +391,11 @@
                              moves ? 0 : unix_ms() - 60'000) +
                    "]",
                false);
-    if (moves) {  // the request is still in flight
+    if (moves) {  // The request is still in flight.
       TestConnection other = proxy.client();
       other.send(ProxyUnderTest::get("a2"));
       TestConnection server = second.accept();
-      server.request();  // shows that the list has been applied
+      server.request();  // Shows that the proxy has applied the list.
       server.reply(200, "Connection: close\r\n", "2");
       expect_status(other, 200);
       previous.reply(200, "", "1");
@@ -430,8 +434,8 @@
   expect_status(client, 200);
 }
 
-// The next request uses a new connection, because one written on a connection that the backend has
-// closed would be reset.
+// A backend closes an idle connection. The next request must use a new connection, because a
+// request on the closed one would be reset.
 TEST_F(ProxyRulesOneBackend, DoesNotReuseConnectionThatBackendClosed) {
   client.send(ProxyUnderTest::post("a1", "x"));
   {
@@ -439,12 +443,12 @@
     server.request();
     server.reply(200, "", "");
     expect_status(client, 200);
-  }  // closes the idle connection
+  }  // Closes the idle connection.
   TestConnection server = exchange(client, backend, ProxyUnderTest::post("a2", "x"), "fresh");
 }
 
-// After SIGTERM the proxy is not ready, answers requests in flight and new ones, serves open
-// connections for a while, and then exits with 0.
+// After SIGTERM the proxy reports that it is not ready, answers requests in flight and new ones,
+// serves open connections until shortly before its response deadline, and then exits with status 0.
 TEST(ProxyRules, ShutsDownGracefully) {
   const FakeListener backend;
   ProxyUnderTest proxy(single_backend_list(backend));
@@ -477,12 +481,12 @@
   ASSERT_EQ(proxy.exit_status(), 0);
 }
 
-// If clients outnumber the descriptors, the client that has been idle longest is evicted.
+// If clients outnumber the proxy's descriptors, the client that has been idle longest is evicted.
 TEST(ProxyRules, ServesMoreClientsThanDescriptors) {
   const FakeListener backend;
   const ProxyUnderTest proxy(single_backend_list(backend));
   std::vector<TestConnection> clients;
-  for (int i = 0; i < 300; ++i) {  // the process may hold 256 descriptors
+  for (int i = 0; i < 300; ++i) {  // More than the proxy's limit of 256 descriptors.
     clients.push_back(proxy.client());
     clients.back().send("GET /health/ready HTTP/1.1\r\n\r\n");
     expect_status(clients.back(), 200);
--- a/tests/watch_stream_decoder_test.cpp
+++ b/tests/watch_stream_decoder_test.cpp
@@ -1,4 +1,4 @@
-// Splitting the data of a watch into objects and empty lines.
+// Tests that the data of a watch is split into objects and empty lines.
 #include "proxy/watch_stream_decoder.h"
 
 #include <gtest/gtest.h>
@@ -20,8 +20,8 @@
   bool operator==(const Decoded&) const = default;
 };
 
-// Returns all tokens up to and including the first that is incomplete or invalid. Feeds `step`
-// bytes at a time.
+// Decodes `bytes`, feeding `step` bytes at a time. Returns all tokens up to the first invalid one,
+// or all tokens and a final kIncomplete.
 std::vector<Decoded> decode(std::string_view bytes, std::size_t step) {
   WatchStreamDecoder decoder(kMaxObjectBytes);
   std::vector<Decoded> decoded;
