--- a/src/proxy/active_request.h
+++ b/src/proxy/active_request.h
@@ -57,7 +57,7 @@
       first_possibly_executed_ = attempt_number;
     }
   }
-  /// Whether a backend has received the whole request or may still receive it from an outstanding
+  /// Whether a backend may have received the request, or may still receive it from an outstanding
   /// attempt.
   bool may_have_reached_backend() const { return reached_backend_ || outstanding_attempts_ > 0; }
   /// Start time of the first attempt whose outcome leaves open that a backend executed the request;
--- a/src/proxy/backend_messages.h
+++ b/src/proxy/backend_messages.h
@@ -15,7 +15,7 @@
 
 namespace beechhill::proxy {
 
-/// Requests one attempt of a client request. The actor answers it with exactly one
+/// Requests one attempt of a client request. The backend's actor answers with exactly one
 /// AttemptCompleted.
 struct AttemptRequest {
   RequestId request_id = 0;
@@ -44,7 +44,7 @@
   std::uint32_t attempt_number = 0;
 };
 
-/// Requests a health check. The actor answers it with exactly one HealthCheckCompleted.
+/// Requests a health check. The backend's actor answers with exactly one HealthCheckCompleted.
 struct CheckHealth {};
 
 /// Reports the state of the backend in the endpoint list and its dispatch permission.
--- a/src/proxy/body_pipe.h
+++ b/src/proxy/body_pipe.h
@@ -30,7 +30,7 @@
  public:
   /// Number of buffered bytes at which the pipe is full. The last push() may exceed this number.
   static constexpr std::size_t kMaxBufferedBytes = std::size_t{64} * 1024;
-  /// Replaces kMaxBufferedBytes while the budget has no capacity.
+  /// Number of buffered bytes at which the pipe is full while the budget has no capacity.
   static constexpr std::size_t kMaxBufferedBytesWhenOverBudget = std::size_t{16} * 1024;
 
   explicit BodyPipe(BodyBudget& budget) : budget_(budget) {}
--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -303,7 +303,7 @@
       continue;
     }
     if (outcome == WaitOutcome::kOverdue) {
-      // The decision actor has not responded, and the request may have been executed.
+      // The decision actor has not responded in time, and the request may have been executed.
       request->response = Failure{};
     }
     request->abandoned = outcome != WaitOutcome::kOverdue;
--- a/src/proxy/client_connection.h
+++ b/src/proxy/client_connection.h
@@ -76,7 +76,8 @@
   runtime::TimePoint phase_started_at() const { return phase_started_at_; }
 
   /// Closes the connection once no response is outstanding. A request that has arrived completely
-  /// is still answered. Unless `reason` is kEvicted, so is a request that has arrived in part.
+  /// is still answered. Unless `reason` is kEvicted, the rest of a request that has arrived in part
+  /// is still read, and the request is answered.
   void request_close(EndReason reason);
 
  private:
@@ -120,7 +121,8 @@
   bool answered_health_check_ = false;
   /// Whether the request's body is too large to be buffered and is forwarded as it arrives.
   bool streams_body_ = false;
-  /// Whether further input is discarded, because it may belong to the body of a rejected request.
+  /// Whether further input is discarded, because it may belong to the body of a request that has
+  /// already been answered.
   bool discard_input_ = false;
   /// When the first byte of the current request was received.
   runtime::TimePoint request_started_at_{};
--- a/src/proxy/client_listener.cpp
+++ b/src/proxy/client_listener.cpp
@@ -23,7 +23,7 @@
 
 constexpr std::size_t kInboxCapacity = 32;
 
-// Polling interval while descriptors or endpoints are missing and during a drain or shutdown.
+// Polling interval while waiting for a descriptor or for endpoints, and during a drain or shutdown.
 constexpr auto kRetryInterval = 20ms;
 
 // Maximum time until the accept loop checks again whether it must stop.
--- a/src/proxy/connection_log.h
+++ b/src/proxy/connection_log.h
@@ -50,7 +50,7 @@
   // Connections to discovery.
   /// Discovery closed the watch.
   kDiscoveryEnded,
-  /// Nothing arrived on the watch within its silence timeout.
+  /// Neither a complete list nor an empty line arrived on the watch within its silence timeout.
   kDiscoverySilent,
   /// Data that arrived on the watch cannot be parsed.
   kDiscoveryMalformed,
--- a/src/proxy/decision_messages.h
+++ b/src/proxy/decision_messages.h
@@ -67,7 +67,7 @@
   /// When the permission to send requests to a backend ends, by backend id; Time::min() if there is
   /// no permission. Lists only backends that are under maintenance or selected for it next.
   std::map<std::string, Time> permitted_until;
-  /// When the permission to send requests to any backend ends.
+  /// When the permission to send requests ends for all backends.
   Time serving_permitted_until = Time::max();
 };
 
--- a/src/proxy/listener_lifecycle.h
+++ b/src/proxy/listener_lifecycle.h
@@ -59,7 +59,7 @@
     return drain_announced || shutting_down;
   }
 
-  /// Whether idle connections are closed now.
+  /// Whether connections that are idle at `now` must be closed.
   bool closes_idle_connections(Time now) const {
     return (draining_since_ && now >= *draining_since_ + kIdleTimeWhenDraining) ||
            (shutdown_at_ && now >= response_deadline() - kReadCutoffMargin);
