--- a/src/proxy/backend_pool.h
+++ b/src/proxy/backend_pool.h
@@ -52,7 +52,7 @@
   /// streamed one, is complete. After a longer gap the attempt fails, as the response is assumed to
   /// be shorter than its stated length.
   Duration max_response_gap = Duration::max();
-  /// Whether the endpoint list is recent enough to choose backends for new requests.
+  /// Returns whether the endpoint list is recent enough to choose backends for new requests.
   std::function<bool()> endpoints_are_current = [] { return true; };
 
  private:
--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -310,8 +310,8 @@
     if (BodyPipe* upload = request->payload->remaining_body().get()) {
       upload->abort();
     }
-    // Cancels the request, so that it is neither left in a queue nor forwarded, as no client waits
-    // for it.
+    // Notifies the decision actor, so that the request neither stays queued nor is forwarded
+    // although no client waits for its response.
     DecisionMessage abandoned(RequestAbandoned{request});
     co_await post_reliably(context_.scheduler, context_.decisions, std::move(abandoned));
     if (outcome == WaitOutcome::kOverdue) {
--- a/src/proxy/decision_actor.cpp
+++ b/src/proxy/decision_actor.cpp
@@ -57,7 +57,8 @@
     deduplication_windows_.push_back(keyed ? std::optional(class_settings.deduplication_window)
                                            : std::nullopt);
   }
-  zone_ids_.id(config.named_settings.zone);  // The id of this proxy's zone is always 0.
+  // The zone that is interned first gets the id 0, which stands for this proxy's zone.
+  zone_ids_.id(config.named_settings.zone);
   perform_actions();
   apply_list(config.cached_endpoints, UpdateKind::kCached);
 }
--- a/src/proxy/decision_actor_endpoints.cpp
+++ b/src/proxy/decision_actor_endpoints.cpp
@@ -1,4 +1,4 @@
-// The part of DecisionActor for the endpoint list, exclusions and permissions.
+// The members of DecisionActor for the endpoint list, exclusions and permissions.
 #include <utility>
 
 #include "log/log.h"
--- a/src/proxy/decision_actor_queries.cpp
+++ b/src/proxy/decision_actor_queries.cpp
@@ -1,4 +1,4 @@
-// The part of DecisionActor that describes the backends to maintenance plans and snapshots.
+// The members of DecisionActor that describe the backends for maintenance plans and snapshots.
 #include <algorithm>
 #include <cmath>
 
--- a/src/proxy/decision_actor_requests.cpp
+++ b/src/proxy/decision_actor_requests.cpp
@@ -1,4 +1,4 @@
-// The part of DecisionActor for requests, their attempts, and health checks.
+// The members of DecisionActor for requests, their attempts, and health checks.
 #include <utility>
 
 #include "log/log.h"
--- a/src/proxy/idle_connections.cpp
+++ b/src/proxy/idle_connections.cpp
@@ -13,8 +13,8 @@
 
 constexpr std::chrono::milliseconds kSettlingTime{5};
 
-// Connections are closed after the backend's idle timeout divided by this, so that the proxy closes
-// them before the backend does.
+// A connection is closed when it has been idle for the backend's idle timeout divided by this, so
+// that the proxy closes it before the backend does.
 constexpr int kIdleTimeoutDivisor = 2;
 
 }  // namespace
--- a/src/proxy/idle_connections.h
+++ b/src/proxy/idle_connections.h
@@ -36,7 +36,7 @@
   sockaddr_in address;
   std::unique_ptr<net::Stream> stream;
   /// The reason that is logged unless another one is set. Cancelling an attempt destroys its
-  /// connection without setting one.
+  /// connection without setting a reason.
   EndReason end_reason = EndReason::kAttemptCancelled;
   std::uint64_t requests = 0;
   /// Whether the latest response began with its request's trace id.
--- a/src/proxy/payload.h
+++ b/src/proxy/payload.h
@@ -20,8 +20,8 @@
   /// `host` is the backend's address; `time_left` is how long the proxy waits for the response.
   virtual std::string encode(const std::string& host, Duration time_left) const = 0;
 
-  /// The part of a streamed body that follows encode(), for a single reader; null if encode()
-  /// returns the whole request.
+  /// The part of a streamed body that follows the result of encode(); null if encode() returns the
+  /// whole request. Each byte can be read only once.
   virtual const std::shared_ptr<BodyPipe>& remaining_body() const {
     static const std::shared_ptr<BodyPipe> kNone;
     return kNone;
--- a/src/proxy/restored_records.h
+++ b/src/proxy/restored_records.h
@@ -50,7 +50,8 @@
   }
 
   /// Discards all unclaimed records. Must be called after a complete list, when no further record
-  /// can be claimed. Returns the numbers since the last summary, or nothing if they are 0.
+  /// can be claimed. Returns the numbers of records restored and discarded since the last summary,
+  /// or nothing if both are 0.
   std::optional<Summary> discard_unclaimed() {
     summary_.discarded += unclaimed_.size();
     unclaimed_.clear();
