--- a/src/proxy/decision_actor.h
+++ b/src/proxy/decision_actor.h
@@ -202,7 +202,8 @@
   config::Interner endpoint_ids_;
   config::Interner zone_ids_;
   config::Interner instance_type_ids_;
-  std::vector<BackendEntry> backends_;  // indexed by EndpointId
+  /// Indexed by EndpointId.
+  std::vector<BackendEntry> backends_;
   DepartedBackends departed_backends_;
   std::unordered_map<RequestId, ActiveRequest> requests_;
   std::multimap<Time, TimerToken> timers_;
--- a/src/proxy/listener_lifecycle.h
+++ b/src/proxy/listener_lifecycle.h
@@ -33,8 +33,8 @@
   bool is_draining() const { return draining_since_.has_value(); }
   bool is_shutting_down() const { return shutdown_at_.has_value(); }
 
-  /// Whether the readiness check succeeds. With a successor it also succeeds during the shutdown,
-  /// as the successor serves the same address.
+  /// Whether the readiness check succeeds. It fails while draining. It also fails during a
+  /// shutdown, unless there is a successor, which serves the same address.
   bool is_ready() const { return !draining_since_ && (!shutdown_at_ || has_successor_); }
 
   /// Whether new connections are accepted. A draining listener accepts them. During a shutdown
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -257,7 +257,7 @@
   ProxyUnderTest proxy("[]");
   std::vector<TestConnection> idle;
   for (int i = 0; i < 300; ++i) {
-    idle.push_back(proxy.client());  // 300 are more than the proxy's limit of 256 descriptors.
+    idle.push_back(proxy.client());  // More than the proxy's limit of 256 descriptors.
   }
   proxy.say("0\r\n\r\n");
   for (int i = 0; i < 100; ++i) {
