--- a/include/beechhill/balancer.h
+++ b/include/beechhill/balancer.h
@@ -27,13 +27,15 @@
 
   /// Handles one event that happened at `now` and appends the actions to carry out, in order.
   /// Ignores events of requests or attempts that have ended. A call is O(endpoints) while at most
-  /// 64 endpoints are up. With more, a request is O(1), apart from a pass over all endpoints once
-  /// per (endpoints / 10) requests.
+  /// 64 endpoints are up. With more, a request is O(1), apart from retries that are safe only at
+  /// some endpoints, and from a pass over all endpoints once per (endpoints / 10) requests.
   void handle(Time now, const Event& event, std::vector<Action>& actions);
 
   struct EndpointCounts {
+    /// Number of endpoints in the endpoint list.
     std::size_t listed = 0;
-    /// Listed endpoints that currently receive no new requests, regardless of load.
+    /// Number of listed endpoints that receive no new requests: they are draining, excluded by an
+    /// operator, or have just rejected an attempt as overloaded.
     std::size_t avoided = 0;
   };
   /// Counts endpoints at `now`. O(endpoints).
--- a/include/beechhill/events.h
+++ b/include/beechhill/events.h
@@ -55,7 +55,7 @@
   /// The amount of work that the client announced, as a duration.
   std::optional<Duration> work_hint;
   /// Whether the request body is still being received. The latency of such a request depends on its
-  /// client, so it is not counted for the endpoint.
+  /// client, so the balancer uses the class's average latency instead.
   bool streams_body = false;
 };
 
@@ -77,8 +77,8 @@
   kSkipped,  // not sent, for a reason unrelated to the endpoint
 };
 
-/// The end of an attempt. Each attempt has exactly one Outcome, at the request's deadline at the
-/// latest.
+/// The end of an attempt. The embedder must report exactly one Outcome per attempt, at the latest
+/// at the request's deadline.
 struct Outcome {
   RequestId id = 0;
   std::uint32_t attempt = 0;
@@ -91,8 +91,8 @@
   bool body_consumed = false;
 };
 
-/// The client disconnected before its request was answered. Attempts in flight still get an
-/// Outcome.
+/// The client disconnected before its request was answered. The embedder must still report an
+/// Outcome for each attempt in flight.
 struct ClientDisconnected {
   RequestId id = 0;
 };
@@ -109,19 +109,19 @@
   TimerToken token = 0;
 };
 
-/// Decaying sums of the load reports and latencies of one incarnation of an endpoint. The sums have
-/// no unit. The ratio of a pair of sums is an estimate, whose reliability grows with the
+/// Decaying sums of the load reports and latencies of one incarnation of an endpoint. Only the
+/// ratio of a pair of sums is meaningful: it is an estimate, whose reliability grows with the
 /// denominator.
 struct EndpointStats {
   /// Sums of the reported requests per second and of the reported utilization.
   double weighted_rates = 0;
   double weighted_utilizations = 0;
-  /// Sum of latencies, each divided by the average of its class, and the weight of the responses in
-  /// it.
+  /// Sum of latencies, each divided by the average of its class, and total weight of the responses
+  /// in that sum.
   double weighted_latency_ratios = 0;
   double response_weight = 0;
 
-  /// Adds one response, after the fraction `decay`, in [0, 1], is taken off the latency sums.
+  /// Adds one response, after reducing both latency sums by the fraction `decay`, in [0, 1].
   void add_latency_ratio(double ratio, double decay) {
     weighted_latency_ratios += ratio - decay * weighted_latency_ratios;
     response_weight += 1 - decay * response_weight;
@@ -136,15 +136,16 @@
 };
 
 /// Statistics that an earlier process collected for the listed incarnation of an endpoint, decayed
-/// to the present. The balancer does not check them: the embedder bounds values read from a disk.
+/// to the present. The balancer does not check them, so the embedder must bound values that it
+/// reads from a disk.
 struct RestoredStats {
   EndpointId endpoint = 0;
   EndpointStats stats;
 };
 
 /// An operator excludes an endpoint from new requests, or readmits it, independently of discovery.
-/// May arrive before the first update that names the endpoint. A readmitted endpoint is treated as
-/// just started, unless discovery has reported a start since the exclusion.
+/// The event may precede the first update that names the endpoint. A readmitted endpoint is treated
+/// as just started, unless discovery has reported a start since the exclusion.
 struct EndpointExclusion {
   EndpointId endpoint = 0;
   bool excluded = true;
--- a/include/beechhill/settings.h
+++ b/include/beechhill/settings.h
@@ -8,11 +8,11 @@
 
 namespace beechhill {
 
-/// Whether, and where, a request that may have taken effect may be sent again.
+/// Whether and where a request may be repeated if it may have taken effect.
 enum class Idempotency {
-  kIdempotent,      // on any endpoint, at any time
-  kIdempotencyKey,  // within the deduplication scope and the deduplication window
-  kNonIdempotent,   // never
+  kIdempotent,      // may be repeated on any endpoint at any time
+  kIdempotencyKey,  // may be repeated within the deduplication scope and window
+  kNonIdempotent,   // must not be repeated
 };
 
 /// The endpoints that discard repeats of a request with an idempotency key: all endpoints, or those
@@ -22,11 +22,11 @@
 struct ClassSettings {
   Idempotency idempotency = Idempotency::kNonIdempotent;
   DeduplicationScope deduplication_scope = DeduplicationScope::kAll;
-  /// How long endpoints discard repeats, from the start of the first attempt; 0 or more.
+  /// Time from the start of the first attempt during which endpoints discard repeats; 0 or more.
   Duration deduplication_window{0};
-  /// Target for the longest response time; above 0.
+  /// Target for the maximum response time; above 0.
   Duration latency_objective{0};
-  /// How long clients of this class wait at most; latency_objective or more.
+  /// Maximum time that clients of this class wait for a response; latency_objective or more.
   Duration deadline{0};
   /// The latency objective of a request grows by this multiple of Request::work_hint, up to the
   /// deadline; 0 or more.
@@ -69,14 +69,14 @@
   /// Upper bound of the delay before the first request for the endpoint list, and before each
   /// repeat after a failure.
   Duration discovery_poll_interval{0};
-  /// How long the embedder lets attempts at a draining endpoint continue.
+  /// Maximum time for which the embedder lets attempts at a draining endpoint continue.
   Duration drain_grace{0};
   /// Length of an endpoint's slow start; 0 or more.
   Duration slow_start_window{0};
   /// Fraction of its capacity that an endpoint has when it starts, in (0, 1].
   double slow_start_initial_weight = 1;
-  /// An endpoint in slow start collapses when it receives more than this multiple of the load that
-  /// it can serve for longer than overload_collapse_delay.
+  /// An endpoint in slow start collapses when its load exceeds this multiple of its capacity for
+  /// longer than overload_collapse_delay.
   double overload_collapse_ratio = 1;
   Duration overload_collapse_delay{0};
   /// Whether endpoints report load only in responses to health checks, and whether health checks
@@ -85,7 +85,7 @@
   bool health_checks_allowed = false;
   /// Whether attempts may be cancelled.
   bool cancellation_allowed = false;
-  /// Whether two attempts of a request may be in flight at once. The module never starts a second.
+  /// Whether two attempts of a request may be in flight at once. The module never does so.
   bool hedging_allowed = false;
   /// Maximum number of attempts per request, including the first; at least 1.
   std::uint32_t max_attempts = 1;
@@ -94,7 +94,7 @@
   /// An attempt fails if its connection is not established within this time. The embedder enforces
   /// it.
   Duration connect_timeout{100'000};
-  /// How long a connection may be idle before endpoints close it. Used by the embedder only.
+  /// Time after which endpoints close an idle connection. Used by the embedder only.
   Duration backend_idle_timeout{30'000'000};
   /// Cost of a health check, relative to the cost of serving a request; 0 if it is free.
   double health_check_cost = 0;
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -16,8 +16,8 @@
 
 enum TimerKind : TimerToken { kQueueTimer, kHealthCheckTimer, kDiscoveryTimer };
 
-// While requests wait, the queues are checked this many times within the shortest latency
-// objective, or once per time step if that is less often.
+// Number of times that the queues are checked within the shortest latency objective while requests
+// wait. The interval is at least one time step.
 constexpr int kQueueTimerDivisor = 40;
 
 Settings validated(Settings settings) {
@@ -79,8 +79,8 @@
     actions_->push_back(SetTimer{kind, now_ + delay});
   }
 
-  // Sets a timer to check the queues while requests wait, so that no request is sent or answered
-  // after its client has disconnected.
+  // Sets a timer while requests wait, so that they are sent or rejected before their clients
+  // disconnect, even if no other event arrives.
   void schedule_queue_timer() {
     const Duration interval = std::max(
         settings_.time_step, from_seconds(latencies_.shortest_objective_s() / kQueueTimerDivisor));
@@ -133,8 +133,8 @@
     }
   }
 
-  // Sets no timeout short of the request's deadline: endpoints continue abandoned work, which the
-  // concurrency limit would then not count.
+  // Sets no timeout before the request's deadline: an endpoint may continue an abandoned attempt,
+  // which the concurrency limit would then not count.
   void start_attempt(RequestState& state, EndpointId id) {
     EndpointRecord& record = endpoints_[id];
     selector_.record_attempt(record, state.request.class_id, random_.uniform(), now_);
@@ -204,7 +204,7 @@
 
   void end_attempt(RequestState& state, const Outcome& outcome) {
     const Attempt& attempt = state.attempts.back();
-    // The time that a streamed body takes depends on the client, so the class's average is used.
+    // The duration of a streamed body depends on the client, so the class's average is used.
     const double latency_s = state.request.streams_body
                                  ? latencies_.average_s(state.request.class_id)
                                  : seconds(now_ - attempt.started_at);
--- a/src/balancer/discovery_polling.h
+++ b/src/balancer/discovery_polling.h
@@ -8,18 +8,19 @@
 
 namespace beechhill {
 
-/// Adds jitter to all delays, as replicas often start together and see the same outage of
-/// discovery. Arguments called `random` are in [0, 1).
+/// Computes the delays of subscriptions. Adds jitter to all of them, as replicas often start
+/// together and see the same outage of discovery. Arguments called `random` are in [0, 1).
 class DiscoveryPolling {
  public:
   explicit DiscoveryPolling(const Settings& settings) : settings_(settings) {}
 
+  /// Returns the delay before the first subscription.
   Duration initial_delay(double random) const {
     return from_seconds(random * seconds(settings_.discovery_poll_interval) / kInitialDivisor);
   }
 
-  /// Returns a delay that grows with consecutive failures, up to kMaxBackoffSteps of them, and
-  /// stays below the poll interval.
+  /// Returns the delay before the next subscription. It grows with the number of consecutive
+  /// failures, up to kMaxBackoffSteps, and is less than the poll interval.
   Duration delay_after_failure(double random) {
     failures_ = std::min(failures_ + 1, kMaxBackoffSteps);
     const double wait_s = seconds(settings_.discovery_poll_interval) / kBackoffDivisor * failures_;
@@ -29,10 +30,11 @@
   void record_success() { failures_ = 0; }
 
  private:
-  // Divides the poll interval to give the longest delay before the first subscription.
+  // Divisor of the poll interval that gives the longest delay before the first subscription.
   static constexpr double kInitialDivisor = 4;
-  // Divides the poll interval to give the step by which the backoff grows.
+  // Divisor of the poll interval that gives the step by which the backoff grows.
   static constexpr double kBackoffDivisor = 8;
+  // Maximum number of steps of the backoff.
   static constexpr int kMaxBackoffSteps = 3;
 
   const Settings& settings_;
--- a/src/balancer/policy/admission.cpp
+++ b/src/balancer/policy/admission.cpp
@@ -9,17 +9,17 @@
 namespace beechhill {
 namespace {
 
-// A request that finds this many in its queue is rejected. The queue deadline mostly acts first.
+// Maximum number of requests in a queue. The queue deadline usually takes effect first.
 constexpr std::size_t kMaxQueueLength = 64;
-// Divide the latency objective to give the longest wait at the first tier, and the shortest wait
-// that any tier allows.
+// Divisors of the latency objective that give the longest wait at the first tier, and the shortest
+// wait that any tier allows.
 constexpr int kMaxWaitDivisor = 2;
 constexpr int kMinWaitDivisor = 10;
-// Longest wait at the first tier, as a share of the time that the client waits; less than half.
+// Maximum share of the time until its deadline that a request may wait at the first tier.
 using MaxWaitShare = std::ratio<9, 20>;
-// Sum of the levels' assured shares, which are split by weight. It represents half of the limit.
+// Sum of all levels' assured shares. Together they are assured half of the concurrency limit.
 constexpr double kAssuredShares = 100;
-// Minimum number of requests that a tenant may send ahead of its quota.
+// Minimum burst that a quota allows, in requests.
 constexpr double kMinQuotaBurst = 4;
 
 }  // namespace
@@ -50,7 +50,7 @@
          (over_quota ? settings_.over_quota_priority_factor : 1);
 }
 
-// Only the first tier checks quotas. The burst keeps chance from marking requests within a quota.
+// Only the first tier checks quotas. The burst allows for random peaks within a quota.
 bool Admission::over_quota(TenantId tenant, Time now) {
   if (settings_.tier != 0 || tenant >= quotas_.size() ||
       settings_.tenants[tenant].quota_per_s <= 0) {
@@ -72,8 +72,8 @@
   state.queue_deadline = queue_deadline(request, now);
 }
 
-// Queues only requests that can still be answered in time. At the first tier the wait is short, as
-// a client rejected early can retry; in lower tiers a rejection wastes the work done above.
+// Bounds the wait so that an answer is still timely. The bound is lower at the first tier, as a
+// client rejected early can retry; in lower tiers a rejection wastes the work of those above.
 Time Admission::queue_deadline(const Request& request, Time now) const {
   const ClassSettings& settings = settings_.classes[request.class_id];
   const Duration objective = latency_objective(settings, request);
@@ -85,7 +85,7 @@
   const Duration slow = from_seconds(latencies_.slow_s(request.class_id));
   Time deadline = std::min({now + max_wait, useful_until - slow, latest});
   deadline = std::max(deadline, std::min(now + objective / kMinWaitDivisor, latest));
-  // A client must have time to retry, and its own time is often less than its class's deadline.
+  // Clients need time to retry, and their deadlines are often shorter than that of their class.
   return first_tier ? std::min(deadline, now + (request.deadline - now) * MaxWaitShare::num /
                                                    MaxWaitShare::den)
                     : deadline;
@@ -100,7 +100,7 @@
   return true;
 }
 
-// The highest waiting level below its assured concurrency, or else the highest waiting level.
+// Returns the highest non-empty level below its assured share, else the highest non-empty one.
 PriorityLevel* Admission::next_level() {
   PriorityLevel* highest = nullptr;
   for (PriorityLevel& level : queues_.levels()) {
@@ -121,7 +121,7 @@
     return nullptr;
   }
   RequestState& state = requests.at(level->earliest_head());
-  return limit_.fits(state.width) ? &state : nullptr;  // no other request overtakes the head
+  return limit_.fits(state.width) ? &state : nullptr;  // smaller requests must wait as well
 }
 
 }  // namespace beechhill
--- a/src/balancer/policy/admission.h
+++ b/src/balancer/policy/admission.h
@@ -1,5 +1,5 @@
 // Admission: assigns requests to priority levels and queues, limits how long they wait, and selects
-// the next one to send. After "Priority and Fairness for API Server Requests" (KEP-1040).
+// the next one to send. Based on "Priority and Fairness for API Server Requests" (KEP-1040).
 #pragma once
 
 #include "balancer/policy/concurrency_limit.h"
@@ -15,11 +15,11 @@
   Admission(const Settings& settings, const LatencyTracker& latencies,
             const ConcurrencyLimit& limit, FairQueues& queues, Time now);
 
-  /// Sets level, width and queue deadline. Uses up quota, so it must be called once per request.
+  /// Sets level, width and queue deadline of `state`. Must be called once, as it uses up quota.
   void classify(RequestState& state, Time now);
-  /// Queues the request. Returns false if it must be rejected: queue full or deadline passed.
+  /// Queues the request, or returns false if its queue is full or its deadline has passed.
   bool enqueue(RequestState& state, Time now);
-  /// Returns the next request to send, or null if none waits or the next must wait for the limit.
+  /// Returns the next request to send, or null if none waits or the limit does not allow it.
   RequestState* next(RequestTable& requests);
 
  private:
--- a/src/balancer/policy/concurrency_limit.cpp
+++ b/src/balancer/policy/concurrency_limit.cpp
@@ -7,27 +7,27 @@
 
 // Share of the latency objective beyond which a response counts as partly late.
 constexpr double kLateShare = 0.5;
-// Widths removed by an outcome that was not in time, and added by one that was. The limit is stable
+// Widths by which a late outcome lowers the limit and a timely one raises it. The limit is stable
 // when 1 outcome in 11 is late.
 constexpr double kDecrease = 2;
 constexpr double kIncrease = 0.2;
-// An unanswered request is silent after this multiple of its class's slow_s(); see docs/design.md.
+// Multiple of slow_s() after which an unanswered attempt counts as silent; see docs/design.md.
 constexpr double kSilentFactor = 1.5;
-// Share of the limit that silent requests may occupy.
+// Maximum share of the limit that silent requests can occupy.
 constexpr double kMaxSilentShare = 1.0 / 3;
-// Minimum of the limit, in widths per endpoint, over all replicas together.
+// Minimum of the limit, in widths per endpoint, summed over all replicas.
 constexpr double kMinWidthsPerEndpoint = 4;
-// Limit, in widths, below which its changes are scaled down in proportion.
+// Limit in widths below which its changes are reduced in proportion to it; see scale().
 constexpr double kSmallLimit = 10;
 
 }  // namespace
 
-// Counts silent requests up to a share of the limit: with distant deadlines they could fill it.
+// Counts silent requests only up to a share of the limit, so that they cannot block all others.
 double ConcurrencyLimit::counted_widths() const {
   return in_flight_.running - std::max(0.0, in_flight_.silent - kMaxSilentShare * limit_);
 }
 
-// If the limit is below one request, the next one waits until the overrun has decreased to 0.
+// A request may exceed the limit if the overrun is 0, as the limit may be less than one width.
 bool ConcurrencyLimit::fits(int width) const {
   const double counted = counted_widths();
   return counted + width <= limit_ || (counted < limit_ && overrun_ <= 0);
@@ -43,9 +43,9 @@
   return state.attempts.back().started_at + from_seconds(kSilentFactor * expected_s);
 }
 
-// Late responses lower the limit at the first tier only: load is shed there, as requests waiting in
-// lower tiers hold slots above. The decrease grows with lateness: a long tail must not close the
-// limit.
+// Late responses lower the limit only at the first tier, which sheds load, as a request that waits
+// in a lower tier also counts against the limits above. The decrease grows with lateness, so that a
+// long tail of slightly late responses has little effect.
 void ConcurrencyLimit::adjust(const RequestState& state, Result result, double latency_s,
                               double latency_penalty, double up_count) {
   const bool ok = result == Result::kOk;
@@ -56,8 +56,8 @@
       (settings_.tier == 0 && ok && late_share > 0)) {
     limit_ = std::min(limit_, busy);
     const double lateness = ok ? std::min(1.0, late_share) : 1;
-    // An outlier's lateness lowers its traffic instead, so it lowers the limit less. It still
-    // counts, or the limit would stay open where many endpoints are slow.
+    // A late outlier lowers the limit less, as it also receives fewer requests. It still lowers it,
+    // as otherwise the limit would stay high while many endpoints are slow.
     limit_ -= kDecrease * lateness * state.width * scale() / (latency_penalty * latency_penalty);
   } else if (ok && limit_ < busy) {
     limit_ += kIncrease * state.width * scale();
@@ -65,7 +65,7 @@
   limit_ = std::max(limit_, kMinWidthsPerEndpoint * up_count / settings_.replicas);
 }
 
-// Scales the changes of a small limit, which whole widths would swing between 0 and twice its size.
+// Reduces the steps of a small limit, which full steps would move between 0 and twice its value.
 double ConcurrencyLimit::scale() const {
   return std::min(1.0, limit_ / kSmallLimit);
 }
--- a/src/balancer/policy/concurrency_limit.h
+++ b/src/balancer/policy/concurrency_limit.h
@@ -1,4 +1,4 @@
-// The concurrency limit: how many widths may be in flight. Adapts to outcomes (AIMD).
+// The concurrency limit: the maximum sum of widths in flight. It adapts to outcomes (AIMD).
 #pragma once
 
 #include "balancer/state/in_flight.h"
@@ -6,7 +6,7 @@
 
 namespace beechhill {
 
-/// Counts widths: 1 for an idempotent request, 2 for any other. Each operation is O(1).
+/// Counts each idempotent request with a width of 1 and any other with 2. Operations are O(1).
 class ConcurrencyLimit {
  public:
   ConcurrencyLimit(const Settings& settings, const LatencyTracker& latencies,
@@ -14,14 +14,14 @@
       : settings_(settings), latencies_(latencies), in_flight_(in_flight) {}
 
   double value() const { return limit_; }
-  /// Whether a request of the given width may be sent now.
+  /// Returns whether a request of the given width may be sent now.
   bool fits(int width) const;
-  /// Updates the overrun for `elapsed_s` seconds with the current requests in flight.
+  /// Updates the overrun for the last `elapsed_s` seconds, with constant widths in flight.
   void advance(double elapsed_s);
-  /// When the request's last attempt becomes silent. `state` must have an attempt.
+  /// Returns when the last attempt of `state`, which must have one, counts as silent.
   Time silent_at(const RequestState& state) const;
-  /// Adjusts the limit to an outcome of `state`, which is no longer in flight. `latency_penalty` is
-  /// that of its endpoint, `up_count` the number of endpoints that are up.
+  /// Adjusts the limit to an outcome of `state`, which must no longer be in flight.
+  /// `latency_penalty` is that of its endpoint, `up_count` the number of endpoints that are up.
   void adjust(const RequestState& state, Result result, double latency_s, double latency_penalty,
               double up_count);
 
@@ -36,7 +36,7 @@
   const LatencyTracker& latencies_;
   const InFlightCounts& in_flight_;
   double limit_ = kUnlimited;
-  double overrun_ = 0;  // excess over the limit, in widths times seconds
+  double overrun_ = 0;  // time integral of the excess over the limit, in widths times seconds
 };
 
 }  // namespace beechhill
--- a/src/balancer/policy/endpoint_selector.cpp
+++ b/src/balancer/policy/endpoint_selector.cpp
@@ -5,25 +5,25 @@
 namespace beechhill {
 namespace {
 
-// Utilization of the own zone above which other zones get requests.
+// Utilization of the balancer's zone above which other zones get requests.
 constexpr double kZoneThreshold = 0.8;
-// Load, in requests, added to endpoints of other zones below that utilization, and less above it.
+// Load, in requests, added to endpoints of other zones up to kZoneThreshold, and less above it.
 constexpr double kCrossZoneLoad = 32;
 // Minimum number of endpoints that a replica uses.
 constexpr double kMinSubset = 8;
 // Number of responses within kStatsWindow that suffice to estimate an endpoint's latency.
 constexpr double kResponsesPerEndpoint = 10;
-// Number of replicas that use each endpoint in a large deployment.
+// Target number of replicas that use each endpoint of a large fleet.
 constexpr double kReplicasPerEndpoint = 20;
-// Load, in requests, added to an endpoint for each attempt of the same request there.
+// Load, in requests, added to an endpoint for each earlier attempt of the request there.
 constexpr double kRepeatedAttemptLoad = 4;
 // Time without a response, in typical latencies, that doubles an endpoint's load.
 constexpr double kSilentLatencies = 2;
 
 }  // namespace
 
-// Uses a subset of a large fleet, as with few attempts per endpoint a slow one would go unnoticed.
-// The subset grows with the share of endpoints that are warming up and take little load.
+// Uses a subset of a large fleet, as a slow endpoint is only detected if it gets enough attempts.
+// The subset grows with the share of endpoints in slow start, which take little load.
 std::optional<EndpointId> EndpointSelector::select(const RequestState& state, Time now) {
   const auto is_warm = [&](const EndpointRecord& record) {
     return !in_.slow_start.warming_up(record, now);
@@ -40,7 +40,7 @@
   return best ? best : least_loaded(state, kUnlimited, now);
 }
 
-// Samples a large fleet, which bounds the cost and keeps replicas from all choosing one endpoint.
+// A sample of a large fleet bounds the cost and keeps replicas from choosing the same endpoint.
 std::optional<EndpointId> EndpointSelector::least_loaded(const RequestState& state,
                                                          double subset_size, Time now) {
   std::optional<EndpointId> best;
@@ -53,7 +53,7 @@
       return;
     }
     in_.statistics.decay(record, now);
-    // The penalty is added last: it separates zones and must not scale with an endpoint's load.
+    // The penalty is added last, as it must not scale with the endpoint's load.
     const double penalty = record.entry.zone != in_.settings.zone ? cross_zone : 0;
     const double candidate_load = load(state, record, now) + penalty;
     if (candidate_load >= least_load) {
@@ -78,7 +78,7 @@
          in_.slow_start.has_budget(record, traffic, now) && in_.retries.safe_on(state, record, now);
 }
 
-// The load in requests. It grows with the time without a response, as the endpoint may be frozen.
+// Returns the load in requests. It grows while no response arrives, as the endpoint may be hung.
 double EndpointSelector::load(const RequestState& state, const EndpointRecord& record,
                               Time now) const {
   double load = record.in_flight + record.recent_attempts + record.tie_breaker;
@@ -94,9 +94,9 @@
          (in_.statistics.relative_weight(record) * in_.slow_start.capacity_share(record, now));
 }
 
-// The penalty in requests; 0 if crossing is free. A constant one would always send some requests
-// across. Requests stay in the own zone while it has capacity, and spread evenly once it is full or
-// the limit binds.
+// Returns the load, in requests, added to endpoints of other zones. It decreases to 0 as the
+// balancer's zone or the concurrency limit fills up: requests stay in the zone while it has
+// capacity and spread evenly once it is full. A constant would always send some to other zones.
 double EndpointSelector::cross_zone_penalty(Time now) const {
   if (in_.settings.cross_zone_cost <= 0) {
     return 0;
@@ -106,7 +106,7 @@
   return kCrossZoneLoad * std::clamp((1 - utilization) / (1 - kZoneThreshold), 0.0, 1.0);
 }
 
-// The fewer requests are in flight, the more the choice between similar endpoints is random.
+// With fewer requests in flight, the choice between similar endpoints is more random.
 void EndpointSelector::record_attempt(EndpointRecord& record, ClassId class_id, double random,
                                       Time now) {
   const double idle_share = std::max(0.0, 1 - in_.in_flight.mean_running / up_count());
--- a/src/balancer/policy/endpoint_selector.h
+++ b/src/balancer/policy/endpoint_selector.h
@@ -1,4 +1,4 @@
-// Endpoint selection: the least loaded endpoint of a subset, by own requests per capacity.
+// Selects the endpoint of a subset that has the fewest of this balancer's requests per capacity.
 #pragma once
 
 #include "balancer/policy/concurrency_limit.h"
@@ -21,15 +21,15 @@
   EndpointTable& endpoints;
 };
 
-/// A selection is O(endpoints) in a small fleet; in a large one it examines a sample, and sometimes
-/// all endpoints to refresh the fleet's statistics (FleetStatistics).
+/// Selects an endpoint for each attempt. O(endpoints) in a small fleet; in a large one it examines
+/// a sample, or all endpoints for some retries and to refresh FleetStatistics.
 class EndpointSelector {
  public:
   explicit EndpointSelector(const SelectionInputs& inputs) : in_(inputs) {}
 
-  /// Returns the endpoint to send the request to, or nothing if no endpoint may receive it now.
+  /// Returns the endpoint to send the request to, or nothing if none of those examined may get it.
   std::optional<EndpointId> select(const RequestState& state, Time now);
-  /// Records an attempt at `record`. `random`, in [0, 1), breaks ties differently in each replica.
+  /// Records the start of an attempt. `random`, in [0, 1), breaks ties differently in each replica.
   void record_attempt(EndpointRecord& record, ClassId class_id, double random, Time now);
 
  private:
--- a/src/balancer/policy/health_checker.cpp
+++ b/src/balancer/policy/health_checker.cpp
@@ -7,7 +7,7 @@
 
 // Maximum cost of health checks, as a share of the cost of all attempts.
 constexpr double kMaxCostShare = 0.006;
-// Maximum number of checks that the budget can save.
+// Maximum of the budget, in checks.
 constexpr double kMaxBudget = 10;
 // Sum of an instance type's reported utilization above which its weight counts as known.
 constexpr double kSufficientUtilization = 1;
@@ -22,7 +22,7 @@
   budget_ = std::min(kMaxBudget, budget_ + earned);
 }
 
-// Prefers endpoints of an instance type of unknown weight, then the one checked longest ago.
+// Prefers instance types of unknown weight, and then the endpoint checked the longest time ago.
 std::optional<EndpointId> HealthChecker::select(Time now) {
   EndpointRecord* first = nullptr;
   const auto order = [this](const EndpointRecord& record) {
--- a/src/balancer/policy/health_checker.h
+++ b/src/balancer/policy/health_checker.h
@@ -1,20 +1,20 @@
-// Health checks: selects the endpoints to ask for a load report, and schedules the checks.
+// Selects endpoints for health checks, which request a load report, and schedules the checks.
 #pragma once
 
 #include "balancer/state/fleet_statistics.h"
 
 namespace beechhill {
 
-/// Keeps references to its arguments. Used only where settings allow health checks.
+/// Keeps references to its arguments. The caller must check that health checks are allowed.
 class HealthChecker {
  public:
   HealthChecker(const Settings& settings, const FleetStatistics& statistics,
                 EndpointTable& endpoints)
       : settings_(settings), statistics_(statistics), endpoints_(endpoints) {}
 
-  /// Must be called for each attempt. Adds the fraction of a check that one attempt allows.
+  /// Must be called when an attempt starts. Adds the fraction of a check that one attempt allows.
   void add_budget();
-  /// Selects an endpoint, if the budget allows a check. O(1), or O(endpoints) in a small fleet.
+  /// Selects an endpoint to check, if the budget allows. O(1), or O(endpoints) in a small fleet.
   std::optional<EndpointId> select(Time now);
   /// Returns the delay until the next check; `random` is in [0, 1).
   Duration interval(double random) const;
@@ -23,7 +23,7 @@
   const Settings& settings_;
   const FleetStatistics& statistics_;
   EndpointTable& endpoints_;
-  double budget_ = 4;  // checks; with more, new replicas together would overload slow types
+  double budget_ = 4;  // checks; a higher start would let new replicas overload slow endpoints
 };
 
 }  // namespace beechhill
--- a/src/balancer/policy/retry_policy.cpp
+++ b/src/balancer/policy/retry_policy.cpp
@@ -5,11 +5,11 @@
 namespace beechhill {
 namespace {
 
-// Budget that each attempt adds for retries of requests that may have taken effect.
+// Number of retries that each attempt adds to the budget for requests that may have taken effect.
 constexpr double kRetriesPerAttempt = 0.1;
-// Maximum number of retries that the budget can save.
+// Maximum of the budget, in retries.
 constexpr double kMaxBudget = 10;
-// Divides the longest delay that clients honour to give the mean advised retry delay.
+// Divisor of the longest retry delay that clients honour; gives the mean delay that is advised.
 constexpr int kRetryAfterDivisor = 5;
 
 }  // namespace
--- a/src/balancer/policy/retry_policy.h
+++ b/src/balancer/policy/retry_policy.h
@@ -1,4 +1,4 @@
-// Retries: whether and where a request may be sent again, and its final answer without success.
+// Decides whether and where a request is sent again, and its answer if no attempt succeeds.
 #pragma once
 
 #include "balancer/state/endpoint_state.h"
@@ -11,23 +11,23 @@
 
 enum class RetryDecision { kRequeue, kRetryNow, kGiveUp };
 
-/// Owns the retry budget. Each operation is O(1).
+/// Decides on retries and owns the retry budget. Each operation is O(1).
 class RetryPolicy {
  public:
   RetryPolicy(const Settings& settings, const LatencyTracker& latencies, RandomSource& random)
       : settings_(settings), latencies_(latencies), random_(random) {}
 
-  /// Whether `result` shows that the attempt had no effect.
+  /// Returns whether `result` shows that the attempt had no effect.
   static bool never_ran(Result result);
-  /// Decides what follows an attempt that ended with `outcome` and without success.
+  /// Decides whether a request is sent again after an unsuccessful attempt with `outcome`.
   RetryDecision decide(const RequestState& state, const Outcome& outcome, Time now) const;
-  /// Whether repeating the request is safe on every endpoint.
+  /// Returns whether repeating the request is safe on every endpoint.
   bool safe_anywhere(const RequestState& state) const;
-  /// Whether repeating the request is safe on `record`, for an attempt that starts at `now`.
+  /// Returns whether repeating the request on `record` is safe for an attempt that starts at `now`.
   bool safe_on(const RequestState& state, const EndpointRecord& record, Time now) const;
-  /// How long an endpoint that has rejected an attempt as overloaded gets no new attempts.
+  /// Returns how long an endpoint receives no attempts after it rejected one as overloaded.
   Duration overload_backoff() const { return from_seconds(latencies_.typical_s()); }
-  /// Returns Reject if the client may safely retry, else Fail.
+  /// Returns Reject if the client may safely retry the request, else Fail.
   Action final_answer(const RequestState& state);
 
   void add_budget();    // must be called when an attempt starts
@@ -41,7 +41,7 @@
   const Settings& settings_;
   const LatencyTracker& latencies_;
   RandomSource& random_;
-  double budget_ = 3;  // retries
+  double budget_ = 3;  // number of retries
 };
 
 }  // namespace beechhill
--- a/src/balancer/policy/slow_start.cpp
+++ b/src/balancer/policy/slow_start.cpp
@@ -3,10 +3,10 @@
 namespace beechhill {
 namespace {
 
-// Minimum rate of attempts per second to an endpoint, over all replicas. Without a minimum, an
-// endpoint would receive nothing while there is little traffic.
+// Minimum rate limit of an endpoint in attempts per second, over all replicas. Without a minimum,
+// an endpoint would receive nothing while there is little traffic.
 constexpr double kMinAttemptsPerS = 1;
-// The allowed load is at most the collapse ratio over this, times an even share of the traffic.
+// Divisor of the collapse ratio; the quotient limits the load in even shares of the traffic.
 constexpr double kSafetyFactor = 1.5;
 
 }  // namespace
@@ -26,10 +26,10 @@
   return initial + (1 - initial) * age_s / seconds(settings_.slow_start_window);
 }
 
-// Keeps endpoints from collapse while they warm up: each replica sends one at most the fraction
-// capacity_share() of what it sends a warm peer, so the total stays below a warm peer's. As few
-// warm peers may be overloaded, the bound is also two thirds of the collapse ratio times an even
-// share.
+// Prevents a collapse: each replica sends an endpoint in slow start at most capacity_share() of
+// what it sends a warm endpoint. A few warm endpoints may themselves be overloaded, so the limit is
+// also capacity_share() times an even share of the traffic, or overload_collapse_ratio /
+// kSafetyFactor even shares if that is more.
 bool SlowStart::has_budget(EndpointRecord& record, const Traffic& traffic, Time now) const {
   if (!warming_up(record, now)) {
     return true;
--- a/src/balancer/policy/slow_start.h
+++ b/src/balancer/policy/slow_start.h
@@ -6,10 +6,10 @@
 
 namespace beechhill {
 
-/// Keeps a reference to the settings and no other state. Each operation is O(1).
+/// Computes the load limits. Keeps only a reference to the settings. Each operation is O(1).
 class SlowStart {
  public:
-  /// The attempts that one balancer starts, and the number of endpoints that receive them.
+  /// One balancer's attempt rate, and its numbers of endpoints past slow start and endpoints up.
   struct Traffic {
     double attempts_per_s = 0;
     double warm_count = 0;
@@ -19,9 +19,9 @@
   explicit SlowStart(const Settings& settings) : settings_(settings) {}
 
   bool warming_up(const EndpointRecord& record, Time now) const;
-  /// The minimum share of its capacity that the endpoint has at `now`, in (0, 1].
+  /// Returns the minimum share of its capacity that the endpoint has at `now`, in (0, 1].
   double capacity_share(const EndpointRecord& record, Time now) const;
-  /// Refills the budget. Returns whether an attempt may start at the endpoint; true if it is warm.
+  /// Refills the endpoint's budget. Returns whether it allows an attempt; true after slow start.
   bool has_budget(EndpointRecord& record, const Traffic& traffic, Time now) const;
 
  private:
--- a/src/balancer/state/decaying_average.h
+++ b/src/balancer/state/decaying_average.h
@@ -8,8 +8,8 @@
 
 namespace beechhill {
 
-/// O(1) in memory and time. `window_s` is the time constant of the decay in seconds, and must be
-/// the same in every call.
+/// Keeps a decaying sum and count of values; O(1) in memory and time. `window_s` is the time
+/// constant of the decay in seconds, and must be the same in every call.
 class DecayingAverage {
  public:
   void add(Time now, double window_s, double value) {
@@ -19,16 +19,17 @@
     updated_at_ = now;
   }
 
-  /// Values per second. Only the time since `started_at` counts, as a new stream's rate would
-  /// otherwise be underestimated. That time is taken as at least 1 s, as a first value that comes
-  /// at once would otherwise give a rate of thousands.
+  /// Returns the rate of values per second. Only the time since `started_at` counts, as the
+  /// rate of a new stream would otherwise be underestimated. That time is taken as at least one
+  /// second, as an immediate first value would otherwise give a rate of thousands per second.
   double rate_per_s(Time now, double window_s, Time started_at) const {
     const double age_s = std::max(1.0, seconds(now - started_at));
     const double count = weight_ * decay_factor(now, window_s);
     return count / (window_s * (1 - std::exp(-age_s / window_s)));
   }
 
-  /// The mean, computed with one extra value of 0, so that it decays towards 0 without new values.
+  /// Returns the mean of the values and one more value of 0, so that it decays towards 0 while no
+  /// value is added.
   double mean(Time now, double window_s) const {
     const double remaining = decay_factor(now, window_s);
     return sum_ * remaining / (weight_ * remaining + 1);
--- a/src/balancer/state/endpoint_state.h
+++ b/src/balancer/state/endpoint_state.h
@@ -23,13 +23,13 @@
   std::vector<OutcomeCounts> outcomes;  // indexed by ClassId
   int in_flight = 0;                    // number of attempts of this balancer
   double recent_attempts = 0;           // decaying number of attempts of this balancer
-  double tie_breaker = 0;               // in [0, 1]: random fraction of a request's load
+  double tie_breaker = 0;               // random addition to the load, in requests, in [0, 1]
   Time decayed_at{0};
   /// Time of the last outcome, or of the first attempt if none was in flight before it.
   Time waiting_since{0};
   Time overloaded_until{0};
   Time health_checked_at{0};
-  TokenBucket slow_start_budget;  // attempts that may start while the endpoint is warming up
+  TokenBucket slow_start_budget;  // number of attempts that may start during slow start
 
   /// Decays the count of attempts with a time constant of `attempts_window_s` seconds, and errors
   /// and latencies with kStatsWindow.
@@ -57,15 +57,15 @@
   std::uint64_t last_update = 0;  // number of the last update that named the endpoint
   bool excluded = false;          // whether an operator has excluded the endpoint
   std::optional<Time> excluded_at;
-  /// Set if the endpoint may have restarted during an exclusion and no update has said so yet.
+  /// Time of the last readmission, unless an update has reported a start since the exclusion.
   std::optional<Time> readmitted_at;
-  double rank = 0;                // random and constant: the lowest are used first
+  double rank = 0;                // random and constant; the lowest ranks are used first
   std::uint32_t incarnation = 0;  // incremented with each observed restart
 
-  /// Whether the endpoint may get new requests according to discovery and operators.
+  /// Returns whether the endpoint may get new requests according to discovery and operators.
   bool up() const { return listed && !excluded && entry.status == EndpointStatus::kUp; }
 
-  /// The later of the endpoint's start and its readmission; absent if it started long ago.
+  /// Returns the later of the endpoint's start and its readmission; absent if it started long ago.
   std::optional<Time> serving_since() const { return std::max(entry.started_at, readmitted_at); }
 };
 
--- a/src/balancer/state/endpoint_table.cpp
+++ b/src/balancer/state/endpoint_table.cpp
@@ -22,19 +22,19 @@
   EndpointRecord& record = find_or_add(entry.id, now);
   const bool restarted = entry.started_at && (!record.entry.started_at ||
                                               *entry.started_at != *record.entry.started_at);
-  // Ids are reused: an id that returns after its removal may be another machine.
+  // Ids are reused, so an id that is listed again may be that of another machine.
   if (restarted || !record.listed) {
     restart(record, now);
   }
   record.entry = entry;
   record.last_update = update_number_;
   if (entry.started_at >= record.excluded_at) {
-    record.readmitted_at.reset();  // discovery has reported the start after the exclusion
+    record.readmitted_at.reset();  // the start that discovery reports is used instead
   }
   record.listed = entry.status != EndpointStatus::kRemoved;
 }
 
-// Unlists endpoints that the complete list does not name, and ranks the others.
+// Unlists endpoints that the complete list does not name, and ranks those that are up.
 void EndpointTable::rank_listed() {
   std::vector<std::pair<double, EndpointId>> ranks;
   for (EndpointId id = 0; id < records_.size(); ++id) {
@@ -82,8 +82,8 @@
   return records_[id];
 }
 
-// The random values keep balancers from all starting with the same endpoint, and from all spending
-// the first tokens of its slow start at once.
+// Random initial values prevent all balancers from choosing the same endpoint first, and from using
+// the first slow-start tokens of an endpoint at the same time.
 void EndpointTable::restart(EndpointRecord& record, Time now) {
   static_cast<EndpointState&>(record) = EndpointState{};
   ++record.incarnation;
--- a/src/balancer/state/endpoint_table.h
+++ b/src/balancer/state/endpoint_table.h
@@ -12,7 +12,7 @@
 
 namespace beechhill {
 
-/// Owns the records and never removes one: ids are dense, so 10,000 records take a few MB. A
+/// Owns the records and never removes one. Ids are dense, so 10,000 records take a few MB. A
 /// reference to a record is valid until an event names a new id.
 class EndpointTable {
  public:
@@ -24,16 +24,16 @@
   void apply(const EndpointUpdate& update, Time now);
   /// Applies an operator's exclusion or readmission.
   void apply(const EndpointExclusion& exclusion, Time now);
-  /// Adds statistics of an earlier process, which the caller has bounded.
+  /// Adds statistics of an earlier process, which the caller must have bounded.
   void restore(const RestoredStats& restored, Time now);
 
   std::size_t size() const { return records_.size(); }
   std::size_t up_count() const { return ranked_.size(); }
-  /// up_count(), or 1 if no endpoint is up; for use as a divisor.
+  /// Returns up_count(), or 1 if no endpoint is up; for use as a divisor.
   std::size_t positive_up_count() const { return std::max<std::size_t>(1, ranked_.size()); }
-  /// Whether the fleet is small enough for each selection to examine every endpoint.
+  /// Returns whether the fleet is small enough for each selection to examine every endpoint.
   bool is_small() const { return ranked_.size() <= kSmallFleet; }
-  /// Whether no endpoint is up and operators have excluded some, so that queueing is pointless.
+  /// Returns whether no endpoint is up and operators exclude some, so that queueing is pointless.
   bool all_excluded() const;
 
   bool contains(EndpointId id) const { return id < records_.size(); }
@@ -41,7 +41,8 @@
   const EndpointRecord& operator[](EndpointId id) const { return records_[id]; }
   const std::vector<EndpointRecord>& records() const { return records_; }
 
-  /// Visits the `count` endpoints of lowest rank that are up, by ascending rank.
+  /// Visits the `count` endpoints of lowest rank that are up, by ascending rank. `count` must be at
+  /// most up_count().
   template <typename Visitor>
   void visit_first(std::size_t count, const Visitor& visit) {
     for (std::size_t i = 0; i < count; ++i) {
@@ -49,8 +50,7 @@
     }
   }
 
-  /// Visits the `count` endpoints of lowest rank in a small fleet, and a sample of them in a large
-  /// one.
+  /// Visits the `count` endpoints of lowest rank that are up, or a sample of them in a large fleet.
   template <typename Visitor>
   void visit_candidates(std::size_t count, const Visitor& visit) {
     if (is_small()) {
@@ -61,7 +61,7 @@
   }
 
   /// Visits min(`count`, kSampleSize) random endpoints, with replacement, of the `count` of lowest
-  /// rank.
+  /// rank that are up.
   template <typename Visitor>
   void visit_sample(std::size_t count, const Visitor& visit) {
     const auto bound = static_cast<double>(count);
@@ -72,7 +72,8 @@
 
  private:
   static constexpr std::size_t kSmallFleet = 64;  // maximum number of endpoints of a small fleet
-  // In 7 cases out of 8, a sample of this size includes an endpoint of the best tenth.
+  // Number of endpoints in a sample. With 20, a sample includes an endpoint of the best tenth in 7
+  // cases out of 8.
   static constexpr std::size_t kSampleSize = 20;
 
   EndpointRecord& find_or_add(EndpointId id, Time now);
--- a/src/balancer/state/fair_queues.cpp
+++ b/src/balancer/state/fair_queues.cpp
@@ -26,7 +26,7 @@
   }
 }
 
-// Derives two distinct queue indices as mixed-radix digits of the tenant's hash.
+// Computes two distinct queue indices as mixed-radix digits of the tenant's hash.
 const FairQueue& FairQueues::assign_queue(RequestState& state) {
   const auto& queues = levels_[state.level].queues[static_cast<std::size_t>(state.width - 1)];
   const std::uint64_t hash = mix_bits(state.request.tenant);
--- a/src/balancer/state/fair_queues.h
+++ b/src/balancer/state/fair_queues.h
@@ -27,18 +27,19 @@
 
   double weight = 0;         // priority weight of its requests
   double assured_share = 0;  // relative share of the concurrency limit
-  int running = 0;           // widths in flight, without silent requests
+  int running = 0;           // sum of the widths in flight, without silent requests
   std::size_t waiting = 0;   // number of requests in the queues
   std::array<std::vector<FairQueue>, kMaxWidth> queues;  // indexed by width - 1
 
-  /// The head of the queue with the earliest virtual finish. A request must be waiting. All
-  /// requests are expected to take equally long, so the earliest start decides. O(queues).
+  /// Returns the head of the queue with the earliest virtual finish time. A request must be
+  /// waiting. All requests are expected to take equally long, so the earliest start decides.
+  /// O(queues).
   RequestId earliest_head() const;
 };
 
 /// Owns the levels and queues; the caller owns the request records. Makes no decisions: the caller
-/// decides which queue a request joins and when it leaves. Operations are O(1) unless stated
-/// otherwise.
+/// decides which queue a request joins and when it leaves. A request is present while it waits or
+/// is in flight. Operations are O(1) unless stated otherwise.
 class FairQueues {
  public:
   /// Appends a level below the existing ones.
@@ -46,8 +47,8 @@
   std::vector<PriorityLevel>& levels() { return levels_; }
   const std::vector<PriorityLevel>& levels() const { return levels_; }
 
-  /// Assigns the request to the shorter of two queues that its level and tenant select (shuffle
-  /// sharding).
+  /// Assigns the request to the shorter of two queues that its level, width and tenant select
+  /// (shuffle sharding), and returns that queue.
   const FairQueue& assign_queue(RequestState& state);
   /// Appends the request to its assigned queue.
   void push(RequestState& state);
@@ -64,27 +65,31 @@
   /// Records the end of an attempt that took `actual_s` seconds. The caller must call release()
   /// after deciding what follows.
   void end_attempt(const RequestState& state, double expected_s, double actual_s);
-  /// Counts the request as present once more, as it is sent again before release() is called.
+  /// Counts the request as present once more. Must be called before release() if it is sent again
+  /// at once.
   void keep_present(const RequestState& state) { present_ += state.width; }
   /// Stops counting the request as present after an attempt or a withdrawal.
   void release(const RequestState& state);
   /// Stops counting the request in PriorityLevel::running.
   void mark_silent(const RequestState& state) { levels_[state.level].running -= state.width; }
 
-  /// Advances virtual time by `elapsed_s` * min(present widths, concurrency limit) / busy widths.
+  /// Advances virtual time by `elapsed_s` * min(widths of present requests, concurrency limit) /
+  /// (widths of queues that are not idle).
   void advance(double elapsed_s, double concurrency_limit);
 
   std::size_t waiting_count() const { return waiting_; }
-  /// A lower bound of the queue deadlines of all waiting requests; Time::max() before any waits.
+  /// Returns a lower bound of the queue deadlines of all waiting requests, or Time::max() if none
+  /// has waited yet.
   Time next_expiry() const { return next_expiry_; }
-  /// Requests past their queue deadline, in the order of level, width and queue. O(waiting) if any
-  /// may have expired, else O(1).
+  /// Returns the requests past their queue deadline, in the order of level, width and queue.
+  /// O(waiting) if any may have expired, else O(1).
   std::vector<RequestId> expired(Time now, const RequestTable& requests);
-  /// Expires all waiting requests. O(requests).
+  /// Sets the queue deadlines of all waiting requests to `now`, so that expired() returns them.
+  /// O(requests).
   void expire_all(Time now, RequestTable& requests);
 
  private:
-  // Queues for each width of a level. With this many, collisions are rare among tens of tenants.
+  // Number of queues for each width of a level. With 64, tens of tenants rarely share queues.
   static constexpr std::uint64_t kQueuesPerWidth = 64;
 
   FairQueue& queue(const RequestState& state) {
@@ -95,8 +100,8 @@
 
   std::vector<PriorityLevel> levels_;  // in the order of descending weight
   double virtual_time_s_ = 0;
-  int present_ = 0;      // widths of waiting and running requests
-  int busy_queues_ = 0;  // widths of queues that are not idle
+  int present_ = 0;      // sum of the widths of present requests
+  int busy_queues_ = 0;  // sum of the widths of queues that are not idle
   std::size_t waiting_ = 0;
   Time next_expiry_ = Time::max();
 };
--- a/src/balancer/state/fleet_statistics.cpp
+++ b/src/balancer/state/fleet_statistics.cpp
@@ -6,13 +6,13 @@
 namespace beechhill {
 namespace {
 
-// Bounds of plausible reports. A report beyond either is ignored.
+// Upper bounds of plausible reports. A report with a higher value is ignored.
 constexpr double kMaxUtilization = 8;
 constexpr double kMaxRequestsPerS = 1e5;
-// Weight of a new report.
+// Fraction by which a new report reduces the sums of earlier ones.
 constexpr double kReportSmoothing = 0.2;
-// Weight of a new latency. It is higher than that of a report, as an endpoint can become slow at
-// once.
+// Fraction by which a new latency reduces the sums of earlier ones. It is higher than that of
+// reports, as an endpoint can become slow suddenly.
 constexpr double kLatencySmoothing = 0.3;
 // Upper bound of a latency ratio: one very slow response must not outweigh ten normal ones.
 constexpr double kMaxLatencyRatio = 4;
@@ -26,24 +26,26 @@
 constexpr double kTypePrior = 0.5;
 // Lower bound of relative weights; its inverse is the upper bound.
 constexpr double kMinWeight = 0.1;
-// Minimum number of attempts to judge whether an endpoint fails a class.
+// Minimum number of attempts of a class at an endpoint before their error rate is compared with the
+// fleet's.
 constexpr double kMinClassAttempts = 4;
-// Excess of errors that is attributed to chance, in standard deviations.
+// Number of standard deviations by which errors may exceed the mean without a penalty.
 constexpr double kErrorDeviations = 2;
-// Time constant of the own zone's utilization, in seconds.
+// Time constant of the average utilization of the balancer's zone, in seconds.
 constexpr double kZoneUtilizationWindowS = 2;
-// Time constant of the rate of own attempts, in seconds.
+// Time constant of the balancer's attempt rate, in seconds.
 constexpr double kAttemptRateWindowS = 5;
-// Minimum time constant of own attempts, in rounds over the endpoints in use.
+// Minimum time constant of EndpointState::recent_attempts, as the number of attempts per endpoint
+// in use that the balancer starts in this time.
 constexpr double kMinRounds = 4;
-// Minimum time constant of own attempts, in typical latencies.
+// Minimum time constant of EndpointState::recent_attempts, in typical latencies.
 constexpr double kMinLatencies = 4;
-// Lower bound of the attempt rate where it is a divisor, per second.
+// Lower bound of the attempt rate as a divisor, in attempts per second.
 constexpr double kMinAttemptsPerS = 0.01;
 // A large fleet's sums are recomputed once per (endpoints / kRefreshDivisor) selections.
 constexpr std::size_t kRefreshDivisor = 10;
 
-// Replaces an absent value of a report. It is out of bounds, so that the report is ignored.
+// Stands for an absent value of a report. It is out of bounds, so the report is ignored.
 constexpr double kNotReported = -1;
 
 // Returns false for NaN.
@@ -85,7 +87,7 @@
 void FleetStatistics::record_outcome(EndpointRecord& record, ClassId class_id, Result result,
                                      double latency_s, double average_s, Time now) {
   decay(record, now);
-  // An early failure contains no information on response times.
+  // A failure faster than the average says nothing about latency.
   if (average_s > 0 && (result == Result::kOk || latency_s > average_s)) {
     const double ratio = std::min(latency_s / average_s, kMaxLatencyRatio);
     record.stats.add_latency_ratio(ratio, kLatencySmoothing);
@@ -147,8 +149,8 @@
   });
 }
 
-// The rate also decays between attempts; otherwise a replica that seldom sends would overestimate
-// it.
+// The rate is computed for `now`, so it also decays between attempts. Otherwise a replica that
+// seldom sends would overestimate it.
 double FleetStatistics::attempts_per_s(Time now) const {
   return attempts_.rate_per_s(now, kAttemptRateWindowS, started_at_);
 }
@@ -157,8 +159,8 @@
   return zone_utilization_.mean(now, kZoneUtilizationWindowS);
 }
 
-// A report weighs as much as its endpoint was utilized, and a single one is imprecise: an
-// endpoint's estimate starts from that of its instance type, and the type's from the fleet's mean.
+// Reports are weighted by their utilization, and a single one is imprecise. Therefore the prior of
+// an endpoint's estimate is that of its instance type, whose prior is the fleet's mean.
 double FleetStatistics::relative_weight(const EndpointRecord& record) const {
   const EndpointStats& type = type_stats(record);
   const double type_weight =
@@ -177,8 +179,8 @@
   return ratio * relative_weight(record);
 }
 
-// An endpoint that fails only other classes must keep its share of this one, or its peers would be
-// overloaded.
+// Returns 0 if the endpoint fails only other classes, so that it keeps its share of this one.
+// Otherwise its peers would be overloaded.
 double FleetStatistics::excess_errors(const EndpointRecord& record, ClassId class_id) const {
   const OutcomeCounts& own = record.outcomes[class_id];
   const OutcomeCounts& fleet = by_class_[class_id];
--- a/src/balancer/state/fleet_statistics.h
+++ b/src/balancer/state/fleet_statistics.h
@@ -11,8 +11,9 @@
 
 namespace beechhill {
 
-/// Makes no decisions. Keeps references to its arguments. Sums over the fleet are recomputed by
-/// refresh(), O(endpoints * classes); other operations are O(1), or O(classes) for errors.
+/// Collects the statistics and makes no decisions. Keeps references to its arguments. Sums over the
+/// fleet are recomputed by refresh(), O(endpoints * classes); other operations are O(1), or
+/// O(classes) for errors.
 class FleetStatistics {
  public:
   FleetStatistics(const Settings& settings, const LatencyTracker& latencies,
@@ -25,7 +26,7 @@
   /// Records the start of an attempt. The caller sets the endpoint's tie-breaker.
   void record_attempt(EndpointRecord& record, ClassId class_id, Time now);
   /// Records the end of an attempt at the current incarnation. `average_s` is the class's average
-  /// latency before it, or 0 if unknown.
+  /// latency before this outcome, or 0 if unknown.
   void record_outcome(EndpointRecord& record, ClassId class_id, Result result, double latency_s,
                       double average_s, Time now);
   /// Records a load report, unless it is incomplete or implausible.
@@ -37,8 +38,9 @@
 
   // ---- The fleet
 
-  /// Counts a selection and recomputes the fleet's sums if that is due, in a large fleet only after
-  /// a number of selections. `is_warm` returns whether a record is past its slow start.
+  /// Must be called for each selection. Recomputes the fleet's sums: every time in a small fleet,
+  /// and once per (endpoints / 10) selections in a large one. `is_warm` returns whether a record is
+  /// past its slow start.
   template <typename Predicate>
   void refresh_if_due(Time now, const Predicate& is_warm) {
     if (!refresh_due()) {
@@ -51,29 +53,31 @@
     });
     refresh();
   }
-  /// Counts changed endpoints. The next refresh is due earlier by as many selections.
+  /// Counts `count` changed endpoints as selections, so that the next refresh is due earlier.
   void count_changes(std::size_t count) { selections_since_refresh_ += count; }
 
+  /// Returns the number of endpoints past slow start at the last refresh.
   int warm_count() const { return warm_count_; }
+  /// Returns the fleet's mean of latency_excess().
   double mean_excess() const { return mean_excess_; }
-  /// Attempts per second of this balancer.
+  /// Returns this balancer's rate of attempts per second.
   double attempts_per_s(Time now) const;
-  /// Recent mean utilization reported in this balancer's zone; 0 without reports.
+  /// Returns the recent mean utilization reported in this balancer's zone; 0 without reports.
   double zone_utilization(Time now) const;
 
   // ---- One endpoint
 
-  /// Capacity relative to the fleet's mean, where capacity is the reported request rate over the
-  /// reported utilization.
+  /// Returns the endpoint's capacity relative to the fleet's mean, where capacity is the reported
+  /// request rate over the reported utilization.
   double relative_weight(const EndpointRecord& record) const;
-  /// Latency relative to its class's average, times relative weight: how much slower the endpoint
-  /// is than its load reports explain.
+  /// Returns the endpoint's latency relative to its class's average, times relative_weight(): how
+  /// much slower the endpoint is than its load reports explain.
   double latency_excess(const EndpointRecord& record) const;
-  /// Number of errors beyond the fleet's mean and chance; 0 for a class that the endpoint fails no
-  /// more than its peers.
+  /// Returns the number of the endpoint's errors, over all classes, beyond the fleet's mean and
+  /// random variation. Returns 0 for a class that the endpoint fails no more often than its peers.
   double excess_errors(const EndpointRecord& record, ClassId class_id) const;
-  /// Decaying sum of the utilization that the endpoint's instance type reported, which shows how
-  /// reliable the type's weight is.
+  /// Returns the decaying sum of the utilization that the endpoint's instance type reported, which
+  /// shows how reliable the type's weight is.
   double type_utilization_sum(const EndpointRecord& record) const {
     return type_stats(record).weighted_utilizations;
   }
@@ -94,8 +98,8 @@
   std::vector<EndpointStats> by_instance_type_;
   std::vector<OutcomeCounts> by_class_;
   int warm_count_ = 1;
-  double mean_weight_ = 1;  // requests per second at full utilization
-  double mean_error_rate_ = 0;
+  double mean_weight_ = 1;      // requests per second at full utilization
+  double mean_error_rate_ = 0;  // errors per attempt
   double mean_excess_ = 1;
   double subset_size_ = 1;
   std::size_t selections_since_refresh_ = 0;
--- a/src/balancer/state/in_flight.h
+++ b/src/balancer/state/in_flight.h
@@ -1,4 +1,5 @@
-// Counts of requests in flight, and a schedule of checks for silent ones.
+// Counts of requests in flight, and a schedule of checks for silent ones, which have been in flight
+// unusually long without an outcome.
 #pragma once
 
 #include <cmath>
@@ -10,21 +11,21 @@
 
 namespace beechhill {
 
-/// Counts widths (see RequestState::width) of requests with an attempt in flight.
+/// Sums of the widths (see RequestState::width) of requests with an attempt in flight.
 struct InFlightCounts {
   int running = 0;
-  int silent = 0;  // part of `running`
-  double mean_running = 0;
+  int silent = 0;           // the part of `running` that silent requests account for
+  double mean_running = 0;  // moving average of `running`
 
-  /// Advances the mean by `elapsed_s` seconds with the current count. Its time constant is four
-  /// typical latencies.
+  /// Advances the mean by `elapsed_s` seconds in which `running` was constant. Its time constant is
+  /// four typical latencies, so a short lull hardly affects it.
   void advance(double elapsed_s, double typical_latency_s) {
     const double time_constant_s = kMeanLatencies * typical_latency_s;
     mean_running += (running - mean_running) * (1 - std::exp(-elapsed_s / time_constant_s));
   }
 
-  /// Widths in flight that chance explains at the recent mean when a request of the given width
-  /// arrives. A short lull hardly affects the mean.
+  /// Returns the mean plus kDeviations standard deviations plus `width`, the width of an arriving
+  /// request. Up to this number, widths in flight are attributed to random variation.
   double expected_widths(int width) const {
     return mean_running + kDeviations * std::sqrt(width * mean_running) + width;
   }
@@ -32,7 +33,7 @@
  private:
   // Time constant of the mean, in typical latencies.
   static constexpr double kMeanLatencies = 4;
-  // Deviation from the mean that is attributed to chance, in standard deviations.
+  // Number of standard deviations from the mean that are attributed to random variation.
   static constexpr double kDeviations = 2;
 };
 
@@ -41,7 +42,7 @@
  public:
   void add(Time at, RequestId id) { checks_.emplace(at, id); }
 
-  /// Removes and returns the earliest check that is due. Its request may have ended.
+  /// Removes the earliest check that is due and returns its request, which may have ended.
   std::optional<RequestId> pop_due(Time now) {
     if (checks_.empty() || checks_.begin()->first > now) {
       return std::nullopt;
--- a/src/balancer/state/random_source.h
+++ b/src/balancer/state/random_source.h
@@ -6,8 +6,8 @@
 
 namespace beechhill {
 
-/// One stream for all decisions: the order of the draws is part of the module's behaviour. Does not
-/// use the standard distributions, as their results differ between libraries.
+/// All decisions draw from one stream, so the order of the draws is part of the module's behaviour.
+/// The standard distributions are not used, as their results differ between libraries.
 class RandomSource {
  public:
   explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
--- a/src/balancer/state/ranked_set.h
+++ b/src/balancer/state/ranked_set.h
@@ -10,11 +10,11 @@
 
 namespace beechhill {
 
-/// Owns its entries. The caller must pass the same rank for an id each time.
+/// A sorted vector of ids. The caller must pass the same rank for an id each time.
 class RankedSet {
  public:
-  /// O(log n) to find the position, and O(n) to move the entries behind it: 16 bytes each, 10 us at
-  /// 10,000 entries. Does nothing if the id is present.
+  /// Takes O(log n) to find the position and O(n) to move the entries behind it, of 16 bytes
+  /// each, which takes 10 us with 10,000 entries. Does nothing if the id is present.
   void insert(double rank, EndpointId id) {
     const Entry entry{rank, id};
     const auto at = std::lower_bound(entries_.begin(), entries_.end(), entry);
@@ -23,7 +23,7 @@
     }
   }
 
-  /// Costs as much as insert(). Does nothing if the id is absent.
+  /// Takes as long as insert(). Does nothing if the id is absent.
   void erase(double rank, EndpointId id) {
     const Entry entry{rank, id};
     const auto at = std::lower_bound(entries_.begin(), entries_.end(), entry);
@@ -40,7 +40,7 @@
 
   std::size_t size() const { return entries_.size(); }
 
-  /// The id with the `index`-th lowest rank, counted from 0. `index` must be less than size().
+  /// Returns the id with the `index`-th lowest rank, from 0. `index` must be less than size().
   EndpointId operator[](std::size_t index) const { return entries_[index].second; }
 
  private:
--- a/src/balancer/state/request_state.h
+++ b/src/balancer/state/request_state.h
@@ -40,7 +40,7 @@
   std::uint32_t last_attempt() const { return static_cast<std::uint32_t>(attempts.size() - 1); }
 };
 
-/// The latency objective of a request: the objective of its class, extended for the work that the
+/// Returns the latency objective of a request: that of its class, extended for the work that the
 /// client announced, and at most the deadline of the class.
 inline Duration latency_objective(const ClassSettings& settings, const Request& request) {
   const double stretch_s =
--- a/src/balancer/state/token_bucket.h
+++ b/src/balancer/state/token_bucket.h
@@ -7,7 +7,7 @@
 
 namespace beechhill {
 
-/// Holds fractional tokens. Reads no clock: the owner must call fill() before take().
+/// A token bucket, which may hold a fraction of a token. The owner must call fill() before take().
 struct TokenBucket {
   double tokens = 0;
   Time filled_at{0};
--- a/src/balancer/state/units.h
+++ b/src/balancer/state/units.h
@@ -7,7 +7,7 @@
 
 namespace beechhill {
 
-/// Represents "no bound": above any concurrency limit (widths), load (requests) and latency
+/// Stands for no limit. It is above any concurrency limit (widths), load (requests) and latency
 /// (seconds).
 inline constexpr double kUnlimited = 1e9;
 
--- a/src/recovery/recovery_tracker.cpp
+++ b/src/recovery/recovery_tracker.cpp
@@ -6,11 +6,11 @@
 namespace beechhill::recovery {
 namespace {
 
-// The drain grace divided by this is the longest time between two observations that does not count
-// as a pause. The rest of the grace is left to act on an update that discovery sent when the pause
-// began.
+// Divisor of the drain grace that gives the pause threshold: the longest time between two
+// observations that does not count as a pause. The rest of the grace is left to act on an update
+// that discovery sent when the pause began.
 constexpr int kDrainGraceDivisor = 2;
-// Used where the settings give no drain grace.
+// Drain grace that is assumed if the settings give none.
 constexpr Duration kDefaultDrainGrace{2'000'000};
 // Discovery is an agent on this machine or near it, which answers within milliseconds if it answers
 // at all. A longer timeout would only delay clients.
@@ -50,7 +50,7 @@
     return false;
   }
   last_pause_ = elapsed;
-  // Without an endpoint list nothing can be out of date.
+  // Without an endpoint list there is nothing to resync.
   resyncing_ = has_endpoints_;
   resync_deadline_ = now + resync_timeout_;
   return resyncing_;
@@ -58,7 +58,7 @@
 
 void RecoveryTracker::on_endpoint_update() {
   has_endpoints_ = true;
-  // During a resync this may be the first of several updates, so the list counts as updated only in
+  // During a resync this may be the first of several updates, so `updated_` is set only in
   // on_resync_complete().
   if (!resyncing_) {
     updated_ = true;
@@ -72,7 +72,7 @@
 }
 
 bool RecoveryTracker::is_resyncing(Time now) {
-  // After the timeout the process uses the endpoint list that it holds; as `updated_` is cleared,
+  // After the timeout the process uses the endpoint list that it has. As `updated_` is cleared,
   // stage() still returns kResyncing.
   if (resyncing_ && now >= resync_deadline_) {
     resyncing_ = false;
--- a/src/recovery/recovery_tracker.h
+++ b/src/recovery/recovery_tracker.h
@@ -21,12 +21,13 @@
 /// Returns the name of the stage in the log and in /api/telemetry: "empty", "hearing" or "full".
 const char* name(Stage stage);
 
-/// Not thread-safe. All times are readings of one clock. A reading that is equal to or before the
-/// latest one counts as no elapsed time.
+/// Detects pauses of the process and tracks the resync with discovery after each. Not thread-safe.
+/// All times are readings of one clock. A reading that is equal to or before the latest one counts
+/// as no elapsed time.
 class RecoveryTracker {
  public:
   /// `drain_grace`: how long after an update that drains a backend requests may still be sent to
-  /// it; zero where the settings give none. `watch_silence`: the longest time for which a working
+  /// it; zero if the settings give none. `watch_silence`: the longest time for which a working
   /// watch sends nothing. `has_endpoints`: whether the process starts with an endpoint list. Such a
   /// list may be out of date, so the start is treated as the end of a pause.
   RecoveryTracker(Time now, Duration drain_grace, Duration watch_silence, bool has_endpoints);
@@ -70,11 +71,12 @@
   Time resync_deadline_;
   Duration last_pause_{0};
   bool has_endpoints_;
-  /// Discovery has sent an update since the start, or since the last resync that timed out.
+  /// Whether the endpoint list has been brought up to date since the start, or since the last
+  /// resync that timed out.
   bool updated_ = false;
-  /// A resync is in progress, after the start or after a pause.
+  /// Whether a resync is in progress, after the start or after a pause.
   bool resyncing_;
-  /// The resync at the start has not ended.
+  /// Whether the resync at the start has not ended yet.
   bool starting_;
 };
 
--- a/src/routing/subset.cpp
+++ b/src/routing/subset.cpp
@@ -9,7 +9,8 @@
 namespace beechhill::routing {
 namespace {
 
-// Arc widths are rounded up to 2^(i / kStepsPerOctave) for an integer i.
+// Number of arc widths per factor of 2: widths are rounded up to 2^(i / kStepsPerOctave) for an
+// integer i.
 constexpr double kStepsPerOctave = 2;
 // An arc is widened while it contains fewer endpoints that are up than this fraction of the number
 // of endpoints expected for its width.
@@ -33,8 +34,8 @@
   return std::min(1.0, std::exp2(std::ceil(std::log2(width) * kStepsPerOctave) / kStepsPerOctave));
 }
 
-// Returns element `index` of the base-2 van der Corput sequence: the bits of `index`, mirrored at
-// the binary point.
+// Returns element `index` of the base-2 van der Corput sequence: the bits of `index` in reverse
+// order after the binary point.
 double van_der_corput(std::uint32_t index) {
   double value = 0;
   double bit_value = 0.5;
@@ -163,8 +164,8 @@
   return ids;
 }
 
-// Recomputes whether an endpoint is in the subset and appends the resulting change, if any.
-// `updated`: the endpoint's state has changed and is reported even if it stays in the subset.
+// Recomputes whether an endpoint is in the subset and appends the resulting change, if any. If
+// `updated`, the endpoint's state has changed and is reported even if it stays in the subset.
 void SubsetView::update_membership(EndpointId id, bool updated, std::vector<Endpoint>& changes) {
   EndpointState& state = endpoints_[id];
   const bool was_used = state.used;
@@ -182,8 +183,9 @@
   }
 }
 
-// Sets the width for the number of listed endpoints, then doubles it while the arc contains too few
-// endpoints that are up: a proxy whose endpoints all fail must not be left without any.
+// Computes the width from the number of listed endpoints, then doubles it until enough endpoints in
+// the arc are up or the arc is the whole ring. So a proxy has endpoints to use even if all those of
+// its first arc fail.
 void SubsetView::update_arc_width() {
   width_ = arc_width(settings_, listed_count_);
   while (width_ < 1) {
--- a/src/routing/subset.h
+++ b/src/routing/subset.h
@@ -2,13 +2,13 @@
 // proxy computes its subset alone, from the endpoint list, its own name or index, and the number of
 // proxies. Does no I/O and reads no clock. docs/design/routing.md compares the alternatives.
 //
-// The ring positions of units are hashes. A unit is an endpoint, or a whole cell or zone where the
+// The ring positions of units are hashes. A unit is an endpoint, or a whole cell or zone if the
 // retries of a class of requests are deduplicated only within a cell or zone. A proxy uses an arc
 // of the ring, and the arcs of all proxies have the same width. The hash mixes zones and cells, so
-// an arc contains about the same share of each, and the loss of a zone or cell costs each proxy
-// about the same. If proxies know their index, their arcs start at the points of a low-discrepancy
-// sequence, and each unit is used by nearly the same number of proxies. Otherwise an arc starts at
-// the hash of the proxy's name.
+// an arc contains about the same share of each, and each proxy loses about the same share of its
+// endpoints if a zone or cell fails. If proxies know their index, their arcs start at the points of
+// a low-discrepancy sequence, and each unit is used by nearly the same number of proxies. Otherwise
+// an arc starts at the hash of the proxy's name.
 #pragma once
 
 #include <cstdint>
@@ -21,28 +21,30 @@
 namespace beechhill::routing {
 
 struct SubsetSettings {
-  /// The smallest number of endpoints in a subset; 0 disables subsetting, so all endpoints are
-  /// used.
+  /// The smallest number of endpoints in a subset. With 0, subsetting is disabled and all endpoints
+  /// are used.
   std::uint32_t min_endpoints = 0;
   /// The smallest number of proxies that use each endpoint. Has no effect if `proxies` is 0.
   std::uint32_t coverage = 8;
-  /// The number of proxies; 0: unknown. An error in it changes the actual coverage in proportion.
+  /// The number of proxies, or 0 if unknown. If it is wrong, the actual coverage differs from
+  /// `coverage` by the same factor.
   std::uint32_t proxies = 0;
-  /// This proxy's index among all proxies, from 0; absent: the hash of its name is used instead.
+  /// This proxy's index among all proxies, from 0. If absent, its arc starts at the hash of its
+  /// name.
   std::optional<std::uint32_t> proxy_index;
 };
 
 /// The group of endpoints that is either completely in a subset or not at all. A request with an
 /// idempotency key may have to be retried within the deduplication scope of its first endpoint, so
-/// that scope must not be split.
+/// a subset must contain all of such a scope or nothing of it.
 enum class SubsetUnit { kEndpoint, kCell, kZone };
 
 /// Returns the smallest unit that contains the deduplication scope of every class. Classes that
 /// deduplicate over all endpoints do not restrict the unit.
 SubsetUnit subset_unit_for(const std::vector<ClassSettings>& classes);
 
-/// Returns the width of an arc as a fraction of the ring, in (0, 1]. It changes in steps of half an
-/// octave, so that the arcs do not change whenever a single endpoint is added.
+/// Returns the width of an arc as a fraction of the ring, in (0, 1]. It changes in steps of a
+/// factor of sqrt(2), so that the arcs do not change whenever a single endpoint is added.
 double arc_width(const SubsetSettings& settings, std::size_t endpoint_count);
 
 /// Returns the start of an arc as a position on the ring, in [0, 1): element `proxy_index` of the
@@ -59,8 +61,9 @@
   SubsetView(SubsetSettings settings, SubsetUnit unit, std::string proxy_name);
 
   /// Returns the changes that `update` makes to the subset. `endpoint_hashes[i]` is the hash of
-  /// update.endpoints[i], for example of its name, and must be the same on every proxy. It is read
-  /// when the endpoint is first listed. Takes O(n) time in the number of endpoints ever listed.
+  /// update.endpoints[i], for example of its name, and must be the same on every proxy. A delta
+  /// cannot change the hash of an endpoint that is listed. Takes O(n) time in the number of
+  /// endpoints ever listed.
   EndpointUpdate apply(const EndpointUpdate& update,
                        const std::vector<std::uint64_t>& endpoint_hashes);
 
@@ -81,6 +84,7 @@
     bool used = false;
   };
 
+  /// Returns the distance of the endpoint's unit from the start of this proxy's arc, in [0, 1).
   double ring_position(const EndpointState& state) const;
   bool in_arc(const EndpointState& state) const { return state.ring_position < width_; }
   std::vector<EndpointId> store(const EndpointUpdate& update,
--- a/tests/balancer/admission_test.cpp
+++ b/tests/balancer/admission_test.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 TEST(Admission, RejectsAQueuedRequestWhenItsQueueDeadlinePasses) {
-  Driver driver;  // has no endpoints, so that the request is queued
+  Driver driver;  // has no endpoints, so the request is queued
   driver.request(1, kNonIdempotentClass);
   EXPECT_TRUE(driver.final_answers.empty());
   driver.advance(milliseconds(1200));
@@ -30,7 +30,7 @@
     driver.request(id, kIdempotentClass, 0);
   }
   driver.request(1000, kIdempotentClass, 1);
-  // The limit is open, so all requests start, in the order in which the queues release them.
+  // The limit is not reached, so all requests start, in the order in which the queues release them.
   driver.list_endpoints(2);
   std::size_t position = 0;
   while (position < driver.attempts.size() && driver.attempts[position].id != 1000) {
@@ -70,8 +70,8 @@
   }
 }
 
-// A replica that receives a fraction of a request per second must not mark requests within a quota
-// as over it by chance.
+// At a replica that receives a fraction of a request per second, random variation must not mark
+// requests within a quota as over it.
 TEST(Admission, TakesFewRequestsAsWithinQuotaAtOneOfManyReplicas) {
   Settings settings = basic_settings();
   settings.over_quota_priority_factor = 0.1;
@@ -84,13 +84,14 @@
   driver.request(3, kIdempotentClass, 1);
   driver.list_endpoints(1);
   ASSERT_EQ(driver.attempts.size(), 3u);
-  // All requests are on one level, which alternates between tenants.
+  // All requests have the same priority level, which alternates between tenants.
   EXPECT_EQ(driver.attempts.back().id, 2u);
 }
 
-// A client with a short deadline must be rejected while it has time to retry.
+// A queued request must be rejected while its client has time to retry, even if the client's
+// deadline is shorter than that of the class.
 TEST(Admission, RejectsAQueuedRequestBeforeHalfOfItsClientsTime) {
-  Driver driver;  // has no endpoints, so that all requests are queued
+  Driver driver;  // has no endpoints, so the request is queued
   driver.handle(Request{1, kIdempotentClass, kNoTenant, driver.now + milliseconds(600), {}});
   driver.advance(milliseconds(290));
   EXPECT_EQ(driver.final_answers.count(1), 1u);
@@ -104,7 +105,7 @@
   EXPECT_EQ(count<Reject>(actions), 1u);
 }
 
-// Guards against queueing a request past its deadline and then sending it (incident i93a7ab).
+// Guards against keeping a request queued past its deadline and then sending it (incident i93a7ab).
 TEST(Deadlines, AnswerAQueuedRequestWithLittleTimeLeft) {
   Driver driver;
   driver.handle(Request{1, kNonIdempotentClass, kNoTenant, driver.now + milliseconds(21), {}});
--- a/tests/balancer/concurrency_limit_test.cpp
+++ b/tests/balancer/concurrency_limit_test.cpp
@@ -4,8 +4,8 @@
 namespace beechhill::test {
 namespace {
 
-// A single late response, or a long tail, must not close the limit of a replica that has only one
-// or two requests in flight.
+// Rare late responses must not lower the limit of a replica with one or two requests in flight so
+// far that requests are queued.
 TEST(ConcurrencyLimit, StaysOpenOnRareLateAnswersAtASmallReplica) {
   Driver driver;
   driver.list_endpoints(20);
@@ -21,7 +21,7 @@
   EXPECT_EQ(driver.attempts.size(), 60u);
 }
 
-// The limit must also bind at a replica with less than one request in flight on average.
+// The limit must also delay or reject requests if a replica has less than one in flight on average.
 TEST(ConcurrencyLimit, BindsBelowOneRequest) {
   Settings settings = basic_settings();
   settings.replicas = 400;
@@ -37,7 +37,7 @@
   EXPECT_GT(driver.attempts.size(), 5u);
 }
 
-// Fills two endpoints with requests, of which 20 end as overloaded, so that the limit binds.
+// Sends 30 requests, of which 20 end as overloaded, so that the limit delays further requests.
 void close_limit(Driver& driver, RequestId first_id) {
   for (RequestId id = first_id; id < first_id + 30; ++id) {
     driver.request(id, kIdempotentClass, 0);
@@ -76,7 +76,7 @@
   driver.advance(milliseconds(2000));
   std::size_t ended = driver.attempts.size();
   const std::size_t sent_when_closed = burst(1000);
-  // Sends timely responses while the limit binds.
+  // Sends requests at the rate that the limit allows, and gives each a timely response.
   for (RequestId next = 2000; next < 12000; next += 100) {
     driver.advance(milliseconds(50));
     for (; ended < driver.attempts.size(); ++ended) {
@@ -131,8 +131,8 @@
   EXPECT_LT(sent, 30u);
 }
 
-// Guards against a limit learned only from endpoints in slow start, which would stay closed for
-// minutes after they are warm.
+// Guards against timeouts of endpoints in slow start that lower the limit so far that it stays too
+// low for minutes after the slow start.
 TEST(ConcurrencyLimit, KeepsItsMinimumOverAFleetInSlowStart) {
   Driver driver;
   EndpointUpdate list{UpdateKind::kSnapshot, {}};
@@ -156,8 +156,9 @@
 }
 
 // Requests that are never answered, for example because a zone is cut off or responses are lost,
-// must not occupy the limit until distant deadlines while the endpoints are idle. In the scenario
-// split+mass of the second variant, 0.25 of the requests were served instead of 0.96.
+// must not occupy the limit until their distant deadlines while the endpoints are idle. Before the
+// limit excluded them, the scenario split+mass of the second variant served 0.25 of its requests
+// instead of 0.96.
 TEST(ConcurrencyLimit, IsReleasedBySilentRequests) {
   Settings settings = basic_settings();
   for (ClassSettings& class_settings : settings.classes) {
@@ -183,7 +184,7 @@
     }
   };
   send_and_end(50, Result::kOk);
-  send_and_end(1, Result::kTimeout);  // the limit binds from here on
+  send_and_end(1, Result::kTimeout);  // makes the limit finite
   int sent = 0;
   while (send()) {
     ++sent;
@@ -199,7 +200,8 @@
   for (RequestId late = 52; late < 52 + static_cast<RequestId>(sent); ++late) {
     driver.outcome(late, 0, Result::kOk);
   }
-  EXPECT_FALSE(driver.attempts.empty());  // late responses count once: the limit still binds
+  EXPECT_FALSE(driver.attempts.empty());
+  // Each late response must release its width only once, so the limit is reached again.
   int more = 0;
   while (send()) {
     ASSERT_LT(++more, 1000);
--- a/tests/balancer/endpoint_selector_test.cpp
+++ b/tests/balancer/endpoint_selector_test.cpp
@@ -62,7 +62,7 @@
 TEST(LoadWeights, IgnoreReportsOfNearlyIdleEndpoints) {
   Driver driver;
   driver.list_endpoints(2);
-  // Taken alone, this report would give a weight of 50,000.
+  // Without a prior, this report would give a weight of 50,000.
   driver.handle(HealthCheckResult{0, Result::kOk, {0.001, 50.0}});
   driver.handle(HealthCheckResult{1, Result::kOk, {0.5, 10.0}});
   for (RequestId id = 0; id < 20; ++id) {
@@ -73,8 +73,9 @@
               7, 3);
 }
 
-// Without this, a replica with a small budget of health checks would have no weights for minutes.
-// Endpoints of one instance type have similar capacity, so reports of one apply to all of them.
+// A report of one endpoint must count for all endpoints of its instance type, which have similar
+// capacity. Otherwise a replica with a small budget of health checks would have no weights for
+// minutes.
 TEST(LoadWeights, StartFromTheInstanceTypeBeforeTheFirstReport) {
   Driver driver;
   driver.list_endpoints_of_types(8, [](EndpointId i) { return i % 2; });
@@ -90,8 +91,8 @@
   EXPECT_GT(fast, 80);
 }
 
-// A replica must use no more endpoints than its request rate supports. With few requests per
-// endpoint, a slow endpoint would never be noticed (incident id9112b).
+// A replica must use no more endpoints than its request rate supports, as with few requests per
+// endpoint it would not detect a slow one (incident id9112b).
 TEST(EndpointSubset, GrowsWithTheRequestRate) {
   std::size_t rare = 0;
   std::size_t frequent = 0;
@@ -116,8 +117,9 @@
   EXPECT_GT(frequent, 20u * 55);
 }
 
-// Replicas that start together must not overload a few endpoints each until their rate over five
-// seconds has built up.
+// A replica that has just started must use as many endpoints as its request rate supports, although
+// the rate is averaged over five seconds. Otherwise replicas that start together would overload a
+// few endpoints.
 TEST(EndpointSubset, FollowsTheRequestRateSoonAfterStart) {
   Settings settings = basic_settings();
   settings.replicas = 1000;
@@ -137,7 +139,7 @@
     }
     used_count += sent.size();
   }
-  // Each run counts 36 attempts. If only a fifth of the rate counted, they would use 13 endpoints.
+  // Each run counts 36 attempts. With a fifth of the actual rate, they would use 13 endpoints.
   EXPECT_GT(used_count, 10u * 26);
 }
 
@@ -162,7 +164,8 @@
   EXPECT_NEAR(sent[0], 70, 30);
 }
 
-// Guards against attempts decaying so fast that the first endpoints in the list get most requests.
+// Guards against a decay of the attempt counts so fast that the first endpoints in the list get
+// most requests.
 TEST(EndpointSelection, TakesTurnsAtAFewRequestsASecond) {
   Driver driver;
   driver.list_endpoints(12);
@@ -210,8 +213,8 @@
   return settings;
 }
 
-// Returns the share of requests sent to the other zone while the own zone reports `utilization`.
-// Sends a request every 20 ms; each takes 200 ms.
+// Returns the share of requests sent to the other zone while the balancer's zone reports
+// `utilization`. Sends a request every 20 ms; each takes 200 ms.
 double cross_zone_share(double utilization) {
   Driver driver(cross_zone_settings());
   EndpointUpdate list{UpdateKind::kSnapshot, {}};
@@ -235,14 +238,15 @@
   return static_cast<double>(crossed) / 400;
 }
 
-// Load balancing by own attempts alone would spread requests over both zones at once, at a cost for
-// each request that crosses.
+// The balancer's zone has capacity at both utilizations, so no request may be sent to the other
+// zone.
 TEST(CrossZone, StaysInTheOwnZoneWhileItHasCapacity) {
   EXPECT_EQ(cross_zone_share(0.2), 0);
   EXPECT_EQ(cross_zone_share(0.6), 0);
 }
 
-// The share of requests that cross grows with the utilization of the own zone, up to an even share.
+// The share of requests sent to the other zone must grow with the utilization of the balancer's
+// zone, up to an even share.
 TEST(CrossZone, SpreadsAsTheOwnZoneFills) {
   const double nearly_full = cross_zone_share(0.95);
   const double full = cross_zone_share(1.3);
@@ -251,13 +255,14 @@
   EXPECT_LE(full, 0.55);
 }
 
-// Without load reports, a limit that binds indicates that the own zone is full.
+// Without load reports, a concurrency limit that is reached indicates that the balancer's zone is
+// full.
 TEST(CrossZone, SpreadsWhenTheLimitBindsWithoutReports) {
   Driver driver(cross_zone_settings());
   driver.update_endpoint({0, EndpointStatus::kUp, 0, 0, {}});
   driver.update_endpoint({1, EndpointStatus::kUp, 1, 1, {}});
   RequestId id = 0;
-  // Each response of the own zone is late, so the limit falls to its minimum.
+  // Each response of the balancer's zone is late, so the limit falls to its minimum.
   for (int round = 0; round < 30; ++round) {
     const RequestId late_id = ++id;
     driver.request(late_id);
@@ -273,7 +278,7 @@
                           [](auto& attempt) { return attempt.endpoint == 1; }));
 }
 
-// Requests must not wait for an own zone in which no endpoint is up.
+// Requests must be sent to the other zone at once if no endpoint of the balancer's zone is up.
 TEST(CrossZone, CrossesAtOnceWhenTheOwnZoneHasNoEndpoint) {
   Driver driver(cross_zone_settings());
   driver.update_endpoint({0, EndpointStatus::kDraining, 0, 0, {}});
--- a/tests/balancer/endpoint_table_test.cpp
+++ b/tests/balancer/endpoint_table_test.cpp
@@ -8,17 +8,17 @@
 // attempts `endpoint` received.
 std::size_t count_attempts_at(Driver& driver, EndpointId endpoint, RequestId first_id,
                               int request_count) {
-  std::size_t got = 0;
+  std::size_t received = 0;
   for (int i = 0; i < request_count; ++i) {
     const std::size_t before = driver.attempts.size();
     driver.request(first_id + i);
     for (std::size_t attempt = before; attempt < driver.attempts.size(); ++attempt) {
-      got += driver.attempts[attempt].endpoint == endpoint;
+      received += driver.attempts[attempt].endpoint == endpoint;
     }
     driver.advance(milliseconds(10));
     driver.outcome(first_id + i, 0, Result::kOk);
   }
-  return got;
+  return received;
 }
 
 TEST(Exclusion, HoldsWhateverTheEndpointListSays) {
@@ -33,8 +33,8 @@
 }
 
 // An endpoint may restart while it is excluded, and discovery may report the restart late. A
-// readmitted endpoint is therefore in slow start unless the restart is listed, and gets some
-// requests at once.
+// readmitted endpoint is therefore treated as just started unless a restart is listed. In both
+// cases it must get some requests at once.
 TEST(Exclusion, EndsInSlowStartUnlessARestartIsListed) {
   for (const bool restart_listed : {false, true}) {
     Driver driver;
@@ -47,9 +47,9 @@
       driver.update_endpoint({1, EndpointStatus::kUp, 0, 0, restarted});
     }
     driver.handle(EndpointExclusion{1, false});
-    const std::size_t got = count_attempts_at(driver, 1, 5000, 200);
-    EXPECT_GE(got, 2u);
-    EXPECT_EQ(got > 40, restart_listed);
+    const std::size_t received = count_attempts_at(driver, 1, 5000, 200);
+    EXPECT_GE(received, 2u);
+    EXPECT_EQ(received > 40, restart_listed);
   }
 }
 
--- a/tests/balancer/health_checker_test.cpp
+++ b/tests/balancer/health_checker_test.cpp
@@ -4,7 +4,8 @@
 namespace beechhill::test {
 namespace {
 
-// Guards against overloading the slowest type in the first seconds of a replica (incident ic9b421).
+// A new replica must check each instance type early, as it would otherwise overload the slowest
+// type in its first seconds (incident ic9b421).
 TEST(HealthChecks, AskAFewEndpointsOfUnknownInstanceTypesAtStart) {
   Settings settings = basic_settings();
   settings.load_reports_require_health_checks = settings.health_checks_allowed = true;
--- a/tests/balancer/outlier_detector_test.cpp
+++ b/tests/balancer/outlier_detector_test.cpp
@@ -1,12 +1,12 @@
-// Tests outlier detection: slow, failing and frozen endpoints, and cases that must not count as
-// such.
+// Tests outlier detection: slow, failing and unresponsive endpoints, and cases in which no endpoint
+// is an outlier.
 #include "support/balancer_driver.h"
 
 namespace beechhill::test {
 namespace {
 
-// A slow response counts for the whole instance type. Otherwise a replica that sends each endpoint
-// of a slow type one request would overload the type (incident ic9b421).
+// A slow response must count for the whole instance type. Otherwise a replica that sends one
+// request to each endpoint of a slow type would overload the type (incident ic9b421).
 TEST(OutlierDetection, CountsASlowAnswerForItsInstanceType) {
   std::ptrdiff_t to_slow_type = 0;
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
@@ -45,7 +45,8 @@
   EXPECT_LT(to_failing, 10u);
 }
 
-// All endpoints fail, for example because the tier below or a shared dependency fails.
+// Errors of all endpoints, for example after a failure of the tier below or of a shared dependency,
+// must not reduce the share of any endpoint.
 TEST(OutlierDetection, KeepsSharesWhenAllFail) {
   Driver driver;
   driver.list_endpoints(6);
@@ -62,8 +63,8 @@
   }
 }
 
-// Returns the number of attempts at the failing endpoints while 5 of the 12 endpoints of a last
-// tier fail fast (incident ib44446).
+// Returns how many of 500 attempts are at the failing endpoints, while 5 of the 12 endpoints of a
+// last tier fail fast (incident ib44446).
 std::size_t count_attempts_at_failing_endpoints() {
   Settings settings = basic_settings();
   settings.tier = 1;
@@ -103,8 +104,8 @@
   }
 }
 
-// Half of the endpoints fail one class. If they also lost the other classes, the other half of the
-// endpoints would collapse.
+// Half of the endpoints fail one class. They must keep their share of the other class, as the other
+// endpoints would otherwise collapse.
 TEST(OutlierDetection, KeepsOtherClassesWhenOneClassFails) {
   Driver driver;
   driver.list_endpoints(6);
--- a/tests/balancer/retry_policy_test.cpp
+++ b/tests/balancer/retry_policy_test.cpp
@@ -4,7 +4,7 @@
 namespace beechhill::test {
 namespace {
 
-// A rejection advises a delay that clients honour. Requests rejected together get different delays.
+// Requests rejected together must be advised different delays, none longer than clients honour.
 TEST(Rejections, AdviseDifferentRetryAfterTimes) {
   Settings settings = basic_settings();
   settings.max_retry_after = milliseconds(1500);
@@ -74,8 +74,8 @@
   EXPECT_EQ(count<Fail>(actions), 1u);
 }
 
-// A retry may be sent as late as the connect timeout after it starts. The endpoints must still
-// remember the first attempt then.
+// A retry may be sent up to connect_timeout after it starts. Even then the deduplication window of
+// the first attempt must not have ended.
 TEST(RetryPolicy, FailsAKeyedRequestWhoseRetryCouldLeaveTooLate) {
   Driver driver;
   driver.list_endpoints(6);
--- a/tests/balancer/slow_start_fleet_test.cpp
+++ b/tests/balancer/slow_start_fleet_test.cpp
@@ -23,23 +23,25 @@
 constexpr EndpointId kEndpoints = 20;
 constexpr Time kRestartAt{6'000'000};
 
+// The simulated deployment and its faults.
 struct Fleet {
   int replicas = 1;
-  double rate_per_s = 15;           // capacity of a warm endpoint in requests per second
-  double collapse_ratio = 3;        // load over capacity at which a warming endpoint collapses
-  double window_s = 3;              // how long the overload must last for a collapse
-  EndpointId restarted = 1;         // number of endpoints that restart
+  double rate_per_s = 15;     // capacity of a warm endpoint in requests per second
+  double collapse_ratio = 3;  // load over capacity at which an endpoint in slow start collapses
+  double window_s = 3;        // how long the overload must last for a collapse
+  EndpointId restarted = 1;   // number of endpoints that restart
   double first_replica_weight = 1;  // traffic of the first replica relative to the others
   double new_replicas = 0;          // fraction of replicas that start when the endpoints restart
   double burst = 1;                 // load factor from 2 s to 5 s after the restart
   double error_rate = 0;            // fraction of the responses that are errors
-  double overloaded_rate = 0;       // fraction of restarted endpoints' responses that reject
+  double overloaded_rate = 0;  // fraction of restarted endpoints' responses that are rejections
 };
 
 Duration from_seconds(double s) {
   return Duration(static_cast<std::int64_t>(s * 1e6));
 }
 
+// Simulates the balancers of all replicas, their clients, and a restart of some endpoints.
 class FleetRun {
  public:
   FleetRun(const Fleet& fleet, std::uint64_t seed)
@@ -64,7 +66,8 @@
     }
   }
 
-  // Returns the maximum excess of a restarted endpoint over its N, divided by 2 * sqrt(N) + 2.
+  // Runs the simulation. Returns the maximum of (attempts - N) / (2 * sqrt(N) + 2) of a restarted
+  // endpoint, where N is the number of requests that the settings allow within the collapse window.
   double worst_excess() {
     for (std::size_t replica = 0; replica < balancers_.size(); ++replica) {
       start(replica, false);
@@ -183,11 +186,11 @@
       recent.pop_front();
     }
     const double age = std::chrono::duration<double>(now_ - kRestartAt).count();
-    const double n = fleet_.collapse_ratio *
-                     (kInitialWeight + (1 - kInitialWeight) * age / kSlowStartWindowS) *
-                     fleet_.rate_per_s * fleet_.window_s;
-    worst_excess_ =
-        std::max(worst_excess_, (static_cast<double>(recent.size()) - n) / (2 * std::sqrt(n) + 2));
+    const double allowed = fleet_.collapse_ratio *
+                           (kInitialWeight + (1 - kInitialWeight) * age / kSlowStartWindowS) *
+                           fleet_.rate_per_s * fleet_.window_s;
+    worst_excess_ = std::max(worst_excess_, (static_cast<double>(recent.size()) - allowed) /
+                                                (2 * std::sqrt(allowed) + 2));
   }
 
   Fleet fleet_;
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -4,7 +4,7 @@
 namespace beechhill::test {
 namespace {
 
-// Even if all endpoints are in slow start, they receive a minimum of requests.
+// An endpoint must receive a minimum of requests even if all endpoints are in slow start.
 TEST(SlowStart, SendsAMinimumToALoneEndpoint) {
   Driver driver;
   driver.update_endpoint({0, EndpointStatus::kUp, 0, 0, driver.now});
@@ -40,7 +40,7 @@
   for (std::size_t i = before; i < driver.attempts.size(); ++i) {
     to_warming_up += driver.attempts[i].endpoint == 0;
   }
-  EXPECT_LE(to_warming_up, 4u);  // a warm endpoint receives 13; this one starts at a fifth of that
+  EXPECT_LE(to_warming_up, 4u);  // a warm endpoint gets 13; this one starts with a fifth
   for (int i = 0; i < 12; ++i) {
     run_one_second();
   }
--- a/tests/properties_test.cpp
+++ b/tests/properties_test.cpp
@@ -1,6 +1,6 @@
 // Property tests of the decision module: random deployments and events from fixed seeds, checked
-// against emulator::RuleChecker and against invariants that are visible from outside. A run that
-// fails prints its seed, its last events and the history of the request.
+// against emulator::RuleChecker and against invariants of the module's actions. A run that fails
+// prints its seed, its last events and the history of the request.
 #include <cmath>
 #include <deque>
 #include <functional>
@@ -21,8 +21,8 @@
 using emulator::to_duration;
 using emulator::to_s;
 
-constexpr std::size_t kLoggedEvents = 24;  // printed for a run that fails
-constexpr EndpointId kLastEndpoints = 5;   // endpoints in the last phase of a run
+constexpr std::size_t kLoggedEvents = 24;  // number of events printed for a run that fails
+constexpr EndpointId kLastEndpoints = 5;   // number of endpoints in the last phase of a run
 
 double log_uniform(Stream& random, double from, double to) {
   return from * std::pow(to / from, random.uniform());
@@ -51,6 +51,7 @@
   return spec;
 }
 
+// Runs one balancer with the random deployment and events of a seed.
 class RandomRun {
  public:
   explicit RandomRun(std::uint64_t seed)
@@ -99,10 +100,11 @@
   struct SimulatedEndpoint {
     Endpoint entry;
     bool excluded = false;
-    // The time since which the balancer has known that it must not start attempts at the endpoint.
+    // When the balancer was notified that it must not start attempts at the endpoint; absent while
+    // it may.
     std::optional<Time> unavailable_since;
     double error_rate = 0;
-    double silence_rate = 0;
+    double silence_rate = 0;  // fraction of attempts without a response
     double overload_rate = 0;
     double relative_latency = 0.1;  // mean latency as a fraction of the class's objective
   };
@@ -131,7 +133,7 @@
     for (std::size_t i = 0; i < classes; ++i) {
       scenario.classes.push_back(drawn_class(random_, i));
     }
-    scenario.drain_grace = Duration{-1};  // no attempt may start after the update
+    scenario.drain_grace = Duration{-1};  // no attempt may start once a drain is announced
     scenario.answer_grace = Duration{0};
     scenario.hedging_allowed = random_.below(2) == 0;
     return scenario;
@@ -171,7 +173,7 @@
     return settings;
   }
 
-  // Draws a new entry, as if another machine had the id.
+  // Draws a new entry, as if the id were reused for another machine.
   void draw_entry(Endpoint& entry) {
     entry.zone = static_cast<std::uint32_t>(random_.below(3));
     entry.cell = static_cast<std::uint32_t>(random_.below(4));
@@ -262,10 +264,10 @@
     }
     open.is_answered = true;
     rules_.answered(driver_.now, id, false);  // no answer is required any more
-    handle(ClientDisconnected{id}, "client of " + std::to_string(id) + " leaves");
+    handle(ClientDisconnected{id}, "client of " + std::to_string(id) + " disconnects");
   }
 
-  // Ends the attempts of a request at its deadline: a later answer would be late.
+  // Ends the attempts of a request at its deadline, and checks that it was answered by then.
   void expire(RequestId id) {
     for (std::uint32_t i = 0; i < requests_.at(id).attempts.size(); ++i) {
       outcome(id, i, requests_.at(id).is_answered ? Result::kCancelled : Result::kTimeout);
@@ -295,8 +297,8 @@
     handle(Outcome{id, attempt, result, open.is_answered, draw_report(), open.body_consumed},
            "outcome " + std::to_string(static_cast<int>(result)) + " of " + std::to_string(id) +
                "." + std::to_string(attempt));
-    // A request that is neither in flight nor answered is queued, which is allowed only if none of
-    // its attempts can have taken effect. A request that is not retried must be answered at once.
+    // A request that is neither in flight nor answered is queued for a retry. That is allowed only
+    // if none of its attempts can have taken effect and its body was not consumed.
     const bool maybe = std::any_of(open.attempts.begin(), open.attempts.end(),
                                    [](auto& other) { return other.may_have_run; });
     if (!open.is_answered && open.in_flight == 0 && (maybe || open.body_consumed)) {
@@ -435,7 +437,7 @@
     for (SimulatedEndpoint& endpoint : endpoints_) {
       track_availability(endpoint);
     }
-    handle(update, "snapshot of " + std::to_string(update.endpoints.size()));
+    handle(update, "snapshot of " + std::to_string(update.endpoints.size()) + " endpoints");
   }
 
   void send_delta() {
@@ -464,12 +466,12 @@
       }
       track_availability(endpoint);
       update.endpoints.push_back(endpoint.entry);
-      // Discovery may omit the location of a removed endpoint.
+      // Discovery may omit the zone and cell of a removed endpoint.
       if (endpoint.entry.status == EndpointStatus::kRemoved && random_.below(2) == 0) {
         update.endpoints.back().zone = update.endpoints.back().cell = 0;
       }
     }
-    handle(update, std::to_string(update.endpoints.size()) + " deltas");
+    handle(update, "delta of " + std::to_string(update.endpoints.size()) + " endpoints");
   }
 
   void draw_disturbance() {
@@ -556,11 +558,11 @@
       outcome(ids[0], 0, Result::kOk);
     }
     // Invalid reports must have no effect after sixty valid ones: each of five equal endpoints gets
-    // its share. If crossing zones has a cost and the own zone has endpoints, those of other zones
-    // may get no requests, as the own zone is half utilized.
+    // its share. If another zone has a cost and the balancer's zone has endpoints, those of other
+    // zones may get no requests, as the balancer's zone is only half utilized.
     for (int i = 0; i < 60; ++i) {
       for (EndpointId id = 0; id < kLastEndpoints; ++id) {
-        handle(HealthCheckResult{id, Result::kOk, {0.5, 10.0}}, "plain report");
+        handle(HealthCheckResult{id, Result::kOk, {0.5, 10.0}}, "valid report");
       }
     }
     std::map<EndpointId, int> attempts_by_endpoint;
@@ -578,16 +580,16 @@
         outcome(ids[0], 0, Result::kOk);
       }
     }
-    const auto in_own_zone = [&](EndpointId id) {
+    const auto in_balancer_zone = [&](EndpointId id) {
       return endpoints_[id].entry.zone == settings_.zone;
     };
     bool any_zone = true;
     for (EndpointId id = 0; id < kLastEndpoints; ++id) {
-      any_zone &= settings_.cross_zone_cost == 0 || !in_own_zone(id);
+      any_zone &= settings_.cross_zone_cost == 0 || !in_balancer_zone(id);
     }
     for (EndpointId id = 0; id < kLastEndpoints; ++id) {
       // The bound allows for a low limit, which lets few requests through.
-      if ((any_zone || in_own_zone(id)) && 20 * attempts_by_endpoint[id] < sent - 20) {
+      if ((any_zone || in_balancer_zone(id)) && 20 * attempts_by_endpoint[id] < sent - 20) {
         fail("endpoint " + std::to_string(id) + " gets " +
              std::to_string(attempts_by_endpoint[id]) + " of " + std::to_string(sent) +
              " requests");
@@ -597,7 +599,7 @@
     send_requests(300);
     advance(driver_.now + 2 * emulator::longest_deadline(deployment_));
     if (send_requests(300) >= 300) {
-      fail("the limit stays open after nothing was answered");
+      fail("all of 300 requests were sent after none of the earlier 300 was answered");
     }
     advance(driver_.now + 2 * emulator::longest_deadline(deployment_));
   }
@@ -676,7 +678,7 @@
   scenario.load.utilisation = 0.3 + 0.6 * random.uniform();
   const std::size_t classes = one_of<std::size_t>(random, {1, 2, 4});
   // The work per request is chosen so that a minute has some ten thousand requests, and the window
-  // of the rule contains more than a few.
+  // that Rule::kCold examines contains more than a few.
   const double work = std::clamp(
       60.0 * tier.nodes * tier.cores / 12'000 * log_uniform(random, 0.7, 2), 0.002, 0.25);
   for (std::size_t i = 0; i < classes; ++i) {
--- a/tests/recovery_tracker_test.cpp
+++ b/tests/recovery_tracker_test.cpp
@@ -62,8 +62,8 @@
   }
 }
 
-// An update that discovery sends when the pause begins must be acted on within the drain grace, so
-// the list is treated as out of date after half of the grace.
+// The process must be able to act within the drain grace on an update that discovery sends when the
+// pause begins, so the list counts as out of date after half of the grace.
 TEST(RecoveryTracker, TreatsItsListAsOutOfDateAfterHalfTheDrainGrace) {
   RecoveryTracker tracker = ready_tracker();
   // The list is out of date even before observe_clock() detects the pause.
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -1,5 +1,5 @@
 // Tests of subsets over random sets of endpoints, and of the ranked set from which the balancer
-// samples its choices.
+// samples endpoints.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -87,7 +87,7 @@
   }
 }
 
-// The distribution must be even also if the configured number of proxies is half or twice the
+// The distribution must also be even if the configured number of proxies is half or twice the
 // actual number.
 TEST(Subset, EveryEndpointIsUsedByNearlyTheSameNumberOfProxies) {
   for (const auto& [endpoints, proxy_count, configured_proxies] : {std::tuple{1000u, 50u, 50u},
--- a/tests/support/action_trace.h
+++ b/tests/support/action_trace.h
@@ -20,13 +20,13 @@
 
 namespace beechhill::test {
 
-/// The deployments that successive seeds cycle through, each named after what it covers.
+/// Kinds of deployment. A stream uses the one whose value is its seed modulo kCount.
 enum class Deployment : std::uint64_t {
-  kThreeClassesTwoZones,  // like deploy/sites/lantern-post.toml
-  kNoCancelHedging,       // like deploy/sites/quarry-dispatch.toml, which is an inner tier
+  kCrossZoneCost,    // like deploy/sites/lantern-post.toml
+  kNoCancelHedging,  // like deploy/sites/quarry-dispatch.toml, which is an inner tier
   kTenantQuotas,
   kLargeFleet,
-  kDrawn,
+  kDrawn,  // random settings
   kCount
 };
 
@@ -50,7 +50,8 @@
     send_snapshot(chance(0.5) ? UpdateKind::kCached : UpdateKind::kSnapshot);
   }
 
-  /// Runs until the balancer has handled `event_count` events. Returns how many it has handled.
+  /// Runs until the balancer has handled at least `event_count` events. Returns how many it has
+  /// handled.
   std::uint64_t run(std::uint64_t event_count) {
     while (events_ < event_count) {
       schedule(now_ + exponential(mean_gap_s_), [this] { send_request(); });
@@ -70,7 +71,7 @@
     int capacity = 8;
     double mean_latency_s = 0.05;
     double error_rate = 0;
-    double silence_rate = 0;
+    double silence_rate = 0;  // fraction of attempts without a response
   };
   struct OpenRequest {
     ClassId class_id = 0;
@@ -147,7 +148,7 @@
     settings.health_check_cost = 0.03;
     add_standard_classes(settings);
     switch (deployment_) {
-      case Deployment::kThreeClassesTwoZones:
+      case Deployment::kCrossZoneCost:
         settings.cross_zone_cost = 0.06;
         settings.load_reports_require_health_checks = true;
         break;
@@ -495,7 +496,7 @@
              [this] { send_snapshot(chance(0.5) ? UpdateKind::kSnapshot : UpdateKind::kFailed); });
   }
 
-  // Records the statistics of one endpoint as raw bits, and the endpoint counts.
+  // Writes a line with the statistics of one endpoint, as raw bits, and the endpoint counts.
   void trace_state() {
     const auto id = static_cast<EndpointId>(random_below(endpoints_.size()));
     const EndpointStats stats = balancer_.endpoint_stats(id);
@@ -523,7 +524,7 @@
   RequestId next_request_ = 1;
   std::uint64_t events_ = 0;
   std::uint64_t arrivals_ = 0;
-  double mean_gap_s_ = 0.004;
+  double mean_gap_s_ = 0.004;  // mean time between requests
 };
 
 }  // namespace beechhill::test
--- a/tests/support/balancer_driver.h
+++ b/tests/support/balancer_driver.h
@@ -20,7 +20,8 @@
 inline constexpr ClassId kKeyedClass = 1;
 inline constexpr ClassId kNonIdempotentClass = 2;
 
-/// One class of each idempotency, with an objective of 1 s and a deadline of 4 s.
+/// Returns settings with one class of each idempotency. Each class has a latency objective of 1 s
+/// and a deadline of 4 s.
 inline Settings basic_settings() {
   ClassSettings idempotent;
   idempotent.idempotency = Idempotency::kIdempotent;
@@ -56,7 +57,7 @@
     record(actions);
   }
 
-  /// Returns the actions of this event.
+  /// Passes the event to the balancer and returns its actions.
   std::vector<Action> handle(const Event& event) {
     std::vector<Action> event_actions;
     balancer_.handle(now, event, event_actions);
@@ -111,8 +112,8 @@
 
   std::function<void(const std::vector<Action>&)> on_actions;  // called after each event
   Time now{1'000'000};
-  std::vector<Action> actions;             // of all events so far
-  std::vector<StartAttempt> attempts;      // of all events so far, in order
+  std::vector<Action> actions;             // actions of all events so far
+  std::vector<StartAttempt> attempts;      // attempts started so far, in order
   std::multiset<RequestId> final_answers;  // requests that were rejected or failed
 
  private:
