--- a/include/beechhill/balancer.h
+++ b/include/beechhill/balancer.h
@@ -41,8 +41,8 @@
   /// Counts endpoints at `now`. O(endpoints).
   EndpointCounts endpoint_counts(Time now) const;
 
-  /// Statistics of the endpoint's current incarnation, to pass on as RestoredStats. Empty for an id
-  /// that no event has named. O(1).
+  /// Returns statistics of the endpoint's current incarnation, which a later process can restore
+  /// with RestoredStats. They are empty for an id that no event has named. O(1).
   EndpointStats endpoint_stats(EndpointId id) const;
 
  private:
--- a/include/beechhill/events.h
+++ b/include/beechhill/events.h
@@ -26,7 +26,8 @@
   EndpointStatus status = EndpointStatus::kUp;
   std::uint32_t zone = 0;
   std::uint32_t cell = 0;
-  /// When the endpoint started; absent if it started long ago. A changed value means a restart.
+  /// Time at which the endpoint started; absent if it started long ago. A changed value means a
+  /// restart.
   std::optional<Time> started_at;
   /// Index of the instance type, dense from 0. Endpoints of one type have similar capacity.
   std::uint32_t instance_type = 0;
@@ -50,12 +51,12 @@
   RequestId id = 0;
   ClassId class_id = 0;
   TenantId tenant = kNoTenant;
-  /// When the client stops waiting.
+  /// Time at which the client stops waiting.
   Time deadline{0};
   /// The amount of work that the client announced, as a duration.
   std::optional<Duration> work_hint;
-  /// Whether the request body is still being received. The latency of such a request depends on its
-  /// client, so the balancer uses the class's average latency instead.
+  /// Whether the request body is still being received from the client. The latency of such a
+  /// request depends on its client, so the balancer uses the class's average latency instead.
   bool streams_body = false;
 };
 
--- a/include/beechhill/settings.h
+++ b/include/beechhill/settings.h
@@ -53,7 +53,7 @@
   /// The request classes; at least one.
   std::vector<ClassSettings> classes;
   std::vector<TenantSettings> tenants;
-  /// Multiplies the priority weight of requests that exceed their tenant's quota; in [0, 1].
+  /// Factor of the priority weight of requests that exceed their tenant's quota; in [0, 1].
   double over_quota_priority_factor = 1;
   /// The zone of this balancer.
   std::uint32_t zone = 0;
--- a/include/beechhill/types.h
+++ b/include/beechhill/types.h
@@ -13,16 +13,17 @@
 /// Balancer.
 using Time = std::chrono::microseconds;
 
-/// Chosen by the embedder; unique among open requests.
+/// Identifies a request. Chosen by the embedder; unique among open requests.
 using RequestId = std::uint64_t;
-/// Dense from 0, as the module keeps a record for each id up to the highest. The embedder may
-/// reassign an id once nothing refers to it.
+/// Identifies an endpoint. Ids are dense from 0, as the module keeps a record for each id up to the
+/// highest. The embedder may reassign an id that is no longer in use.
 using EndpointId = std::uint32_t;
 /// Index into Settings::classes.
 using ClassId = std::uint32_t;
 /// Index into Settings::tenants.
 using TenantId = std::uint32_t;
-/// Chosen by the module; the embedder returns it unchanged in a Timer event.
+/// Identifies the purpose of a timer. Chosen by the module; the embedder returns it unchanged in a
+/// Timer event.
 using TimerToken = std::uint64_t;
 
 /// The tenant of a request that names no tenant or an unknown one.
--- a/src/balancer/discovery_polling.h
+++ b/src/balancer/discovery_polling.h
@@ -1,4 +1,4 @@
-// Schedules subscriptions to discovery, and new ones after failures.
+// Schedules the first subscription to discovery, and further ones after failures.
 #pragma once
 
 #include <algorithm>
--- a/src/balancer/policy/admission.h
+++ b/src/balancer/policy/admission.h
@@ -8,7 +8,7 @@
 
 namespace beechhill {
 
-/// Keeps references to its arguments. classify() and enqueue() are O(levels), next() is O(queues).
+/// The admission policy. Keeps references to its arguments. O(levels), but next() is O(queues).
 class Admission {
  public:
   /// Adds a level to `queues` for each distinct priority.
--- a/src/balancer/policy/concurrency_limit.cpp
+++ b/src/balancer/policy/concurrency_limit.cpp
@@ -27,7 +27,7 @@
   return in_flight_.running - std::max(0.0, in_flight_.silent - kMaxSilentShare * limit_);
 }
 
-// A request may exceed the limit if the overrun is 0, as the limit may be less than one width.
+// The last request may exceed the limit if the overrun is 0, as the limit may be below one width.
 bool ConcurrencyLimit::fits(int width) const {
   const double counted = counted_widths();
   return counted + width <= limit_ || (counted < limit_ && overrun_ <= 0);
--- a/src/balancer/policy/concurrency_limit.h
+++ b/src/balancer/policy/concurrency_limit.h
@@ -16,7 +16,7 @@
   double value() const { return limit_; }
   /// Returns whether a request of the given width may be sent now.
   bool fits(int width) const;
-  /// Updates the overrun for the last `elapsed_s` seconds, with constant widths in flight.
+  /// Updates the overrun for `elapsed_s` seconds in which the widths in flight were constant.
   void advance(double elapsed_s);
   /// Returns when the last attempt of `state`, which must have one, counts as silent.
   Time silent_at(const RequestState& state) const;
--- a/src/balancer/policy/health_checker.h
+++ b/src/balancer/policy/health_checker.h
@@ -23,7 +23,7 @@
   const Settings& settings_;
   const FleetStatistics& statistics_;
   EndpointTable& endpoints_;
-  double budget_ = 4;  // checks; a higher start would let new replicas overload slow endpoints
+  double budget_ = 4;  // checks; a higher initial value lets new replicas overload slow endpoints
 };
 
 }  // namespace beechhill
--- a/src/balancer/policy/slow_start.cpp
+++ b/src/balancer/policy/slow_start.cpp
@@ -3,8 +3,8 @@
 namespace beechhill {
 namespace {
 
-// Minimum rate limit of an endpoint in attempts per second, over all replicas. Without a minimum,
-// an endpoint would receive nothing while there is little traffic.
+// Minimum of the attempts per second that all replicas together may send to an endpoint. Without
+// it, an endpoint would receive nothing while there is little traffic.
 constexpr double kMinAttemptsPerS = 1;
 // Divisor of the collapse ratio; the quotient limits the load in even shares of the traffic.
 constexpr double kSafetyFactor = 1.5;
--- a/src/balancer/state/decaying_average.h
+++ b/src/balancer/state/decaying_average.h
@@ -28,8 +28,8 @@
     return count / (window_s * (1 - std::exp(-age_s / window_s)));
   }
 
-  /// Returns the mean of the values and one more value of 0, so that it decays towards 0 while no
-  /// value is added.
+  /// Returns the mean of the values and one more value of 0, so that the mean decays towards 0
+  /// while no value is added.
   double mean(Time now, double window_s) const {
     const double remaining = decay_factor(now, window_s);
     return sum_ * remaining / (weight_ * remaining + 1);
--- a/src/balancer/state/endpoint_state.h
+++ b/src/balancer/state/endpoint_state.h
@@ -25,7 +25,8 @@
   double recent_attempts = 0;           // decaying number of attempts of this balancer
   double tie_breaker = 0;               // random addition to the load, in requests, in [0, 1]
   Time decayed_at{0};
-  /// Time of the last outcome, or of the first attempt if none was in flight before it.
+  /// Time of the last outcome or, if later, of the last attempt that started while none was in
+  /// flight.
   Time waiting_since{0};
   Time overloaded_until{0};
   Time health_checked_at{0};
--- a/src/balancer/state/fair_queues.h
+++ b/src/balancer/state/fair_queues.h
@@ -1,4 +1,4 @@
-// Queues of requests by priority level, width and flow, with their virtual times.
+// Queues of requests by priority level, width and tenant, with their virtual times.
 //
 // The accounting is that of "Priority and Fairness for API Server Requests" (Kubernetes KEP-1040):
 // each queue has a virtual start time, which determines the virtual finish time of its head.
@@ -14,6 +14,7 @@
 
 namespace beechhill {
 
+/// A queue of requests of one priority level and width.
 struct FairQueue {
   std::deque<RequestId> waiting;
   double virtual_start_s = 0;
@@ -22,6 +23,7 @@
   bool idle() const { return running == 0 && waiting.empty(); }
 };
 
+/// A priority level with its queues.
 struct PriorityLevel {
   static constexpr std::size_t kMaxWidth = 2;
 
--- a/src/balancer/state/fleet_statistics.cpp
+++ b/src/balancer/state/fleet_statistics.cpp
@@ -35,8 +35,8 @@
 constexpr double kZoneUtilizationWindowS = 2;
 // Time constant of the balancer's attempt rate, in seconds.
 constexpr double kAttemptRateWindowS = 5;
-// Minimum time constant of EndpointState::recent_attempts, as the number of attempts per endpoint
-// in use that the balancer starts in this time.
+// Minimum time constant of EndpointState::recent_attempts, in rounds of one attempt per endpoint in
+// use.
 constexpr double kMinRounds = 4;
 // Minimum time constant of EndpointState::recent_attempts, in typical latencies.
 constexpr double kMinLatencies = 4;
@@ -48,7 +48,7 @@
 // Stands for an absent value of a report. It is out of bounds, so the report is ignored.
 constexpr double kNotReported = -1;
 
-// Returns false for NaN.
+// Returns whether the value is in [0, `max`]; false for NaN.
 bool within(double value, double max) {
   return value >= 0 && value <= max;
 }
--- a/src/recovery/recovery_tracker.cpp
+++ b/src/recovery/recovery_tracker.cpp
@@ -12,8 +12,8 @@
 constexpr int kDrainGraceDivisor = 2;
 // Drain grace that is assumed if the settings give none.
 constexpr Duration kDefaultDrainGrace{2'000'000};
-// Discovery is an agent on this machine or near it, which answers within milliseconds if it answers
-// at all. A longer timeout would only delay clients.
+// Maximum duration of a resync. Discovery is an agent on this machine or near it, which answers
+// within milliseconds if it answers at all, so a longer timeout would only delay clients.
 constexpr Duration kMaxResyncTimeout{250'000};
 
 }  // namespace
--- a/src/routing/subset.cpp
+++ b/src/routing/subset.cpp
@@ -15,7 +15,8 @@
 // An arc is widened while it contains fewer endpoints that are up than this fraction of the number
 // of endpoints expected for its width.
 constexpr double kMinUpFraction = 0.5;
-// Makes the ring position of a unit independent of the endpoint hash that it is computed from.
+// Seed of the hash that gives a unit's ring position, which makes the position independent of
+// endpoint hashes.
 constexpr std::uint64_t kUnitHashSeed = 1;
 
 // Maps a hash to [0, 1). Uses its upper 53 bits, which a double represents exactly.
--- a/src/routing/subset.h
+++ b/src/routing/subset.h
@@ -24,7 +24,7 @@
   /// The smallest number of endpoints in a subset. With 0, subsetting is disabled and all endpoints
   /// are used.
   std::uint32_t min_endpoints = 0;
-  /// The smallest number of proxies that use each endpoint. Has no effect if `proxies` is 0.
+  /// The smallest number of proxies that must use each endpoint. Has no effect if `proxies` is 0.
   std::uint32_t coverage = 8;
   /// The number of proxies, or 0 if unknown. If it is wrong, the actual coverage differs from
   /// `coverage` by the same factor.
--- a/tests/balancer/health_checker_test.cpp
+++ b/tests/balancer/health_checker_test.cpp
@@ -22,7 +22,7 @@
         ++checks;
         types.insert(check->endpoint / 10);
         driver.handle(HealthCheckResult{check->endpoint, Result::kOk, {1.5, 10.0}});
-        driver.request(1000 + action);  // each selection uses the reports received so far
+        driver.request(1000 + action);  // its selection applies the reports received so far
       }
     }
   }
--- a/tests/balancer/slow_start_fleet_test.cpp
+++ b/tests/balancer/slow_start_fleet_test.cpp
@@ -37,8 +37,8 @@
   double overloaded_rate = 0;  // fraction of restarted endpoints' responses that are rejections
 };
 
-Duration from_seconds(double s) {
-  return Duration(static_cast<std::int64_t>(s * 1e6));
+Duration from_seconds(double seconds) {
+  return Duration(static_cast<std::int64_t>(seconds * 1e6));
 }
 
 // Simulates the balancers of all replicas, their clients, and a restart of some endpoints.
--- a/tests/properties_test.cpp
+++ b/tests/properties_test.cpp
@@ -205,7 +205,7 @@
 
   // ---- Time
 
-  void at(Time when, std::function<void()> task) { tasks_.emplace(when, std::move(task)); }
+  void schedule(Time when, std::function<void()> task) { tasks_.emplace(when, std::move(task)); }
 
   void advance(Time until) {
     while (!tasks_.empty() && tasks_.begin()->first <= until) {
@@ -249,10 +249,10 @@
       request.work_hint = to_duration(to_s(class_deadline) / 20);
     }
     rules_.taken(driver_.now, id, request.class_id, request.deadline);
-    at(request.deadline, [this, id] { expire(id); });
+    schedule(request.deadline, [this, id] { expire(id); });
     if (random_.below(12) == 0) {
-      at(driver_.now + to_duration(to_s(class_deadline) * random_.uniform()),
-         [this, id] { disconnect(id); });
+      schedule(driver_.now + to_duration(to_s(class_deadline) * random_.uniform()),
+               [this, id] { disconnect(id); });
     }
     handle(request, "request " + std::to_string(id) + " class " + std::to_string(request.class_id));
   }
@@ -299,9 +299,9 @@
                "." + std::to_string(attempt));
     // A request that is neither in flight nor answered is queued for a retry. That is allowed only
     // if none of its attempts can have taken effect and its body was not consumed.
-    const bool maybe = std::any_of(open.attempts.begin(), open.attempts.end(),
-                                   [](auto& other) { return other.may_have_run; });
-    if (!open.is_answered && open.in_flight == 0 && (maybe || open.body_consumed)) {
+    const bool any_may_have_run = std::any_of(open.attempts.begin(), open.attempts.end(),
+                                              [](auto& other) { return other.may_have_run; });
+    if (!open.is_answered && open.in_flight == 0 && (any_may_have_run || open.body_consumed)) {
       fail("request " + std::to_string(id) + " is neither in flight nor answered");
     }
   }
@@ -348,10 +348,10 @@
         latency * to_s(deployment_.classes[open.class_id].settings.latency_objective)));
     const RequestId id = action.id;
     if (driver_.now + after < open.deadline) {
-      at(driver_.now + after, [this, id, attempt, result] { outcome(id, attempt, result); });
+      schedule(driver_.now + after, [this, id, attempt, result] { outcome(id, attempt, result); });
     }
     if (deployment_.classes[open.class_id].settings.streaming && result == Result::kOk) {
-      at(driver_.now + after / 2, [this, id, attempt] {
+      schedule(driver_.now + after / 2, [this, id, attempt] {
         OpenRequest& streaming = requests_.at(id);
         if (streaming.is_answered || !streaming.attempts[attempt].is_open) {
           return;
@@ -370,7 +370,8 @@
     if (!settings_.cancellation_allowed) {
       fail("cancel although the settings allow no cancellation");
     }
-    at(driver_.now, [this, action] { outcome(action.id, action.attempt, Result::kCancelled); });
+    schedule(driver_.now,
+             [this, action] { outcome(action.id, action.attempt, Result::kCancelled); });
   }
   void act(const Reject& action) { answered(action.id, true); }
   void act(const Fail& action) { answered(action.id, false); }
@@ -393,7 +394,7 @@
       fail("health check of an endpoint that is unavailable");
     }
     const Result result = random_.below(5) == 0 ? Result::kTimeout : Result::kOk;
-    at(driver_.now + milliseconds(5), [this, action, result] {
+    schedule(driver_.now + milliseconds(5), [this, action, result] {
       handle(HealthCheckResult{action.endpoint, result, draw_report()}, "health check");
     });
   }
@@ -404,8 +405,8 @@
   }
   void act(const WatchEndpoints&) {
     if (random_.below(2) == 0) {
-      at(driver_.now,
-         [this] { handle(EndpointUpdate{UpdateKind::kFailed, {}}, "discovery fails"); });
+      schedule(driver_.now,
+               [this] { handle(EndpointUpdate{UpdateKind::kFailed, {}}, "discovery fails"); });
     }
   }
 
@@ -517,7 +518,7 @@
       open.arrived_at = driver_.now;
       open.deadline = driver_.now + class_settings.deadline;
       rules_.taken(driver_.now, id, 0, open.deadline);
-      at(open.deadline, [this, id] { expire(id); });
+      schedule(open.deadline, [this, id] { expire(id); });
       handle(Request{id, 0, kNoTenant, open.deadline, {}}, "request " + std::to_string(id));
       if (ids) {
         ids->push_back(id);
