--- a/tests/properties_test.cpp
+++ b/tests/properties_test.cpp
@@ -1,6 +1,6 @@
 // Property tests of the decision module: random deployments and events from fixed seeds, checked
-// against emulator::RuleChecker and against invariants that are visible from outside. A run that
-// fails prints its seed, its last events and the history of the request.
+// against emulator::RuleChecker and against invariants of the module's actions. A run that fails
+// prints its seed, its last events and the history of the request.
 #include <cmath>
 #include <deque>
 #include <functional>
@@ -21,8 +21,8 @@
 using emulator::to_duration;
 using emulator::to_s;
 
-constexpr std::size_t kLoggedEvents = 24;  // printed for a run that fails
-constexpr EndpointId kLastEndpoints = 5;   // endpoints in the last phase of a run
+constexpr std::size_t kLoggedEvents = 24;  // number of events printed for a run that fails
+constexpr EndpointId kLastEndpoints = 5;   // number of endpoints in the last phase of a run
 
 double log_uniform(Stream& random, double from, double to) {
   return from * std::pow(to / from, random.uniform());
@@ -51,6 +51,7 @@
   return spec;
 }
 
+// Runs one balancer with the random deployment and events of a seed.
 class RandomRun {
  public:
   explicit RandomRun(std::uint64_t seed)
@@ -99,10 +100,11 @@
   struct SimulatedEndpoint {
     Endpoint entry;
     bool excluded = false;
-    // The time since which the balancer has known that it must not start attempts at the endpoint.
+    // When the balancer was notified that it must not start attempts at the endpoint; absent while
+    // it may.
     std::optional<Time> unavailable_since;
     double error_rate = 0;
-    double silence_rate = 0;
+    double silence_rate = 0;  // fraction of attempts without a response
     double overload_rate = 0;
     double relative_latency = 0.1;  // mean latency as a fraction of the class's objective
   };
@@ -131,7 +133,7 @@
     for (std::size_t i = 0; i < classes; ++i) {
       scenario.classes.push_back(drawn_class(random_, i));
     }
-    scenario.drain_grace = Duration{-1};  // no attempt may start after the update
+    scenario.drain_grace = Duration{-1};  // no attempt may start once a drain is announced
     scenario.answer_grace = Duration{0};
     scenario.hedging_allowed = random_.below(2) == 0;
     return scenario;
@@ -171,7 +173,7 @@
     return settings;
   }
 
-  // Draws a new entry, as if another machine had the id.
+  // Draws a new entry, as if the id were reused for another machine.
   void draw_entry(Endpoint& entry) {
     entry.zone = static_cast<std::uint32_t>(random_.below(3));
     entry.cell = static_cast<std::uint32_t>(random_.below(4));
@@ -203,7 +205,7 @@
 
   // ---- Time
 
-  void at(Time when, std::function<void()> task) { tasks_.emplace(when, std::move(task)); }
+  void schedule(Time when, std::function<void()> task) { tasks_.emplace(when, std::move(task)); }
 
   void advance(Time until) {
     while (!tasks_.empty() && tasks_.begin()->first <= until) {
@@ -247,10 +249,10 @@
       request.work_hint = to_duration(to_s(class_deadline) / 20);
     }
     rules_.taken(driver_.now, id, request.class_id, request.deadline);
-    at(request.deadline, [this, id] { expire(id); });
+    schedule(request.deadline, [this, id] { expire(id); });
     if (random_.below(12) == 0) {
-      at(driver_.now + to_duration(to_s(class_deadline) * random_.uniform()),
-         [this, id] { disconnect(id); });
+      schedule(driver_.now + to_duration(to_s(class_deadline) * random_.uniform()),
+               [this, id] { disconnect(id); });
     }
     handle(request, "request " + std::to_string(id) + " class " + std::to_string(request.class_id));
   }
@@ -262,10 +264,10 @@
     }
     open.is_answered = true;
     rules_.answered(driver_.now, id, false);  // no answer is required any more
-    handle(ClientDisconnected{id}, "client of " + std::to_string(id) + " leaves");
+    handle(ClientDisconnected{id}, "client of " + std::to_string(id) + " disconnects");
   }
 
-  // Ends the attempts of a request at its deadline: a later answer would be late.
+  // Ends the attempts of a request at its deadline, and checks that it was answered by then.
   void expire(RequestId id) {
     for (std::uint32_t i = 0; i < requests_.at(id).attempts.size(); ++i) {
       outcome(id, i, requests_.at(id).is_answered ? Result::kCancelled : Result::kTimeout);
@@ -295,11 +297,11 @@
     handle(Outcome{id, attempt, result, open.is_answered, draw_report(), open.body_consumed},
            "outcome " + std::to_string(static_cast<int>(result)) + " of " + std::to_string(id) +
                "." + std::to_string(attempt));
-    // A request that is neither in flight nor answered is queued, which is allowed only if none of
-    // its attempts can have taken effect. A request that is not retried must be answered at once.
-    const bool maybe = std::any_of(open.attempts.begin(), open.attempts.end(),
-                                   [](auto& other) { return other.may_have_run; });
-    if (!open.is_answered && open.in_flight == 0 && (maybe || open.body_consumed)) {
+    // A request that is neither in flight nor answered is queued for a retry. That is allowed only
+    // if none of its attempts can have taken effect and its body was not consumed.
+    const bool any_may_have_run = std::any_of(open.attempts.begin(), open.attempts.end(),
+                                              [](auto& other) { return other.may_have_run; });
+    if (!open.is_answered && open.in_flight == 0 && (any_may_have_run || open.body_consumed)) {
       fail("request " + std::to_string(id) + " is neither in flight nor answered");
     }
   }
@@ -346,10 +348,10 @@
         latency * to_s(deployment_.classes[open.class_id].settings.latency_objective)));
     const RequestId id = action.id;
     if (driver_.now + after < open.deadline) {
-      at(driver_.now + after, [this, id, attempt, result] { outcome(id, attempt, result); });
+      schedule(driver_.now + after, [this, id, attempt, result] { outcome(id, attempt, result); });
     }
     if (deployment_.classes[open.class_id].settings.streaming && result == Result::kOk) {
-      at(driver_.now + after / 2, [this, id, attempt] {
+      schedule(driver_.now + after / 2, [this, id, attempt] {
         OpenRequest& streaming = requests_.at(id);
         if (streaming.is_answered || !streaming.attempts[attempt].is_open) {
           return;
@@ -368,7 +370,8 @@
     if (!settings_.cancellation_allowed) {
       fail("cancel although the settings allow no cancellation");
     }
-    at(driver_.now, [this, action] { outcome(action.id, action.attempt, Result::kCancelled); });
+    schedule(driver_.now,
+             [this, action] { outcome(action.id, action.attempt, Result::kCancelled); });
   }
   void act(const Reject& action) { answered(action.id, true); }
   void act(const Fail& action) { answered(action.id, false); }
@@ -391,7 +394,7 @@
       fail("health check of an endpoint that is unavailable");
     }
     const Result result = random_.below(5) == 0 ? Result::kTimeout : Result::kOk;
-    at(driver_.now + milliseconds(5), [this, action, result] {
+    schedule(driver_.now + milliseconds(5), [this, action, result] {
       handle(HealthCheckResult{action.endpoint, result, draw_report()}, "health check");
     });
   }
@@ -402,8 +405,8 @@
   }
   void act(const WatchEndpoints&) {
     if (random_.below(2) == 0) {
-      at(driver_.now,
-         [this] { handle(EndpointUpdate{UpdateKind::kFailed, {}}, "discovery fails"); });
+      schedule(driver_.now,
+               [this] { handle(EndpointUpdate{UpdateKind::kFailed, {}}, "discovery fails"); });
     }
   }
 
@@ -435,7 +438,7 @@
     for (SimulatedEndpoint& endpoint : endpoints_) {
       track_availability(endpoint);
     }
-    handle(update, "snapshot of " + std::to_string(update.endpoints.size()));
+    handle(update, "snapshot of " + std::to_string(update.endpoints.size()) + " endpoints");
   }
 
   void send_delta() {
@@ -464,12 +467,12 @@
       }
       track_availability(endpoint);
       update.endpoints.push_back(endpoint.entry);
-      // Discovery may omit the location of a removed endpoint.
+      // Discovery may omit the zone and cell of a removed endpoint.
       if (endpoint.entry.status == EndpointStatus::kRemoved && random_.below(2) == 0) {
         update.endpoints.back().zone = update.endpoints.back().cell = 0;
       }
     }
-    handle(update, std::to_string(update.endpoints.size()) + " deltas");
+    handle(update, "delta of " + std::to_string(update.endpoints.size()) + " endpoints");
   }
 
   void draw_disturbance() {
@@ -515,7 +518,7 @@
       open.arrived_at = driver_.now;
       open.deadline = driver_.now + class_settings.deadline;
       rules_.taken(driver_.now, id, 0, open.deadline);
-      at(open.deadline, [this, id] { expire(id); });
+      schedule(open.deadline, [this, id] { expire(id); });
       handle(Request{id, 0, kNoTenant, open.deadline, {}}, "request " + std::to_string(id));
       if (ids) {
         ids->push_back(id);
@@ -556,11 +559,11 @@
       outcome(ids[0], 0, Result::kOk);
     }
     // Invalid reports must have no effect after sixty valid ones: each of five equal endpoints gets
-    // its share. If crossing zones has a cost and the own zone has endpoints, those of other zones
-    // may get no requests, as the own zone is half utilized.
+    // its share. If another zone has a cost and the balancer's zone has endpoints, those of other
+    // zones may get no requests, as the balancer's zone is only half utilized.
     for (int i = 0; i < 60; ++i) {
       for (EndpointId id = 0; id < kLastEndpoints; ++id) {
-        handle(HealthCheckResult{id, Result::kOk, {0.5, 10.0}}, "plain report");
+        handle(HealthCheckResult{id, Result::kOk, {0.5, 10.0}}, "valid report");
       }
     }
     std::map<EndpointId, int> attempts_by_endpoint;
@@ -578,16 +581,16 @@
         outcome(ids[0], 0, Result::kOk);
       }
     }
-    const auto in_own_zone = [&](EndpointId id) {
+    const auto in_balancer_zone = [&](EndpointId id) {
       return endpoints_[id].entry.zone == settings_.zone;
     };
     bool any_zone = true;
     for (EndpointId id = 0; id < kLastEndpoints; ++id) {
-      any_zone &= settings_.cross_zone_cost == 0 || !in_own_zone(id);
+      any_zone &= settings_.cross_zone_cost == 0 || !in_balancer_zone(id);
     }
     for (EndpointId id = 0; id < kLastEndpoints; ++id) {
       // The bound allows for a low limit, which lets few requests through.
-      if ((any_zone || in_own_zone(id)) && 20 * attempts_by_endpoint[id] < sent - 20) {
+      if ((any_zone || in_balancer_zone(id)) && 20 * attempts_by_endpoint[id] < sent - 20) {
         fail("endpoint " + std::to_string(id) + " gets " +
              std::to_string(attempts_by_endpoint[id]) + " of " + std::to_string(sent) +
              " requests");
@@ -597,7 +600,7 @@
     send_requests(300);
     advance(driver_.now + 2 * emulator::longest_deadline(deployment_));
     if (send_requests(300) >= 300) {
-      fail("the limit stays open after nothing was answered");
+      fail("all of 300 requests were sent after none of the earlier 300 was answered");
     }
     advance(driver_.now + 2 * emulator::longest_deadline(deployment_));
   }
@@ -676,7 +679,7 @@
   scenario.load.utilisation = 0.3 + 0.6 * random.uniform();
   const std::size_t classes = one_of<std::size_t>(random, {1, 2, 4});
   // The work per request is chosen so that a minute has some ten thousand requests, and the window
-  // of the rule contains more than a few.
+  // that Rule::kCold examines contains more than a few.
   const double work = std::clamp(
       60.0 * tier.nodes * tier.cores / 12'000 * log_uniform(random, 0.7, 2), 0.002, 0.25);
   for (std::size_t i = 0; i < classes; ++i) {
