--- a/src/emulator/gossip_simulation.cpp
+++ b/src/emulator/gossip_simulation.cpp
@@ -14,16 +14,17 @@
 namespace {
 
 constexpr std::uint64_t kGossipStream = 1ULL << 37;
-// Datagrams that the socket of a stopped process holds.
+// Number of datagrams that the socket of a stopped process buffers.
 constexpr std::size_t kSocketBufferDatagrams = 128;
-// What a datagram adds to a payload: MAC, magic number, the name with its length, boot id, counter
-// and session nonce, channel. Names have about 9 bytes here.
+// Bytes that a datagram adds to its payload: MAC, magic number, name with its length, boot id,
+// counter, session nonce and channel. Names are about 9 bytes long in this simulation.
 constexpr std::size_t kDatagramOverheadBytes = 32 + 4 + 2 + 9 + 8 * 3 + 1;
-// As in GossipActor: a longer gap than this many probe intervals is a resume.
+// A gap between ticks of more than this many probe intervals is handled as a resume, as in
+// GossipActor.
 constexpr int kResumeGapIntervals = 2;
 constexpr Time kNoTick{-1};
 
-// A member's address is its index.
+// The address of a member is its index.
 std::string address_of(std::size_t i) {
   return std::to_string(i);
 }
@@ -182,7 +183,7 @@
 void GossipSimulation::schedule_tick(std::size_t i) {
   Member& member = members_[i];
   const auto own_time = static_cast<double>(member.swim->next_tick().count());
-  // One microsecond later, so that rounding never makes the tick early by the member's own clock.
+  // Adds one microsecond, so that rounding never makes the tick early by the member's own clock.
   const Time simulated_time(static_cast<std::int64_t>(own_time / member.clock_rate) + 1);
   const Time due = std::max(now_, simulated_time);
   if (member.scheduled_tick >= now_ && member.scheduled_tick <= due) {
--- a/src/emulator/gossip_simulation.h
+++ b/src/emulator/gossip_simulation.h
@@ -1,6 +1,6 @@
-// A simulated cluster: one membership::SwimNode for each member, over a network that loses, delays,
-// duplicates and reorders datagrams, in simulated time. Single-threaded and without a clock: equal
-// specifications and calls give equal runs.
+// A simulated gossip cluster: each member is a membership::SwimNode, connected by a network that
+// loses, delays, duplicates and reorders datagrams in simulated time. Single-threaded and without a
+// clock: equal specifications and calls give equal runs.
 #pragma once
 
 #include <cstdint>
@@ -22,61 +22,64 @@
   std::uint64_t seed = 1;
   /// SwimSettings::probe_interval of all members.
   Duration interval{1'000'000};
-  /// The probability that a datagram is lost.
+  /// Probability that a datagram is lost.
   double loss = 0;
-  /// The probability that a datagram that is not lost arrives twice.
+  /// Probability that a datagram that is not lost is duplicated.
   double doubled = 0;
-  /// The shortest one-way delay; a uniformly random part of it is added.
+  /// Minimum one-way delay. Each datagram gets up to the same amount in addition, at random.
   Duration delay{500};
-  /// The largest relative error of a member's clock rate.
+  /// Maximum relative error of a member's clock rate.
   double drift = 0;
-  /// The first members, this many, are the seeds of all.
+  /// Number of seed members. The members with the lowest indices are the seeds of all.
   std::uint32_t seeds = 2;
 };
 
-/// Members are named by their index, from 0. All of them run at the start.
+/// Members are identified by their index, from 0. All of them are running at the start.
 class GossipSimulation {
  public:
   explicit GossipSimulation(const GossipSimulationSpec& spec);
 
   /// Advances the simulated time by `length`.
   void run(Duration length);
-  /// The simulated time; members' own clocks drift from it.
+  /// The simulated time, in microseconds since the start. The clocks of the members drift from it.
   Time now() const { return now_; }
   std::size_t size() const { return members_.size(); }
-  /// The state machine of a member that has not been killed.
+  /// The protocol state machine of a member. The member must not have been killed.
   const membership::SwimNode& swim(std::size_t i) const { return *members_[i].swim; }
   /// Whether the member has been neither killed nor stopped.
   bool running(std::size_t i) const { return members_[i].swim && !members_[i].stopped; }
 
-  /// Ends the member without notice.
+  /// Ends the member's process without a leave message.
   void kill(std::size_t i);
   /// Starts a new process of the member.
   void start(std::size_t i);
-  /// Pauses the member. Datagrams that arrive meanwhile wait, as many as a socket's buffer holds.
+  /// Pauses the member. Datagrams that arrive meanwhile are buffered, up to the capacity of a
+  /// socket's buffer.
   void stop(std::size_t i);
   /// Resumes a stopped member.
   void go_on(std::size_t i);
-  /// Lets the member announce that it leaves, then ends it.
+  /// Makes the member announce that it leaves, then ends it.
   void leave(std::size_t i);
-  /// Sets which members reach each other; it is called for each datagram. Empty: all do.
+  /// Sets the filter of links, which is called for each datagram. An empty function lets all
+  /// datagrams pass.
   void cut(std::function<bool(std::size_t from, std::size_t to)> reaches) {
     reaches_ = std::move(reaches);
   }
 
-  /// Whether the running members agree: each considers the running ones alive or suspect, and no
-  /// others.
+  /// Whether all running members have the same, correct view: each considers exactly the running
+  /// members alive or suspect.
   bool agreed() const;
-  /// Since when `observer`, which runs, has considered `other` dead; empty where it does not.
+  /// The time since which `observer`, which must be running, has considered `other` dead; empty if
+  /// it does not.
   std::optional<Time> dead_since(std::size_t observer, std::size_t other) const;
 
   struct TrafficCounts {
-    /// Sent, whether they arrived or not, with the header and MAC of each.
+    /// Totals of sent datagrams, delivered or not, including the header and MAC of each.
     std::uint64_t datagrams = 0;
     std::uint64_t bytes = 0;
-    /// How often a member declared a running one dead.
+    /// Number of times that a member declared a running member dead.
     std::uint64_t false_deaths = 0;
-    /// How often a member noticed that another had restarted.
+    /// Number of times that a member detected the restart of another.
     std::uint64_t restarts_seen = 0;
   };
   const TrafficCounts& traffic() const { return traffic_; }
@@ -84,27 +87,27 @@
 
  private:
   struct Member {
-    /// Null where the member has been killed.
+    /// Null if the member has been killed.
     std::unique_ptr<membership::SwimNode> swim;
     bool stopped = false;
     Time stopped_at{0};
-    /// Counts its processes, so that a tick of an earlier one is ignored.
+    /// Counts the member's processes, so that a tick scheduled for an earlier one is ignored.
     std::uint64_t generation = 0;
-    /// Seconds of its clock in a simulated second.
+    /// Seconds of the member's clock per simulated second.
     double clock_rate = 1;
-    /// When its next tick is scheduled; negative: none is.
+    /// Time of the next scheduled tick; negative if none is scheduled.
     Time scheduled_tick{-1};
-    /// Senders and messages that arrived while it was stopped.
+    /// Senders and messages of the datagrams that arrived while the member was stopped.
     std::vector<std::pair<std::size_t, membership::Message>> pending_messages;
   };
-  /// The arrival of a message, or a tick where there is none.
+  /// The arrival of a message, or a tick if there is no message.
   struct Event {
     Time at{0};
-    /// Events of one time take place in the order in which they were scheduled.
+    /// Orders events of equal time by when they were scheduled.
     std::uint64_t order = 0;
     std::size_t to = 0;
     std::size_t from = 0;
-    /// Of a tick: the member's process that it was scheduled for.
+    /// For a tick, the generation of the process that it was scheduled for.
     std::uint64_t generation = 0;
     std::optional<membership::Message> message;
 
--- a/src/emulator/maintenance_fault_plan.cpp
+++ b/src/emulator/maintenance_fault_plan.cpp
@@ -1,4 +1,4 @@
-// Plans of faults for MaintenanceSimulation, drawn from a seed.
+// Fault plans for MaintenanceSimulation, drawn from a seed.
 #include <fmt/format.h>
 
 #include <set>
@@ -16,13 +16,14 @@
 namespace {
 
 constexpr std::uint64_t kRandomStream = (1ULL << 36) + 1;
-// Until requests end or say why they do not, after the faults.
+// Rounds that are simulated after the last fault, so that requests complete or state a reason for
+// waiting.
 constexpr int kMinSettlingRounds = 10;
 constexpr int kMaxSettlingRounds = 60;
 constexpr Duration kSettlingRound = 5s;
 constexpr std::uint64_t kMaxClockShift = 1'000;
 
-// The order of the draws is part of every recorded seed.
+// The order of the draws must not change, because it is part of the meaning of every recorded seed.
 MaintenanceSimulationSpec draw_spec(std::uint64_t seed, std::uint32_t max_followers,
                                     Stream& random) {
   MaintenanceSimulationSpec spec;
@@ -60,7 +61,7 @@
     kSuspend,
     kPartition,
     kOneWayPartition,
-    kNothingToOne,
+    kBlockInbound,
     kWipeStorage,
     kRestoreStorage,
     kShiftClock,
@@ -100,17 +101,17 @@
     inject(fault, proxy, boundary);
     simulation_.run(to_duration(random_.uniform({0.2, 8})));
     if (random_.below(2) != 0) {
-      end_faults("all links stand, all processes run");
+      end_faults("all links restored, all processes running");
       simulation_.run(to_duration(random_.uniform({1, 6})));
     }
   }
-  end_faults("the end of faults");
+  end_faults("end of faults");
   settle();
   MaintenanceRun run;
   run.verdict = simulation_.verdict();
   run.taken_out = simulation_.taken_out();
   run.backends = spec_.backends;
-  run.silent = simulation_.silent_requests();
+  run.silent = simulation_.unexplained_requests();
   run.open = simulation_.open_requests();
   run.plan = plan_;
   return run;
@@ -120,8 +121,8 @@
   plan_ += fmt::format("{:.2f} s: {}\n", to_s(simulation_.now()), what);
 }
 
-// Two operators who do not know of each other. Each sends its request until a proxy has taken it;
-// it counts once.
+// Submits the requests of two independent operators. Each operator sends the same request three
+// times; repeated submissions of one request id count once.
 void FaultPlan::submit_requests() {
   for (const char* zone : {"zone-0", "zone-1"}) {
     Command command;
@@ -144,23 +145,24 @@
       return kill(proxy, "");
     case Fault::kKillLeader:
       if (const auto leader = simulation_.leader()) {
-        kill(*leader, ", which leads");
+        kill(*leader, ", the leader");
       }
       return;
     case Fault::kSuspend:
       return suspend(proxy);
     case Fault::kPartition:
-      log(fmt::format("split at {}", boundary));
+      log(fmt::format("partition: proxies below {} | the others", boundary));
       return simulation_.set_link_filter([boundary](std::size_t from, std::size_t to) {
         return (from < boundary) == (to < boundary);
       });
     case Fault::kOneWayPartition:
-      log(fmt::format("nothing passes from below {} up", boundary));
+      log(fmt::format("one-way partition: no datagrams from proxies below {} to the others",
+                      boundary));
       return simulation_.set_link_filter([boundary](std::size_t from, std::size_t to) {
         return from >= boundary || to < boundary;
       });
-    case Fault::kNothingToOne:
-      log(fmt::format("nothing passes to {}", proxy));
+    case Fault::kBlockInbound:
+      log(fmt::format("no datagrams to proxy {}", proxy));
       return simulation_.set_link_filter(
           [proxy](std::size_t, std::size_t to) { return to != proxy; });
     case Fault::kWipeStorage:
@@ -177,7 +179,7 @@
 }
 
 void FaultPlan::kill(std::size_t proxy, const char* which) {
-  log(fmt::format("kill {}{}", proxy, which));
+  log(fmt::format("kill proxy {}{}", proxy, which));
   simulation_.kill(proxy);
   killed_.insert(proxy);
 }
@@ -186,29 +188,31 @@
   if (killed_.contains(proxy)) {
     return;
   }
-  log(fmt::format("stop {}", proxy));
+  log(fmt::format("suspend proxy {}", proxy));
   simulation_.suspend(proxy);
   suspended_.insert(proxy);
 }
 
-// One at a time: with most disks gone nothing could be known.
+// Wipes at most one storage at a time: if a majority of the voters lost their storage, the
+// committed state could not be recovered.
 void FaultPlan::wipe_storage(std::size_t proxy) {
   if (proxy >= spec_.voters || !simulation_.has_all_voters()) {
     return;
   }
-  log(fmt::format("kill {} and wipe its disk", proxy));
+  log(fmt::format("kill proxy {} and wipe its storage", proxy));
   simulation_.kill(proxy);
   simulation_.wipe_storage(proxy);
   killed_.insert(proxy);
 }
 
-// An older copy is detected by voters that have seen more of it: they run, and receive its
-// messages.
+// Voters detect that another voter's storage is older than what they have seen from it. All voters
+// must therefore run and receive its messages before the copy is restored.
 void FaultPlan::restore_storage(std::size_t proxy) {
   if (proxy >= spec_.voters || !simulation_.has_all_voters()) {
     return;
   }
-  log(fmt::format("all links stand; kill {} and put its disk back by some seconds", proxy));
+  log(fmt::format("all links restored; kill proxy {} and restore an older copy of its storage",
+                  proxy));
   simulation_.set_link_filter({});
   simulation_.run(2s);
   simulation_.copy_storage(proxy);
@@ -221,14 +225,14 @@
 }
 
 void FaultPlan::shift_clock(std::size_t proxy) {
-  log(fmt::format("shift the clock of {}", proxy));
+  log(fmt::format("shift the clock of proxy {}", proxy));
   const auto drawn = static_cast<maintenance::Seconds>(random_.below(2 * kMaxClockShift));
   simulation_.shift_clock(proxy, drawn - static_cast<maintenance::Seconds>(kMaxClockShift));
 }
 
 void FaultPlan::crash_backend() {
   const std::size_t backend = random_.below(spec_.backends);
-  log(fmt::format("backend {} goes down", backend));
+  log(fmt::format("crash backend {}", backend));
   simulation_.set_backend_down(backend, true);
   simulation_.run(to_duration(random_.uniform({0.5, 4})));
   simulation_.set_backend_down(backend, false);
--- a/src/emulator/maintenance_invariants.cpp
+++ b/src/emulator/maintenance_invariants.cpp
@@ -31,7 +31,8 @@
   const std::size_t hash = std::hash<std::string>{}(state.snapshot());
   const auto [known, is_first] = state_hashes_.try_emplace(state.applied_index(), hash);
   if (!is_first && known->second != hash) {
-    report(now, verdict_.diverged, fmt::format("two states of index {}", state.applied_index()));
+    report(now, verdict_.diverged,
+           fmt::format("replicas have different states at log index {}", state.applied_index()));
   }
 }
 
@@ -41,8 +42,8 @@
     const auto [known, is_first] = token_machines_.try_emplace(workflow.fencing_token, machine);
     if (!is_first && known->second != machine) {
       report(now, verdict_.diverged,
-             fmt::format("fencing token {} of {} and of {}", workflow.fencing_token, machine,
-                         known->second));
+             fmt::format("fencing token {} issued for both {} and {}", workflow.fencing_token,
+                         machine, known->second));
     }
   }
 }
@@ -63,17 +64,19 @@
       std::any_of(out_by_zone.begin(), out_by_zone.end(),
                   [this](const auto& zone) { return zone.second > budget_.max_out_per_zone; });
   if (out > budget_.max_out || zone_exceeded) {
-    report(now, verdict_.budget_exceeded, fmt::format("{} are out", out));
+    report(now, verdict_.budget_exceeded,
+           fmt::format("{} machines are out of service, which exceeds the disruption budget", out));
   }
 }
 
 void MaintenanceInvariants::check_machines_in_work(Time now, std::uint32_t count) {
   if (count > budget_.max_out) {
-    report(now, verdict_.budget_exceeded, fmt::format("{} are worked on", count));
+    report(now, verdict_.budget_exceeded,
+           fmt::format("{} machines are worked on, which exceeds the disruption budget", count));
   }
 }
 
-void MaintenanceInvariants::report_sent_to_out(Time now, const std::string& what) {
+void MaintenanceInvariants::report_dispatch_during_maintenance(Time now, const std::string& what) {
   report(now, verdict_.attempts_during_maintenance, what);
 }
 
--- a/src/emulator/maintenance_invariants.h
+++ b/src/emulator/maintenance_invariants.h
@@ -11,13 +11,14 @@
 
 namespace beechhill::emulator {
 
-/// How often each property was violated, and the first few violations in words.
+/// Number of violations of each property, and descriptions of the first few.
 struct MaintenanceVerdict {
-  /// Requests that began, or were in flight, while their machine was out.
+  /// Requests that were sent to a machine, or were in flight to it, while it was out of service.
   std::uint64_t attempts_during_maintenance = 0;
-  /// Committed states, or machines in work, beyond the disruption budget.
+  /// Committed states, or sets of machines that are worked on, that exceed the disruption budget.
   std::uint64_t budget_exceeded = 0;
-  /// Replicas that hold different states of one index, or one fencing token of two machines.
+  /// Replicas whose states differ at the same log index, and fencing tokens issued for two
+  /// machines.
   std::uint64_t diverged = 0;
   std::string text;
   std::uint64_t all() const { return attempts_during_maintenance + budget_exceeded + diverged; }
@@ -27,12 +28,14 @@
  public:
   explicit MaintenanceInvariants(const maintenance::DisruptionBudget& budget) : budget_(budget) {}
 
-  /// Of the replica of voter `voter`. Cheap where it has applied nothing since the last call.
+  /// Checks the state of a voter's replica. Returns quickly if the replica has applied nothing
+  /// since the last call.
   void check_replica(Time now, std::size_t voter,
                      const maintenance::MaintenanceStateMachine& state);
-  /// By the machines themselves, however many leaders there may be.
+  /// Checks the number of machines that operators actually work on against the budget, whatever the
+  /// proxies have committed.
   void check_machines_in_work(Time now, std::uint32_t count);
-  void report_sent_to_out(Time now, const std::string& what);
+  void report_dispatch_during_maintenance(Time now, const std::string& what);
 
   const MaintenanceVerdict& verdict() const { return verdict_; }
 
@@ -43,7 +46,7 @@
   void report(Time now, std::uint64_t& count, const std::string& what);
 
   const maintenance::DisruptionBudget budget_;
-  /// Last index checked, by voter.
+  /// The last log index checked, by voter.
   std::map<std::size_t, maintenance::LogIndex> checked_indexes_;
   std::map<maintenance::LogIndex, std::size_t> state_hashes_;
   std::map<maintenance::FencingToken, std::string> token_machines_;
--- a/src/emulator/maintenance_simulation.cpp
+++ b/src/emulator/maintenance_simulation.cpp
@@ -21,7 +21,7 @@
 
 constexpr std::uint64_t kRandomStream = 1ULL << 36;
 constexpr Duration kStep{10'000};
-// Datagrams that a socket holds for a process that does not run.
+// Number of datagrams that the socket of a suspended process buffers.
 constexpr std::size_t kSocketBufferDatagrams = 128;
 constexpr Duration kLeaseDuration{2'000'000};
 constexpr Duration kDrainGrace{500'000};
@@ -29,7 +29,7 @@
 constexpr std::size_t kBackendsPerCell = 4;
 constexpr Duration kDoneCommandInterval = 500ms;
 constexpr std::uint64_t kServedRequestsPerSecond = 100;
-// Of a seeded bug.
+// Factor by which SeededBug::kLongLease overestimates a lease.
 constexpr int kLongLeaseFactor = 4;
 
 }  // namespace
@@ -127,7 +127,7 @@
 void MaintenanceSimulation::kill(std::size_t i) {
   Proxy& proxy = proxies_[i];
   proxy.coordinator.reset();
-  // Its connections end with it.
+  // The process's connections are closed when it ends.
   proxy.in_flight.clear();
   proxy.suspended = false;
   if (proxy.storage) {
@@ -145,7 +145,7 @@
     return;
   }
   proxy.coordinator->on_resume(now_);
-  // What it had decided on before is sent first, if it still has the permission: the worst order.
+  // Worst case: a request is sent, if still permitted, before the buffered datagrams are handled.
   send_request(i);
   for (const Datagram& datagram : std::exchange(proxy.socket_buffer, {})) {
     proxy.coordinator->receive(now_, proxy_name(datagram.from), datagram.channel, datagram.bytes);
@@ -195,7 +195,7 @@
   }
 }
 
-// ---- The cluster from outside
+// ---- State of the cluster
 
 void MaintenanceSimulation::order(std::size_t proxy, Command command) {
   if (running(proxy)) {
@@ -219,11 +219,11 @@
 }
 
 bool MaintenanceSimulation::has_all_voters() const {
-  const auto lead = leader();
-  if (!lead) {
+  const auto leader_index = leader();
+  if (!leader_index) {
     return false;
   }
-  const std::vector<maintenance::Voter> voters = coordinator(*lead).voters();
+  const std::vector<maintenance::Voter> voters = coordinator(*leader_index).voters();
   std::size_t voting = 0;
   for (std::size_t i = 0; i < spec_.voters; ++i) {
     if (!running(i) || !coordinator(i).is_voter()) {
@@ -239,8 +239,8 @@
 
 std::vector<std::string> MaintenanceSimulation::open_requests() const {
   std::vector<std::string> open;
-  if (const auto lead = leader()) {
-    for (const auto& [id, request] : coordinator(*lead).state_machine().requests()) {
+  if (const auto leader_index = leader()) {
+    for (const auto& [id, request] : coordinator(*leader_index).state_machine().requests()) {
       if (request.open()) {
         open.push_back(id);
       }
@@ -249,19 +249,19 @@
   return open;
 }
 
-std::vector<std::string> MaintenanceSimulation::silent_requests() const {
-  const auto lead = leader();
-  if (!lead) {
-    return {"nobody leads"};
+std::vector<std::string> MaintenanceSimulation::unexplained_requests() const {
+  const auto leader_index = leader();
+  if (!leader_index) {
+    return {"no leader"};
   }
-  const maintenance::MaintenancePlanner planner(coordinator(*lead).state_machine());
+  const maintenance::MaintenancePlanner planner(coordinator(*leader_index).state_machine());
   std::vector<std::string> silent = open_requests();
   std::erase_if(silent,
                 [&planner](const std::string& id) { return !planner.explain(id, {}).empty(); });
   return silent;
 }
 
-// ---- Time
+// ---- Simulated time
 
 void MaintenanceSimulation::run(Duration length) {
   for (const Time end = now_ + length; now_ < end;) {
@@ -346,7 +346,7 @@
   }
 }
 
-// As MaintenanceActor does: a storage that was rolled back is given up, and the voter waits to be
+// Follows MaintenanceActor: a storage that was rolled back is discarded, and the voter waits to be
 // readmitted.
 void MaintenanceSimulation::replace_lost_storage(std::size_t i) {
   Proxy& proxy = proxies_[i];
@@ -402,17 +402,17 @@
   const Backend& backend = backends_[permitted[random_.below(permitted.size())]];
   ++requests_sent_;
   if (backend.out_since) {
-    invariants_.report_sent_to_out(
-        now_, fmt::format("{} sent to {}, which is out since {:.2f} s", proxy_name(i),
-                          backend.machine.id, to_s(*backend.out_since)));
+    invariants_.report_dispatch_during_maintenance(
+        now_, fmt::format("{} sent a request to {}, which has been out of service since {:.2f} s",
+                          proxy_name(i), backend.machine.id, to_s(*backend.out_since)));
   }
-  // A backend that is down refuses it.
+  // A backend that is down refuses the request immediately.
   if (backend.machine.up) {
     proxy.in_flight[backend.machine.id].push_back(now_ + spec_.request_duration);
   }
 }
 
-// The program's own rule, or what a seeded bug makes of it.
+// Applies the coordinator's own permission, as modified by a seeded bug.
 Time MaintenanceSimulation::dispatch_permitted_until(const Proxy& proxy,
                                                      const std::string& machine) const {
   const Time permitted_until = proxy.coordinator->dispatch_permitted_until(machine);
@@ -461,13 +461,14 @@
 
 // ---- Operators
 
-// They look at what the leader shows, work on what is out, and start it again.
+// Operators read the leader's state, work on machines that are out of service, and then start them
+// again.
 void MaintenanceSimulation::act_as_operators() {
-  const auto lead = leader();
-  if (!lead) {
+  const auto leader_index = leader();
+  if (!leader_index) {
     return;
   }
-  const auto& workflows = coordinator(*lead).state_machine().workflows();
+  const auto& workflows = coordinator(*leader_index).state_machine().workflows();
   for (Backend& backend : backends_) {
     const auto workflow = workflows.find(backend.machine.id);
     const bool out = workflow != workflows.end() && workflow->second.state == WorkflowState::kOut;
@@ -483,7 +484,7 @@
       done.type = CommandType::kCompleteWork;
       done.id = backend.request;
       done.machine = backend.machine.id;
-      order(*lead, done);
+      order(*leader_index, done);
     }
   }
 }
@@ -498,9 +499,9 @@
   backend.work_ends_at = now_ + spec_.work;
   for (std::size_t i = 0; i < proxies_.size(); ++i) {
     if (proxies_[i].has_in_flight(backend.machine.id)) {
-      invariants_.report_sent_to_out(
-          now_, fmt::format("{} has a request in flight to {}, which is out", proxy_name(i),
-                            backend.machine.id));
+      invariants_.report_dispatch_during_maintenance(
+          now_, fmt::format("{} has a request in flight to {}, which is out of service",
+                            proxy_name(i), backend.machine.id));
     }
   }
 }
--- a/src/emulator/maintenance_simulation.h
+++ b/src/emulator/maintenance_simulation.h
@@ -1,6 +1,7 @@
-// Proxies that take machines out of service, in simulated time: the program's own coordinator over
-// a network, disks and processes that fail on command, with requests to backends that its
-// permissions are checked against. Equal seeds give equal runs.
+// A simulation of proxies that coordinate the maintenance of machines, in simulated time. It runs
+// the production coordinator over a network, disks and processes with injected faults, and sends
+// requests to backends to check the dispatch permissions that the coordinator grants. Equal seeds
+// give equal runs.
 #pragma once
 
 #include <cstdint>
@@ -19,14 +20,14 @@
 
 namespace beechhill::emulator {
 
-/// Faults of the proxies' own, put in to see that the invariants find them.
+/// Bugs that are deliberately added to the proxies to test that the invariants detect them.
 enum class SeededBug {
   kNone,
-  /// A lease is taken for four times as long as it is.
+  /// Proxies assume that a lease lasts several times as long as it does.
   kLongLease,
-  /// A drain is confirmed with requests in flight.
+  /// Proxies confirm a drain while they still have requests in flight.
   kConfirmsBusy,
-  /// Announced machines are used without a lease.
+  /// Proxies send requests to announced machines without a lease.
   kNoLease,
 };
 
@@ -36,17 +37,18 @@
   std::uint32_t backends = 12;
   std::uint32_t zones = 2;
   std::uint64_t seed = 1;
-  /// Probabilities that a datagram is lost, and that it arrives twice.
+  /// Probabilities that a datagram is lost, and that it is duplicated.
   double loss = 0;
   double duplication = 0;
-  /// One way; up to as much again is drawn for each datagram, so that they overtake each other.
+  /// Minimum one-way delay. Each datagram gets up to the same amount in addition, so that datagrams
+  /// are reordered.
   Duration delay{2'000};
-  /// Until an appended record is durable.
+  /// Time until an appended record is durable.
   Duration disk_delay{0};
   Duration request_duration{300'000};
-  /// Requests per second of each proxy.
+  /// Requests per second that each proxy sends.
   double calls_per_s = 20;
-  /// Operators' work on one machine, and its slow start after that.
+  /// Duration of an operator's work on one machine, and of the machine's slow start afterwards.
   Duration work{1'500'000};
   Duration warm{1'000'000};
   Duration isolation_timeout{0};
@@ -56,7 +58,7 @@
   SeededBug bug = SeededBug::kNone;
 };
 
-/// Proxies are numbered from 0, the voters first.
+/// Proxies are numbered from 0. The voters have the lowest numbers.
 class MaintenanceSimulation {
  public:
   explicit MaintenanceSimulation(const MaintenanceSimulationSpec& spec);
@@ -68,13 +70,15 @@
   Time now() const { return now_; }
   std::size_t size() const { return proxies_.size(); }
 
-  /// An operator's command to that proxy; lost where it does not run.
+  /// Sends an operator's command to the proxy. The command is lost if the proxy is not running.
   void order(std::size_t proxy, maintenance::Command command);
-  /// The running proxy that takes itself for the leader, the one with the latest state if several.
+  /// The running proxy that considers itself the leader. If there are several, the one that has
+  /// applied the most of the log.
   std::optional<std::size_t> leader() const;
-  /// Whether all voters run and vote: one of them may lose its storage then.
+  /// Whether all voters are running and can vote, so that one of them may lose its storage without
+  /// loss of the quorum.
   bool has_all_voters() const;
-  /// Of a proxy that is not killed.
+  /// The coordinator of a proxy. The proxy must not have been killed.
   const maintenance::MaintenanceCoordinator& coordinator(std::size_t proxy) const {
     return *proxies_[proxy].coordinator;
   }
@@ -85,26 +89,27 @@
   // ---- Faults
 
   void kill(std::size_t proxy);
-  /// Starts a process, in place of the one that runs if any.
+  /// Starts a new process of the proxy and ends the present one, if any.
   void start(std::size_t proxy);
   void suspend(std::size_t proxy);
   void resume(std::size_t proxy);
-  /// Loses its disk. It must not run.
+  /// Deletes the proxy's storage. The proxy must not be running.
   void wipe_storage(std::size_t proxy);
   void copy_storage(std::size_t proxy);
-  /// Brings back the last copy. It must not run.
+  /// Restores the last copy of the proxy's storage. The proxy must not be running.
   void restore_storage(std::size_t proxy);
   void fail_storage(std::size_t proxy);
-  /// Lets only datagrams through for which `passes` is true; none for all.
+  /// Sets the filter of links: only datagrams for which `passes` returns true are delivered. An
+  /// empty function lets all pass.
   void set_link_filter(std::function<bool(std::size_t from, std::size_t to)> passes) {
     link_filter_ = std::move(passes);
   }
   void shift_clock(std::size_t proxy, maintenance::Seconds by) {
     proxies_[proxy].clock_shift += by;
   }
-  /// Crashes a backend that is not in work, or starts it again.
+  /// Crashes a backend, or starts it again. Has no effect on a backend that is worked on.
   void set_backend_down(std::size_t backend, bool down);
-  /// Whether operators end their work on machines that are out.
+  /// Sets whether operators complete their work on machines that are out of service.
   void pause_operators() { operators_working_ = false; }
   void resume_operators() { operators_working_ = true; }
 
@@ -112,14 +117,14 @@
 
   using Verdict = MaintenanceVerdict;
   const Verdict& verdict() const { return invariants_.verdict(); }
-  /// Workflows that came to their end.
+  /// Number of maintenance works that operators have completed.
   std::size_t taken_out() const { return completed_works_; }
   std::uint64_t calls() const { return requests_sent_; }
-  /// Requests that were not sent for want of a permission.
+  /// Number of requests that were not sent because no backend was permitted.
   std::uint64_t calls_kept_back() const { return requests_withheld_; }
   std::vector<std::string> open_requests() const;
-  /// Open requests without a reason for their waiting.
-  std::vector<std::string> silent_requests() const;
+  /// Ids of open maintenance requests for which the planner gives no reason why they wait.
+  std::vector<std::string> unexplained_requests() const;
 
  private:
   struct PendingSync {
@@ -135,7 +140,7 @@
   struct Proxy {
     std::unique_ptr<maintenance::MemoryRaftStorage> storage;
     std::unique_ptr<maintenance::MemoryRaftStorage> storage_copy;
-    /// Refers to the storage.
+    /// Holds a pointer to `storage`.
     std::unique_ptr<maintenance::MaintenanceCoordinator> coordinator;
     std::uint32_t generation = 1;
     std::uint32_t copy_generation = 1;
@@ -145,10 +150,10 @@
     double next_request_s = 0;
     maintenance::Seconds clock_shift = 0;
     std::map<std::string, Time> excluded_since;
-    /// Ends of the requests in flight, by machine.
+    /// End times of the requests in flight, by machine.
     std::map<std::string, std::deque<Time>> in_flight;
     std::deque<PendingSync> syncs;
-    /// Arrived while it was suspended.
+    /// Datagrams that arrived while the proxy was suspended.
     std::vector<Datagram> socket_buffer;
 
     bool has_in_flight(const std::string& machine) const;
@@ -159,11 +164,11 @@
     bool in_work = false;
     bool down = false;
     Time work_ends_at{0};
-    /// When an operator saw it as out.
+    /// Time at which an operator saw that the machine was out of service.
     std::optional<Time> out_since;
     std::string request;
     maintenance::FencingToken fencing_token = 0;
-    /// Operators repeat the command until it is applied.
+    /// Time of the next completion command. Operators repeat it until it has been applied.
     Time next_done_command = Time::max();
   };
 
@@ -205,19 +210,19 @@
   std::uint64_t requests_withheld_ = 0;
 };
 
-/// Of one plan of faults.
+/// The result of one fault plan.
 struct MaintenanceRun {
   MaintenanceSimulation::Verdict verdict;
   std::size_t taken_out = 0;
   std::size_t backends = 0;
-  /// Requests at its end: open ones, and those among them without a reason.
+  /// Maintenance requests that were open at the end, and those among them without a stated reason.
   std::vector<std::string> silent;
   std::vector<std::string> open;
-  /// The faults, a line each.
+  /// The injected faults, one per line.
   std::string plan;
 };
-/// Draws a cluster and a plan of faults from the seed, and plays them against requests to take all
-/// backends out once.
+/// Draws a cluster and a fault plan from the seed, and runs them with maintenance requests that
+/// take every backend out of service once.
 MaintenanceRun run_drawn_maintenance(std::uint64_t seed, std::uint32_t max_followers);
 
 }  // namespace beechhill::emulator
