--- a/src/emulator/backend_fleet.cpp
+++ b/src/emulator/backend_fleet.cpp
@@ -10,13 +10,14 @@
 namespace beechhill::emulator {
 namespace {
 
-// Seconds: the wait at a backend that is of no use.
-constexpr double kUselessWait = 1e9;
-// A backend that a fault makes fail more than this share is of no use to the oracle.
-constexpr double kUselessErrorRate = 0.1;
-// A job that fails by itself or by a fault fails this fast.
+// The wait in seconds that the oracle policy sees for a backend that cannot serve requests.
+constexpr double kUnavailableWaitS = 1e9;
+// The oracle policy treats a backend as unable to serve if a fault makes more than this share of
+// its jobs fail.
+constexpr double kUnavailableErrorRate = 0.1;
+// Processing time of a job that fails because of an error.
 constexpr Duration kErrorTime{500};
-// Random streams of the model and of its host must differ for one backend.
+// For one backend, the random stream of its host must differ from that of its model.
 constexpr std::uint64_t kHostStreamOffset = 1ULL << 32;
 constexpr unsigned kTierShift = 24;
 
@@ -40,7 +41,7 @@
   BackendState& backend = backends_[tier].back();
   backend.endpoint.id = id;
   backend.endpoint.cell = id / spec.cell_size;
-  // A cell stands in one zone.
+  // All backends of a cell are in the same zone.
   backend.endpoint.zone = backend.endpoint.cell % spec.zones;
   backend.endpoint.started_at = started_at;
   backend.warming_up = started_at.has_value();
@@ -62,20 +63,20 @@
 
 double BackendFleet::wait_s(Time now, std::uint32_t tier, EndpointId endpoint) const {
   const BackendState& backend = backends_[tier][endpoint];
-  if (backend.mode != BackendMode::kUp || backend.error_rate > kUselessErrorRate) {
-    return kUselessWait;
+  if (backend.mode != BackendMode::kUp || backend.error_rate > kUnavailableErrorRate) {
+    return kUnavailableWaitS;
   }
   const TierSpec& spec = sim_.scenario.tiers[tier];
-  if (backend.model.in_hand() >= static_cast<std::size_t>(spec.slots) + spec.room) {
-    return kUselessWait;
+  if (backend.model.job_count() >= static_cast<std::size_t>(spec.slots) + spec.room) {
+    return kUnavailableWaitS;
   }
-  const double coming = backend.inbound_work_s + mean_work_s_ * spec.work;
-  return backend.model.backlog_s(now) + coming / backend.model.capacity(now);
+  const double inbound_work_s = backend.inbound_work_s + mean_work_s_ * spec.work;
+  return backend.model.backlog_s(now) + inbound_work_s / backend.model.capacity(now);
 }
 
-bool BackendFleet::spares(Time now, std::uint32_t tier, EndpointId endpoint) const {
+bool BackendFleet::has_headroom(Time now, std::uint32_t tier, EndpointId endpoint) const {
   const Node& model = backends_[tier][endpoint].model;
-  return !model.cold(now) || model.in_hand() < sim_.scenario.tiers[tier].cores;
+  return !model.cold(now) || model.job_count() < sim_.scenario.tiers[tier].cores;
 }
 
 void BackendFleet::stop(std::uint32_t tier, EndpointId endpoint, bool silent) {
@@ -153,7 +154,7 @@
   job->cancelled = true;
   std::vector<Start> starts;
   if (job->at_backend && sim_.scenario.tiers[job->tier].drops_cancelled_jobs &&
-      backend_of(*job).model.withdraw(sim_.now, id, starts)) {
+      backend_of(*job).model.remove_queued(sim_.now, id, starts)) {
     detach_from_backend(id);
     jobs_.remove(id);
     schedule_phases(starts);
@@ -202,7 +203,7 @@
   schedule_phases(starts);
 }
 
-// Whether this job is the one too many for a backend that is still cold.
+// Whether this job makes a cold backend collapse.
 bool BackendFleet::overloads_cold_backend(const BackendJob& job) {
   BackendState& backend = backend_of(job);
   if (!backend.model.cold(sim_.now)) {
@@ -222,7 +223,7 @@
 void BackendFleet::on_phase_done(JobId id) {
   BackendJob* found = jobs_.find(id);
   if (!found) {
-    // Lost with its backend.
+    // The job was lost when its backend stopped.
     return;
   }
   BackendJob& job = *found;
@@ -309,7 +310,7 @@
   job.at_backend = false;
 }
 
-// Puts an answer on its way back to the proxy.
+// Schedules the delivery of a response to the proxy.
 void BackendFleet::respond(JobId id, Result result) {
   BackendJob& job = *jobs_.find(id);
   ProxyState& proxy = sim_.proxies[job.proxy];
@@ -335,7 +336,7 @@
       jobs_.remove(id);
       continue;
     }
-    // The response has a new id, so that what is still scheduled for the old one is void.
+    // The response gets a new id, so that events scheduled for the old one are ignored.
     BackendJob response = job;
     response.result = Result::kReset;
     response.report = {};
@@ -356,7 +357,7 @@
   double backends_up = 0;
   for (std::size_t tier = 0; tier < backends_.size(); ++tier) {
     for (BackendState& backend : backends_[tier]) {
-      backend.model.settle(sim_.now);
+      backend.model.update_totals(sim_.now);
       busy += backend.model.busy_core_s();
       second.waiting += backend.model.waiting();
       if (tier > 0 || backend.mode != BackendMode::kUp ||
@@ -364,14 +365,14 @@
         continue;
       }
       const double load =
-          static_cast<double>(backend.model.in_hand()) / backend.model.capacity(sim_.now);
+          static_cast<double>(backend.model.job_count()) / backend.model.capacity(sim_.now);
       max_load = std::max(max_load, load);
       load_sum += load;
       backends_up += 1;
     }
   }
   second.load_max_over_mean = load_sum > 0 ? max_load * backends_up / load_sum : 1;
-  // In core-seconds for now; summarize() turns it into a share of the cores.
+  // Stored in core-seconds here; summarize() converts it to a share of the cores.
   second.busy = busy - busy_until_last_second_;
   busy_until_last_second_ = busy;
 }
@@ -409,12 +410,12 @@
   std::uint64_t started = 0;
   std::uint64_t max_waiting = 0;
   for (BackendState& backend : backends_[tier]) {
-    backend.model.settle(sim_.now);
+    backend.model.update_totals(sim_.now);
     busy += backend.model.busy_core_s();
-    waited += backend.model.waited_s();
-    present += backend.model.present_s();
+    waited += backend.model.total_wait_s();
+    present += backend.model.total_job_seconds();
     started += backend.model.started();
-    max_waiting = std::max<std::uint64_t>(max_waiting, backend.model.most_waiting());
+    max_waiting = std::max<std::uint64_t>(max_waiting, backend.model.max_waiting());
     max_busy = std::max(max_busy, backend.model.busy_core_s());
   }
   const auto backends = static_cast<double>(backends_[tier].size());
--- a/src/emulator/backend_fleet.h
+++ b/src/emulator/backend_fleet.h
@@ -1,4 +1,4 @@
-/// The backends of all tiers and the jobs on them. Each backend of a tier calls the next tier
+/// The backends of all tiers and the jobs that they process. Each backend calls the next tier
 /// through a proxy of its own.
 #pragma once
 
@@ -20,7 +20,7 @@
 
 namespace beechhill::emulator {
 
-/// An attempt at its backend, or on the way there or back.
+/// An attempt that is being processed by a backend, or is in transit to or from it.
 struct BackendJob {
   std::uint32_t tier = 0;
   std::uint32_t proxy = 0;
@@ -30,20 +30,21 @@
   ClassId class_id = 0;
   TenantId tenant = kNoTenant;
   Time deadline{0};
-  /// Core-seconds at speed 1 of the whole operation, over all tiers.
+  /// Work of the whole operation over all tiers, in core-seconds at speed 1.
   double work_s = 0;
-  /// Core-seconds at speed 1 before and after its calls to the next tier.
+  /// Work before and after the calls to the next tier, in core-seconds at speed 1.
   double first_phase_s = 0;
   double second_phase_s = 0;
-  /// What of the first phase goes into a new connection.
+  /// The part of the first phase that is spent on opening a new connection, in core-seconds.
   double handshake_s = 0;
-  /// Core-seconds done for it here, and by what answered it below.
+  /// Work done for the job, in core-seconds: at this backend, and in the tiers below for successful
+  /// calls.
   double useful_work_s = 0;
   std::uint32_t downstream_calls_left = 0;
   bool at_backend = false;
   bool cancelled = false;
   bool in_second_phase = false;
-  /// Its place in BackendState::jobs.
+  /// Index in BackendState::jobs.
   std::size_t index_in_backend = 0;
   Result result = Result::kOk;
   LoadReport report;
@@ -51,9 +52,9 @@
 
 enum class BackendMode {
   kUp,
-  /// It takes connections from nobody and answers nothing.
+  /// Does not accept connections and does not answer.
   kSilent,
-  /// Connections to it are refused.
+  /// Refuses connections.
   kDown,
 };
 
@@ -63,52 +64,55 @@
 
   Node model;
   Stream random;
-  /// What discovery is to say of it.
+  /// The state that discovery is to publish for the backend.
   Endpoint endpoint;
   BackendMode mode = BackendMode::kUp;
-  /// Share of its jobs that a fault makes fail.
+  /// Share of the jobs that fail because of a fault, from 0 to 1.
   double error_rate = 0;
-  /// By how much a fault makes its load reports later.
+  /// Delay that a fault adds to the load reports.
   Duration report_delay{0};
-  /// Core-seconds at speed 1 on their way to it.
+  /// Work in transit to the backend, in core-seconds at speed 1.
   double inbound_work_s = 0;
   std::uint64_t connections_this_second = 0;
   std::uint64_t attempts_this_second = 0;
-  /// The proxy through which it calls the next tier, where there is one.
+  /// Index of the proxy through which the backend calls the next tier, if there is a next tier.
   std::uint32_t downstream_proxy = 0;
   bool warming_up = false;
   std::vector<JobId> jobs;
 };
 
-/// Owns backends and jobs, and knows their true state for the oracle policy.
+/// Owns backends and jobs, and provides their true state to the oracle policy.
 class BackendFleet : public TrueBackendState {
  public:
   explicit BackendFleet(Simulation& sim);
 
   double wait_s(Time now, std::uint32_t tier, EndpointId endpoint) const override;
-  bool spares(Time now, std::uint32_t tier, EndpointId endpoint) const override;
+  bool has_headroom(Time now, std::uint32_t tier, EndpointId endpoint) const override;
 
-  /// Adds a backend; `started_at` where it has started within the run and is still cold.
+  /// Adds a backend. `started_at` is set if it starts during the run, and is therefore cold.
   EndpointId add(std::uint32_t tier, std::optional<Time> started_at);
   BackendState& at(std::uint32_t tier, EndpointId endpoint) { return backends_[tier][endpoint]; }
   std::deque<BackendState>& in_tier(std::uint32_t tier) { return backends_[tier]; }
-  /// All that discovery lists now.
+  /// The endpoints that discovery lists at present.
   std::vector<Endpoint> listed_endpoints(std::uint32_t tier) const;
 
-  /// Its process ends, and what it has is lost; silent: without a reset of its connections.
+  /// Stops the backend's process and discards its jobs. With `silent`, connections are not reset
+  /// and callers get no error.
   void stop(std::uint32_t tier, EndpointId endpoint, bool silent);
-  /// Starts it again, cold, unless it has been removed for good.
+  /// Starts the backend again as cold, unless it has been permanently removed.
   void restart(std::uint32_t tier, EndpointId endpoint);
-  /// Stops it for good and takes it off discovery's list.
+  /// Stops the backend permanently and removes it from the endpoint list of discovery.
   void remove(std::uint32_t tier, EndpointId endpoint);
 
-  /// The job of an attempt that its proxy is about to send; draws its calls to the next tier.
+  /// Creates the job for an attempt that a proxy is about to send, and draws the number of its
+  /// calls to the next tier.
   BackendJob make_job(const ProxyState& proxy, const ProxyRequest& request, const AttemptId& id);
   JobId add_job(const BackendJob& job) { return jobs_.add(job); }
-  /// Null where the job is over. Valid until the next add_job().
+  /// Returns null if the job is over. The pointer is valid until the next add_job().
   BackendJob* find_job(JobId id) { return jobs_.find(id); }
   void remove_job(JobId id) { jobs_.remove(id); }
-  /// The proxy no longer wants the answer. What waits for a core is dropped where the tier does so.
+  /// Marks the job as cancelled by its proxy. If it is still queued for a slot or core, it is
+  /// dropped in tiers that drop cancelled jobs.
   void cancel(JobId id);
 
   void on_job_arrived(JobId id);
@@ -116,9 +120,9 @@
   void on_downstream_call_due(JobId id);
   void on_downstream_answer(JobId id, bool succeeded, double useful_work_s);
 
-  /// Closes a second of the time series.
+  /// Records the values of one second of the time series at its end.
   void record_second(std::size_t second);
-  /// Writes the totals of each tier into the metrics, at the end of the run.
+  /// Writes the totals of each tier to the metrics. Must be called at the end of the run.
   void summarize();
 
  private:
@@ -133,12 +137,12 @@
   Json::Value summary_of(std::uint32_t tier);
 
   Simulation& sim_;
-  // By tier.
+  // Indexed by tier.
   std::vector<std::deque<BackendState>> backends_;
   Slab<BackendJob> jobs_;
-  // Core-seconds at speed 1 of the mean request, over all tiers.
+  // Work of the mean request over all tiers, in core-seconds at speed 1.
   double mean_work_s_ = 0;
-  // Core-seconds of all backends, up to the last closed second.
+  // Core-seconds that all backends were busy until the last recorded second.
   double busy_until_last_second_ = 0;
 };
 
--- a/src/emulator/client_population.cpp
+++ b/src/emulator/client_population.cpp
@@ -91,20 +91,21 @@
   if (!proxy.paused) {
     return sim_.requests.open(std::move(request));
   }
-  // In the socket of a process that does not read: its client may leave before it is read.
+  // The process does not read its socket, and the client may disconnect before the request is read.
   operation.unread = true;
   sim_.events.schedule(request.deadline, ClientTimeout{id, operation.attempts});
   proxy.unread_requests.push_back(std::move(request));
 }
 
-// Keeps the connection where its proxy takes requests, else opens it anew at another proxy. False
-// where it ends at one that does not take requests.
+// Keeps the connection if its proxy accepts requests, otherwise opens it to a proxy drawn at
+// random. Returns false if that proxy does not accept requests.
 bool ClientPopulation::connect(std::uint32_t connection) {
   std::uint32_t& current = connections_[connection];
   if (sim_.proxies[current].accepts_requests()) {
     return true;
   }
-  // The front knows a dead proxy only after a while; until then a new connection may meet it again.
+  // The front-end detects a dead proxy only after proxy_notice. Until then, new connections can be
+  // routed to it.
   std::vector<std::uint32_t> offered;
   for (const std::uint32_t index : sim_.proxies.in_tier(0)) {
     const ProxyState& proxy = sim_.proxies[index];
@@ -158,7 +159,7 @@
       {operation->class_id, operation->attempts, rejected, unreachable, result.retry_after},
       random_);
   if (wait && unanswered) {
-    // A connection that is refused or reset takes its time too.
+    // A connection that is refused or reset takes one network delay.
     wait = std::max(*wait, sim_.scenario.network);
   }
   if (!wait || sim_.now + *wait >= operation->deadline) {
--- a/src/emulator/client_population.h
+++ b/src/emulator/client_population.h
@@ -1,5 +1,5 @@
-/// The clients of an emulated deployment: their operations, their attempts at proxies, and the
-/// connections over which they send.
+/// The clients of an emulated deployment: their operations, their attempts at proxies, and their
+/// connections.
 #pragma once
 
 #include <cstdint>
@@ -15,46 +15,46 @@
 
 struct Simulation;
 
-/// How a client's attempt at a proxy ended.
+/// Result of a client's attempt at a proxy.
 enum class ClientOutcome {
   kSucceeded,
-  /// The proxy says that it has not run, so that it may be repeated.
+  /// The proxy states that the request was not executed, so that a retry is safe.
   kRejected,
   kFailed,
-  /// The proxy died or did not read it in time: no answer.
+  /// The client got no answer: the proxy died or did not read the request in time.
   kConnectionLost,
-  /// No proxy took it.
+  /// No proxy accepted the connection.
   kUnreachable,
 };
 
 struct ClientAttemptResult {
   ClientOutcome outcome = ClientOutcome::kFailed;
-  /// Of a rejection; 0: none given.
+  /// Retry-After of a rejection; 0: not given.
   Duration retry_after{0};
-  /// Core-seconds at speed 1 that went into a success.
+  /// Work that contributed to a successful answer, in core-seconds at speed 1.
   double useful_work_s = 0;
 };
 
-/// Owns the operations in progress, the arrivals, and which proxy each client connection leads to.
+/// Owns the operations in progress, the arrivals, and the mapping of client connections to proxies.
 class ClientPopulation {
  public:
   explicit ClientPopulation(Simulation& sim);
 
-  /// Deals the connections out to the proxies of the first tier, which must exist.
+  /// Distributes the connections over the proxies of the first tier, which must already exist.
   void assign_connections();
-  /// A proxy is back: moves an even part of the connections to it.
+  /// Moves an even share of the connections to a proxy that has been restarted.
   void rebalance_to(std::uint32_t proxy);
 
   void schedule_next_arrival();
   void on_arrival();
   void on_retry_due(OperationId id);
-  /// The client gives up an attempt that its proxy, being paused, has not read.
+  /// Ends an attempt whose client has timed out while its paused proxy had not read the request.
   void on_timeout(OperationId id, std::uint32_t attempt);
 
-  /// Whether the operation's latest attempt is at a paused proxy, unread.
+  /// Whether the operation's latest attempt is at a paused proxy that has not read it.
   bool waits_unread(OperationId id);
   void mark_read(OperationId id);
-  /// Ends an attempt: the operation is over, or its client tries again later.
+  /// Ends an attempt: completes the operation or schedules a retry.
   void end_attempt(OperationId id, const ClientAttemptResult& result);
 
  private:
@@ -67,9 +67,9 @@
     double weight = 0;
     std::uint32_t attempts = 0;
     std::uint32_t connection = 0;
-    // Whether the latest attempt was rejected rather than failed.
+    // Whether the latest attempt was rejected, as opposed to failed.
     bool rejected = false;
-    // Whether the latest attempt is at a paused proxy, unread.
+    // Whether the latest attempt is at a paused proxy that has not read it.
     bool unread = false;
   };
 
@@ -81,7 +81,7 @@
   Arrivals arrivals_;
   std::optional<Arrival> next_arrival_;
   Stream random_;
-  // By connection: the proxy that it leads to.
+  // The index of the proxy that each connection leads to, indexed by connection.
   std::vector<std::uint32_t> connections_;
   Slab<ClientOperation> operations_;
 };
--- a/src/emulator/clients.cpp
+++ b/src/emulator/clients.cpp
@@ -6,8 +6,8 @@
 namespace beechhill::emulator {
 namespace {
 
-// Clients that failed together spread out: a backoff is drawn from half to one and a half of its
-// nominal length, and what Retry-After says is exceeded by up to a fifth.
+// Jitter spreads the retries of clients that failed at the same time: a backoff is drawn from 0.5
+// to 1.5 times its nominal length, and a Retry-After is exceeded by up to 20 %.
 constexpr double kMinBackoffJitter = 0.5;
 constexpr double kRetryAfterJitter = 0.2;
 
@@ -15,18 +15,18 @@
   return t >= fault.at && t < fault.at + fault.length;
 }
 
-// The index of one of `count` things, each drawn in proportion to its weight.
+// Draws an index below `count`, with probabilities in proportion to `weight`.
 template <typename Weight>
 std::uint32_t draw_weighted(std::size_t count, Stream& random, const Weight& weight) {
-  double left = 0;
+  double remaining = 0;
   for (std::uint32_t i = 0; i < count; ++i) {
-    left += weight(i);
+    remaining += weight(i);
   }
-  left *= random.uniform();
+  remaining *= random.uniform();
   std::uint32_t chosen = 0;
   while (chosen + 1 < count) {
-    left -= weight(chosen);
-    if (left < 0) {
+    remaining -= weight(chosen);
+    if (remaining < 0) {
       break;
     }
     ++chosen;
@@ -102,19 +102,19 @@
     }
   }
   if (!scenario_.tenants.empty()) {
-    double usual = 0;
-    double present = 0;
+    double nominal = 0;
+    double current = 0;
     for (std::size_t i = 0; i < scenario_.tenants.size(); ++i) {
-      usual += scenario_.tenants[i].part;
-      present += tenant_weight(i, t);
+      nominal += scenario_.tenants[i].part;
+      current += tenant_weight(i, t);
     }
-    rate *= present / usual;
+    rate *= current / nominal;
   }
   return rate;
 }
 
-// Thinning (Lewis and Shedler, 1979): times drawn at the highest rate, kept in proportion to the
-// present one.
+// Thinning (Lewis and Shedler, 1979): draws times at the maximum rate, and keeps each with the
+// probability that the present rate bears to the maximum.
 std::optional<Arrival> Arrivals::next() {
   do {
     now_ += std::max(Duration{1}, to_duration(random_.exponential(1 / max_rate_)));
@@ -190,11 +190,11 @@
   return Duration{0};
 }
 
-void rebalance_connections(std::vector<std::uint32_t>& homes, std::uint32_t proxy,
+void rebalance_connections(std::vector<std::uint32_t>& proxy_of_connection, std::uint32_t proxy,
                            std::size_t alive, Stream& random) {
-  for (std::uint32_t& home : homes) {
-    if (home != proxy && random.below(std::max<std::size_t>(1, alive)) == 0) {
-      home = proxy;
+  for (std::uint32_t& connection_proxy : proxy_of_connection) {
+    if (connection_proxy != proxy && random.below(std::max<std::size_t>(1, alive)) == 0) {
+      connection_proxy = proxy;
     }
   }
 }
--- a/src/emulator/clients.h
+++ b/src/emulator/clients.h
@@ -1,5 +1,6 @@
-/// The clients' behaviour: when requests arrive, what they ask for, and what a client does when an
-/// attempt has failed. No clock and no I/O; the emulator and the load test on sockets both use it.
+/// The behaviour of clients: when requests arrive, their properties, and retries of failed
+/// attempts. Has no clock and does no I/O; shared by the emulator and the load test, which uses
+/// real sockets.
 #pragma once
 
 #include <cstdint>
@@ -11,30 +12,29 @@
 
 namespace beechhill::emulator {
 
-/// A client's request, before its first attempt.
+/// A client's request before its first attempt.
 struct Arrival {
   Time at{0};
-  /// Its class.
   ClassId c = 0;
   TenantId tenant = kNoTenant;
-  /// Over all tiers, on a core of speed 1.
+  /// Work over all tiers, in core-seconds at speed 1.
   double work_s = 0;
-  /// Its priority weight; reduced where its tenant is over its quota.
+  /// The class's priority weight, reduced if the tenant exceeds its quota.
   double worth = 0;
   std::uint32_t connection = 0;
 };
 
-/// An open loop: arrivals do not wait for answers, and are the same for every policy. A Poisson
-/// process with a rate that varies over time.
+/// Generates arrivals in an open loop: they do not depend on answers, and are the same for every
+/// policy. They form a Poisson process with a rate that varies over time.
 class Arrivals {
  public:
-  /// `scenario` must outlive it.
+  /// `scenario` must outlive this object.
   explicit Arrivals(const Scenario& scenario);
-  /// Nothing once the scenario's length is over.
+  /// Returns the next arrival, or nothing at the end of the scenario.
   std::optional<Arrival> next();
 
  private:
-  /// A tenant's quota, as a token bucket that holds one second's worth.
+  /// A tenant's quota as a token bucket. Its capacity is one second of the quota.
   struct QuotaBucket {
     double rate_per_s = 0;
     double tokens = 0;
@@ -46,7 +46,8 @@
   double tenant_weight(std::size_t tenant, Time t) const;
   TenantId draw_tenant();
   double draw_work(const ClassSpec& request_class);
-  /// Takes a token where the quota has one.
+  /// Takes a token if the tenant's bucket holds one; returns whether it did. Tenants without a
+  /// quota are always within it.
   bool within_quota(TenantId tenant);
 
   const Scenario& scenario_;
@@ -54,32 +55,33 @@
   Time now_{0};
   double mean_rate_ = 0;
   double max_rate_ = 0;
-  // By tenant.
+  // Indexed by tenant.
   std::vector<QuotaBucket> quotas_;
 };
 
-/// An attempt that did not succeed, as its client sees it.
+/// An attempt without success, as its client sees it.
 struct FailedAttempt {
   ClassId class_id = 0;
-  /// Of the request so far.
+  /// Number of attempts of the request so far.
   std::uint32_t attempts = 1;
   bool rejected = false;
   bool unreachable = false;
-  /// Of a rejection; 0: none given.
+  /// Retry-After of a rejection; 0: not given.
   Duration retry_after{0};
 };
 
-/// How long the client waits before it tries again; nothing where it does not, because it never
-/// does, has done so often enough, or the effect may be there already.
+/// Returns how long the client waits before its next attempt, or nothing if it does not retry:
+/// because its policy forbids it, the retries are used up, or a repetition could execute a request
+/// twice.
 std::optional<Duration> wait_before_retry(const Scenario& scenario, const FailedAttempt& failed,
                                           Stream& random);
 
-/// A proxy is back: each connection moves to it with the chance that makes its share an even one
-/// among `alive` proxies. `homes`: by connection, the proxy that it leads to.
-void rebalance_connections(std::vector<std::uint32_t>& homes, std::uint32_t proxy,
+/// Moves each connection to a restarted proxy with probability 1 / `alive`, the number of proxies
+/// that serve. `proxy_of_connection` holds the index of each connection's proxy.
+void rebalance_connections(std::vector<std::uint32_t>& proxy_of_connection, std::uint32_t proxy,
                            std::size_t alive, Stream& random);
 
-/// How long a client waits for the answer to one attempt.
+/// Draws how long a client waits for the answer to one attempt.
 Duration draw_attempt_timeout(const Scenario& scenario, ClassId class_id, Stream& random);
 
 }  // namespace beechhill::emulator
--- a/src/emulator/discovery_feed.h
+++ b/src/emulator/discovery_feed.h
@@ -1,4 +1,5 @@
-/// What discovery knows of the backends, and when each proxy hears of it.
+/// The discovery service of the emulated deployment: the state of the backends that it publishes,
+/// and when each proxy receives it.
 #pragma once
 
 #include <cstddef>
@@ -13,20 +14,23 @@
 
 struct Simulation;
 
-/// Owns the updates sent to proxies, the history of changes, and how stale the list is made.
+/// Owns the updates sent to the proxies, the history of backend changes, and the extra delay that a
+/// stale-list fault adds.
 class DiscoveryFeed {
  public:
   explicit DiscoveryFeed(Simulation& sim);
 
-  /// Sends a backend's new state to every proxy of its tier, in order, after the scenario's lag and
-  /// `extra_delay`.
+  /// Sends a backend's new state to every proxy of its tier. Updates reach each proxy in order,
+  /// after the scenario's discovery lag and `extra_delay`.
   void publish(std::uint32_t tier, const Endpoint& endpoint, Duration extra_delay = Duration{0});
-  /// An update reaches a proxy: the one of that number, or without one the full list as it is now.
-  /// Lost where a fault keeps discovery from the proxy; the full list makes up for it later.
+  /// Delivers an update to a proxy: the update with this number, or the present full list if there
+  /// is none. The update is lost during a fault of discovery for this proxy; the proxy gets the
+  /// full list when the fault ends.
   void deliver(std::uint32_t proxy, std::optional<std::size_t> update);
-  /// The list as it was: every backend as it last changed by then. O(backends + changes).
+  /// The endpoint list as of the time `at`: the latest change of each backend up to then.
+  /// O(backends + changes).
   std::vector<Endpoint> endpoints_at(std::uint32_t tier, Time at) const;
-  /// Added to the lag of every update from now on.
+  /// Sets the delay that is added to the lag of every update from now on.
   void set_staleness(Duration staleness) { staleness_ = staleness; }
 
  private:
--- a/src/emulator/event_queue.h
+++ b/src/emulator/event_queue.h
@@ -1,5 +1,5 @@
-/// The events of an emulated deployment, and the queue that orders them by time and, within one
-/// instant, by the order in which they were scheduled.
+/// The events of an emulated deployment, and a queue that orders them by time. Events of equal time
+/// keep the order in which they were scheduled.
 #pragma once
 
 #include <cstdint>
@@ -14,39 +14,39 @@
 
 namespace beechhill::emulator {
 
-/// A client's operation: its request with all its attempts. An id of a Slab.
+/// Identifies a client's operation, which is one request with all its attempts. An id of a Slab.
 using OperationId = std::uint64_t;
 
-/// One run of a proxy's process. An event for an earlier incarnation is void.
+/// One process of a proxy. Events that were scheduled for an earlier incarnation are ignored.
 struct ProxyIncarnation {
   std::uint32_t proxy = 0;
   std::uint64_t incarnation = 0;
 };
 
-/// The next operation arrives.
+/// The next operation arrives from the clients.
 struct ArrivalDue {};
-/// A client sends its operation again.
+/// A client retries its operation.
 struct ClientRetryDue {
   OperationId operation = 0;
 };
-/// The client of a paused proxy waits no longer for this attempt.
+/// The client of a paused proxy stops waiting for the answer to this attempt.
 struct ClientTimeout {
   OperationId operation = 0;
   std::uint32_t attempt = 0;
 };
-/// A job makes its next call to the tier below.
+/// A job sends its next call to the tier below.
 struct DownstreamCallDue {
   JobId job = 0;
 };
-/// The last byte of an attempt is at its backend.
+/// The last byte of an attempt has reached its backend.
 struct JobArrived {
   JobId job = 0;
 };
-/// A job's phase is over: its core is free again.
+/// A phase of a job has ended, and its core is free.
 struct JobPhaseDone {
   JobId job = 0;
 };
-/// An attempt's result is back at the proxy.
+/// The result of an attempt has reached the proxy.
 struct AttemptResponse {
   JobId job = 0;
 };
@@ -57,7 +57,7 @@
 struct RequestDeadline {
   RequestId request = 0;
 };
-/// The grace after a request's deadline is over too.
+/// The request's deadline and the grace period after it have passed.
 struct AnswerOverdue {
   RequestId request = 0;
 };
@@ -65,7 +65,8 @@
   ProxyIncarnation proxy;
   TimerToken token = 0;
 };
-/// A message of discovery reaches a proxy: one update by its number, or the full endpoint list.
+/// A discovery message reaches a proxy: the update with this number, or the full endpoint list if
+/// there is none.
 struct EndpointUpdateDelivered {
   ProxyIncarnation proxy;
   std::optional<std::size_t> update;
@@ -75,7 +76,7 @@
   EndpointId endpoint = 0;
   bool succeeded = false;
 };
-/// A proxy that was paused has the endpoint list anew, or has waited long enough for it.
+/// A proxy that was paused has received the full endpoint list, or has stopped waiting for it.
 struct ProxyResynced {
   ProxyIncarnation proxy;
   bool list_received = false;
@@ -86,17 +87,17 @@
 struct FaultEnds {
   std::size_t fault = 0;
 };
-/// A rolling replacement goes on with the next backend.
+/// A rolling replacement continues with the next backend.
 struct ReplacementDue {
   std::size_t fault = 0;
   EndpointId endpoint = 0;
 };
-/// A backend that was drained for good stops.
+/// A backend that was drained for permanent removal stops.
 struct DrainedBackendStops {
   std::uint32_t tier = 0;
   EndpointId endpoint = 0;
 };
-/// A second of the time series ends.
+/// One second of the time series ends.
 struct SecondEnds {
   std::size_t second = 0;
 };
@@ -117,14 +118,14 @@
   }
 };
 
-/// A binary heap: O(log n) to schedule and to pop.
+/// A binary heap: scheduling and popping take O(log n) time.
 class EventQueue {
  public:
   void schedule(Time at, const SimulationEvent& event) {
     heap_.push(ScheduledEvent{at, next_sequence_++, event});
   }
   bool empty() const { return heap_.empty(); }
-  /// The earliest event. The queue must not be empty.
+  /// Returns the earliest event. The queue must not be empty.
   const ScheduledEvent& top() const { return heap_.top(); }
   void pop() { heap_.pop(); }
 
--- a/src/emulator/fault_injector.cpp
+++ b/src/emulator/fault_injector.cpp
@@ -7,7 +7,7 @@
 namespace beechhill::emulator {
 namespace {
 
-// Of the proxies, the first ones, are on the affected side of a link fault.
+// Share of the proxies, counted from the first, that are on the affected side of a link fault.
 constexpr double kAffectedProxyShare = 0.5;
 
 }  // namespace
@@ -49,7 +49,7 @@
   end_backend_fault(fault);
 }
 
-// Draws among the backends of its tier that are listed as up when the fault begins.
+// Draws among the backends of the fault's tier that are listed as up when the fault begins.
 void FaultInjector::choose_backends(std::size_t fault) {
   std::vector<Endpoint> up;
   for (const BackendState& backend : sim_.backends.in_tier(sim_.scenario.faults[fault].tier)) {
@@ -109,7 +109,7 @@
     case FaultKind::kStaleList:
       return sim_.discovery.set_staleness(Duration{0});
     case FaultKind::kDrain:
-      // It has been away for maintenance, and starts again.
+      // After a drain the backends are out for maintenance and then start again.
       for (const EndpointId endpoint : affected_backends_[fault]) {
         sim_.backends.stop(spec.tier, endpoint, false);
         sim_.backends.restart(spec.tier, endpoint);
@@ -165,7 +165,7 @@
 void FaultInjector::begin_link_fault(std::size_t fault) {
   const FaultSpec& spec = sim_.scenario.faults[fault];
   LinkFault link_fault;
-  link_fault.fault = fault;
+  link_fault.fault_index = fault;
   link_fault.proxies.resize(sim_.proxies.size());
   link_fault.backends.resize(sim_.backends.in_tier(spec.tier).size());
   const std::vector<std::uint32_t>& proxies = sim_.proxies.in_tier(spec.tier);
@@ -225,7 +225,8 @@
   }
 }
 
-// The affected proxies that listen get the list as it was, and nothing more until the fault ends.
+// Sends an earlier endpoint list to the affected proxies that can receive it, and nothing more
+// until the fault ends.
 void FaultInjector::rewind_discovery(const FaultSpec& spec) {
   const Time rewound_to = sim_.now - sim_.scenario.list_lag - spec.delay;
   const std::vector<Endpoint> endpoints = sim_.discovery.endpoints_at(0, rewound_to);
@@ -253,16 +254,16 @@
   if (endpoint >= count) {
     return;
   }
-  BackendState& old = sim_.backends.at(spec.tier, endpoint);
-  if (old.endpoint.status == EndpointStatus::kUp) {
+  BackendState& replaced = sim_.backends.at(spec.tier, endpoint);
+  if (replaced.endpoint.status == EndpointStatus::kUp) {
     const EndpointId added = sim_.backends.add(spec.tier, sim_.now);
-    const BackendState& fresh = sim_.backends.at(spec.tier, added);
+    const BackendState& replacement = sim_.backends.at(spec.tier, added);
     if (spec.tier + 1 < scenario.tiers.size()) {
-      sim_.proxies.start(fresh.downstream_proxy);
+      sim_.proxies.start(replacement.downstream_proxy);
     }
-    sim_.discovery.publish(spec.tier, fresh.endpoint);
-    old.endpoint.status = EndpointStatus::kDraining;
-    sim_.discovery.publish(spec.tier, old.endpoint);
+    sim_.discovery.publish(spec.tier, replacement.endpoint);
+    replaced.endpoint.status = EndpointStatus::kDraining;
+    sim_.discovery.publish(spec.tier, replaced.endpoint);
     const Duration drained_after = scenario.list_lag + scenario.list_spread + scenario.drain_grace +
                                    longest_deadline(scenario);
     sim_.events.schedule(sim_.now + drained_after, DrainedBackendStops{spec.tier, endpoint});
--- a/src/emulator/fault_injector.h
+++ b/src/emulator/fault_injector.h
@@ -1,6 +1,6 @@
-/// The faults of a scenario: when they begin and end, and what they do to the parts of the
-/// deployment. Bursts are not among them: the arrivals know these. Faults of gossip have no effect,
-/// because emulated proxies do not gossip.
+/// Injects the faults of a scenario: schedules their beginnings and ends, and applies their effects
+/// to the parts of the deployment. Load bursts are not handled here; the generator of arrivals
+/// includes them. Gossip faults have no effect, because emulated proxies do not gossip.
 #pragma once
 
 #include <cstddef>
@@ -13,17 +13,19 @@
 
 struct Simulation;
 
-/// Owns which backends each fault affects. `fault` is always a fault's number in the scenario.
+/// Owns the list of backends that each fault affects. `fault` is always the index of a fault in the
+/// scenario.
 class FaultInjector {
  public:
   explicit FaultInjector(Simulation& sim);
 
-  /// Schedules the beginnings of all faults.
+  /// Schedules the beginning of every fault.
   void schedule();
   void begin(std::size_t fault);
   void end(std::size_t fault);
-  /// A rolling replacement: drains that backend and adds a new one for it, and schedules the next,
-  /// so that all are replaced within the fault's length.
+  /// Performs one step of a rolling replacement: drains the backend, adds a new one in its place,
+  /// and schedules the next step. The steps are spaced so that all backends are replaced within the
+  /// fault's length.
   void replace(std::size_t fault, EndpointId endpoint);
 
  private:
@@ -43,7 +45,7 @@
   std::vector<std::uint32_t> affected_proxies(const FaultSpec& spec) const;
 
   Simulation& sim_;
-  // By fault.
+  // Indexed by fault.
   std::vector<std::vector<EndpointId>> affected_backends_;
 };
 
--- a/src/emulator/metrics.cpp
+++ b/src/emulator/metrics.cpp
@@ -12,9 +12,9 @@
 constexpr double kMaxLatencyS = 1e3;
 constexpr std::chrono::milliseconds kBucketLength{100};
 constexpr std::size_t kBucketsPerSecond = 10;
-// Full service has to last for this many buckets.
+// Number of buckets for which full service must last.
 constexpr std::size_t kFullServiceBuckets = 50;
-// Of the control's goodput.
+// Share of the control's goodput that counts as full service.
 constexpr double kFullServiceShare = 0.98;
 
 Json::Value number(std::uint64_t n) {
@@ -43,7 +43,7 @@
 }
 
 void LatencyHistogram::add(Duration latency) {
-  // Just inside the last bin: the axis excludes its upper end.
+  // A value inside the last bin, because the axis excludes its upper edge.
   constexpr double kInsideLastBin = kMaxLatencyS * 0.999;
   ++count_;
   bins_(std::clamp(to_s(latency), kMinLatencyS, kInsideLastBin));
@@ -102,8 +102,8 @@
       buckets_(static_cast<std::size_t>(scenario.length / kBucketLength) + 1) {
 }
 
-bool Metrics::counted(Time first) const {
-  return first >= scenario_->warm_up && first < scenario_->length;
+bool Metrics::counted(Time arrived_at) const {
+  return arrived_at >= scenario_->warm_up && arrived_at < scenario_->length;
 }
 
 Second* Metrics::second_of(Time t) {
@@ -125,15 +125,15 @@
   }
 }
 
-void Metrics::asked(Time first, ClassId class_id, TenantId tenant, double worth) {
-  if (Second* second = second_of(first)) {
+void Metrics::asked(Time arrived_at, ClassId class_id, TenantId tenant, double worth) {
+  if (Second* second = second_of(arrived_at)) {
     second->asked += 1;
     second->worth_asked += worth;
   }
-  if (Bucket* bucket = bucket_of(first)) {
+  if (Bucket* bucket = bucket_of(arrived_at)) {
     bucket->worth_asked += worth;
   }
-  if (counted(first)) {
+  if (counted(arrived_at)) {
     update_counts(class_id, tenant, [worth](Count& count) {
       count.asked += 1;
       count.worth_asked += worth;
@@ -141,7 +141,7 @@
   }
 }
 
-void Metrics::ended(Time first, Duration took, ClassId class_id, TenantId tenant, double worth,
+void Metrics::ended(Time arrived_at, Duration took, ClassId class_id, TenantId tenant, double worth,
                     bool served, bool refused) {
   const ClassSettings& settings = scenario_->classes[class_id].settings;
   const bool in_time = served && took <= settings.latency_objective;
@@ -149,14 +149,14 @@
   if (served) {
     worth_served = in_time ? worth : worth * settings.late_priority_factor;
   }
-  if (Second* second = second_of(first)) {
+  if (Second* second = second_of(arrived_at)) {
     second->worth_served += worth_served;
     second->in_aim += in_time;
   }
-  if (Bucket* bucket = bucket_of(first)) {
+  if (Bucket* bucket = bucket_of(arrived_at)) {
     bucket->worth_served += worth_served;
   }
-  if (!counted(first)) {
+  if (!counted(arrived_at)) {
     return;
   }
   if (served) {
@@ -199,7 +199,7 @@
     return goodput_between(at, at + kOneSecond) >= goal;
   };
   const auto first = std::chrono::ceil<std::chrono::seconds>(from);
-  // One lucky second is no recovery.
+  // Three good seconds in a row are required, because a single one can occur by chance.
   for (auto at = first; at + 3 * kOneSecond <= until; at += kOneSecond) {
     if (is_good(at) && is_good(at + kOneSecond) && is_good(at + 2 * kOneSecond)) {
       return static_cast<double>((at - first).count());
@@ -208,7 +208,7 @@
   return -1;
 }
 
-// Over the whole second that begins with that bucket.
+// Compares the whole second that begins with the given bucket.
 bool Metrics::matches_control(const Metrics& control, std::size_t first_bucket) const {
   double served = 0;
   double expected = 0;
--- a/src/emulator/metrics.h
+++ b/src/emulator/metrics.h
@@ -1,5 +1,5 @@
-/// What a run is judged by: goodput, waste, latencies, and a time series by the second. The load
-/// test on sockets keeps the same.
+/// The metrics of a run: goodput, wasted work, latencies, and a time series with a resolution of
+/// one second. Shared by the emulator and the load test.
 #pragma once
 
 #include <json/json.h>
@@ -14,15 +14,17 @@
 
 namespace beechhill::emulator {
 
-/// Latencies from 10 us to 1,000 s on a logarithmic axis: 200 bins a decade, so that a quantile is
-/// within 0.6 % of the sample's. What lies outside counts in the outermost bins.
+/// A histogram of latencies from 10 us to 1,000 s with 200 logarithmic bins per decade, so that
+/// quantiles have a relative error of at most 0.6 %. Values out of range are counted in the
+/// outermost bins.
 class LatencyHistogram {
  public:
   LatencyHistogram();
   void add(Duration latency);
-  /// Seconds; 0 where there is nothing. The middle of the bin, by ratio. O(bins).
+  /// Returns the quantile in seconds, as the geometric mean of its bin's edges; 0 if the histogram
+  /// is empty. O(bins).
   double quantile(double q) const;
-  /// Upper edges and cumulative shares of the bins that hold something.
+  /// Returns the upper edge and cumulative share of each bin that is not empty.
   Json::Value cdf() const;
 
  private:
@@ -33,8 +35,8 @@
   std::uint64_t count_ = 0;
 };
 
-/// Requests of one class or tenant that arrived after the warm-up, by how they ended. Here and
-/// below `in_aim` stands for within the latency objective, `refused` for rejected, and `worth` for
+/// Requests of one class or tenant that arrived after the warm-up, by result. Here and below,
+/// `in_aim` means within the latency objective, `refused` means rejected, and `worth` is the
 /// priority weight.
 struct Count {
   std::uint64_t asked = 0;
@@ -48,7 +50,7 @@
   Json::Value to_json() const;
 };
 
-/// One second of the time series. What concerns requests counts where these arrived.
+/// One second of the time series. Requests are counted in the second in which they arrived.
 struct Second {
   std::uint64_t asked = 0;
   std::uint64_t in_aim = 0;
@@ -58,89 +60,96 @@
   std::uint64_t attempts = 0;
   double worth_asked = 0;
   double worth_served = 0;
-  /// Share of all cores.
+  /// Share of all cores that was busy, from 0 to 1.
   double busy = 0;
-  /// Jobs without a core, at its end.
+  /// Jobs that wait for a core at the end of the second.
   std::uint64_t waiting = 0;
-  /// Jobs in hand at the busiest backend of the first tier, relative to the mean, at its end.
+  /// Load of the most loaded backend of the first tier relative to the mean, at the end of the
+  /// second. Load is the number of jobs over the capacity.
   double load_max_over_mean = 0;
 };
 
-/// What a fault cost, against a control: the same arrivals and seed without the fault.
+/// The cost of a fault, relative to a control run with the same arrivals and seed but without the
+/// fault.
 struct Return {
-  /// From the last proxy's return to full service; nothing: not within the run.
+  /// Time from the last proxy's return to full service; empty if full service was not reached.
   std::optional<Duration> full_after;
-  /// Against the control's, from the fault's beginning on, in seconds of the mean load.
+  /// Priority weight lost relative to the control run since the fault began, in seconds of the mean
+  /// load.
   double worth_lost = 0;
 };
 
 struct Metrics {
-  /// `scenario` must outlive it.
+  /// `scenario` must outlive this object.
   explicit Metrics(const Scenario& scenario);
 
-  /// A client's request arrives at `first`.
-  void asked(Time first, ClassId class_id, TenantId tenant, double worth);
-  /// The request that arrived at `first` ends, `took` later. `refused`: rejected, where not served.
-  void ended(Time first, Duration took, ClassId class_id, TenantId tenant, double worth,
+  /// Records the arrival of a client's request.
+  void asked(Time arrived_at, ClassId class_id, TenantId tenant, double worth);
+  /// Records the end of the request that arrived at `arrived_at`, after `took`. `refused` tells
+  /// whether a request that was not served was rejected.
+  void ended(Time arrived_at, Duration took, ClassId class_id, TenantId tenant, double worth,
              bool served, bool refused);
-  /// Whether what arrives then counts in the totals: after the warm-up, before the end.
-  bool counted(Time first) const;
-  /// Null outside the time series.
+  /// Whether a request that arrives at this time counts in the totals: after the warm-up and before
+  /// the end of the scenario.
+  bool counted(Time arrived_at) const;
+  /// Returns null for times outside the time series.
   Second* second_of(Time t);
-  /// The run is over: what has not ended is unanswered.
+  /// Ends the run: counts requests without an answer as unanswered.
   void close();
 
   std::vector<Count> by_class;
   std::vector<Count> by_tenant;
   Count all;
-  /// Of what was served, by class.
+  /// Latencies of served requests, by class.
   std::vector<LatencyHistogram> latency;
   LatencyHistogram latency_all;
   std::vector<Second> seconds;
-  /// Attempts of clients at proxies, after the warm-up.
+  /// Attempts of clients at proxies after the warm-up.
   std::uint64_t tries = 0;
-  /// Attempts of proxies at backends of the first tier, after the warm-up.
+  /// Attempts of proxies at backends of the first tier after the warm-up.
   std::uint64_t attempts = 0;
   std::uint64_t connections = 0;
-  /// Health checks.
+  /// Number of health checks.
   std::uint64_t probes = 0;
-  /// Attempts of clients that no proxy took.
+  /// Attempts of clients that no proxy accepted.
   std::uint64_t unreachable = 0;
-  /// Cold backends that collapsed under their load.
+  /// Cold backends that collapsed under load.
   std::uint64_t tipped = 0;
-  /// Connections and attempts at one backend of the first tier in one second, at the most, after
-  /// the warm-up.
+  /// Maximum number of connections opened, and of attempts received, by one backend of the first
+  /// tier in one second after the warm-up.
   std::uint64_t max_connections = 0;
   std::uint64_t max_arrivals = 0;
-  /// Pairs of proxy and backend that ever had a connection.
+  /// Number of pairs of a proxy and a backend that have had a connection.
   std::uint64_t pairs = 0;
-  /// Attempts between zones, of all tiers.
+  /// Attempts that crossed zones, over all tiers.
   std::uint64_t crossings = 0;
-  /// Core-seconds at speed 1: all, and those that went into answers that clients had.
+  /// Core-seconds at speed 1: all work done, and the work that contributed to answers that clients
+  /// received.
   double work_done = 0;
   double work_useful = 0;
   std::uint64_t events = 0;
-  /// Requests that proxies decided on.
+  /// Requests that proxies have made decisions on.
   std::uint64_t decisions = 0;
-  /// The summary of each tier, as it goes into the result.
+  /// The summary of each tier, as written to the result.
   std::vector<Json::Value> tiers;
 
-  /// Of the worth that was asked for, the share that was served; 1 where nothing was asked for.
+  /// Share of the requested priority weight that was served; 1 if there were no requests.
   double goodput() const { return all.worth_asked > 0 ? all.worth_served / all.worth_asked : 1; }
-  /// The same over what arrived in the whole seconds from `from` to `until`.
+  /// Goodput of the requests that arrived in the whole seconds from `from` to `until`.
   double goodput_between(Duration from, Duration until) const;
-  /// Seconds from `from` on until goodput is `goal` or more for three seconds in a row; negative
-  /// where it is not by `until`.
+  /// Seconds after `from` at which goodput is at least `goal` for three consecutive seconds;
+  /// negative if that does not occur before `until`.
   double recovery_s(Duration from, Duration until, double goal) const;
-  /// Full service: goodput over each whole second that begins within five seconds is within 2 % of
-  /// the control's. `begun`: when the fault began; `back`: when the last proxy was started again or
-  /// continued.
+  /// Measures the recovery from a fault. Full service begins where the served priority weight is
+  /// within 2 % of the control's over each one-second window that begins in the next five seconds.
+  /// `begun` is when the fault began, `back` when the last proxy was restarted or resumed.
   Return return_from(const Metrics& control, Time begun, Time back) const;
-  /// `series`: with the time series and the latency distribution.
+  /// Returns the result document. With `series`, it includes the time series and the latency
+  /// distribution.
   Json::Value to_json(bool series) const;
 
  private:
-  /// A tenth of a second, by when the requests arrived.
+  /// Sums over a tenth of a second, by the arrival time of the requests.
   struct Bucket {
     double worth_asked = 0;
     double worth_served = 0;
@@ -154,7 +163,7 @@
   Json::Value series_json() const;
 
   const Scenario* scenario_;
-  // As long as the scenario.
+  // Covers the length of the scenario.
   std::vector<Bucket> buckets_;
 };
 
--- a/src/emulator/network.cpp
+++ b/src/emulator/network.cpp
@@ -17,7 +17,7 @@
                               EndpointId endpoint) const {
   Duration sum{0};
   for (const LinkFault& fault : faults_) {
-    const FaultSpec& spec = sim_.scenario.faults[fault.fault];
+    const FaultSpec& spec = sim_.scenario.faults[fault.fault_index];
     if (spec.kind == FaultKind::kLinkDelay && affects(fault, proxy, tier, endpoint)) {
       sum += spec.delay;
     }
@@ -28,7 +28,7 @@
 bool Network::blocked(const ProxyState& proxy, std::uint32_t tier, EndpointId endpoint,
                       Direction direction) const {
   return std::any_of(faults_.begin(), faults_.end(), [&](const LinkFault& fault) {
-    const FaultSpec& spec = sim_.scenario.faults[fault.fault];
+    const FaultSpec& spec = sim_.scenario.faults[fault.fault_index];
     return spec.kind == FaultKind::kPartition &&
            (direction == Direction::kBoth || spec.way == Direction::kBoth ||
             spec.way == direction) &&
@@ -38,8 +38,9 @@
 
 bool Network::affects(const LinkFault& fault, const ProxyState& proxy, std::uint32_t tier,
                       EndpointId endpoint) const {
-  return sim_.scenario.faults[fault.fault].tier == tier && proxy.index < fault.proxies.size() &&
-         fault.proxies[proxy.index] && endpoint < fault.backends.size() && fault.backends[endpoint];
+  return sim_.scenario.faults[fault.fault_index].tier == tier &&
+         proxy.index < fault.proxies.size() && fault.proxies[proxy.index] &&
+         endpoint < fault.backends.size() && fault.backends[endpoint];
 }
 
 void Network::add(LinkFault fault) {
@@ -47,7 +48,7 @@
 }
 
 void Network::remove(std::size_t fault) {
-  std::erase_if(faults_, [fault](const LinkFault& other) { return other.fault == fault; });
+  std::erase_if(faults_, [fault](const LinkFault& other) { return other.fault_index == fault; });
 }
 
 }  // namespace beechhill::emulator
--- a/src/emulator/network.h
+++ b/src/emulator/network.h
@@ -1,4 +1,4 @@
-/// The links between proxies and backends: delays, and the link faults that are in force.
+/// The links between proxies and backends: their delays and the link faults in force.
 #pragma once
 
 #include <cstddef>
@@ -12,32 +12,34 @@
 struct ProxyState;
 struct Simulation;
 
-/// A partition, a delay or a reset of the links between some proxies and some backends of one tier.
+/// A partition, delay or reset of the links between some proxies and some backends of one tier.
 struct LinkFault {
-  /// Its number in the scenario, which tells kind and tier.
-  std::size_t fault = 0;
-  /// By their numbers, whether it affects them. Those added later are not affected.
+  /// Index of the fault in the scenario, which defines its kind and tier.
+  std::size_t fault_index = 0;
+  /// Whether the fault affects a proxy or a backend, by index. Proxies and backends added after the
+  /// fault began are not affected.
   std::vector<bool> proxies;
   std::vector<bool> backends;
 };
 
-/// Owns the link faults in force. Draws delays from the random stream of the proxy concerned.
+/// Owns the link faults in force. Draws delays from the random stream of the proxy at one end of
+/// the link.
 class Network {
  public:
   explicit Network(Simulation& sim) : sim_(sim) {}
 
-  /// One way between a proxy and something in `zone`, without link faults.
+  /// One-way delay between a proxy and a backend in `zone`, without link faults.
   Duration one_way_delay(ProxyState& proxy, std::uint32_t zone) const;
-  /// What link faults add to it, one way.
+  /// One-way delay that the link faults in force add.
   Duration added_delay(const ProxyState& proxy, std::uint32_t tier, EndpointId endpoint) const;
-  /// Whether nothing passes in that direction; for kBoth: whether nothing passes there or back.
+  /// Whether a partition blocks the given direction; for kBoth, whether it blocks either direction.
   bool blocked(const ProxyState& proxy, std::uint32_t tier, EndpointId endpoint,
                Direction direction) const;
   bool affects(const LinkFault& fault, const ProxyState& proxy, std::uint32_t tier,
                EndpointId endpoint) const;
 
   void add(LinkFault fault);
-  /// Ends the link fault with that number in the scenario.
+  /// Ends the link fault with this index in the scenario.
   void remove(std::size_t fault);
 
  private:
--- a/src/emulator/node.cpp
+++ b/src/emulator/node.cpp
@@ -6,22 +6,23 @@
 namespace beechhill::emulator {
 namespace {
 
-// A report can be that many refreshes late.
+// Reports that are kept, which limits their delay to this many report intervals.
 constexpr std::size_t kMaxReports = 64;
-// Share of the cores that are busy at the most while a collapsed backend recovers.
+// Maximum share of busy cores at which a collapsed backend recovers.
 constexpr double kMostlyIdle = 0.5;
 
 }  // namespace
 
-Node::Node(const TierSpec& spec, std::uint64_t seed, std::uint64_t index, std::optional<Time> born,
-           Time now)
-    : spec_(&spec), random_(seed, Actor::kNode, index), started_at_(born), advanced_to_(now) {
+Node::Node(const TierSpec& spec, std::uint64_t seed, std::uint64_t index,
+           std::optional<Time> started_at, Time now)
+    : spec_(&spec), random_(seed, Actor::kNode, index), started_at_(started_at), advanced_to_(now) {
   speed_ = random_.uniform(spec.speed);
-  // Backends do not all refresh at the same instant.
-  refreshed_ = now - to_duration(random_.uniform() * to_s(spec.report_interval));
+  // Randomises the start of the report interval, so that backends do not all refresh at the same
+  // time.
+  window_start_ = now - to_duration(random_.uniform() * to_s(spec.report_interval));
 }
 
-double Node::warmth(Time now) const {
+double Node::capacity_share(Time now) const {
   if (!started_at_ || spec_->cold_span <= Duration{0} || now >= *started_at_ + spec_->cold_span) {
     return 1;
   }
@@ -29,27 +30,27 @@
   return spec_->cold_from + (1 - spec_->cold_from) * age / to_s(spec_->cold_span);
 }
 
-double Node::pace(Time now) const {
-  return speed_ * warmth(now) / (slowdown_ * (choked_ ? spec_->collapse_slowdown : 1));
+double Node::effective_speed(Time now) const {
+  return speed_ * capacity_share(now) / (slowdown_ * (collapsed_ ? spec_->collapse_slowdown : 1));
 }
 
 double Node::backlog_s(Time now) const {
-  // What runs is taken to be half done, and as long as the mean so far.
-  const double running = jobs_started_ > 0 ? 0.5 * static_cast<double>(busy_) * busy_total_ /
+  // Assumes that each running job is half done and takes the mean time of the jobs so far.
+  const double running = jobs_started_ > 0 ? 0.5 * static_cast<double>(busy_cores_) * busy_total_ /
                                                  static_cast<double>(jobs_started_)
                                            : 0;
-  return (running + (core_queue_work_ + slot_queue_work_) / pace(now)) / spec_->cores;
+  return (running + (core_queue_work_ + slot_queue_work_) / effective_speed(now)) / spec_->cores;
 }
 
-// Brings the integrals up to now, and closes the report windows that have ended.
+// Advances the integrals to `now` and closes the report intervals that have ended.
 void Node::advance(Time now) {
   while (advanced_to_ < now) {
-    const Time window_end = refreshed_ + spec_->report_interval;
+    const Time window_end = window_start_ + spec_->report_interval;
     const Time next = std::min(now, window_end);
     const double dt = to_s(next - advanced_to_);
-    busy_in_window_ += dt * static_cast<double>(busy_);
-    busy_total_ += dt * static_cast<double>(busy_);
-    present_ += dt * static_cast<double>(in_hand());
+    busy_in_window_ += dt * static_cast<double>(busy_cores_);
+    busy_total_ += dt * static_cast<double>(busy_cores_);
+    job_seconds_ += dt * static_cast<double>(job_count());
     advanced_to_ = next;
     if (next < window_end) {
       return;
@@ -67,13 +68,14 @@
   }
   busy_in_window_ = 0;
   done_in_window_ = 0;
-  refreshed_ = advanced_to_;
-  // Skips the windows of a long idle time whose reports would all be the same and replaced anyway.
+  window_start_ = advanced_to_;
+  // After a long idle period, skips reports that would all be equal and would be dropped from
+  // reports_.
   const auto skip =
       (now - advanced_to_) / spec_->report_interval - static_cast<std::int64_t>(kMaxReports);
-  if (skip > 0 && busy_ == 0 && in_hand() == 0) {
-    refreshed_ += skip * spec_->report_interval;
-    advanced_to_ = refreshed_;
+  if (skip > 0 && busy_cores_ == 0 && job_count() == 0) {
+    window_start_ += skip * spec_->report_interval;
+    advanced_to_ = window_start_;
   }
 }
 
@@ -81,23 +83,25 @@
   if (spec_->collapse_queue_per_core <= 0) {
     return;
   }
-  const bool crowded =
+  const bool queue_is_long =
       static_cast<double>(waiting()) > spec_->collapse_queue_per_core * spec_->cores;
-  const bool idle = waiting() == 0 && static_cast<double>(busy_) <= kMostlyIdle * spec_->cores;
-  if (choked_ && ((idle_since_ && now - *idle_since_ >= spec_->collapse_idle) ||
-                  now - choked_at_ >= spec_->collapse_max)) {
-    choked_ = false;
-    crowded_since_.reset();
+  const bool idle =
+      waiting() == 0 && static_cast<double>(busy_cores_) <= kMostlyIdle * spec_->cores;
+  if (collapsed_ && ((idle_since_ && now - *idle_since_ >= spec_->collapse_idle) ||
+                     now - collapsed_at_ >= spec_->collapse_max)) {
+    collapsed_ = false;
+    queue_long_since_.reset();
   }
-  if (!choked_ && crowded_since_ && crowded && now - *crowded_since_ >= spec_->collapse_after) {
-    choked_ = true;
-    choked_at_ = now;
+  if (!collapsed_ && queue_long_since_ && queue_is_long &&
+      now - *queue_long_since_ >= spec_->collapse_after) {
+    collapsed_ = true;
+    collapsed_at_ = now;
   }
-  if (!crowded) {
-    crowded_since_.reset();
+  if (!queue_is_long) {
+    queue_long_since_.reset();
   }
-  if (crowded && !crowded_since_) {
-    crowded_since_ = now;
+  if (queue_is_long && !queue_long_since_) {
+    queue_long_since_ = now;
   }
   if (!idle) {
     idle_since_.reset();
@@ -108,26 +112,26 @@
 }
 
 void Node::start_phases(Time now, std::vector<Start>& starts) {
-  while (working_ < spec_->slots && !slot_queue_.empty()) {
-    ++working_;
+  while (used_slots_ < spec_->slots && !slot_queue_.empty()) {
+    ++used_slots_;
     slot_queue_work_ -= slot_queue_.front().work;
     core_queue_work_ += slot_queue_.front().work;
     core_queue_.push_back(slot_queue_.front());
     slot_queue_.pop_front();
   }
-  while (busy_ < spec_->cores && !core_queue_.empty()) {
+  while (busy_cores_ < spec_->cores && !core_queue_.empty()) {
     const QueuedPhase job = core_queue_.front();
     core_queue_.pop_front();
     core_queue_work_ -= job.work;
-    ++busy_;
+    ++busy_cores_;
     if (job.is_first) {
-      waited_ += to_s(now - job.since);
+      total_wait_s_ += to_s(now - job.since);
       ++jobs_started_;
     }
-    starts.push_back({job.job, now + to_duration(job.work / pace(now))});
+    starts.push_back({job.job, now + to_duration(job.work / effective_speed(now))});
   }
   if (core_queue_.empty()) {
-    // Sums of floating-point numbers do not come back to 0 by themselves.
+    // Resets the sum, because rounding errors keep it from returning to exactly 0.
     core_queue_work_ = 0;
   }
   if (slot_queue_.empty()) {
@@ -139,7 +143,7 @@
 bool Node::take(Time now, JobId job, double work, std::vector<Start>& starts) {
   advance(now);
   update_collapse(now);
-  if (in_hand() >= static_cast<std::size_t>(spec_->slots) + spec_->room) {
+  if (job_count() >= static_cast<std::size_t>(spec_->slots) + spec_->room) {
     return false;
   }
   slot_queue_.push_back({job, work, now, true});
@@ -158,9 +162,9 @@
 
 void Node::phase_done(Time now, bool leaves, std::vector<Start>& starts) {
   advance(now);
-  --busy_;
+  --busy_cores_;
   if (leaves) {
-    --working_;
+    --used_slots_;
     done_in_window_ += 1;
   }
   start_phases(now, starts);
@@ -168,12 +172,12 @@
 
 void Node::leave(Time now, std::vector<Start>& starts) {
   advance(now);
-  --working_;
+  --used_slots_;
   done_in_window_ += 1;
   start_phases(now, starts);
 }
 
-bool Node::withdraw(Time now, JobId job, std::vector<Start>& starts) {
+bool Node::remove_queued(Time now, JobId job, std::vector<Start>& starts) {
   advance(now);
   const auto is_job = [job](const QueuedPhase& r) { return r.job == job; };
   if (const auto it = std::find_if(slot_queue_.begin(), slot_queue_.end(), is_job);
@@ -184,7 +188,7 @@
              at != core_queue_.end()) {
     core_queue_work_ -= at->work;
     core_queue_.erase(at);
-    --working_;
+    --used_slots_;
   } else {
     return false;
   }
@@ -192,21 +196,21 @@
   return true;
 }
 
-void Node::restart(Time now, Time born) {
+void Node::restart(Time now, Time started_at) {
   advance(now);
   slot_queue_.clear();
   core_queue_.clear();
   core_queue_work_ = 0;
   slot_queue_work_ = 0;
-  working_ = 0;
-  busy_ = 0;
-  choked_ = false;
-  crowded_since_.reset();
+  used_slots_ = 0;
+  busy_cores_ = 0;
+  collapsed_ = false;
+  queue_long_since_.reset();
   idle_since_.reset();
   reports_.clear();
   busy_in_window_ = 0;
   done_in_window_ = 0;
-  started_at_ = born;
+  started_at_ = started_at;
 }
 
 LoadReport Node::report(Time now, Duration more_delay) {
--- a/src/emulator/node.h
+++ b/src/emulator/node.h
@@ -1,6 +1,7 @@
-/// One backend as a state machine: cores, slots, a queue for slots, slow start, overload collapse,
-/// load reports. No clock and no events of its own: the host tells it what happens when, and does
-/// what it returns. The emulator and the fake backends on sockets both host it.
+/// One backend as a state machine: cores, slots, a queue for slots, slow start, overload collapse
+/// and load reports. It has no clock and schedules no events: its host passes in each occurrence
+/// with its time, and schedules the phases that it returns. Hosts are the emulator and the fake
+/// backends of the load test.
 #pragma once
 
 #include <deque>
@@ -12,62 +13,67 @@
 
 namespace beechhill::emulator {
 
-/// Names a job to the host.
+/// Identifies a job; assigned by the host.
 using JobId = std::uint64_t;
 
-/// A phase of a job that has a core from now until then.
+/// A phase of a job that has been given a core, and the time at which it ends.
 struct Start {
   JobId job = 0;
   Time until{0};
 };
 
-/// All times must not go back from call to call. Work is in seconds on a core of speed 1.
+/// The times passed to successive calls must not decrease. Work is in seconds on a core of speed 1.
 class Node {
  public:
-  /// `spec` must outlive it. `born`: when it started, where it is still cold.
-  Node(const TierSpec& spec, std::uint64_t seed, std::uint64_t index, std::optional<Time> born,
-       Time now);
+  /// `spec` must outlive this object. `started_at` is set if the backend starts cold.
+  Node(const TierSpec& spec, std::uint64_t seed, std::uint64_t index,
+       std::optional<Time> started_at, Time now);
 
-  /// Takes a job whose first phase is `work` long. False: it is overloaded, and the job has not
-  /// run. What starts is appended to `starts`.
+  /// Accepts a job whose first phase takes `work`. Returns false, without having run the job, if
+  /// the backend is overloaded. Appends the phases that start to `starts`.
   bool take(Time now, JobId job, double work, std::vector<Start>& starts);
-  /// A job that gave up its core without ending (it waits for the next tier) wants one again.
+  /// Queues a job for a core again, after it gave up its core to wait for the next tier. `work` is
+  /// the length of its next phase.
   void resume(Time now, JobId job, double work, std::vector<Start>& starts);
-  /// The job's phase is over: its core is free. With `leaves`, its slot is free too.
+  /// Ends a job's phase and frees its core; with `leaves`, also its slot.
   void phase_done(Time now, bool leaves, std::vector<Start>& starts);
-  /// A job that holds a slot but no core ends.
+  /// Ends a job that holds a slot but no core.
   void leave(Time now, std::vector<Start>& starts);
-  /// Takes out a job that waits for a core; false where it does not. O(queue), which is bounded.
-  bool withdraw(Time now, JobId job, std::vector<Start>& starts);
-  /// Everything in it is lost; it starts again cold at `born`.
-  void restart(Time now, Time born);
-
-  /// The share of its full capacity that it has now.
-  double warmth(Time now) const;
-  bool cold(Time now) const { return warmth(now) < 1; }
-  /// Core-seconds a second.
-  double capacity(Time now) const { return spec_->cores * speed_ * warmth(now); }
-  std::size_t in_hand() const { return working_ + slot_queue_.size(); }
+  /// Removes a job that is queued for a slot or a core; returns false if it is not queued. O(queue
+  /// length), which is bounded by slots and room.
+  bool remove_queued(Time now, JobId job, std::vector<Start>& starts);
+  /// Discards all jobs and reports, as after a crash. The backend is cold again from `started_at`
+  /// on.
+  void restart(Time now, Time started_at);
+
+  /// The share of its full capacity that the backend has at present, from 0 to 1; less than 1
+  /// during slow start.
+  double capacity_share(Time now) const;
+  bool cold(Time now) const { return capacity_share(now) < 1; }
+  /// Core-seconds of work per second at the present state of the slow start.
+  double capacity(Time now) const { return spec_->cores * speed_ * capacity_share(now); }
+  std::size_t job_count() const { return used_slots_ + slot_queue_.size(); }
   std::size_t waiting() const { return core_queue_.size() + slot_queue_.size(); }
-  /// Seconds of work that wait for each core, at its present speed.
+  /// Seconds of queued work per core, at the present speed.
   double backlog_s(Time now) const;
-  /// Its load report as a proxy has it now: delayed and noisy.
+  /// The load report that a proxy receives now, with the delay and noise of the scenario. Empty if
+  /// no report is old enough.
   LoadReport report(Time now, Duration more_delay);
-  void slow_down(double times) { slowdown_ = times; }
-  /// Whether its throughput has collapsed under load.
-  bool choked() const { return choked_; }
+  void slow_down(double factor) { slowdown_ = factor; }
+  /// Whether throughput has collapsed under load.
+  bool collapsed() const { return collapsed_; }
   const std::optional<Time>& born() const { return started_at_; }
   double speed() const { return speed_; }
 
-  /// Totals up to the last call that took a time.
+  /// Totals up to the latest call that was passed a time.
   double busy_core_s() const { return busy_total_; }
-  double waited_s() const { return waited_; }
-  /// The integral of in_hand() over time.
-  double present_s() const { return present_; }
+  double total_wait_s() const { return total_wait_s_; }
+  /// The integral of job_count() over time, in job-seconds.
+  double total_job_seconds() const { return job_seconds_; }
   std::uint64_t started() const { return jobs_started_; }
-  std::size_t most_waiting() const { return max_waiting_; }
-  /// Brings the totals up to now.
-  void settle(Time now) { advance(now); }
+  std::size_t max_waiting() const { return max_waiting_; }
+  /// Advances the totals to `now`.
+  void update_totals(Time now) { advance(now); }
 
  private:
   struct QueuedPhase {
@@ -76,7 +82,7 @@
     Time since{0};
     bool is_first = false;
   };
-  /// A load report as refreshed.
+  /// The load report of one report interval.
   struct ReportSample {
     Time at{0};
     double utilisation = 0;
@@ -87,36 +93,37 @@
   void close_report_window(Time now);
   void update_collapse(Time now);
   void start_phases(Time now, std::vector<Start>& starts);
-  double pace(Time now) const;
+  double effective_speed(Time now) const;
 
   const TierSpec* spec_;
   Stream random_;
   double speed_ = 1;
   double slowdown_ = 1;
   std::optional<Time> started_at_;
-  // Jobs without a slot, and jobs with a slot but no core; and the work in each queue.
+  // Jobs that wait for a slot, jobs that hold a slot and wait for a core, and the work in each
+  // queue.
   std::deque<QueuedPhase> slot_queue_;
   std::deque<QueuedPhase> core_queue_;
   double slot_queue_work_ = 0;
   double core_queue_work_ = 0;
   // Slots and cores in use.
-  std::size_t working_ = 0;
-  std::size_t busy_ = 0;
+  std::size_t used_slots_ = 0;
+  std::size_t busy_cores_ = 0;
 
-  bool choked_ = false;
-  Time choked_at_{0};
-  std::optional<Time> crowded_since_;
+  bool collapsed_ = false;
+  Time collapsed_at_{0};
+  std::optional<Time> queue_long_since_;
   std::optional<Time> idle_since_;
 
   std::deque<ReportSample> reports_;
   Time advanced_to_{0};
-  Time refreshed_{0};
+  Time window_start_{0};
   double busy_in_window_ = 0;
   double done_in_window_ = 0;
 
   double busy_total_ = 0;
-  double waited_ = 0;
-  double present_ = 0;
+  double total_wait_s_ = 0;
+  double job_seconds_ = 0;
   std::uint64_t jobs_started_ = 0;
   std::size_t max_waiting_ = 0;
 };
--- a/src/emulator/policies.cpp
+++ b/src/emulator/policies.cpp
@@ -19,7 +19,7 @@
   void handle(Time now, const Event& event, std::vector<Action>& actions) override {
     balancer_.handle(now, event, actions);
   }
-  EndpointStats known(EndpointId endpoint) const override {
+  EndpointStats endpoint_stats(EndpointId endpoint) const override {
     return balancer_.endpoint_stats(endpoint);
   }
 
@@ -27,36 +27,37 @@
   Balancer balancer_;
 };
 
-// Share of what is known of a backend that its next load report replaces.
+// Share of the accumulated load reports of a backend that decays with each new report.
 constexpr double kReportDecay = 0.2;
-// Seconds over which the rate of requests is averaged.
+// Averaging window of the request rate, in seconds.
 constexpr double kRateWindowS = 5;
-// How often a policy may choose before whatever is allowed is taken.
+// Number of times that choose() is called before any allowed backend is taken.
 constexpr int kMaxChoices = 3;
 
-// A backend as a plain policy sees it.
+// A backend as a baseline policy sees it.
 struct KnownBackend {
   bool up = false;
   Endpoint endpoint;
   std::uint32_t outstanding = 0;
-  // Decaying sums of reported rates and utilisations.
+  // Exponentially decaying sums of reported rates and utilisations.
   double rates = 0;
   double utilisations = 0;
-  // While it is cold: attempts that it may still be sent.
+  // Number of attempts that a cold backend may still be sent.
   double credit = 0;
   Time credited_at{0};
 };
 
-bool is_never_run(Result result) {
+bool was_never_executed(Result result) {
   return result == Result::kOverloaded || result == Result::kConnectFailed ||
          result == Result::kSkipped;
 }
 
-// What the plain policies share: no queue, no concurrency limit, retries only of what the class
-// allows, and slow start: a cold backend gets its warmth's share of what a warm one gets from here.
-class PlainPolicy : public Policy {
+// Common base of the baseline policies. It has no queue and no concurrency limit, and retries only
+// what the class allows. With slow start, a cold backend gets a share of this proxy's requests that
+// grows with its age.
+class BaselinePolicy : public Policy {
  public:
-  explicit PlainPolicy(const Settings& settings)
+  explicit BaselinePolicy(const Settings& settings)
       : settings_(settings), random_(settings.seed, Actor::kPolicy, 0) {}
 
   void handle(Time now, const Event& event, std::vector<Action>& actions) override {
@@ -66,29 +67,29 @@
   }
 
  protected:
-  // An index into up(), which is not empty.
+  // Returns an index into up(). Called only while up() is not empty.
   virtual std::size_t choose() = 0;
   virtual bool admits(const Request&) { return true; }
   virtual bool has_capacity(KnownBackend& backend) {
     return !is_cold(backend) || has_credit(backend);
   }
   const std::vector<EndpointId>& up() const { return up_; }
-  KnownBackend& known(std::size_t i) { return backends_[up_[i]]; }
+  KnownBackend& known_backend(std::size_t i) { return backends_[up_[i]]; }
   Time now() const { return now_; }
   Stream& random() { return random_; }
   const Settings& settings() const { return settings_; }
 
  private:
-  // Plain policies use no other events.
+  // Ignores the events that baseline policies do not use.
   template <typename OtherEvent>
   void on(const OtherEvent&) {}
 
   struct RequestState {
     Request request;
-    // By attempt.
+    // Endpoint and send time of each attempt, indexed by attempt.
     std::vector<EndpointId> endpoints;
     std::vector<Time> sent_at;
-    // The first attempt that may have run.
+    // Index of the first attempt that may have been executed.
     std::optional<std::size_t> may_have_run;
     std::uint32_t open_attempts = 0;
     bool answered = false;
@@ -124,20 +125,22 @@
     return started_at && now_ < *started_at + settings_.slow_start_window;
   }
 
-  // Whether a cold backend's credit covers one more attempt.
+  // Adds the credit that a cold backend has earned since the last call. Returns whether it covers
+  // one more attempt.
   bool has_credit(KnownBackend& backend) {
     const double age = to_s(now_ - backend.endpoint.started_at.value_or(now_));
     const double window = to_s(settings_.slow_start_window);
     const double initial = settings_.slow_start_initial_weight;
-    const double warmth = initial + (1 - initial) * std::max(0.0, age) / window;
+    const double capacity_share = initial + (1 - initial) * std::max(0.0, age) / window;
     const double elapsed = to_s(now_ - backend.credited_at);
-    const double earned = warmth * elapsed * rate_ / static_cast<double>(up_.size());
+    const double earned = capacity_share * elapsed * rate_ / static_cast<double>(up_.size());
     backend.credit = std::min(1.0, backend.credit + earned);
     backend.credited_at = now_;
     return backend.credit >= 1;
   }
 
-  // Whether the class allows an attempt there, after one that may have run.
+  // Whether the class allows an attempt at this backend after an earlier attempt that may have been
+  // executed.
   bool may_repeat_at(const RequestState& state, const KnownBackend& backend) const {
     if (!state.may_have_run) {
       return true;
@@ -157,7 +160,7 @@
              backend.endpoint.cell == first.cell));
   }
 
-  // What choose() returns, a few times; then whichever is allowed.
+  // Calls choose() up to kMaxChoices times, then searches all backends for an allowed one.
   std::optional<EndpointId> pick(const RequestState& state) {
     if (up_.empty() || !admits(state.request)) {
       return std::nullopt;
@@ -216,7 +219,7 @@
       return;
     }
     RequestState& state = it->second;
-    note_result(state, outcome);
+    record_result(state, outcome);
     state.answered = state.answered || outcome.is_final || outcome.result == Result::kOk;
     if (!state.answered && state.open_attempts == 0) {
       const bool may_retry =
@@ -228,7 +231,7 @@
     remove_if_done(outcome.id);
   }
 
-  void note_result(RequestState& state, const Outcome& outcome) {
+  void record_result(RequestState& state, const Outcome& outcome) {
     KnownBackend& backend = backends_[state.endpoints[outcome.attempt]];
     backend.outstanding -= backend.outstanding > 0;
     const LoadReport& report = outcome.report;
@@ -237,7 +240,7 @@
       backend.utilisations += *report.utilization - kReportDecay * backend.utilisations;
     }
     state.open_attempts -= 1;
-    if (!state.may_have_run && !is_never_run(outcome.result)) {
+    if (!state.may_have_run && !was_never_executed(outcome.result)) {
       state.may_have_run = outcome.attempt;
     }
   }
@@ -272,53 +275,55 @@
   Settings settings_;
   Stream random_;
   Time now_{0};
-  // Requests a second, and when it was brought up to date.
+  // Estimated requests per second, and the time of the last update.
   double rate_ = 0;
   Time rate_updated_at_{0};
   std::vector<Action>* actions_ = nullptr;
   std::vector<KnownBackend> backends_;
   std::vector<EndpointId> up_;
-  // Looked up only, never walked: the order of a hash table is no part of a run.
+  // Only used for look-ups and never iterated, because the order of a hash table must not affect a
+  // run.
   std::unordered_map<RequestId, RequestState> requests_;
 };
 
-class RandomPolicy : public PlainPolicy {
+class RandomPolicy : public BaselinePolicy {
  public:
-  using PlainPolicy::PlainPolicy;
+  using BaselinePolicy::BaselinePolicy;
   std::size_t choose() override { return random().below(up().size()); }
 };
 
-class RoundRobin : public PlainPolicy {
+class RoundRobin : public BaselinePolicy {
  public:
   explicit RoundRobin(const Settings& settings)
-      : PlainPolicy(settings), next_(random().below(1 << 20)) {}
+      : BaselinePolicy(settings), next_(random().below(1 << 20)) {}
   std::size_t choose() override { return next_++ % up().size(); }
 
  private:
-  // Begins anywhere, so that proxies do not go round together.
+  // Starts at a random position, so that the proxies do not send to the same backends at the same
+  // time.
   std::size_t next_;
 };
 
-class TwoChoices : public PlainPolicy {
+class TwoChoices : public BaselinePolicy {
  public:
-  using PlainPolicy::PlainPolicy;
+  using BaselinePolicy::BaselinePolicy;
   std::size_t choose() override {
     const std::size_t a = random().below(up().size());
     const std::size_t b = random().below(up().size());
-    return known(b).outstanding < known(a).outstanding ? b : a;
+    return known_backend(b).outstanding < known_backend(a).outstanding ? b : a;
   }
 };
 
-class LeastOutstanding : public PlainPolicy {
+class LeastOutstanding : public BaselinePolicy {
  public:
-  using PlainPolicy::PlainPolicy;
+  using BaselinePolicy::BaselinePolicy;
   std::size_t choose() override {
-    // Ties go to a different one each time.
+    // Starts at a random backend, so that ties are broken at random.
     const std::size_t from = random().below(up().size());
     std::size_t best = from;
     for (std::size_t i = 1; i < up().size(); ++i) {
       const std::size_t at = (from + i) % up().size();
-      if (known(at).outstanding < known(best).outstanding) {
+      if (known_backend(at).outstanding < known_backend(best).outstanding) {
         best = at;
       }
     }
@@ -326,18 +331,18 @@
   }
 };
 
-// Random, in proportion to reported rate over reported utilisation.
-class Weighted : public PlainPolicy {
+// Chooses at random, with weights in proportion to reported rate over reported utilisation.
+class Weighted : public BaselinePolicy {
  public:
-  using PlainPolicy::PlainPolicy;
-  // Relative to the mean.
+  using BaselinePolicy::BaselinePolicy;
+  // Minimum weight of a backend, relative to the mean weight.
   static constexpr double kMinWeight = 0.1;
   std::size_t choose() override {
     double rates = 0;
     double utilisations = 0;
     for (std::size_t i = 0; i < up().size(); ++i) {
-      rates += known(i).rates;
-      utilisations += known(i).utilisations;
+      rates += known_backend(i).rates;
+      utilisations += known_backend(i).utilisations;
     }
     const double mean = utilisations > 0 && rates > 0 ? rates / utilisations : 1;
     const auto weight = [&](const KnownBackend& backend) {
@@ -345,11 +350,11 @@
     };
     double sum = 0;
     for (std::size_t i = 0; i < up().size(); ++i) {
-      sum += weight(known(i));
+      sum += weight(known_backend(i));
     }
     double left = random().uniform() * sum;
     for (std::size_t i = 0; i < up().size(); ++i) {
-      left -= weight(known(i));
+      left -= weight(known_backend(i));
       if (left < 0) {
         return i;
       }
@@ -358,29 +363,30 @@
   }
 };
 
-// Sees the true state of the backends: an upper bound for what a policy can reach.
-class Oracle : public PlainPolicy {
+// Uses the true state of the backends. Gives an upper bound for the results of other policies.
+class Oracle : public BaselinePolicy {
  public:
-  Oracle(const Settings& settings, const TrueBackendState& truth)
-      : PlainPolicy(settings), truth_(truth) {
+  Oracle(const Settings& settings, const TrueBackendState& true_state)
+      : BaselinePolicy(settings), true_state_(true_state) {
     for (const ClassSettings& request_class : settings.classes) {
       max_weight_ = std::max(max_weight_, request_class.priority_weight);
     }
   }
 
-  // Rejects at the first tier what would wait too long for its objective, lower classes sooner.
+  // Rejects requests at the first tier that would wait too long for their latency objective. The
+  // limit is lower for classes of lower priority.
   bool admits(const Request& request) override {
     if (settings().tier > 0) {
       return true;
     }
     const ClassSettings& request_class = settings().classes[request.class_id];
-    const double wait = truth_.wait_s(now(), 0, up()[choose()]);
+    const double wait = true_state_.wait_s(now(), 0, up()[choose()]);
     const double share = 0.25 + 0.5 * request_class.priority_weight / max_weight_;
     return wait <= to_s(request_class.latency_objective) * share;
   }
 
   bool has_capacity(KnownBackend& backend) override {
-    return truth_.spares(now(), settings().tier, backend.endpoint.id);
+    return true_state_.has_headroom(now(), settings().tier, backend.endpoint.id);
   }
 
   std::size_t choose() override {
@@ -390,10 +396,10 @@
     double min_wait = std::numeric_limits<double>::infinity();
     for (std::size_t i = 0; i < up().size(); ++i) {
       const std::size_t at = (from + i) % up().size();
-      if (!truth_.spares(now(), tier, up()[at])) {
+      if (!true_state_.has_headroom(now(), tier, up()[at])) {
         continue;
       }
-      const double wait = truth_.wait_s(now(), tier, up()[at]);
+      const double wait = true_state_.wait_s(now(), tier, up()[at]);
       if (wait < min_wait) {
         min_wait = wait;
         best = at;
@@ -403,8 +409,8 @@
   }
 
  private:
-  const TrueBackendState& truth_;
-  // Keeps weights of 0 from dividing by 0.
+  const TrueBackendState& true_state_;
+  // Not 0, to avoid a division by 0 if all priority weights are 0.
   double max_weight_ = 1e-9;
 };
 
@@ -417,7 +423,8 @@
 }
 
 std::unique_ptr<Policy> make_policy(const std::string& name, Time now, const Settings& settings,
-                                    const TrueBackendState& truth, std::vector<Action>& actions) {
+                                    const TrueBackendState& true_state,
+                                    std::vector<Action>& actions) {
   if (name == "module") {
     return std::make_unique<ModulePolicy>(now, settings, actions);
   }
@@ -437,7 +444,7 @@
     return std::make_unique<Weighted>(settings);
   }
   if (name == "oracle") {
-    return std::make_unique<Oracle>(settings, truth);
+    return std::make_unique<Oracle>(settings, true_state);
   }
   return nullptr;
 }
--- a/src/emulator/policy.h
+++ b/src/emulator/policy.h
@@ -1,5 +1,5 @@
-/// What decides in an emulated proxy: the real module, or one of the plain policies that it is
-/// measured against. All use the module's own events and actions.
+/// The decision logic of an emulated proxy: the production balancer, or one of the baseline
+/// policies that it is compared with. All of them use the balancer's events and actions.
 #pragma once
 
 #include <functional>
@@ -11,36 +11,39 @@
 
 namespace beechhill::emulator {
 
-/// One proxy's decisions. Single-threaded.
+/// The decisions of one proxy. Single-threaded.
 class Policy {
  public:
   virtual ~Policy() = default;
-  /// As Balancer::handle: one event at `now`, which never goes back; actions are appended in order.
+  /// Processes one event at `now`, which never decreases, and appends the resulting actions in
+  /// order. Same contract as Balancer::handle.
   virtual void handle(Time now, const Event& event, std::vector<Action>& actions) = 0;
-  /// As Balancer::endpoint_stats, of a policy that learns.
-  virtual EndpointStats known(EndpointId) const { return {}; }
+  /// What the policy has learned about a backend, as in Balancer::endpoint_stats. Baseline policies
+  /// return empty statistics.
+  virtual EndpointStats endpoint_stats(EndpointId) const { return {}; }
 };
 
-/// The true state of the backends, for the oracle policy alone.
+/// The true state of the backends. Used only by the oracle policy.
 class TrueBackendState {
  public:
   virtual ~TrueBackendState() = default;
-  /// Seconds until a core would be free for new work, were it sent now; a large number for a
-  /// backend that is silent, down or overloaded, or fails what it gets.
+  /// Seconds until a core would be free for work that is sent now. A very large number for a
+  /// backend that is silent, down or overloaded, or that fails many of its requests.
   virtual double wait_s(Time now, std::uint32_t tier, EndpointId node) const = 0;
-  /// Whether a cold backend can take one more job without coming near collapse.
-  virtual bool spares(Time now, std::uint32_t tier, EndpointId node) const = 0;
+  /// Whether the backend is warm, or is cold but can take one more job without risk of collapse.
+  virtual bool has_headroom(Time now, std::uint32_t tier, EndpointId node) const = 0;
 };
 
-/// Makes the policy of one proxy, at its start and at each restart.
+/// Creates the policy of one proxy, at its start and at each restart.
 using PolicyFactory = std::function<std::unique_ptr<Policy>(Time now, const Settings& settings,
-                                                            const TrueBackendState& truth,
+                                                            const TrueBackendState& true_state,
                                                             std::vector<Action>& actions)>;
 
-/// Names: module, random, round_robin, two_choices, least_outstanding, weighted, oracle.
+/// Valid names: module, random, round_robin, two_choices, least_outstanding, weighted, oracle.
 const std::vector<std::string>& policy_names();
-/// Null where the name is unknown. `truth` must outlive the policy.
+/// Returns null if the name is unknown. `truth` must outlive the policy.
 std::unique_ptr<Policy> make_policy(const std::string& name, Time now, const Settings& settings,
-                                    const TrueBackendState& truth, std::vector<Action>& actions);
+                                    const TrueBackendState& true_state,
+                                    std::vector<Action>& actions);
 
 }  // namespace beechhill::emulator
--- a/src/emulator/proxy_fleet.cpp
+++ b/src/emulator/proxy_fleet.cpp
@@ -9,9 +9,10 @@
 namespace beechhill::emulator {
 namespace {
 
-// A proxy that starts again, or has been paused for long, has the full list after this.
+// Time until a proxy has received the full endpoint list, after a restart or a long pause.
 constexpr Duration kListFetchTime{100'000};
-// The real proxy's: after a silence of this length it asks for the full list anew.
+// Silence of discovery after which a proxy requests the full list again. Same value as in the real
+// proxy.
 constexpr Duration kWatchSilence{2'500'000};
 
 }  // namespace
@@ -67,7 +68,7 @@
                          routing::subset_unit_for(settings_for(scenario, 0, 0, 1, 0).classes),
                          "proxy-" + std::to_string(index));
   }
-  // Before a lower tier stands one proxy for each backend of the tier above.
+  // A lower tier is called by one proxy for each backend of the tier above.
   const auto replicas = static_cast<std::uint32_t>(
       proxy.tier == 0 ? scenario.proxies : scenario.tiers[proxy.tier - 1].nodes);
   const Settings settings =
@@ -82,7 +83,8 @@
   }
 }
 
-// It begins with the list and the snapshot that it kept, and soon has the list anew.
+// Restores the endpoint list and snapshot that the proxy stored, and schedules the delivery of the
+// current list.
 void ProxyFleet::restore_after_restart(std::uint32_t index) {
   ProxyState& proxy = proxies_[index];
   EndpointUpdate cached{UpdateKind::kCached, {}};
@@ -108,7 +110,7 @@
     return;
   }
   proxy.alive = false;
-  // Its timers, and the updates on their way to it, are void.
+  // Invalidates the proxy's timers and the updates that are on their way to it.
   ++proxy.incarnation;
   proxy.died_at = sim_.now;
   proxy.paused = false;
@@ -158,7 +160,7 @@
   sim_.events.schedule(resynced_at, ProxyResynced{proxy.current(), discovery_answers});
 }
 
-// As in the real proxy, what discovery sent meanwhile comes before all else.
+// As in the real proxy, updates from discovery are handled before all other deferred events.
 void ProxyFleet::finish_resume(std::uint32_t index, bool list_received) {
   ProxyState& proxy = proxies_[index];
   proxy.paused = false;
@@ -180,7 +182,7 @@
     }
   }
   for (const ProxyRequest& request : unread) {
-    // Else its client has left.
+    // Skips requests whose clients have disconnected.
     if (sim_.clients.waits_unread(request.operation) && sim_.now < request.deadline) {
       sim_.clients.mark_read(request.operation);
       sim_.requests.open(request);
@@ -227,7 +229,7 @@
   return is_current(run) && defer(event, run.proxy);
 }
 
-// The proxy acts on the deadline when it runs again; its client does not wait for that.
+// The proxy handles the deadline after it has resumed, but its client does not wait for that.
 bool ProxyFleet::defer_deadline(const SimulationEvent& event, RequestId id) {
   const ProxyRequest* request = sim_.requests.find(id);
   if (!request || !defer(event, request->proxy)) {
@@ -243,7 +245,7 @@
     return false;
   }
   if (!request->answered) {
-    // No answer is owed by a process that does not run.
+    // A process that is not running is not required to answer.
     sim_.rules.excused(sim_.now, id);
     request->answered = true;
     request->client_gone = true;
@@ -280,7 +282,8 @@
   notify_policy(index, EndpointUpdate{UpdateKind::kSnapshot, endpoints});
 }
 
-// The policy hears only of the proxy's subset; the rules hold for all that discovery has sent.
+// Passes on only updates within the proxy's subset. RuleChecker uses all endpoints that discovery
+// has sent.
 void ProxyFleet::notify_policy(std::uint32_t index, const EndpointUpdate& update) {
   ProxyState& proxy = proxies_[index];
   if (!proxy.subset) {
--- a/src/emulator/proxy_fleet.h
+++ b/src/emulator/proxy_fleet.h
@@ -1,5 +1,5 @@
-/// The proxies of all tiers: their processes, what they know of the backends, and the course of a
-/// process that dies, drains, is paused or comes back.
+/// The proxies of all tiers: their processes, their view of the backends, and the handling of
+/// crashes, draining, pauses and restarts.
 #pragma once
 
 #include <cstddef>
@@ -22,105 +22,108 @@
 
 struct Simulation;
 
-/// One attempt of a request, at its backend or on the way.
+/// One attempt of a request, at its backend or in transit.
 struct RequestAttempt {
   EndpointId endpoint = 0;
-  /// Whether the proxy waits for its result.
+  /// Whether the proxy still waits for the result.
   bool open = true;
   JobId job = 0;
 };
 
-/// A request at a proxy.
+/// A request that a proxy has accepted.
 struct ProxyRequest {
   std::uint32_t proxy = 0;
-  /// Whose it is: an operation of a client, or, where `parent_job` is not 0, a job of the tier
-  /// above.
+  /// The origin of the request: a job of the tier above if `parent_job` is not 0, otherwise a
+  /// client's operation.
   OperationId operation = 0;
   JobId parent_job = 0;
   ClassId class_id = 0;
   TenantId tenant = kNoTenant;
   Time deadline{0};
-  /// Core-seconds at speed 1, over all tiers.
+  /// Work over all tiers, in core-seconds at speed 1.
   double work_s = 0;
   bool answered = false;
-  /// Its client went while its proxy was paused.
+  /// Whether the client disconnected while the proxy was paused.
   bool client_gone = false;
   std::vector<RequestAttempt> attempts;
   std::uint32_t open_attempts = 0;
-  /// Its place in ProxyState::requests.
+  /// Index in ProxyState::requests.
   std::size_t index_in_proxy = 0;
 };
 
-/// A proxy's connections to one backend.
+/// A proxy's idle connections to one backend.
 struct PooledConnections {
   std::uint32_t idle = 0;
   Time last_used{0};
 };
 
-/// One proxy. Its number, zone and disk outlive its process.
+/// One proxy. Its index, zone and storage outlive its process.
 struct ProxyState {
   std::uint32_t tier = 0;
   std::uint32_t zone = 0;
   std::uint32_t index = 0;
   bool alive = false;
-  /// It does not run (SIGSTOP), or has not resynced since; what is for it is deferred.
+  /// Whether the process is stopped (SIGSTOP), or has resumed but not yet received the endpoint
+  /// list. Its events are deferred meanwhile.
   bool paused = false;
-  /// It takes no new requests.
+  /// Whether the proxy accepts no new requests.
   bool draining = false;
-  /// How many faults keep discovery from it.
+  /// Number of active faults that prevent the proxy from receiving updates of discovery.
   std::uint32_t discovery_faults = 0;
-  /// Set while it is paused.
+  /// Tracks the length of a pause and the resync after it. Set while the proxy is paused.
   std::optional<recovery::RecoveryTracker> recovery;
-  /// For a paused one, in the order in which they came.
+  /// Events and unread requests of a paused proxy, in the order of their arrival.
   std::deque<SimulationEvent> deferred_events;
   std::vector<ProxyRequest> unread_requests;
-  /// Counts starts and deaths.
+  /// Increased at each start and each crash, so that events for an earlier process are ignored.
   std::uint64_t incarnation = 0;
   Time died_at{0};
   Time last_update_at{0};
   std::unique_ptr<Policy> policy;
   std::optional<routing::SubsetView> subset;
   Stream random{0, Actor::kProxy, 0};
-  /// By endpoint id.
+  /// Indexed by endpoint id.
   std::vector<KnownEndpoint> endpoints;
-  /// Looked up only, never walked: the order of a hash table is no part of a run.
+  /// Only used for look-ups and never iterated, because the order of a hash table must not affect a
+  /// run.
   std::unordered_map<EndpointId, PooledConnections> connections;
   std::vector<RequestId> requests;
   ProxyStorage storage;
 
   bool accepts_requests() const { return alive && !draining; }
   ProxyIncarnation current() const { return {index, incarnation}; }
-  /// Notes what discovery says of a backend.
+  /// Records the state of a backend that discovery has sent.
   void record(const Endpoint& endpoint, Time now);
 };
 
-/// Owns the proxies.
 class ProxyFleet {
  public:
   ProxyFleet(Simulation& sim, PolicyFactory make_policy);
 
-  /// Adds a proxy that does not run yet; returns its number, which counts over all tiers.
+  /// Adds a proxy whose process is not running. Returns its index, which is unique over all tiers.
   std::uint32_t add(std::uint32_t tier, std::uint32_t zone);
   ProxyState& operator[](std::uint32_t proxy) { return proxies_[proxy]; }
   std::size_t size() const { return proxies_.size(); }
   const std::vector<std::uint32_t>& in_tier(std::uint32_t tier) const { return by_tier_[tier]; }
-  /// Whether that process still runs.
+  /// Whether this incarnation of the proxy is still running.
   bool is_current(const ProxyIncarnation& run) const;
 
-  /// Starts a proxy's process: with discovery's list for its first, later with what it kept.
+  /// Starts a proxy's process. The first process gets the list from discovery, later ones load the
+  /// list and statistics that the proxy has stored.
   void start(std::uint32_t proxy);
-  /// Its process dies at once, and with it all requests in flight.
+  /// Ends the process immediately. All its requests in flight are lost.
   void kill(std::uint32_t proxy);
   void pause(std::uint32_t proxy);
-  /// Continues a paused process. After a long gap it waits for discovery first.
+  /// Resumes a paused process. After a long pause it waits for the endpoint list first.
   void resume(std::uint32_t proxy);
-  /// It has heard discovery, or has waited long enough: all that was deferred goes on.
+  /// Completes a resume, once the endpoint list has been received or the wait for it has timed out:
+  /// handles the deferred events and unread requests.
   void finish_resume(std::uint32_t proxy, bool list_received);
-  /// Keeps back what a paused process would have to handle. Its clients do not wait for it. True
-  /// where the event needs no further handling now.
+  /// Defers an event for a paused proxy. Returns true if the event needs no further handling now.
+  /// The deadlines of the clients are not deferred.
   bool defer_if_paused(const SimulationEvent& event);
 
-  /// An update of discovery reaches a proxy, and its policy.
+  /// Applies an endpoint update to the proxy's view of the backends and passes it to the policy.
   void apply_delta(std::uint32_t proxy, const EndpointUpdate& update);
   void apply_snapshot(std::uint32_t proxy, const std::vector<Endpoint>& endpoints);
 
--- a/src/emulator/proxy_requests.cpp
+++ b/src/emulator/proxy_requests.cpp
@@ -45,7 +45,7 @@
   report_skipped_attempts();
 }
 
-// After the actions, as the real proxy does.
+// Runs after all actions have been performed, as in the real proxy.
 void ProxyRequests::report_skipped_attempts() {
   if (reporting_skipped_) {
     return;
@@ -92,7 +92,7 @@
   }
 }
 
-// Puts an attempt on its way, over an idle connection or a new one.
+// Sends an attempt over an idle connection or a new one.
 void ProxyRequests::send(ProxyState& proxy, ProxyRequest& request, const AttemptId& id) {
   const EndpointId endpoint = request.attempts[id.attempt].endpoint;
   const TierSpec& tier = sim_.scenario.tiers[proxy.tier];
@@ -125,7 +125,8 @@
   }
 }
 
-// False where there is none, so that a new one has to be opened.
+// Takes an idle connection from the pool. Returns false if there is none and a new one must be
+// opened.
 bool ProxyRequests::take_idle_connection(ProxyState& proxy, EndpointId endpoint) {
   PooledConnections& pool = proxy.connections[endpoint];
   if (pool.last_used + sim_.scenario.tiers[proxy.tier].connection_idle_timeout < sim_.now) {
@@ -167,9 +168,9 @@
                         !sim_.network.blocked(proxy, proxy.tier, action.endpoint, Direction::kBoth);
   Duration took = sim_.scenario.connect_timeout;
   if (succeeds) {
-    const Duration there = sim_.network.one_way_delay(proxy, backend.endpoint.zone);
-    const Duration back = sim_.network.one_way_delay(proxy, backend.endpoint.zone);
-    took = there + back;
+    const Duration outbound = sim_.network.one_way_delay(proxy, backend.endpoint.zone);
+    const Duration inbound = sim_.network.one_way_delay(proxy, backend.endpoint.zone);
+    took = outbound + inbound;
   }
   sim_.events.schedule(sim_.now + took,
                        HealthCheckDone{proxy.current(), action.endpoint, succeeds});
@@ -246,7 +247,7 @@
   }
   const BackendJob job = *found;
   sim_.backends.remove_job(id);
-  // Only a connection whose answer came back complete, to a proxy that still waits, serves again.
+  // A connection is reused only after a complete response to a proxy that still waits for it.
   const bool complete = job.result == Result::kOk || job.result == Result::kOverloaded ||
                         job.result == Result::kError;
   const ProxyRequest* request = requests_.find(job.request);
@@ -259,7 +260,7 @@
   complete_attempt({job.request, job.attempt}, {job.result, job.report, job.useful_work_s});
 }
 
-// Ends what is still open: the proxy waits no longer.
+// Ends all open attempts with a time-out, because the proxy waits no longer.
 void ProxyRequests::on_deadline(RequestId id) {
   const ProxyRequest* request = requests_.find(id);
   if (!request) {
@@ -282,7 +283,8 @@
   if (!request || (request->answered && !request->client_gone)) {
     return;
   }
-  // Else its client went while the proxy was paused, and the proxy learns so only now.
+  // If the request has an answer, its client disconnected while the proxy was paused, and the proxy
+  // learns that only now.
   if (!request->answered) {
     sim_.rules.overdue(sim_.now, id);
     request->answered = true;
@@ -304,7 +306,7 @@
 }
 
 void ProxyRequests::reset_connections(const LinkFault& fault) {
-  const std::uint32_t tier = sim_.scenario.faults[fault.fault].tier;
+  const std::uint32_t tier = sim_.scenario.faults[fault.fault_index].tier;
   std::vector<AttemptId> ended;
   for (EndpointId endpoint = 0; endpoint < fault.backends.size(); ++endpoint) {
     if (!fault.backends[endpoint]) {
--- a/src/emulator/proxy_requests.h
+++ b/src/emulator/proxy_requests.h
@@ -1,5 +1,5 @@
-/// The requests in flight at the proxies: what goes to each proxy's policy, and what becomes of the
-/// actions that it returns.
+/// The requests in flight at the proxies: passes events to each proxy's policy and performs the
+/// actions that the policy returns.
 #pragma once
 
 #include <cstddef>
@@ -16,51 +16,51 @@
 
 struct BackendJob;
 
-/// Names one attempt of a request by its number, from 0.
+/// Identifies an attempt by its request and its index in the request, counted from 0.
 struct AttemptId {
   RequestId request = 0;
   std::uint32_t attempt = 0;
 };
 
-/// What the proxy learns at the end of an attempt.
+/// The result of an attempt as its proxy receives it.
 struct AttemptResult {
   Result result = Result::kOk;
   LoadReport report;
-  /// Core-seconds at speed 1 that the answer is worth.
+  /// Work that contributed to the answer, in core-seconds at speed 1.
   double useful_work_s = 0;
 };
 
-/// Owns the requests. Follows the real proxy in what is skipped, what a time-out is, and who owes
-/// the final answer.
+/// Owns the requests. Follows the rules of the real proxy for skipped attempts, time-outs and final
+/// answers.
 class ProxyRequests {
  public:
   explicit ProxyRequests(Simulation& sim) : sim_(sim) {}
 
   std::size_t in_flight() const { return requests_.live(); }
-  /// Null where the request is over. Valid until the next open().
+  /// Returns null if the request is over. The pointer is valid until the next open().
   ProxyRequest* find(RequestId id) { return requests_.find(id); }
 
-  /// A proxy takes a request.
+  /// Accepts a request at its proxy.
   void open(ProxyRequest request);
-  /// Its proxy has died: the request is gone, and its client, if it has no answer yet, learns so.
+  /// Removes a request whose proxy has died. A client that still waits gets a lost connection.
   void lose(RequestId id);
-  /// Gives an event to a proxy's policy and performs what it returns.
+  /// Passes an event to a proxy's policy and performs the actions that it returns.
   void notify(std::uint32_t proxy, const Event& event);
   void perform(std::uint32_t proxy, const std::vector<Action>& actions);
 
-  /// An attempt has ended as the proxy sees it. Does nothing where it has ended before.
+  /// Ends an attempt from the proxy's point of view. Does nothing if it has already ended.
   void complete_attempt(const AttemptId& id, const AttemptResult& result);
-  /// The final answer, to the job or the client that waits for it.
+  /// Delivers the final answer to the job or client that waits for it.
   void deliver_answer(const ProxyRequest& request, const ClientAttemptResult& result);
-  /// Has AnswerOverdue come after the grace.
+  /// Schedules AnswerOverdue at the end of the answer grace period.
   void schedule_overdue(RequestId id);
 
   void on_response(JobId id);
   void on_deadline(RequestId id);
   void on_answer_overdue(RequestId id);
   void on_health_check_done(const HealthCheckDone& check);
-  /// The connections that the fault affects end. Backends go on with what they have; the answers
-  /// find nobody.
+  /// Resets the connections that the fault affects. Backends continue with the requests that they
+  /// have, and their answers are dropped.
   void reset_connections(const LinkFault& fault);
 
  private:
@@ -70,7 +70,7 @@
   void apply(std::uint32_t proxy, const Fail& action);
   void apply(std::uint32_t proxy, const HealthCheck& action);
   void apply(std::uint32_t proxy, const SetTimer& action);
-  // Updates are pushed here.
+  // Does nothing: emulated discovery sends all updates without being asked.
   void apply(std::uint32_t, const WatchEndpoints&) {}
 
   void send(ProxyState& proxy, ProxyRequest& request, const AttemptId& id);
@@ -83,7 +83,8 @@
 
   Simulation& sim_;
   Slab<ProxyRequest> requests_;
-  // Attempts that were not sent at all, to be reported once all actions have been performed.
+  // Attempts that were not sent. They are reported to the policy after all actions have been
+  // performed.
   std::vector<AttemptId> skipped_attempts_;
   bool reporting_skipped_ = false;
 };
--- a/src/emulator/proxy_storage.cpp
+++ b/src/emulator/proxy_storage.cpp
@@ -20,7 +20,7 @@
   current_.endpoints.clear();
   current_.taken_at = now - now % interval;
   for (EndpointId id = 0; id < endpoints.size(); ++id) {
-    current_.endpoints.push_back({policy.known(id), endpoints[id].endpoint.started_at});
+    current_.endpoints.push_back({policy.endpoint_stats(id), endpoints[id].endpoint.started_at});
   }
 }
 
--- a/src/emulator/proxy_storage.h
+++ b/src/emulator/proxy_storage.h
@@ -1,4 +1,4 @@
-/// What an emulated proxy keeps on its disk, and the faults of that disk.
+/// The stored state of an emulated proxy, and the faults of its disk.
 #pragma once
 
 #include <cstdint>
@@ -10,26 +10,27 @@
 
 namespace beechhill::emulator {
 
-/// What a proxy has heard of a backend from discovery.
+/// The latest state of a backend that a proxy has received from discovery.
 struct KnownEndpoint {
   Endpoint endpoint;
   bool known = false;
-  /// Since when it has been known not to be up.
+  /// Time since which the backend has not been listed as up.
   std::optional<Time> not_up_since;
 };
 
-/// The snapshot of one proxy. Outlives its process.
+/// The snapshot of one proxy. Outlives the proxy's process.
 class ProxyStorage {
  public:
-  /// Writes the snapshot as of the last multiple of `interval`. Does nothing while the disk cannot
-  /// be written.
+  /// Stores a snapshot, dated at the latest multiple of `interval`. Does nothing while the disk
+  /// cannot be written.
   void save(Time now, Duration interval, const Policy& policy,
             const std::vector<KnownEndpoint>& endpoints);
-  /// What of the snapshot is still worth restoring into a proxy that knows these endpoints.
+  /// Returns the stored statistics that are recent enough to be restored, for a proxy that knows
+  /// `endpoints`.
   std::vector<RestoredStats> load(Time now, const std::vector<KnownEndpoint>& endpoints) const;
 
-  /// A fault of state or disk (see affects_state()) begins or ends. Damage that the proxy would
-  /// notice counts as loss, because the proxy sets a damaged snapshot aside.
+  /// Begins or ends a fault of state or disk; see affects_state(). Corruption counts as loss,
+  /// because a real proxy detects it and discards the snapshot.
   void begin_fault(const FaultSpec& fault);
   void end_fault(const FaultSpec& fault);
 
@@ -39,15 +40,15 @@
     std::optional<Time> started_at;
   };
   struct Snapshot {
-    // By endpoint id.
+    // Indexed by endpoint id.
     std::vector<SavedStats> endpoints;
     Time taken_at{0};
   };
 
   Snapshot current_;
-  // Put back when a kStateOld ends.
+  // The copy that is restored when a kStateOld fault ends.
   Snapshot copy_;
-  // How many faults keep the disk from being written.
+  // Number of faults that prevent writes.
   std::uint32_t write_faults_ = 0;
 };
 
--- a/src/emulator/rules.cpp
+++ b/src/emulator/rules.cpp
@@ -9,12 +9,14 @@
 namespace {
 
 constexpr std::size_t kMaxViolations = 16;
-// Bytes of one request's trace.
+// Maximum length of one request's trace, in bytes.
 constexpr std::size_t kMaxTrace = 4096;
-// Mean jobs by which a cold backend's budget may be exceeded by chance: at the most this, or twice
-// the root of the jobs in the budget and two more where that is fewer.
+// Upper bound of the tolerance for random variation above a cold backend's budget, in jobs of mean
+// size. Below this bound, the tolerance is twice the square root of the number of jobs in the
+// budget, plus two.
 constexpr double kMaxChanceJobs = 8;
-// Of the work, that proxies which knew of the start have sent: only then is it their violation.
+// Minimum share of the work that proxies must have sent while they knew that the backend had
+// started. Below it, the overload is not counted as a violation of the rule.
 constexpr double kAwareShare = 2.0 / 3;
 
 const char* name_of_result(Result result) {
@@ -61,8 +63,8 @@
   }
 }
 
-void RuleChecker::taken(Time now, std::uint64_t call, ClassId class_id, Time deadline) {
-  RequestRecord& request = requests_[call];
+void RuleChecker::taken(Time now, std::uint64_t request_id, ClassId class_id, Time deadline) {
+  RequestRecord& request = requests_[request_id];
   request = RequestRecord{class_id, deadline, false, false, Time{0}, {}, {}};
   add_to_trace(request, now,
                fmt::format("taken class={} deadline={:.6f}", scenario_.classes[class_id].name,
@@ -75,38 +77,38 @@
           *attempt.result != Result::kSkipped);
 }
 
-void RuleChecker::answered(Time now, std::uint64_t call, bool refusal) {
-  RequestRecord* request = find(call);
+void RuleChecker::answered(Time now, std::uint64_t request_id, bool rejection) {
+  RequestRecord* request = find(request_id);
   if (!request) {
     return;
   }
-  add_to_trace(*request, now, refusal ? "refused" : "answered");
+  add_to_trace(*request, now, rejection ? "refused" : "answered");
   if (request->excused) {
-    // The client is gone.
+    // The client has disconnected.
     return;
   }
   if (request->answered) {
-    return report(now, Rule::kOneAnswer, call, "a second final answer");
+    return report(now, Rule::kOneAnswer, request_id, "a second final answer");
   }
   request->answered = true;
   request->answered_at = now;
   if (now > request->deadline + scenario_.answer_grace + slack_) {
-    report(now, Rule::kOneAnswer, call, "answered after the deadline and its grace");
+    report(now, Rule::kOneAnswer, request_id, "answered after the deadline and its grace");
   }
   const ClassSettings& settings = scenario_.classes[request->class_id].settings;
   const bool harmless = settings.idempotency == Idempotency::kIdempotent ||
                         (settings.idempotency == Idempotency::kIdempotencyKey &&
                          settings.deduplication_scope == DeduplicationScope::kAll);
-  if (refusal && !harmless &&
+  if (rejection && !harmless &&
       std::any_of(request->attempts.begin(), request->attempts.end(), may_have_run)) {
-    report(now, Rule::kEffects, call, "refused as harmless after it may have run");
+    report(now, Rule::kEffects, request_id, "refused as harmless after it may have run");
   }
 }
 
-void RuleChecker::sent(Time now, std::uint64_t call, std::uint32_t tier, EndpointId node,
-                       const Endpoint& entry, std::optional<Time> told, Duration held) {
-  const Time sent_at = now - held;
-  RequestRecord* request = find(call);
+void RuleChecker::sent(Time now, std::uint64_t request_id, std::uint32_t tier, EndpointId node,
+                       const Endpoint& entry, std::optional<Time> not_up_since, Duration transit) {
+  const Time sent_at = now - transit;
+  RequestRecord* request = find(request_id);
   if (!request) {
     return;
   }
@@ -114,19 +116,19 @@
       *request, sent_at,
       fmt::format("sent attempt={} tier={} node={}", request->attempts.size(), tier, node));
   if (request->answered && sent_at >= request->answered_at + slack_) {
-    report(sent_at, Rule::kOneAnswer, call, "sent after its final answer");
+    report(sent_at, Rule::kOneAnswer, request_id, "sent after its final answer");
   }
-  check_drain(sent_at, call, node, told);
-  check_repeat(sent_at, call, entry);
+  check_drain(sent_at, request_id, node, not_up_since);
+  check_repeat(sent_at, request_id, entry);
   request->attempts.push_back({node, entry.zone, entry.cell, sent_at, std::nullopt});
 }
 
 void RuleChecker::check_drain(Time now, std::uint64_t id, EndpointId endpoint,
-                              std::optional<Time> told) {
-  if (told && now > *told + scenario_.drain_grace + slack_) {
+                              std::optional<Time> not_up_since) {
+  if (not_up_since && now > *not_up_since + scenario_.drain_grace + slack_) {
     report(now, Rule::kDrains, id,
            fmt::format("sent to node {} {:.3f} s after it was told to drain", endpoint,
-                       to_s(now - *told)));
+                       to_s(now - *not_up_since)));
   }
 }
 
@@ -150,7 +152,8 @@
   }
 }
 
-// Whether the backend recognises the idempotency key of the first attempt that may have run.
+// Checks that the backend can recognise the idempotency key of the first attempt that may have been
+// executed.
 void RuleChecker::check_deduplication(Time now, std::uint64_t id, const Attempt& first,
                                       const Endpoint& endpoint) {
   const ClassSettings& settings = scenario_.classes[find(id)->class_id].settings;
@@ -166,8 +169,8 @@
   }
 }
 
-void RuleChecker::ended(Time now, std::uint64_t call, std::uint32_t attempt, Result result) {
-  RequestRecord* request = find(call);
+void RuleChecker::ended(Time now, std::uint64_t request_id, std::uint32_t attempt, Result result) {
+  RequestRecord* request = find(request_id);
   if (!request || attempt >= request->attempts.size()) {
     return;
   }
@@ -175,8 +178,8 @@
   add_to_trace(*request, now, fmt::format("attempt={} {}", attempt, name_of_result(result)));
 }
 
-void RuleChecker::excused(Time now, std::uint64_t call) {
-  RequestRecord* request = find(call);
+void RuleChecker::excused(Time now, std::uint64_t request_id) {
+  RequestRecord* request = find(request_id);
   if (!request || request->answered) {
     return;
   }
@@ -186,29 +189,29 @@
   request->answered_at = now;
 }
 
-void RuleChecker::forget(std::uint64_t call) {
-  requests_.erase(call);
+void RuleChecker::forget(std::uint64_t request_id) {
+  requests_.erase(request_id);
 }
 
-void RuleChecker::overdue(Time now, std::uint64_t call) {
-  const RequestRecord* request = find(call);
+void RuleChecker::overdue(Time now, std::uint64_t request_id) {
+  const RequestRecord* request = find(request_id);
   if (request && !request->answered) {
-    report(now, Rule::kOneAnswer, call, "no final answer by the deadline and its grace");
+    report(now, Rule::kOneAnswer, request_id, "no final answer by the deadline and its grace");
   }
 }
 
 bool RuleChecker::pressed(Time now, std::uint32_t tier, EndpointId node, double work,
-                          double capacity, double usual_work, bool aware) {
+                          double capacity, double usual_work, bool proxy_knows_start) {
   std::deque<ColdWork>& window = cold_work_[backend_key(tier, node)];
-  window.push_back({now, work, aware});
+  window.push_back({now, work, proxy_knows_start});
   while (window.front().at + scenario_.collapse_delay < now) {
     window.pop_front();
   }
   double sent = 0;
-  double sent_aware = 0;
+  double sent_knowingly = 0;
   for (const ColdWork& arrival : window) {
     sent += arrival.work_s;
-    sent_aware += arrival.aware ? arrival.work_s : 0;
+    sent_knowingly += arrival.proxy_knows_start ? arrival.work_s : 0;
   }
   const double budget = scenario_.collapse_ratio * capacity * to_s(scenario_.collapse_delay);
   const double chance_jobs =
@@ -216,7 +219,7 @@
   if (sent <= budget + chance_jobs * usual_work) {
     return false;
   }
-  if (sent_aware >= kAwareShare * sent) {
+  if (sent_knowingly >= kAwareShare * sent) {
     report(now, Rule::kCold, 0,
            fmt::format("cold node {} of tier {} was sent {:.3f} core-seconds in {:.1f} s and can "
                        "do {:.3f} a second",
--- a/src/emulator/rules.h
+++ b/src/emulator/rules.h
@@ -1,5 +1,5 @@
-/// The four rules that a balancer must keep, checked from what is true in the emulated deployment,
-/// whatever decided it.
+/// Checks four rules that any balancer must keep, from the true state of the emulated deployment
+/// and independently of the policy.
 #pragma once
 
 #include <array>
@@ -14,9 +14,10 @@
 
 namespace beechhill::emulator {
 
-/// kOneAnswer: one final answer, by the deadline and its grace. kEffects: nothing is run twice that
-/// must not be. kDrains: nothing is sent to a backend after it has drained. kCold: no cold backend
-/// is overloaded until it collapses.
+/// kOneAnswer: each request gets exactly one final answer, by its deadline plus the grace period.
+/// kEffects: a request that must not be executed twice is not repeated. kDrains: nothing is sent to
+/// a backend after its drain grace period. kCold: no cold backend receives so much work that it
+/// collapses.
 enum class Rule { kOneAnswer, kEffects, kDrains, kCold };
 inline constexpr std::array kRules{Rule::kOneAnswer, Rule::kEffects, Rule::kDrains, Rule::kCold};
 const char* name_of(Rule rule);
@@ -24,48 +25,55 @@
 struct Violation {
   Rule rule = Rule::kOneAnswer;
   Time at{0};
-  /// 0: a backend's, not a request's.
+  /// Id of the request; 0 if a backend violates the rule and no single request does.
   std::uint64_t request = 0;
   std::string what;
-  /// What happened to the request, a line an event.
+  /// The events of the request, one per line.
   std::string trace;
 };
 
-/// Requests are named by their ids at the proxies; backends by tier and number.
+/// Requests are identified by their ids at the proxies, backends by tier and index.
 class RuleChecker {
  public:
-  /// `slack`: how much later than it happened something may be reported; zero where one clock
-  /// rules all. `scenario` must outlive it.
+  /// `slack` is the maximum delay between an event and its report; zero if all events are timed by
+  /// one clock. `scenario` must outlive this object.
   explicit RuleChecker(const Scenario& scenario, Duration slack = Duration{0})
       : scenario_(scenario), slack_(slack) {}
 
-  /// A proxy takes a request.
-  void taken(Time now, std::uint64_t call, ClassId class_id, Time deadline);
-  /// A final answer of any kind reaches the client. `refusal`: it says that a retry is harmless.
-  void answered(Time now, std::uint64_t call, bool refusal);
-  /// The proxy sends an attempt. `told`: since when its endpoint list says that the backend drains
-  /// or is gone. `held`: for how long it may have been on its way until this was seen.
-  void sent(Time now, std::uint64_t call, std::uint32_t tier, EndpointId node,
-            const Endpoint& entry, std::optional<Time> told, Duration held = Duration{0});
-  void ended(Time now, std::uint64_t call, std::uint32_t attempt, Result result);
-  /// Its client waits no longer, through no fault of the proxy's: no answer is owed.
-  void excused(Time now, std::uint64_t call);
-  /// The proxy died, or all is done: nothing more is owed for it.
-  void forget(std::uint64_t call);
-  /// Its deadline and the grace after it are over.
-  void overdue(Time now, std::uint64_t call);
-  /// `work` core-seconds reach a cold backend that has `capacity` core-seconds a second now;
-  /// `aware`: from a proxy that knew of its start. True: the backend collapses.
+  /// Records that a proxy has accepted a request.
+  void taken(Time now, std::uint64_t request_id, ClassId class_id, Time deadline);
+  /// Records that a final answer has reached the client. `rejection` means that the answer declares
+  /// a retry safe.
+  void answered(Time now, std::uint64_t request_id, bool rejection);
+  /// Records that a proxy has sent an attempt. `not_up_since` is the time since which the proxy's
+  /// endpoint list has had the backend as draining or removed. `transit` is the maximum time
+  /// between the sending and this call.
+  void sent(Time now, std::uint64_t request_id, std::uint32_t tier, EndpointId node,
+            const Endpoint& entry, std::optional<Time> not_up_since,
+            Duration transit = Duration{0});
+  void ended(Time now, std::uint64_t request_id, std::uint32_t attempt, Result result);
+  /// Records that the client has stopped waiting for a reason outside the proxy's control, so that
+  /// no answer is required.
+  void excused(Time now, std::uint64_t request_id);
+  /// Removes a request that is complete or whose proxy has died. No further answer is required.
+  void forget(std::uint64_t request_id);
+  /// Reports a violation if the request has no answer although its deadline and the grace period
+  /// have passed.
+  void overdue(Time now, std::uint64_t request_id);
+  /// Records that `work` core-seconds arrive at a cold backend with a present capacity of
+  /// `capacity` core-seconds per second. `usual_work` is the work of a mean request there.
+  /// `proxy_knows_start` tells whether the sending proxy knew that the backend had started. Returns
+  /// true if the backend collapses.
   bool pressed(Time now, std::uint32_t tier, EndpointId node, double work, double capacity,
-               double usual_work, bool aware);
-  /// The backend is warm, or gone.
+               double usual_work, bool proxy_knows_start);
+  /// Discards the records of a backend that is warm or has stopped.
   void node_warm(std::uint32_t tier, EndpointId node);
 
   std::uint64_t count(Rule rule) const { return counts_[static_cast<std::size_t>(rule)]; }
   std::uint64_t all() const;
-  /// The first few.
+  /// Details of the first violations, up to a fixed number.
   const std::vector<Violation>& violations() const { return violations_; }
-  /// Requests for which something may still be owed.
+  /// Number of requests that may still require an answer.
   std::size_t open() const { return requests_.size(); }
 
  private:
@@ -85,15 +93,16 @@
     std::vector<Attempt> attempts;
     std::string trace;
   };
-  /// Work that reached a cold backend.
+  /// Work that has reached a cold backend.
   struct ColdWork {
     Time at{0};
     double work_s = 0;
-    bool aware = false;
+    bool proxy_knows_start = false;
   };
 
   RequestRecord* find(std::uint64_t id);
-  void check_drain(Time now, std::uint64_t id, EndpointId endpoint, std::optional<Time> told);
+  void check_drain(Time now, std::uint64_t id, EndpointId endpoint,
+                   std::optional<Time> not_up_since);
   void check_repeat(Time now, std::uint64_t id, const Endpoint& endpoint);
   void check_deduplication(Time now, std::uint64_t id, const Attempt& first,
                            const Endpoint& endpoint);
@@ -103,9 +112,10 @@
 
   const Scenario& scenario_;
   const Duration slack_;
-  // Looked up only, never walked: the order of a hash table is no part of a run.
+  // Only used for look-ups and never iterated, because the order of a hash table must not affect a
+  // run.
   std::unordered_map<std::uint64_t, RequestRecord> requests_;
-  // By tier and backend, over the last collapse delay.
+  // Work within the last collapse delay, by tier and backend.
   std::map<std::uint64_t, std::deque<ColdWork>> cold_work_;
   std::array<std::uint64_t, kRules.size()> counts_{};
   std::vector<Violation> violations_;
--- a/src/emulator/simulation.cpp
+++ b/src/emulator/simulation.cpp
@@ -49,8 +49,8 @@
 
 }  // namespace
 
-Simulation::Simulation(Scenario played_scenario, PolicyFactory make_policy)
-    : scenario(std::move(played_scenario)),
+Simulation::Simulation(Scenario scenario_to_run, PolicyFactory make_policy)
+    : scenario(std::move(scenario_to_run)),
       metrics(scenario),
       rules(scenario),
       network(*this),
--- a/src/emulator/simulation.h
+++ b/src/emulator/simulation.h
@@ -1,5 +1,5 @@
-/// One run of an emulated deployment: its parts, what they share, and the dispatch of events to
-/// them. Internal to the emulator; World is its public face.
+/// One run of an emulated deployment: its parts, their shared state, and the dispatch of events.
+/// Internal to the emulator; its public interface is World.
 #pragma once
 
 #include "emulator/backend_fleet.h"
@@ -17,23 +17,24 @@
 
 namespace beechhill::emulator {
 
-/// Each part owns its own state and reaches the others through this. Parts may use only `scenario`
-/// while they are constructed. Not copied or moved: the parts refer to it.
+/// Each part owns its state and accesses the other parts through this struct. While parts are being
+/// constructed, they may only use `scenario`. Neither copyable nor movable, because the parts hold
+/// references to it.
 struct Simulation {
-  Simulation(Scenario played_scenario, PolicyFactory make_policy);
+  Simulation(Scenario scenario_to_run, PolicyFactory make_policy);
   Simulation(const Simulation&) = delete;
   Simulation& operator=(const Simulation&) = delete;
 
-  /// Sends an event to the part that handles it, or keeps it for a paused proxy.
+  /// Passes an event to the part that handles it, or defers it if it is for a paused proxy.
   void dispatch(const SimulationEvent& event);
 
   const Scenario scenario;
   Metrics metrics;
   RuleChecker rules;
   EventQueue events;
-  /// The simulated time, since the run's beginning.
+  /// The simulated time since the start of the run.
   Time now{0};
-  /// When the run is over: the scenario's length and the time its last requests may take.
+  /// The end of the run: the scenario's length plus the maximum duration of its last requests.
   Time end{0};
 
   Network network;
--- a/src/emulator/slab.h
+++ b/src/emulator/slab.h
@@ -1,5 +1,4 @@
-/// A container whose ids are never mistaken for those of an element that stood in the same slot
-/// before.
+/// A container whose ids stay unique: a slot that is reused gets a new id.
 #pragma once
 
 #include <cstddef>
@@ -9,8 +8,8 @@
 
 namespace beechhill::emulator {
 
-/// Owns elements of `T` under 64-bit ids made of slot and generation. No id is 0. All operations
-/// are O(1), amortised for add().
+/// Owns elements of `T` and identifies each by a 64-bit id, made of its slot and the slot's
+/// generation. No id is 0. All operations take O(1) time, amortised for add().
 template <typename T>
 class Slab {
  public:
@@ -30,7 +29,7 @@
     return (static_cast<std::uint64_t>(slot.generation) << 32) | index;
   }
 
-  /// Null where the element has been removed. The pointer is valid until the next add().
+  /// Returns null if the element has been removed. The pointer is valid until the next add().
   T* find(std::uint64_t id) {
     const auto index = static_cast<std::uint32_t>(id);
     if (index >= slots_.size()) {
@@ -40,7 +39,7 @@
     return slot.used && slot.generation == id >> 32 ? &slot.element : nullptr;
   }
 
-  /// Does nothing where the element has been removed already.
+  /// Does nothing if the element has already been removed.
   void remove(std::uint64_t id) {
     if (!find(id)) {
       return;
@@ -53,13 +52,13 @@
     free_slots_.push_back(static_cast<std::uint32_t>(id));
   }
 
-  /// How many elements it holds.
+  /// Number of elements in the container.
   std::size_t live() const { return live_; }
 
  private:
   struct Slot {
     T element{};
-    // Begins at 1, so that no id is 0.
+    // Starts at 1, so that no id is 0.
     std::uint32_t generation = 1;
     bool used = false;
   };
--- a/src/emulator/world.h
+++ b/src/emulator/world.h
@@ -1,6 +1,6 @@
-/// The emulated deployment in simulated time: clients, a front, proxies with a policy each, tiers
-/// of backends, a discovery feed, and faults. One thread, no clock, no global state: equal
-/// scenarios, seeds and policies give equal runs, byte for byte.
+/// The emulated deployment in simulated time: clients, a front-end, proxies with one policy each,
+/// tiers of backends, discovery and faults. Single-threaded, without a clock or global state: equal
+/// scenarios, seeds and policies give byte-identical results.
 #pragma once
 
 #include <cstddef>
@@ -16,23 +16,24 @@
 
 struct Simulation;
 
-/// Called about once a simulated second with the part of the run that is done, from 0 to 1.
+/// Called about once per simulated second with the completed share of the run, from 0 to 1.
 using ProgressCallback = std::function<void(double part)>;
 
-/// A run of a scenario. Owns all that belongs to it.
+/// A run of a scenario. Owns all of its state.
 class World {
  public:
-  /// `make_policy` is called whenever a proxy starts.
+  /// `make_policy` is called each time a proxy starts.
   World(Scenario scenario, PolicyFactory make_policy);
   ~World();
 
-  /// Plays the scenario to its end. May be called once only.
+  /// Runs the scenario to its end. Must be called only once.
   void run(const ProgressCallback& progress = {});
 
   const Scenario& scenario() const;
   const Metrics& metrics() const;
   const RuleChecker& rules() const;
-  /// Requests that are still in flight at a proxy. 0 after a run, unless a policy lost one.
+  /// Number of requests still in flight at proxies. It is 0 after a run, unless a policy failed to
+  /// answer a request.
   std::size_t left_over() const;
 
  private:
--- a/tests/event_queue_test.cpp
+++ b/tests/event_queue_test.cpp
@@ -1,4 +1,4 @@
-// The emulator's event queue, and the container of what events refer to.
+// Tests of the emulator's event queue, and of the container that owns what its events refer to.
 #include "emulator/event_queue.h"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
   EXPECT_EQ(order, (std::vector<std::size_t>{1, 3, 0, 2}));
 }
 
-TEST(Slab, NeverFindsAnElementByTheIdOfAnEarlierOne) {
+TEST(Slab, DoesNotFindAnElementByAStaleId) {
   Slab<std::string> slab;
   const std::uint64_t first = slab.add("first");
   EXPECT_NE(first, 0u);
--- a/tests/metrics_test.cpp
+++ b/tests/metrics_test.cpp
@@ -1,4 +1,4 @@
-// What a run is judged by.
+// Tests of the metrics of a run.
 #include "emulator/metrics.h"
 
 #include <gtest/gtest.h>
@@ -12,23 +12,23 @@
 
 using test::shipped_scenario;
 
-// Recovered is what is as good as before the fault, not as during it.
+// Recovery is measured against goodput before the fault, not during it.
 TEST(Metrics, MeasuresRecoveryAgainstTheTimeBeforeTheFault) {
-  const Scenario s = shipped_scenario("calm");
-  Metrics m(s);
+  const Scenario scenario = shipped_scenario("calm");
+  Metrics metrics(scenario);
   for (const double served : {1.0, 1.0, 0.4, 0.4, 0.5, 0.97, 0.6, 0.99, 1.0, 1.0, 1.0}) {
-    Second w;
-    w.worth_asked = 100;
-    w.worth_served = 100 * served;
-    m.seconds.push_back(w);
+    Second second;
+    second.worth_asked = 100;
+    second.worth_served = 100 * served;
+    metrics.seconds.push_back(second);
   }
   using std::chrono::seconds;
-  EXPECT_DOUBLE_EQ(m.goodput_between(seconds(0), seconds(2)), 1);
-  EXPECT_DOUBLE_EQ(m.goodput_between(seconds(2), seconds(4)), 0.4);
-  // One good second between bad ones is no recovery.
-  EXPECT_EQ(m.recovery_s(seconds(4), seconds(11), 0.95), 3);
-  // Not three in a row by then.
-  EXPECT_EQ(m.recovery_s(seconds(4), seconds(9), 0.95), -1);
+  EXPECT_DOUBLE_EQ(metrics.goodput_between(seconds(0), seconds(2)), 1);
+  EXPECT_DOUBLE_EQ(metrics.goodput_between(seconds(2), seconds(4)), 0.4);
+  // A single good second between bad ones does not count as recovery.
+  EXPECT_EQ(metrics.recovery_s(seconds(4), seconds(11), 0.95), 3);
+  // There are not three good seconds in a row before second 9.
+  EXPECT_EQ(metrics.recovery_s(seconds(4), seconds(9), 0.95), -1);
 }
 
 }  // namespace
--- a/tests/rule_checker_test.cpp
+++ b/tests/rule_checker_test.cpp
@@ -1,4 +1,5 @@
-// The rule checker against policies broken on purpose, and against the real module under faults.
+// Tests that the rule checker detects policies with deliberate bugs, and that the balancer keeps
+// the rules under random faults.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -16,7 +17,7 @@
 using test::make_module_policy;
 using test::shipped_scenario;
 
-// The real module, with the events that it gets or the actions that it returns tampered with.
+// The balancer, with a hook that modifies the actions that it returns for each event.
 class TamperedPolicy : public Policy {
  public:
   using Tamper = std::function<void(const Event&, std::vector<Action>&)>;
@@ -32,10 +33,10 @@
   Tamper tamper_;
 };
 
-RuleChecker const& rules_after(std::optional<World>& world, const Scenario& s,
+RuleChecker const& rules_after(std::optional<World>& world, const Scenario& scenario,
                                TamperedPolicy::Tamper tamper) {
-  world.emplace(s, [tamper](Time now, const Settings& settings, const TrueBackendState&,
-                            std::vector<Action>& actions) {
+  world.emplace(scenario, [tamper](Time now, const Settings& settings, const TrueBackendState&,
+                                   std::vector<Action>& actions) {
     return std::make_unique<TamperedPolicy>(now, settings, actions, tamper);
   });
   world->run();
@@ -43,8 +44,8 @@
 }
 
 void expect_only(const RuleChecker& rules, Rule violated) {
-  for (const Rule r : {Rule::kOneAnswer, Rule::kEffects, Rule::kDrains, Rule::kCold}) {
-    EXPECT_EQ(rules.count(r) > 0, r == violated) << name_of(r);
+  for (const Rule rule : {Rule::kOneAnswer, Rule::kEffects, Rule::kDrains, Rule::kCold}) {
+    EXPECT_EQ(rules.count(rule) > 0, rule == violated) << name_of(rule);
   }
   ASSERT_FALSE(rules.violations().empty());
   EXPECT_NE(rules.violations()[0].what, "");
@@ -52,10 +53,11 @@
 
 TEST(RuleChecker, ReportsARequestWithoutAnswer) {
   std::optional<World> world;
-  const Scenario s = shipped_scenario("calm");
-  expect_only(rules_after(world, s,
-                          [](const Event& e, std::vector<Action>& actions) {
-                            if (const auto* r = std::get_if<Request>(&e); r && r->id % 100 == 0) {
+  const Scenario scenario = shipped_scenario("calm");
+  expect_only(rules_after(world, scenario,
+                          [](const Event& event, std::vector<Action>& actions) {
+                            if (const auto* request = std::get_if<Request>(&event);
+                                request && request->id % 100 == 0) {
                               actions.clear();
                             }
                           }),
@@ -67,9 +69,10 @@
 TEST(RuleChecker, ReportsASecondFinalAnswer) {
   std::optional<World> world;
   expect_only(rules_after(world, shipped_scenario("calm"),
-                          [](const Event& e, std::vector<Action>& actions) {
-                            if (const auto* o = std::get_if<Outcome>(&e); o && o->is_final) {
-                              actions.push_back(Fail{o->id});
+                          [](const Event& event, std::vector<Action>& actions) {
+                            if (const auto* outcome = std::get_if<Outcome>(&event);
+                                outcome && outcome->is_final) {
+                              actions.push_back(Fail{outcome->id});
                             }
                           }),
               Rule::kOneAnswer);
@@ -77,32 +80,34 @@
 
 TEST(RuleChecker, ReportsARetryOfANonIdempotentRequest) {
   std::optional<World> world;
-  Scenario s = shipped_scenario("fast-errors");
-  s.classes[1].settings.idempotency = Idempotency::kNonIdempotent;
-  expect_only(rules_after(world, s,
-                          [](const Event& e, std::vector<Action>& actions) {
-                            const auto* o = std::get_if<Outcome>(&e);
-                            if (!o || o->result != Result::kError || o->is_final) {
-                              return;
-                            }
-                            for (Action& a : actions) {
-                              if (const auto* f = std::get_if<Fail>(&a); f && f->id == o->id) {
-                                a = StartAttempt{o->id, 0};
-                              }
-                            }
-                          }),
-              Rule::kEffects);
+  Scenario scenario = shipped_scenario("fast-errors");
+  scenario.classes[1].settings.idempotency = Idempotency::kNonIdempotent;
+  expect_only(
+      rules_after(world, scenario,
+                  [](const Event& event, std::vector<Action>& actions) {
+                    const auto* outcome = std::get_if<Outcome>(&event);
+                    if (!outcome || outcome->result != Result::kError || outcome->is_final) {
+                      return;
+                    }
+                    for (Action& action : actions) {
+                      if (const auto* failure = std::get_if<Fail>(&action);
+                          failure && failure->id == outcome->id) {
+                        action = StartAttempt{outcome->id, 0};
+                      }
+                    }
+                  }),
+      Rule::kEffects);
 }
 
 TEST(RuleChecker, ReportsARejectionOfWhatMayHaveRun) {
   std::optional<World> world;
-  Scenario s = shipped_scenario("fast-errors");
-  s.classes[1].settings.idempotency = Idempotency::kNonIdempotent;
-  expect_only(rules_after(world, s,
+  Scenario scenario = shipped_scenario("fast-errors");
+  scenario.classes[1].settings.idempotency = Idempotency::kNonIdempotent;
+  expect_only(rules_after(world, scenario,
                           [](const Event&, std::vector<Action>& actions) {
-                            for (Action& a : actions) {
-                              if (const auto* f = std::get_if<Fail>(&a)) {
-                                a = Reject{f->id, Duration{0}};
+                            for (Action& action : actions) {
+                              if (const auto* failure = std::get_if<Fail>(&action)) {
+                                action = Reject{failure->id, Duration{0}};
                               }
                             }
                           }),
@@ -111,19 +116,19 @@
 
 TEST(RuleChecker, ReportsAttemptsAtADrainedBackend) {
   std::optional<World> world;
-  const Scenario s = shipped_scenario("stale-churn");
+  const Scenario scenario = shipped_scenario("stale-churn");
   std::set<EndpointId> draining;
-  expect_only(rules_after(world, s,
-                          [&draining](const Event& e, std::vector<Action>& actions) {
-                            if (const auto* d = std::get_if<EndpointUpdate>(&e)) {
-                              for (const Endpoint& entry : d->endpoints) {
+  expect_only(rules_after(world, scenario,
+                          [&draining](const Event& event, std::vector<Action>& actions) {
+                            if (const auto* update = std::get_if<EndpointUpdate>(&event)) {
+                              for (const Endpoint& entry : update->endpoints) {
                                 if (entry.status == EndpointStatus::kDraining) {
                                   draining.insert(entry.id);
                                 }
                               }
                             }
-                            for (Action& a : actions) {
-                              if (auto* send = std::get_if<StartAttempt>(&a);
+                            for (Action& action : actions) {
+                              if (auto* send = std::get_if<StartAttempt>(&action);
                                   send && !draining.empty()) {
                                 send->endpoint = *draining.begin();
                               }
@@ -134,19 +139,19 @@
 
 TEST(RuleChecker, ReportsOverloadOfAColdBackend) {
   std::optional<World> world;
-  Scenario s = shipped_scenario("vanish");
+  Scenario scenario = shipped_scenario("vanish");
   std::optional<EndpointId> cold;
-  expect_only(rules_after(world, s,
-                          [&cold](const Event& e, std::vector<Action>& actions) {
-                            if (const auto* d = std::get_if<EndpointUpdate>(&e)) {
-                              for (const Endpoint& entry : d->endpoints) {
+  expect_only(rules_after(world, scenario,
+                          [&cold](const Event& event, std::vector<Action>& actions) {
+                            if (const auto* update = std::get_if<EndpointUpdate>(&event)) {
+                              for (const Endpoint& entry : update->endpoints) {
                                 if (entry.started_at) {
                                   cold = entry.id;
                                 }
                               }
                             }
-                            for (Action& a : actions) {
-                              if (auto* send = std::get_if<StartAttempt>(&a); send && cold) {
+                            for (Action& action : actions) {
+                              if (auto* send = std::get_if<StartAttempt>(&action); send && cold) {
                                 send->endpoint = *cold;
                               }
                             }
@@ -155,33 +160,34 @@
   EXPECT_GT(world->metrics().tipped, 0u);
 }
 
-// Whatever fails, and in whatever order: the module keeps the rules and no request is left over.
-TEST(RuleChecker, FindsNoViolationOfTheModuleUnderRandomFaults) {
+// Under random faults in random order, the balancer violates no rule and every request is
+// completed.
+TEST(RuleChecker, FindsNoViolationByTheBalancerUnderRandomFaults) {
   const std::vector<FaultKind> kinds{
       FaultKind::kSilent,     FaultKind::kErrors,    FaultKind::kSlow,  FaultKind::kLateReports,
       FaultKind::kStaleList,  FaultKind::kCrash,     FaultKind::kDrain, FaultKind::kReplace,
       FaultKind::kProxyCrash, FaultKind::kPartition, FaultKind::kBurst, FaultKind::kTenantBurst};
   for (std::uint64_t seed = 1; seed <= 15; ++seed) {
-    Scenario s = shipped_scenario(seed % 3 ? "calm" : "three-tiers");
+    Scenario scenario = shipped_scenario(seed % 3 ? "calm" : "three-tiers");
     Stream random(seed, Actor::kFaults, 1'000'000);
-    s.seed = seed;
-    s.length = std::chrono::seconds(15);
-    s.load.utilisation = 0.3 + 0.9 * random.uniform();
-    s.clients.retry = static_cast<RetryPolicy>(random.below(4));
-    s.clients.patience = {0.3, 1};
-    s.faults.clear();
+    scenario.seed = seed;
+    scenario.length = std::chrono::seconds(15);
+    scenario.load.utilisation = 0.3 + 0.9 * random.uniform();
+    scenario.clients.retry = static_cast<RetryPolicy>(random.below(4));
+    scenario.clients.patience = {0.3, 1};
+    scenario.faults.clear();
     for (int i = 0; i < 5; ++i) {
-      FaultSpec f;
-      f.kind = kinds[random.below(kinds.size())];
-      f.at = Duration(static_cast<std::int64_t>(8e6 * random.uniform()));
-      f.length = Duration(static_cast<std::int64_t>(5e5 + 6e6 * random.uniform()));
-      f.part = 0.05 + 0.45 * random.uniform();
-      f.tier = static_cast<std::uint32_t>(random.below(s.tiers.size()));
-      f.factor = f.kind == FaultKind::kErrors ? random.uniform() : 1 + 3 * random.uniform();
-      f.delay = Duration(static_cast<std::int64_t>(5e6 * random.uniform()));
-      s.faults.push_back(f);
+      FaultSpec fault;
+      fault.kind = kinds[random.below(kinds.size())];
+      fault.at = Duration(static_cast<std::int64_t>(8e6 * random.uniform()));
+      fault.length = Duration(static_cast<std::int64_t>(5e5 + 6e6 * random.uniform()));
+      fault.part = 0.05 + 0.45 * random.uniform();
+      fault.tier = static_cast<std::uint32_t>(random.below(scenario.tiers.size()));
+      fault.factor = fault.kind == FaultKind::kErrors ? random.uniform() : 1 + 3 * random.uniform();
+      fault.delay = Duration(static_cast<std::int64_t>(5e6 * random.uniform()));
+      scenario.faults.push_back(fault);
     }
-    World world(s, make_module_policy);
+    World world(scenario, make_module_policy);
     world.run();
     EXPECT_EQ(world.rules().all(), 0u)
         << "seed " << seed << ": " << world.rules().violations()[0].what << "\n"
--- a/tests/support/emulator_scenarios.h
+++ b/tests/support/emulator_scenarios.h
@@ -1,5 +1,5 @@
-/// Scenarios for the emulator's tests: from a text, or one of those that ship in experiments/.
-/// EXPERIMENTS is defined as that directory.
+/// Scenarios for the emulator's tests, read from a string or from the files in experiments/. The
+/// macro EXPERIMENTS must be defined as the path of that directory.
 #pragma once
 
 #include <fstream>
@@ -23,11 +23,11 @@
   return emulator::read_scenario(emulator::load_scenario(path), path);
 }
 
-/// Makes the real module for each proxy.
-inline std::unique_ptr<emulator::Policy> make_module_policy(Time now, const Settings& settings,
-                                                            const emulator::TrueBackendState& truth,
-                                                            std::vector<Action>& actions) {
-  return emulator::make_policy("module", now, settings, truth, actions);
+/// Creates the production balancer as the policy of a proxy.
+inline std::unique_ptr<emulator::Policy> make_module_policy(
+    Time now, const Settings& settings, const emulator::TrueBackendState& true_state,
+    std::vector<Action>& actions) {
+  return emulator::make_policy("module", now, settings, true_state, actions);
 }
 
 inline std::string bytes_of(const std::string& path) {
