--- a/src/emulator/event_queue.h
+++ b/src/emulator/event_queue.h
@@ -23,7 +23,7 @@
   std::uint64_t incarnation = 0;
 };
 
-/// The next operation arrives from the clients.
+/// A client sends a new operation.
 struct ArrivalDue {};
 /// A client retries its operation.
 struct ClientRetryDue {
--- a/src/emulator/maintenance_simulation.h
+++ b/src/emulator/maintenance_simulation.h
@@ -109,7 +109,8 @@
   }
   /// Crashes a backend, or starts it again. Has no effect on a backend that is worked on.
   void set_backend_down(std::size_t backend, bool down);
-  /// Sets whether operators complete their work on machines that are out of service.
+  /// Stop and resume the completion of work by operators. Machines remain out of service while it
+  /// is stopped.
   void pause_operators() { operators_working_ = false; }
   void resume_operators() { operators_working_ = true; }
 
--- a/src/emulator/metrics.h
+++ b/src/emulator/metrics.h
@@ -163,7 +163,7 @@
   Json::Value series_json() const;
 
   const Scenario* scenario_;
-  // Covers the length of the scenario.
+  // Buckets for the whole length of the scenario.
   std::vector<Bucket> buckets_;
 };
 
--- a/src/emulator/network.h
+++ b/src/emulator/network.h
@@ -1,4 +1,4 @@
-/// The links between proxies and backends: their delays and the link faults in force.
+/// The network between proxies and backends: delays, and the link faults in force.
 #pragma once
 
 #include <cstddef>
--- a/src/emulator/proxy_requests.cpp
+++ b/src/emulator/proxy_requests.cpp
@@ -260,7 +260,7 @@
   complete_attempt({job.request, job.attempt}, {job.result, job.report, job.useful_work_s});
 }
 
-// Ends all open attempts with a time-out, because the proxy waits no longer.
+// Ends all open attempts with a time-out, because the proxy waits for no result after the deadline.
 void ProxyRequests::on_deadline(RequestId id) {
   const ProxyRequest* request = requests_.find(id);
   if (!request) {
--- a/src/emulator/scenario.h
+++ b/src/emulator/scenario.h
@@ -93,7 +93,8 @@
 struct LoadSpec {
   /// Mean rate of first attempts; 0: derived from `utilisation`.
   double rate_per_s = 0;
-  /// Load relative to the capacity of the tier with the lowest capacity.
+  /// Offered load as a share of the capacity of the tier with the lowest capacity. Used if
+  /// `rate_per_s` is 0.
   double utilisation = 0.5;
   LoadShape shape = LoadShape::kSteady;
   Duration period{60'000'000};
