--- a/src/testbed/closed_loop_load.cpp
+++ b/src/testbed/closed_loop_load.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-// Before a client whose request was not served sends the next one.
+// Delay before a client sends its next request after one that was not served.
 constexpr std::chrono::milliseconds kRetryDelay{10};
 
 }  // namespace
@@ -76,11 +76,11 @@
       fmt::format("/{}/x?work_us={}", request_class.name, std::llround(request_class.work_s * 1e6));
   const std::string trace_header = fmt::format("X-Trace-Id: {:x}-{:x}\r\n", client, number);
   const std::string request = http::write_request("GET", target, "proxy", trace_header, "");
-  const HttpExchange sent = co_await exchange(*stream, request, buffer, deadline, deadline);
-  if (!sent.complete || !sent.response.keep_alive()) {
+  const HttpExchange reply = co_await exchange(*stream, request, buffer, deadline, deadline);
+  if (!reply.complete || !reply.response.keep_alive()) {
     stream.reset();
   }
-  co_return sent.complete&& sent.response.status == 200;
+  co_return reply.complete&& reply.response.status == 200;
 }
 
 }  // namespace beechhill::testbed
--- a/src/testbed/closed_loop_load.h
+++ b/src/testbed/closed_loop_load.h
@@ -1,6 +1,6 @@
-// A closed-loop load on one real proxy: so many clients, each with a connection of its own, each
-// sending its next request when the last one is answered. For measuring cost, not latency: a slow
-// proxy slows its load.
+// A closed-loop load on one real proxy: a fixed number of clients, each of which sends its next
+// request on its own connection when the previous one is answered. Suitable for measuring cost but
+// not latency, because a slow proxy slows down the load.
 #pragma once
 
 #include <cstddef>
@@ -13,12 +13,13 @@
 
 namespace beechhill::testbed {
 
-/// Requests are of the scenario's first class. For one thread; what it borrows must outlive it.
+/// Sends requests of the scenario's first class. Not thread-safe; objects passed by reference must
+/// outlive it.
 class ClosedLoopLoad {
  public:
   ClosedLoopLoad(runtime::Scheduler& scheduler, const emulator::Scenario& scenario,
                  sockaddr_in proxy, std::size_t clients);
-  /// Ends when every client has ended its last request after `until`.
+  /// Completes when each client has ended the request that was in progress at `until`.
   runtime::Task<> run(runtime::TimePoint until);
   std::uint64_t served() const { return served_; }
   /// Requests that were rejected or failed.
@@ -26,8 +27,8 @@
 
  private:
   runtime::Task<> run_client(std::size_t client, runtime::TimePoint until);
-  // Whether the request is served. Connects where `stream` is null, and resets it where the
-  // connection is of no more use. The references must outlive the task.
+  // Returns whether the request was served. Connects if `stream` is null, and resets `stream` if
+  // the connection cannot be reused. The references must outlive the task.
   runtime::Task<bool> run_request(std::size_t client, std::uint64_t number,
                                   std::unique_ptr<net::Stream>& stream, std::string& buffer);
 
--- a/src/testbed/cluster_deployment.cpp
+++ b/src/testbed/cluster_deployment.cpp
@@ -16,9 +16,9 @@
 
 namespace {
 
-// Of a cluster key in hexadecimal.
+// Number of hexadecimal digits of a cluster key.
 constexpr std::size_t kKeyDigits = 64;
-// Datagrams that an impairment loses for each that it duplicates.
+// Ratio of lost to duplicated datagrams in an impaired network.
 constexpr double kLossPerDuplication = 3;
 
 std::vector<std::string> voter_names(const emulator::Scenario& scenario) {
@@ -81,10 +81,10 @@
 }
 
 void ClusterDeployment::apply(const emulator::FaultSpec& fault,
-                              const std::vector<std::uint32_t>& struck, FaultPhase phase) {
+                              const std::vector<std::uint32_t>& affected, FaultPhase phase) {
   const bool begins = phase == FaultPhase::kBegins;
   if (fault.kind != emulator::FaultKind::kGossipDegraded) {
-    set_partitioned(fault, struck, begins);
+    set_partitioned(fault, affected, begins);
   } else if (begins) {
     network_->set_impairment(fault.factor, fault.factor / kLossPerDuplication, fault.delay);
   } else {
@@ -93,10 +93,10 @@
 }
 
 void ClusterDeployment::set_partitioned(const emulator::FaultSpec& fault,
-                                        const std::vector<std::uint32_t>& struck,
+                                        const std::vector<std::uint32_t>& affected,
                                         bool partitioned) {
   std::vector<bool> inside(scenario_.proxies);
-  for (const std::uint32_t proxy : struck) {
+  for (const std::uint32_t proxy : affected) {
     inside[proxy] = true;
   }
   for (std::size_t from = 0; from < inside.size(); ++from) {
--- a/src/testbed/cluster_deployment.h
+++ b/src/testbed/cluster_deployment.h
@@ -1,5 +1,5 @@
-// What proxies that form a cluster (gossip and coordinated maintenance) need in a load test: keys,
-// voters' storage, settings, and a network between them that faults can strike.
+// The resources that the proxies of a cluster (gossip and coordinated maintenance) need in a load
+// test: keys, voters' storage, settings, and a network between them that supports fault injection.
 #pragma once
 
 #include <memory>
@@ -15,15 +15,15 @@
 
 class DatagramFaultProxy;
 
-/// The name of a proxy in its configuration and in the cluster.
+/// Returns the name of a proxy in its configuration and in the cluster.
 std::string proxy_name(std::size_t proxy);
 
 /// Must outlive the scheduler's run. In a build without BEECHHILL_CLUSTER the constructor throws
 /// std::invalid_argument.
 class ClusterDeployment {
  public:
-  /// Writes the cluster's key into `directory`, and the voters' first storage into their state
-  /// directories, of which `state_directories` has one for each proxy.
+  /// Writes the cluster's key into `directory` and the voters' initial storage into their state
+  /// directories. `state_directories` has one path for each proxy.
   ClusterDeployment(runtime::Scheduler& scheduler, const emulator::Scenario& scenario,
                     const experiments::TempDirectory& directory,
                     std::vector<std::string> state_directories);
@@ -31,15 +31,15 @@
   ClusterDeployment(const ClusterDeployment&) = delete;
   ClusterDeployment& operator=(const ClusterDeployment&) = delete;
 
-  /// The tables [membership] and [maintenance] of a proxy's operator file.
+  /// Returns the [membership] and [maintenance] tables of a proxy's operator file.
   std::string operator_file_tables(std::size_t proxy) const;
-  /// A fault of the network between proxies (emulator::affects_gossip). `struck`: for a partition,
-  /// the proxies on one side.
-  void apply(const emulator::FaultSpec& fault, const std::vector<std::uint32_t>& struck,
+  /// Begins or ends a fault of the network between proxies (emulator::affects_gossip). `affected`:
+  /// for a partition, the proxies on one side.
+  void apply(const emulator::FaultSpec& fault, const std::vector<std::uint32_t>& affected,
              FaultPhase phase);
 
  private:
-  void set_partitioned(const emulator::FaultSpec& fault, const std::vector<std::uint32_t>& struck,
+  void set_partitioned(const emulator::FaultSpec& fault, const std::vector<std::uint32_t>& affected,
                        bool partitioned);
 
   const emulator::Scenario& scenario_;
--- a/src/testbed/cluster_deployment_unavailable.cpp
+++ b/src/testbed/cluster_deployment_unavailable.cpp
@@ -1,17 +1,17 @@
-// ClusterDeployment in a build without BEECHHILL_CLUSTER: it cannot be made.
+// ClusterDeployment in a build without BEECHHILL_CLUSTER: the constructor always throws.
 #include <stdexcept>
 
 #include "testbed/cluster_deployment.h"
 
 namespace beechhill::testbed {
 
-// Never made; completes the type that the header's pointer owns.
+// Never instantiated; completes the type of the pointer in the header.
 class DatagramFaultProxy {};
 
 ClusterDeployment::ClusterDeployment(runtime::Scheduler&, const emulator::Scenario& scenario,
                                      const experiments::TempDirectory&, std::vector<std::string>)
     : scenario_(scenario) {
-  throw std::invalid_argument("group: this build has no membership (BEECHHILL_CLUSTER)");
+  throw std::invalid_argument("group: not supported by this build, which lacks BEECHHILL_CLUSTER");
 }
 
 ClusterDeployment::~ClusterDeployment() = default;
--- a/src/testbed/cluster_test/cluster_test.cpp
+++ b/src/testbed/cluster_test/cluster_test.cpp
@@ -17,16 +17,16 @@
 
 namespace {
 
-// The test itself, or its control.
+// The run of the test itself, or that of its control.
 struct SingleRun {
-  std::unique_ptr<emulator::World> world;            // in the emulator; the metrics refer to it
+  std::unique_ptr<emulator::World> world;  // only in the emulator; the metrics refer to it
   std::shared_ptr<const emulator::Metrics> metrics;  // never null
   Json::Value result;
   BackendPeaks peaks;
   std::uint64_t max_snapshot_requests = 0;
   std::uint64_t violations = 0;
   std::string violation_text;
-  std::optional<Time> last_ready_at;  // of a proxy that a fault took away
+  std::optional<Time> last_ready_at;  // of a proxy that a fault made unavailable
 };
 
 void check_maintenance(const LoadTestResult& load_test, const Scenario& scenario, SingleRun& run) {
@@ -38,7 +38,8 @@
   }
   if (load_test.max_backends_out > scenario.group.most_out) {
     ++run.violations;
-    run.violation_text += fmt::format("{} backends were out at once\n", load_test.max_backends_out);
+    run.violation_text +=
+        fmt::format("{} backends were out for maintenance at once\n", load_test.max_backends_out);
   }
   if (scenario.group.voters > 0) {
     run.result["taken_out"] = load_test.taken_out;
@@ -80,7 +81,7 @@
                                       name_of(violation.rule), violation.what, violation.trace);
   }
   if (run.world->left_over() > 0) {
-    run.violation_text += fmt::format("{} requests were never ended\n", run.world->left_over());
+    run.violation_text += fmt::format("{} requests never ended\n", run.world->left_over());
   }
   return run;
 }
@@ -90,8 +91,8 @@
                           : run_processes(scenario, options.program);
 }
 
-void add_control(const SingleRun& run, const SingleRun& control, const Scenario& scenario,
-                 ClusterTestResult& result) {
+void compare_with_control(const SingleRun& run, const SingleRun& control, const Scenario& scenario,
+                          ClusterTestResult& result) {
   const FaultWindow window = process_fault_window(scenario);
   result.control_goodput = control.metrics->goodput();
   result.recovery = run.metrics->return_from(*control.metrics, window.began,
@@ -99,7 +100,7 @@
   result.control_peaks = control.peaks;
   result.violations += control.violations;
   if (control.violations > 0) {
-    result.violation_text += "in the control:\n" + control.violation_text;
+    result.violation_text += "violations in the control run:\n" + control.violation_text;
   }
 }
 
@@ -115,9 +116,9 @@
   result.violations = run.violations;
   result.violation_text = run.violation_text;
   if (options.control) {
-    // The control's metrics refer to its scenario.
+    // The control's metrics refer to this scenario.
     const Scenario control_scenario = without_process_faults(scenario);
-    add_control(run, run_once(control_scenario, options), scenario, result);
+    compare_with_control(run, run_once(control_scenario, options), scenario, result);
   }
   return result;
 }
--- a/src/testbed/cluster_test/cluster_test.h
+++ b/src/testbed/cluster_test/cluster_test.h
@@ -1,6 +1,6 @@
-// Cluster tests: many proxies under a fault injection plan, against a control without the faults of
-// proxy processes, with real processes on loopback or in the emulator. The verdict comes from what
-// clients and backends observed.
+// Cluster tests: run many proxies under a fault plan and compare them with a control run without
+// the faults of proxy processes. The runs use real processes on loopback or the emulator.
+// Violations are determined from what clients and backends observed.
 #pragma once
 
 #include <json/json.h>
@@ -13,39 +13,40 @@
 namespace beechhill::testbed {
 
 struct ClusterTestOptions {
-  bool emulated = false;          // in the emulator, not with real processes
-  std::string policy = "module";  // in the emulator
-  std::string program;            // the proxy, for real processes
-  bool control = true;            // without it, the recovery is not measured
+  bool emulated = false;          // run in the emulator, not with real processes
+  std::string policy = "module";  // load balancing policy in the emulator
+  std::string program;            // path of the proxy program, for real processes
+  bool control = true;  // also run the control, without which the recovery is not measured
 };
 
-/// The most that one backend saw in one second, after the warm-up.
+/// Maximum number of new connections and of attempts at one backend in one second, after the
+/// warm-up.
 struct BackendPeaks {
   std::uint64_t connections = 0;
   std::uint64_t attempts = 0;
 };
 
 struct ClusterTestResult {
-  Json::Value result;         // in the emulator's form, with its series
-  emulator::Return recovery;  // against the control
+  Json::Value result;         // in the emulator's format, with time series
+  emulator::Return recovery;  // compared with the control
   double goodput = 0;
   double control_goodput = 0;
   BackendPeaks peaks;
   BackendPeaks control_peaks;
-  /// The most lists that one proxy asked discovery for; 0 in the emulator.
+  /// Maximum number of endpoint lists that one proxy requested from discovery; 0 in the emulator.
   std::uint64_t max_snapshot_requests = 0;
-  /// Of the rules, with responses to other requests and requests that never ended; of the control
-  /// too.
+  /// Number of rule violations, of responses that belong to other requests and of requests that
+  /// never ended, including those of the control.
   std::uint64_t violations = 0;
-  std::string violation_text;  // the first few, with their traces
+  std::string violation_text;  // the first few violations, with their traces
 };
 
-/// Blocks; with real processes for the scenario's length and a little, twice where there is a
-/// control. Throws as run_load_test() does.
+/// Blocks; with real processes for slightly longer than the scenario's length, and twice as long
+/// with a control. Throws the same exceptions as run_load_test().
 ClusterTestResult run_cluster_test(const emulator::Scenario& scenario,
                                    const ClusterTestOptions& options);
 
-/// How many rules the scenario violates, without a control.
+/// Runs the scenario without a control and returns its number of violations.
 std::uint64_t count_violations(const emulator::Scenario& scenario,
                                const ClusterTestOptions& options);
 
--- a/src/testbed/cluster_test/cluster_test_command.cpp
+++ b/src/testbed/cluster_test/cluster_test_command.cpp
@@ -34,10 +34,10 @@
 
 struct Options {
   ScenarioOptions scenario;
-  std::string json_file;  // empty: none
-  std::string html_file;  // empty: none
+  std::string json_file;  // empty: not written
+  std::string html_file;  // empty: not written
   ClusterTestOptions test;
-  std::uint32_t runs = 1;  // with this seed and the next ones
+  std::uint32_t runs = 1;  // with consecutive seeds
   bool draw_faults = false;
   bool shrink = false;
 };
@@ -100,32 +100,32 @@
   std::fflush(stdout);
 }
 
-// On standard error: the violations, and a plan that shows them.
+// Prints the violations, and a fault plan that reproduces them, on standard error.
 void report_violations(const ClusterTestResult& test, const Scenario& scenario,
                        const Options& options) {
   std::vector<emulator::FaultSpec> faults = scenario.faults;
   if (options.shrink) {
-    const auto fails = [&](const std::vector<emulator::FaultSpec>& fewer) {
-      Scenario smaller = scenario;
-      smaller.faults = fewer;
-      return count_violations(smaller, options.test) > 0;
+    const auto fails = [&](const std::vector<emulator::FaultSpec>& remaining) {
+      Scenario reduced = scenario;
+      reduced.faults = remaining;
+      return count_violations(reduced, options.test) > 0;
     };
     faults = shrink(faults, kMaxShrinkRuns, fails);
   }
-  fmt::print(stderr, "{}# seed {}: a plan that shows it\n{}", test.violation_text, scenario.seed,
-             to_toml(scenario, faults));
+  fmt::print(stderr, "{}# seed {}: fault plan that reproduces the violations\n{}",
+             test.violation_text, scenario.seed, to_toml(scenario, faults));
 }
 
-// What the runs of one command have in common.
+// Statistics of the recovery over all runs of one command.
 class RecoverySummary {
  public:
   void add(const emulator::Return& recovery) {
     times_.push_back(recovery.full_after);
     lost_.push_back(recovery.worth_lost);
   }
-  // At least one was added.
+  // Must only be called after add().
   void print() {
-    // Runs that did not recover come last.
+    // Sorts runs that did not recover to the end.
     std::sort(times_.begin(), times_.end(),
               [](const auto& a, const auto& b) { return a && (!b || *a < *b); });
     std::sort(lost_.begin(), lost_.end());
@@ -185,7 +185,7 @@
                    "Scenario file of one tier, with its faults (TOML)")
       ->required();
   command->add_flag("--emulated", options->test.emulated,
-                    "In the emulator, not with real processes");
+                    "Run in the emulator instead of with real processes");
   command->add_option("--policy", options->test.policy, "The load balancing policy in the emulator")
       ->check(CLI::IsMember(emulator::policy_names()))
       ->capture_default_str();
@@ -195,11 +195,11 @@
       ->check(CLI::Range(1u, kMaxRuns))
       ->capture_default_str();
   command->add_flag("!--alone", options->test.control,
-                    "Without the control: the rules are checked, the recovery is not measured");
+                    "Run without the control: rules are checked, but the recovery is not measured");
   command->add_flag("--draw", options->draw_faults,
-                    "Faults drawn from the seed in place of the scenario's");
+                    "Draw the faults at random from the seed instead of using the scenario's");
   command->add_flag("--shrink", options->shrink,
-                    "Remove faults from a plan that violates a rule, while it still does");
+                    "Reduce a plan that violates a rule to fewer faults that still violate it");
   command->add_option("--json", options->json_file,
                       "Write the results to this file, as lines that `plot` reads");
   command->add_option("--html", options->html_file, "Plot the results into this file");
--- a/src/testbed/cluster_test/cluster_test_command.h
+++ b/src/testbed/cluster_test/cluster_test_command.h
@@ -5,7 +5,8 @@
 
 namespace beechhill::testbed {
 
-/// `exit_code` must outlive the app's parsing, which sets it.
+/// Adds the command to `app`. It stores its exit code in `exit_code`, which must outlive the
+/// parsing of `app`.
 void add_cluster_test_command(CLI::App& app, int& exit_code);
 
 }  // namespace beechhill::testbed
--- a/src/testbed/cluster_test/fault_plan.cpp
+++ b/src/testbed/cluster_test/fault_plan.cpp
@@ -16,12 +16,13 @@
 
 namespace {
 
-// Keeps these draws apart from those for backends, proxies and faults.
+// Selects a random stream distinct from those for backends, proxies and faults.
 constexpr std::uint64_t kPlanStream = 1ULL << 39;
 constexpr std::size_t kMinFaults = 2;
 constexpr std::size_t kMaxFaults = 6;
 
-// What is drawn from, evenly: kinds that stand twice are drawn twice as often.
+// Fault kinds that are drawn with equal probability; a kind that is listed twice is drawn twice as
+// often.
 constexpr std::array kDrawnKinds{
     FaultKind::kProxyCrash, FaultKind::kProxyCrash,      FaultKind::kProxyStop,
     FaultKind::kProxyStop,  FaultKind::kProxyEnd,        FaultKind::kDiscoverySilent,
@@ -29,12 +30,12 @@
     FaultKind::kCrash,      FaultKind::kDrain,           FaultKind::kPartition,
     FaultKind::kStaleList,  FaultKind::kLateReports,     FaultKind::kLinkDelay,
     FaultKind::kLinkReset,  FaultKind::kDiscoveryRewound};
-// And these, where proxies keep snapshots.
+// Fault kinds that are drawn as well if the proxies keep snapshots.
 constexpr std::array kDrawnStateKinds{
     FaultKind::kStateLost, FaultKind::kStateOld, FaultKind::kStateTorn, FaultKind::kStateFlipped,
     FaultKind::kStateAged, FaultKind::kDiskFull, FaultKind::kDiskHangs, FaultKind::kDiskGone};
 
-bool strikes_process(const FaultSpec& fault) {
+bool affects_process(const FaultSpec& fault) {
   return emulator::affects_proxies(fault.kind) && fault.kind != FaultKind::kDiscoverySilent &&
          fault.kind != FaultKind::kDiscoveryRewound && !emulator::affects_gossip(fault.kind);
 }
@@ -52,7 +53,7 @@
   fault.kind = draw_kind(scenario, random);
   const bool affects_proxies = emulator::affects_proxies(fault.kind);
   const double at_s = length_s * random.uniform({0.1, 0.5});
-  const double latest_end_s = length_s * 2 / 3;  // so that the recovery can be observed
+  const double latest_end_s = length_s * 2 / 3;  // leaves time to observe the recovery
   fault.at = emulator::to_duration(at_s);
   fault.length =
       emulator::to_duration(std::min(latest_end_s - at_s, length_s * random.uniform({0.02, 0.3})));
@@ -75,7 +76,7 @@
   return fmt::format("\"{}us\"", duration.count());
 }
 
-// "key = value" on a line of its own; nothing for a value that says "not given".
+// Returns a line "key = value", or nothing if the value is not given.
 template <typename Number>
 std::string toml_line_if(bool given, const char* key, Number value) {
   return given ? fmt::format("{} = {}\n", key, value) : "";
@@ -130,11 +131,11 @@
   for (bool shrunk = true; shrunk;) {
     shrunk = false;
     for (std::size_t i = 0; i < faults.size() && faults.size() > 1 && calls < max_calls;) {
-      std::vector<FaultSpec> fewer = faults;
-      fewer.erase(fewer.begin() + static_cast<std::ptrdiff_t>(i));
+      std::vector<FaultSpec> remaining = faults;
+      remaining.erase(remaining.begin() + static_cast<std::ptrdiff_t>(i));
       ++calls;
-      if (fails(fewer)) {
-        faults = std::move(fewer);
+      if (fails(remaining)) {
+        faults = std::move(remaining);
         shrunk = true;
       } else {
         ++i;
@@ -145,14 +146,14 @@
 }
 
 Scenario without_process_faults(Scenario scenario) {
-  std::erase_if(scenario.faults, strikes_process);
+  std::erase_if(scenario.faults, affects_process);
   return scenario;
 }
 
 FaultWindow process_fault_window(const Scenario& scenario) {
   FaultWindow window;
   for (const FaultSpec& fault : scenario.faults) {
-    if (!strikes_process(fault) || emulator::affects_state(fault.kind)) {
+    if (!affects_process(fault) || emulator::affects_state(fault.kind)) {
       continue;
     }
     window.began = window.ended == Time{0} ? fault.at : std::min(window.began, fault.at);
--- a/src/testbed/cluster_test/fault_plan.h
+++ b/src/testbed/cluster_test/fault_plan.h
@@ -1,5 +1,5 @@
-// Fault injection plans: the faults of a scenario, drawn from a seed, written as TOML, and shrunk
-// while they still show a failure. The emulator and real processes play the same plans.
+// Fault plans: the faults of a scenario, drawn at random from a seed, written as TOML, and shrunk
+// to fewer faults that still cause a failure. The emulator and real processes run the same plans.
 #pragma once
 
 #include <cstdint>
@@ -12,26 +12,29 @@
 
 namespace beechhill::testbed {
 
-/// Two to six faults in place of the scenario's own, all over by two thirds of its length. The same
-/// for the same scenario and seed. Only kinds that both the emulator and real processes can play.
+/// Draws two to six faults that replace the scenario's own and end within the first two thirds of
+/// its length. The result depends only on the scenario and the seed. Only fault kinds that both the
+/// emulator and real processes support are drawn.
 std::vector<emulator::FaultSpec> draw_faults(const emulator::Scenario& scenario,
                                              std::uint64_t seed);
 
-/// As `[[fault]]` tables that read_scenario() reads back to the same faults.
+/// Returns `[[fault]]` tables from which read_scenario() reads the same faults.
 std::string to_toml(const emulator::Scenario& scenario,
                     const std::vector<emulator::FaultSpec>& faults);
 
-/// Removes faults one by one while `fails` returns true for those that are left, until none can be
-/// removed or `fails` was called `max_calls` times. `faults` is known to fail; one is always left.
+/// Removes faults one by one as long as `fails` returns true for the remaining ones, until none can
+/// be removed or `fails` was called `max_calls` times. `faults` must be a plan that fails; at least
+/// one fault remains.
 std::vector<emulator::FaultSpec> shrink(
     std::vector<emulator::FaultSpec> faults, std::size_t max_calls,
     const std::function<bool(const std::vector<emulator::FaultSpec>&)>& fails);
 
-/// The scenario without the faults of proxy processes: the control of a cluster test.
+/// Returns the scenario without the faults of proxy processes, which is the control of a cluster
+/// test.
 emulator::Scenario without_process_faults(emulator::Scenario scenario);
 
-/// From the beginning of the first fault that takes a proxy process away to the end of the last
-/// one; both 0 where there is none.
+/// The time from the beginning of the first fault to the end of the last one among those that make
+/// a proxy process unavailable; both 0 if there are none.
 struct FaultWindow {
   Time began{0};
   Time ended{0};
--- a/src/testbed/console.h
+++ b/src/testbed/console.h
@@ -1,4 +1,4 @@
-// What the testbed's commands print and write.
+// Console and file output of the testbed's commands.
 #pragma once
 
 #include <json/json.h>
@@ -10,8 +10,8 @@
 
 namespace beechhill::testbed {
 
-/// One line of progress on standard error that is written over; nothing where that is no terminal.
-/// The destructor clears the line.
+/// A progress line on standard error that each update overwrites. Prints nothing if standard error
+/// is not a terminal. The destructor clears the line.
 class ProgressLine {
  public:
   ProgressLine();
@@ -25,14 +25,15 @@
   bool written_ = false;
 };
 
-/// Prints a table of requests by outcome, and latencies, from a result in the emulator's form: one
-/// row for all, one for each class and one for each tenant.
+/// Prints a table of request counts by outcome and of latencies from a result in the emulator's
+/// JSON format: one row for all requests, one for each class and one for each tenant.
 void print_result_table(const Json::Value& result);
 
-/// With one digit after the point; "never" for nullopt.
+/// Formats a duration in seconds with one decimal place; "never" for nullopt.
 std::string seconds_text(const std::optional<Duration>& duration);
 
-/// Replaces the file. Throws std::runtime_error where it cannot be written.
+/// Replaces the contents of the file by `text`. Throws std::runtime_error if the file cannot be
+/// written.
 void write_text_file(const std::string& path, const std::string& text);
 
 }  // namespace beechhill::testbed
--- a/src/testbed/cost_measurement.cpp
+++ b/src/testbed/cost_measurement.cpp
@@ -27,11 +27,12 @@
 
 namespace {
 
-// More than any number of clients that the command takes.
+// Exceeds the maximum number of clients that the command accepts.
 constexpr int kMaxProxySockets = 16'384;
 
-// Of a scenario with any number of backends whose work takes no time.
-constexpr const char* kScenario = R"(
+// Scenario whose requests take the backends no noticeable time; the parameter is the number of
+// backends.
+constexpr const char* kScenarioTemplate = R"(
 length = "10s"
 [load]
 rate = 1.0
@@ -77,16 +78,16 @@
   Task<> measure(std::size_t clients, std::chrono::duration<double> duration) {
     ClosedLoopLoad load(scheduler_, scenario_, proxy_->address(), clients);
     const double cpu_before_s = proxy_->running_cpu_s();
-    const auto begun = Clock::now();
-    co_await load.run(begun + std::chrono::duration_cast<Clock::duration>(duration));
-    const double took_s = std::chrono::duration<double>(Clock::now() - begun).count();
+    const auto started_at = Clock::now();
+    co_await load.run(started_at + std::chrono::duration_cast<Clock::duration>(duration));
+    const double duration_s = std::chrono::duration<double>(Clock::now() - started_at).count();
     const double cpu_s = proxy_->running_cpu_s() - cpu_before_s;
     const auto served = static_cast<double>(std::max<std::uint64_t>(1, load.served()));
     fmt::print(
         "{:>7} backends {:>7} clients {:>9.0f} served/s {:>8.1f} us CPU/request {:>7} not served "
         "{:>6} KiB RSS\n",
-        scenario_.tiers[0].nodes, clients, served / took_s, 1e6 * cpu_s / served, load.not_served(),
-        proxy_->rss_kib());
+        scenario_.tiers[0].nodes, clients, served / duration_s, 1e6 * cpu_s / served,
+        load.not_served(), proxy_->rss_kib());
     std::fflush(stdout);
   }
 
@@ -111,7 +112,7 @@
 void measure_cost(const CostMeasurementOptions& options) {
   raise_open_file_limit();
   ::signal(SIGPIPE, SIG_IGN);
-  const std::string text = fmt::format(kScenario, options.backends);
+  const std::string text = fmt::format(kScenarioTemplate, options.backends);
   const emulator::Scenario scenario =
       emulator::read_scenario(config::parse_toml(text, "cost"), "cost");
   CostMeasurement measurement(scenario, options.program);
--- a/src/testbed/datagram_fault_proxy.cpp
+++ b/src/testbed/datagram_fault_proxy.cpp
@@ -11,15 +11,16 @@
 namespace beechhill::testbed {
 namespace {
 
-// Keeps these draws apart from those for discovery servers.
+// Selects a random stream distinct from those for discovery servers.
 constexpr std::uint64_t kDatagramStream = 1ULL << 35;
 constexpr int kPort = 7946;
 constexpr std::size_t kMaxProcesses = 100;
-// Last bytes of the addresses of the first process.
+// Last bytes of the first process's listen address and advertised address.
 constexpr std::size_t kFirstListenHost = 1;
 constexpr std::size_t kFirstAdvertisedHost = kFirstListenHost + kMaxProcesses;
 
-// By the testbed's process id, so that testbeds side by side do not meet.
+// The address depends on the testbed's process id, so that testbeds that run in parallel do not
+// receive each other's datagrams.
 std::string loopback_address(std::size_t host) {
   const auto pid = static_cast<unsigned>(::getpid());
   return fmt::format("127.{}.{}.{}:{}", 1 + pid / 250 % 250, pid % 250, host, kPort);
@@ -34,7 +35,7 @@
       random_(seed, emulator::Actor::kDiscovery, kDatagramStream),
       partitions_(processes * processes) {
   if (processes > kMaxProcesses) {
-    throw std::invalid_argument("proxies.count: at most 100 that exchange gossip");
+    throw std::invalid_argument("proxies.count: at most 100 proxies can exchange gossip");
   }
   for (std::size_t i = 0; i < processes; ++i) {
     const sockaddr_in address = parse_own_address(advertised_address(i));
@@ -68,7 +69,7 @@
     wait.readable(sockets_[to]->io());
     co_await wait;
     sockaddr_in from{};
-    // All of them: there is no second wake-up for what is left.
+    // Reads all pending datagrams, because the remaining ones would not cause another wake-up.
     while (const auto datagram = sockets_[to]->take(from)) {
       forward(net::to_string(from), to, *datagram);
     }
--- a/src/testbed/datagram_fault_proxy.h
+++ b/src/testbed/datagram_fault_proxy.h
@@ -12,22 +12,23 @@
 
 namespace beechhill::testbed {
 
-/// Each process is advertised at an address of the proxy's, which forwards what comes there as if
-/// from the sender's own advertised address, so both ends see what they would without it. Must
-/// outlive the scheduler's run.
+/// Each process is advertised at one of the proxy's addresses. The proxy forwards a datagram from
+/// there with the sender's advertised address as its source, so that both ends see the same
+/// addresses as without the proxy. Must outlive the scheduler's run.
 class DatagramFaultProxy {
  public:
-  /// For so many processes, at most 100 (std::invalid_argument beyond), on loopback addresses that
-  /// are this process's own.
+  /// Supports at most 100 processes and throws std::invalid_argument for more. Uses loopback
+  /// addresses that are derived from the testbed's process id.
   DatagramFaultProxy(runtime::Scheduler& scheduler, std::size_t processes, std::uint64_t seed);
 
-  /// Where a process is to listen, and where the others are to send to it.
+  /// The address on which a process must listen, and the one to which other processes send.
   std::string listen_address(std::size_t process) const;
   std::string advertised_address(std::size_t process) const;
 
-  /// From one process to another; calls nest.
+  /// Partitions or heals the direction from one process to another. Calls nest.
   void set_partitioned(std::size_t from, std::size_t to, bool partitioned);
-  /// Probabilities from 0 to 1; each datagram is delayed by up to `max_delay`.
+  /// Sets the probabilities, from 0 to 1, that a datagram is lost or duplicated, and the maximum
+  /// delay of each datagram.
   void set_impairment(double loss, double duplication, runtime::Clock::duration max_delay);
 
  private:
@@ -40,8 +41,8 @@
   runtime::Scheduler& scheduler_;
   const std::size_t processes_;
   emulator::Stream random_;
-  std::vector<std::unique_ptr<net::DatagramSocket>> sockets_;  // by process
-  std::vector<int> partitions_;  // nested calls, at [from * processes_ + to]
+  std::vector<std::unique_ptr<net::DatagramSocket>> sockets_;  // indexed by process
+  std::vector<int> partitions_;  // number of nested calls, at [from * processes_ + to]
   double loss_ = 0;
   double duplication_ = 0;
   runtime::Clock::duration max_delay_{0};
--- a/src/testbed/emulator_commands.cpp
+++ b/src/testbed/emulator_commands.cpp
@@ -65,7 +65,7 @@
 struct EmulateOptions {
   ScenarioOptions scenario;
   std::string policy = "module";
-  std::string json_file;  // empty: none
+  std::string json_file;  // empty: not written
 };
 
 ExitCode emulate(const EmulateOptions& options) {
@@ -96,7 +96,7 @@
 struct ExperimentOptions {
   std::string experiment_file;
   std::string result_file;  // empty: the experiment's name with .jsonl
-  std::string html_file;    // empty: none
+  std::string html_file;    // empty: not written
   unsigned threads = std::max(1u, std::thread::hardware_concurrency());
 };
 
@@ -131,7 +131,7 @@
   fmt::print("{}: {} cells run, {} found finished, results in {}\n", experiment.name, summary.run,
              summary.kept, result_file);
   if (interrupted) {
-    std::fputs("interrupted: the same command goes on from here\n", stderr);
+    std::fputs("interrupted; run the same command again to continue\n", stderr);
     return kInterrupted;
   }
   if (!options.html_file.empty()) {
@@ -140,7 +140,7 @@
                result_file);
   }
   if (summary.plain_violations > 0) {
-    fmt::print("baseline policies broke rules {} times; see \"rules\" in the results\n",
+    fmt::print("baseline policies violated rules {} times; see \"rules\" in the results\n",
                summary.plain_violations);
   }
   if (summary.module_violations > 0) {
@@ -152,18 +152,18 @@
 
 struct PlotOptions {
   std::string result_file;
-  std::string html_file;  // empty: the result's name with .html
-  std::string title;      // empty: the result's name
+  std::string html_file;  // empty: the result file's name with .html
+  std::string title;      // empty: the result file's name
 };
 
 ExitCode plot(const PlotOptions& options) {
   if (!std::filesystem::exists(options.result_file)) {
-    throw config::TomlError(options.result_file + ": cannot be read");
+    throw config::TomlError(options.result_file + ": result file does not exist");
   }
   bool incomplete = false;
   const std::vector<Json::Value> rows = experiments::read_lines(options.result_file, incomplete);
   if (incomplete) {
-    std::fputs("an incomplete line is left out\n", stderr);
+    std::fputs("skipped an incomplete line of the result file\n", stderr);
   }
   std::string html_file = options.html_file;
   if (html_file.empty()) {
--- a/src/testbed/emulator_commands.h
+++ b/src/testbed/emulator_commands.h
@@ -1,11 +1,12 @@
-// The commands that work on the emulator alone: `emulate`, `experiment` and `plot`.
+// The commands that use only the emulator: `emulate`, `experiment` and `plot`.
 #pragma once
 
 #include <CLI/CLI.hpp>
 
 namespace beechhill::testbed {
 
-/// `exit_code` must outlive the app's parsing, which sets it.
+/// Adds the commands to `app`. Each command stores its exit code in `exit_code`, which must outlive
+/// the parsing of `app`.
 void add_emulator_commands(CLI::App& app, int& exit_code);
 
 }  // namespace beechhill::testbed
--- a/src/testbed/exit_code.h
+++ b/src/testbed/exit_code.h
@@ -5,7 +5,7 @@
 
 enum ExitCode : int {
   kSuccess = 0,
-  kError = 1,  // of the machine or a file
+  kError = 1,  // a system call or a file operation failed
   kInvalidInput = 2,
   kRuleViolated = 3,
   kInterrupted = 4,
--- a/src/testbed/fake_backend.cpp
+++ b/src/testbed/fake_backend.cpp
@@ -22,13 +22,13 @@
 namespace {
 
 constexpr std::string_view kWorkParameter = "work_us=";
-constexpr double kMaxWorkUs = 3600e6;     // core-microseconds of one request
-constexpr auto kAcceptRetryDelay = 10ms;  // where descriptors are short
-// Keeps the backends' error draws apart from those of the node model.
+constexpr double kMaxWorkUs = 3600e6;     // maximum of one request, in core-microseconds
+constexpr auto kAcceptRetryDelay = 10ms;  // for example when file descriptors are exhausted
+// Selects a random stream for error responses that is distinct from that of the node model.
 constexpr std::uint64_t kErrorStream = 1ULL << 32;
 
-// Core-seconds of a request, from its query; 0 where it names none.
-double work_in(const std::string& target) {
+// Returns the work of a request in core-seconds from its query, or 0 if the query has none.
+double work_from_query(const std::string& target) {
   const std::size_t at = target.find(kWorkParameter);
   if (at == std::string::npos) {
     return 0;
@@ -39,7 +39,7 @@
   return work ? std::min(kMaxWorkUs, static_cast<double>(*work)) / 1e6 : 0;
 }
 
-// Removes a connection's task from the set as its frame ends, however it ends.
+// Removes a connection's task from the set when its coroutine frame is destroyed.
 class TaskRegistration {
  public:
   TaskRegistration(std::set<runtime::TaskId>& tasks, std::shared_ptr<runtime::TaskId> id)
@@ -82,7 +82,7 @@
   const Time now = clock_.now();
   phases_ = {};
   if (state != State::kServing) {
-    model_.restart(now, now);  // what it held is lost
+    model_.restart(now, now);  // discards the work in progress
     jobs_.clear();
   }
   if (state == State::kUnresponsive) {
@@ -144,7 +144,7 @@
     ++requests_received_;
     const std::string* trace_id = request.headers.find("X-Trace-Id");
     Exchange exchange;
-    exchange.work = work_in(request.target) * spec_.work;
+    exchange.work = work_from_query(request.target) * spec_.work;
     if (observations_ && trace_id) {
       exchange.observed_id = ObservationLog::parse_trace_id(*trace_id);
     }
@@ -189,8 +189,8 @@
   co_await wait;
 }
 
-// Phases end at the times that the model gave them, however late the machine's timer is: its
-// granularity must not slow the backend down.
+// Ends phases at the times that the model determined, even if the timer fires late, so that the
+// timer's granularity does not slow the backend down.
 Task<> FakeBackend::run_phase_timer() {
   for (;;) {
     finish_due_phases();
--- a/src/testbed/fake_backend.h
+++ b/src/testbed/fake_backend.h
@@ -18,16 +18,16 @@
 
 namespace beechhill::testbed {
 
-/// A request names its work in core-microseconds as `work_us` in its query; the node model decides
-/// how long that takes and when the backend is overloaded (503). Runs on the scheduler's thread,
-/// and must outlive the scheduler's run.
+/// Requests state their work in core-microseconds in the query parameter `work_us`. The node model
+/// determines how long a request takes and when the backend is overloaded (503). Runs on the
+/// scheduler's thread and must outlive the scheduler's run.
 class FakeBackend {
  public:
-  /// kUnresponsive: connections stand and requests are read, but none is answered. kStopped:
+  /// kUnresponsive: connections stay open and requests are read, but none is answered. kStopped:
   /// connections are reset, and none is accepted.
   enum class State { kServing, kUnresponsive, kStopped };
 
-  /// `observations`, if any, must outlive it.
+  /// `observations` may be null; otherwise it must outlive the backend.
   FakeBackend(runtime::Scheduler& scheduler, const TestbedClock& clock,
               const emulator::Scenario& scenario, EndpointId id,
               ObservationLog* observations = nullptr);
@@ -37,21 +37,21 @@
   EndpointId id() const { return id_; }
   std::uint32_t cell() const { return id_ / spec_.cell_size; }
   std::uint32_t zone() const { return cell() % spec_.zones; }
-  /// As discovery lists it while it is up.
+  /// Returns the endpoint as discovery lists it while the backend is up.
   Endpoint endpoint() const;
-  /// When it last started; nullopt: before the run.
+  /// Time of the last start; nullopt if it was before the run.
   const std::optional<Time>& started_at() const { return model_.born(); }
 
-  /// Leaving kServing loses all work; entering it starts the backend anew, with a slow start.
+  /// Leaving kServing discards all work; entering kServing restarts the backend, with slow start.
   void set_state(State state);
-  /// The part of requests that is answered with 500, from 0 to 1.
+  /// Sets the fraction of requests, from 0 to 1, that are answered with 500.
   void set_error_rate(double rate) { error_rate_ = rate; }
-  /// Work takes `factor` times as long; 1: as usual.
+  /// Makes work take `factor` times as long; 1 restores the normal speed.
   void set_slowdown(double factor) { model_.slow_down(factor); }
-  /// Load reports are older by `delay` than usual.
+  /// Makes load reports older by `delay` than they normally are.
   void set_report_delay(Duration delay) { report_delay_ = delay; }
 
-  /// Complete requests that it has read, and connections it has accepted, over all its starts.
+  /// Number of complete requests read and of connections accepted, over all starts of the backend.
   std::uint64_t requests_received() const { return requests_received_; }
   std::uint64_t connections_accepted() const { return connections_accepted_; }
 
@@ -59,10 +59,10 @@
   struct Job {
     runtime::Notifier done;
   };
-  // A request while it is served.
+  // A request that is being served.
   struct Exchange {
     std::optional<ClientAttemptId> observed_id;  // nullopt: not observed
-    std::uint32_t attempt = 0;                   // its number in the observation log
+    std::uint32_t attempt = 0;                   // number of the attempt in the observation log
     double work = 0;                             // core-seconds on a core of speed 1
     int status = 200;
   };
@@ -95,14 +95,14 @@
   State state_ = State::kServing;
   double error_rate_ = 0;
   Duration report_delay_{0};
-  std::map<emulator::JobId, Job*> jobs_;  // each stands in the frame of its connection's task
+  std::map<emulator::JobId, Job*> jobs_;  // owned by the coroutine frames of the connections
   emulator::JobId next_job_ = 1;
   std::priority_queue<emulator::Start, std::vector<emulator::Start>, EndsLater> phases_;
   runtime::Notifier phases_changed_;
   std::uint64_t requests_received_ = 0;
   std::uint64_t connections_accepted_ = 0;
   ObservationLog* observations_;
-  bool in_slow_start_ = false;  // for the observation log
+  bool in_slow_start_ = false;  // used only for the observation log
 };
 
 }  // namespace beechhill::testbed
--- a/src/testbed/fake_backends_command.cpp
+++ b/src/testbed/fake_backends_command.cpp
@@ -29,16 +29,17 @@
 
 namespace {
 
-constexpr double kDayS = 86'400;
+constexpr double kSecondsPerDay = 86'400;
 
 struct Options {
-  std::string scenario_file;  // empty: the demo
-  std::string config_file;    // empty: none
+  std::string scenario_file;  // empty: the demo scenario
+  std::string config_file;    // empty: not written
   std::string listen = "127.0.0.1:18080";
-  double max_duration_s = kDayS;
+  double max_duration_s = kSecondsPerDay;
 };
 
-// Becomes readable at SIGTERM and SIGINT, which no longer end the process.
+// Returns a descriptor that becomes readable at SIGTERM and SIGINT. The signals no longer end the
+// process.
 net::FileDescriptor termination_signals() {
   sigset_t mask;
   sigemptyset(&mask);
@@ -103,7 +104,7 @@
                       "Write a proxy's configuration (GW_CONFIG) for these backends to this file");
   command->add_option("--listen", options->listen, "The proxy's address in that configuration")
       ->capture_default_str();
-  command->add_option("--for", options->max_duration_s, "Seconds after which it ends by itself")
+  command->add_option("--for", options->max_duration_s, "Maximum duration of the run in seconds")
       ->check(CLI::Range(0.1, 1e6));
   command->callback([options, &exit_code] { exit_code = run(*options); });
 }
--- a/src/testbed/fake_backends_command.h
+++ b/src/testbed/fake_backends_command.h
@@ -1,12 +1,13 @@
-// The command `fake-backends`: fake backends and their discovery server for a proxy that is started
-// by hand.
+// The command `fake-backends`, which runs fake backends and their discovery server for a proxy that
+// is started manually.
 #pragma once
 
 #include <CLI/CLI.hpp>
 
 namespace beechhill::testbed {
 
-/// `exit_code` must outlive the app's parsing, which sets it.
+/// Adds the command to `app`. It stores its exit code in `exit_code`, which must outlive the
+/// parsing of `app`.
 void add_fake_backends_command(CLI::App& app, int& exit_code);
 
 }  // namespace beechhill::testbed
--- a/src/testbed/fake_discovery.cpp
+++ b/src/testbed/fake_discovery.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-// An empty line this often shows a watching proxy that the watch is alive.
+// Interval of the empty lines that show a watching proxy that the watch is alive.
 constexpr auto kWatchHeartbeat = 2s;
 constexpr const char* kRemovedHealth = "terminated";
 
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-// A watch stream that waits for changes; registered for as long as it lives.
+// A watch stream that waits for changes; registered in the set for its lifetime.
 class FakeDiscovery::Watcher {
  public:
   explicit Watcher(std::set<Watcher*>& watchers) : watchers_(watchers) { watchers_.insert(this); }
@@ -77,7 +77,7 @@
 }
 
 void FakeDiscovery::rewind(std::optional<Time> to) {
-  horizon_ = to.value_or(Time::max());
+  visible_until_ = to.value_or(Time::max());
   version_ = 0;
   rows_.clear();
   endpoints_.clear();
@@ -93,7 +93,7 @@
 }
 
 void FakeDiscovery::apply_due_changes() {
-  const Time until = std::min(clock_.now(), horizon_);
+  const Time until = std::min(clock_.now(), visible_until_);
   for (; version_ < changes_.size() && changes_[version_].due <= until; ++version_) {
     const Change& change = changes_[version_];
     const std::string host = change.row["host"].asString();
@@ -194,13 +194,13 @@
   }
 }
 
-// A snapshot, then each change as it is due, one chunk each.
+// Sends a snapshot, then the changes as they become due, each time as one chunk.
 Task<> FakeDiscovery::send_watch_stream(net::Stream& stream) {
   Watcher watcher(watchers_);
   std::string out = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   std::string line = compact_json(snapshot()) + "\n";
-  std::size_t version = version_;  // that `line` ends with
-  std::size_t sent_version = 0;    // that the proxy has
+  std::size_t version = version_;  // the version of the list up to and including `line`
+  std::size_t sent_version = 0;    // the list version that the proxy has
   bool snapshot_sent = false;
   const std::uint64_t rewinds = rewinds_;
   for (;;) {
@@ -230,7 +230,7 @@
   }
 }
 
-// Until the list is newer than `version`, it is rewound, or the next heartbeat is due.
+// Waits until the list is newer than `version`, it is rewound, or the next heartbeat is due.
 Task<> FakeDiscovery::wait_for_change(Watcher& watcher, std::size_t version) {
   const std::uint64_t rewinds = rewinds_;
   const TimePoint heartbeat = Clock::now() + kWatchHeartbeat;
@@ -240,7 +240,7 @@
       co_return;
     }
     TimePoint wake_at = heartbeat;
-    if (version_ < changes_.size() && changes_[version_].due <= horizon_) {
+    if (version_ < changes_.size() && changes_[version_].due <= visible_until_) {
       wake_at = std::min(heartbeat, clock_.time_point(changes_[version_].due));
     }
     Wait wait(scheduler_);
--- a/src/testbed/fake_discovery.h
+++ b/src/testbed/fake_discovery.h
@@ -1,5 +1,5 @@
-// A fake discovery server: sends the endpoint list in the protocol page's form, as a snapshot or as
-// a watch stream of changes.
+// A fake discovery server that sends the endpoint list in the format of the discovery protocol, as
+// a snapshot or as a watch stream of changes.
 #pragma once
 
 #include <json/json.h>
@@ -19,22 +19,23 @@
 
 namespace beechhill::testbed {
 
-/// Each proxy has one of its own, so that proxies learn of a change at different times. Runs on the
-/// scheduler's thread, and must outlive the scheduler's run.
+/// Each proxy has its own instance, so that proxies can receive a change at different times. Runs
+/// on the scheduler's thread and must outlive the scheduler's run.
 class FakeDiscovery {
  public:
-  /// `observations`, if any, must outlive it; `proxy`: whose discovery this is in them.
+  /// `observations` may be null; otherwise it must outlive the server. `proxy` identifies the
+  /// served proxy in the observations.
   FakeDiscovery(runtime::Scheduler& scheduler, const TestbedClock& clock, std::size_t proxy = 0,
                 ObservationLog* observations = nullptr);
   std::string address_text() const { return net::to_string(listener_.address()); }
 
-  /// From `at` on the list has that row, or lacks it if it is terminated. Changes are sent in the
-  /// order of the calls: one is never sent before an earlier call's.
+  /// Adds `row` to the list at time `at`, or removes its host if its health is "terminated".
+  /// Changes are sent in the order of the calls: none is sent before the change of an earlier call.
   void publish(Json::Value row, const Endpoint& endpoint, Time at);
-  /// While unresponsive it keeps connections open and sends nothing. Calls nest.
+  /// While unresponsive, the server keeps connections open and sends nothing. Calls nest.
   void set_unresponsive(bool unresponsive);
-  /// From now on the list is the one of time `to`, with that version; watches end. nullopt: the
-  /// present list again.
+  /// Resets the list and its version to those of time `to` and ends all watches; nullopt restores
+  /// the current list.
   void rewind(std::optional<Time> to);
 
  private:
@@ -60,15 +61,15 @@
   runtime::Scheduler& scheduler_;
   const TestbedClock& clock_;
   net::Listener listener_;
-  std::vector<Change> changes_;  // of the whole run
-  std::size_t version_ = 0;      // how many of them the list has
+  std::vector<Change> changes_;  // all changes of the run
+  std::size_t version_ = 0;      // number of changes applied to the list
   std::map<std::string, Json::Value> rows_;
   std::map<std::string, Endpoint> endpoints_;
   std::set<Watcher*> watchers_;
   std::size_t proxy_;
   ObservationLog* observations_;
-  int unresponsive_ = 0;        // nested calls
-  Time horizon_ = Time::max();  // changes due later are not sent
+  int unresponsive_ = 0;              // number of nested calls
+  Time visible_until_ = Time::max();  // changes due after this time are not sent
   std::uint64_t rewinds_ = 0;
 };
 
--- a/src/testbed/fake_services.cpp
+++ b/src/testbed/fake_services.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// Of a backend's status, in the list's `health`.
+// Returns the value of the list's `health` field for a backend's status.
 const char* health_name(EndpointStatus status) {
   switch (status) {
     case EndpointStatus::kUp:
@@ -26,13 +26,13 @@
   }
 }
 
-void check_playable(const emulator::Scenario& scenario) {
+void check_supported(const emulator::Scenario& scenario) {
   if (scenario.tiers.size() != 1) {
-    throw std::invalid_argument("tier: fake backends play one tier");
+    throw std::invalid_argument("tier: fake backends support exactly one tier");
   }
   for (const FaultSpec& fault : scenario.faults) {
     if (fault.kind == FaultKind::kReplace) {
-      throw std::invalid_argument("fault.kind: replace is the emulator's alone");
+      throw std::invalid_argument("fault.kind: replace is supported only in the emulator");
     }
   }
 }
@@ -45,7 +45,7 @@
       clock_(clock),
       scenario_(scenario),
       random_(scenario.seed, emulator::Actor::kDiscovery, 0) {
-  check_playable(scenario);
+  check_supported(scenario);
   for (std::size_t proxy = 0; proxy < scenario_.proxies; ++proxy) {
     discoveries_.push_back(
         std::make_unique<FakeDiscovery>(scheduler_, clock_, proxy, observations));
--- a/src/testbed/fake_services.h
+++ b/src/testbed/fake_services.h
@@ -1,5 +1,5 @@
-// All that a scenario of one tier needs beside the proxies: backends, a discovery server for each
-// proxy, and fault proxies on the links that the scenario's faults strike.
+// The services that a scenario of one tier needs besides the proxies: backends, a discovery server
+// for each proxy, and fault proxies on the links that the scenario's faults affect.
 #pragma once
 
 #include <json/json.h>
@@ -23,31 +23,32 @@
 
 namespace beechhill::testbed {
 
-/// Must outlive the scheduler's run; what it borrows must outlive it.
+/// Objects passed by reference must outlive it, and it must outlive the scheduler's run.
 class FakeServices {
  public:
-  /// Throws std::invalid_argument for a scenario that real processes can't play: more than one
-  /// tier, or a fault of kind `replace`.
+  /// `observations` may be null. Throws std::invalid_argument for a scenario that real processes do
+  /// not support: more than one tier, or a fault of kind `replace`.
   FakeServices(runtime::Scheduler& scheduler, const TestbedClock& clock,
                const emulator::Scenario& scenario, ObservationLog* observations = nullptr);
 
   FakeDiscovery& discovery(std::size_t proxy) { return *discoveries_[proxy]; }
   const std::vector<std::unique_ptr<FakeBackend>>& backends() const { return backends_; }
   FakeBackend& backend(EndpointId id) { return *backends_[id]; }
-  /// All backends, as discovery lists them while they are up.
+  /// Returns all backends with the status that discovery lists while they are up.
   std::vector<Endpoint> endpoints() const;
 
-  /// Faults of links strike those between the first proxies, so many, and some backends, as in the
-  /// emulator.
+  /// Number of proxies, counted from the first, whose links to the affected backends are subject to
+  /// link faults, as in the emulator.
   std::size_t proxies_with_faulty_links() const;
-  /// The link of the two; only for those that a fault of the scenario strikes.
+  /// Returns the fault proxy of a link. Throws std::out_of_range for a link that no fault of the
+  /// scenario affects.
   TcpFaultProxy& link(std::size_t proxy, EndpointId backend);
 
-  /// Tells all discovery servers that the backend has that status, each with the scenario's delay,
-  /// the present one of set_list_delay(), and `extra_delay`.
+  /// Publishes the backend's status through all discovery servers. Each server sends it after the
+  /// scenario's delay, the delay of set_list_delay() and `extra_delay`.
   void publish(const FakeBackend& backend, EndpointStatus status, Duration extra_delay = {});
   void set_list_delay(Duration delay) { list_delay_ = delay; }
-  /// Stops the backend and starts it anew.
+  /// Stops the backend, starts it again and publishes that it is up.
   void restart_backend(EndpointId id);
 
  private:
@@ -60,8 +61,8 @@
   runtime::Scheduler& scheduler_;
   const TestbedClock& clock_;
   const emulator::Scenario& scenario_;
-  std::vector<std::unique_ptr<FakeDiscovery>> discoveries_;  // by proxy
-  std::vector<std::unique_ptr<FakeBackend>> backends_;       // by id
+  std::vector<std::unique_ptr<FakeDiscovery>> discoveries_;  // indexed by proxy
+  std::vector<std::unique_ptr<FakeBackend>> backends_;       // indexed by endpoint id
   std::map<std::pair<std::size_t, EndpointId>, std::unique_ptr<TcpFaultProxy>> links_;
   emulator::Stream random_;
   Duration list_delay_{0};
--- a/src/testbed/fault_injector.cpp
+++ b/src/testbed/fault_injector.cpp
@@ -21,7 +21,7 @@
       services_(services),
       observations_(observations),
       handler_(std::move(handler)),
-      struck_backends_(scenario.faults.size()) {
+      affected_backends_(scenario.faults.size()) {
 }
 
 Task<> FaultInjector::run() {
@@ -50,7 +50,7 @@
 
 void FaultInjector::begin(std::size_t index) {
   const FaultSpec& fault = scenario_.faults[index];
-  struck_backends_[index] = emulator::affected_backends(scenario_, index, services_.endpoints());
+  affected_backends_[index] = emulator::affected_backends(scenario_, index, services_.endpoints());
   apply_to_proxies(fault, FaultPhase::kBegins);
   if (fault.kind == FaultKind::kStaleList) {
     services_.set_list_delay(fault.delay);
@@ -58,7 +58,7 @@
   if (fault.kind == FaultKind::kLateReports) {
     set_report_delay(fault.delay);
   }
-  for (const EndpointId id : struck_backends_[index]) {
+  for (const EndpointId id : affected_backends_[index]) {
     if (emulator::affects_links(fault.kind)) {
       apply_to_links(fault, id, FaultPhase::kBegins);
     }
@@ -75,7 +75,7 @@
   if (fault.kind == FaultKind::kLateReports) {
     set_report_delay(Duration{0});
   }
-  for (const EndpointId id : struck_backends_[index]) {
+  for (const EndpointId id : affected_backends_[index]) {
     if (emulator::affects_links(fault.kind)) {
       apply_to_links(fault, id, FaultPhase::kEnds);
     }
@@ -159,18 +159,18 @@
 
 void FaultInjector::apply_to_proxies(const FaultSpec& fault, FaultPhase phase) {
   const bool begins = phase == FaultPhase::kBegins;
-  const std::vector<std::uint32_t> struck = emulator::affected_proxies(scenario_, fault);
+  const std::vector<std::uint32_t> affected = emulator::affected_proxies(scenario_, fault);
   if (fault.kind == FaultKind::kDiscoverySilent) {
-    for (const std::uint32_t proxy : struck) {
+    for (const std::uint32_t proxy : affected) {
       services_.discovery(proxy).set_unresponsive(begins);
     }
   } else if (fault.kind == FaultKind::kDiscoveryRewound) {
-    for (const std::uint32_t proxy : struck) {
+    for (const std::uint32_t proxy : affected) {
       services_.discovery(proxy).rewind(begins ? std::optional(clock_.now() - fault.delay)
                                                : std::nullopt);
     }
-  } else if (handler_ && (!struck.empty() || emulator::affects_gossip(fault.kind))) {
-    handler_(fault, struck, phase);
+  } else if (handler_ && (!affected.empty() || emulator::affects_gossip(fault.kind))) {
+    handler_(fault, affected, phase);
   }
 }
 
--- a/src/testbed/fault_injector.h
+++ b/src/testbed/fault_injector.h
@@ -1,4 +1,4 @@
-// Plays a scenario's faults by the run's clock.
+// Injects the faults of a scenario at their scheduled times.
 #pragma once
 
 #include <functional>
@@ -14,19 +14,19 @@
 
 enum class FaultPhase { kBegins, kEnds };
 
-/// Strikes backends, links and discovery servers itself; faults of proxy processes are given to a
-/// handler. What it borrows must outlive it, and it must outlive the scheduler's run.
+/// Applies faults to backends, links and discovery servers; faults of proxies are passed to a
+/// handler. Objects passed by reference must outlive it, and it must outlive the scheduler's run.
 class FaultInjector {
  public:
-  /// `proxies`: those that the fault strikes.
+  /// `proxies`: the affected proxies.
   using ProxyFaultHandler = std::function<void(
       const emulator::FaultSpec& fault, const std::vector<std::uint32_t>& proxies, FaultPhase)>;
 
-  /// `observations` may be null. Without a handler, faults of proxies are left out.
+  /// `observations` may be null. Without a handler, faults of proxies are ignored.
   FaultInjector(runtime::Scheduler& scheduler, const TestbedClock& clock,
                 const emulator::Scenario& scenario, FakeServices& services,
                 ObservationLog* observations = nullptr, ProxyFaultHandler handler = {});
-  /// Ends with the last fault.
+  /// Completes when the last fault has ended.
   runtime::Task<> run();
 
  private:
@@ -44,7 +44,7 @@
   FakeServices& services_;
   ObservationLog* observations_;
   ProxyFaultHandler handler_;
-  std::vector<std::vector<EndpointId>> struck_backends_;  // by fault
+  std::vector<std::vector<EndpointId>> affected_backends_;  // indexed by fault
 };
 
 }  // namespace beechhill::testbed
--- a/src/testbed/http_client.h
+++ b/src/testbed/http_client.h
@@ -9,27 +9,27 @@
 
 namespace beechhill::testbed {
 
-/// How one request on one connection ended.
+/// The outcome of one request on one connection.
 struct HttpExchange {
-  bool complete = false;          // `response` is whole
-  bool response_started = false;  // at least one byte of the response came
+  bool complete = false;          // `response` was received completely
+  bool response_started = false;  // at least one byte of the response was received
   net::IoResult last_io = net::IoResult::kOk;
   http::Message response;
 };
 
-/// Sends `request` and reads its response. `buffer` holds bytes read on the connection and not used
-/// yet; both references must outlive the task.
+/// Sends `request` and reads its response. `buffer` holds bytes that were read from the connection
+/// but not parsed yet; both references must outlive the task.
 runtime::Task<HttpExchange> exchange(net::Stream& stream, const std::string& request,
                                      std::string& buffer, runtime::TimePoint write_deadline,
                                      runtime::TimePoint read_deadline);
 
-/// Status 0: no response came in time.
+/// The response to call_http(). Status 0: no response was received in time.
 struct HttpResponse {
   int status = 0;
   std::string body;
 };
 
-/// One request on a connection of its own, with an empty body.
+/// Sends one request with an empty body on a new connection.
 runtime::Task<HttpResponse> call_http(runtime::Scheduler& scheduler, sockaddr_in to,
                                       std::string method, std::string target,
                                       runtime::Clock::duration timeout);
--- a/src/testbed/load_test.cpp
+++ b/src/testbed/load_test.cpp
@@ -36,7 +36,7 @@
   return {static_cast<Json::UInt64>(number)};
 }
 
-// The greatest count from that second on.
+// Returns the maximum count of any backend in one second, from `first_second` on.
 std::uint32_t max_per_second(const ObservationLog::CountsPerSecond& counts,
                              std::size_t first_second) {
   std::uint32_t max = 0;
@@ -107,7 +107,7 @@
           [now](const emulator::FaultSpec& f) { return now >= f.at && now < f.at + f.length; });
       progress_(fmt::format("{:3.0f} s of {:g}: requests {}, served {}, open {}{}", to_s(now),
                             to_s(scenario_.length), load_->requests(), load_->served(),
-                            load_->open(), faulty ? "  (a fault is active)" : ""));
+                            load_->open_requests(), faulty ? "  (a fault is active)" : ""));
       co_await sleep_for(scheduler_, kProgressInterval);
     }
   }
@@ -187,8 +187,8 @@
     run.maintenance_completed_at = outcome.completed_at;
   }
 
-  // The scheduler is declared before all that its tasks refer to, and run() has ended them by the
-  // time that those are destroyed.
+  // The scheduler is destroyed after the objects that its tasks refer to. This is safe because
+  // run() has ended all tasks before.
   const emulator::Scenario& scenario_;
   runtime::Scheduler scheduler_;
   TestbedClock clock_;
@@ -198,7 +198,7 @@
   std::unique_ptr<OpenLoopLoad> load_;
   std::unique_ptr<ProxyFaultInjector> proxy_faults_;
   std::unique_ptr<FaultInjector> faults_;
-  std::unique_ptr<MaintenanceOperators> operators_;  // null: the scenario has none
+  std::unique_ptr<MaintenanceOperators> operators_;  // null: no maintenance in the scenario
   std::function<void(const std::string&)> progress_;
 };
 
@@ -213,7 +213,7 @@
 LoadTestResult run_load_test(const emulator::Scenario& scenario, const std::string& program,
                              const std::function<void(const std::string&)>& progress) {
   if (::access(program.c_str(), X_OK) != 0) {
-    throw std::runtime_error(program + ": no program that can be started");
+    throw std::runtime_error(program + ": not an executable file");
   }
   ::signal(SIGPIPE, SIG_IGN);
   LoadTest test(scenario, program, progress);
--- a/src/testbed/load_test.h
+++ b/src/testbed/load_test.h
@@ -1,4 +1,4 @@
-// Load tests: a scenario with real proxy processes, fake backends and a generated load, all on
+// Load tests: run a scenario with real proxy processes, fake backends and a generated load, all on
 // loopback.
 #pragma once
 
@@ -14,40 +14,41 @@
 
 namespace beechhill::testbed {
 
-/// What a load test observed. Rules are judged from the observation log, never from what a proxy
-/// reports about itself.
+/// The observations of a load test. Rules are checked from the observation log, never from what a
+/// proxy reports about itself.
 struct LoadTestResult {
-  Json::Value result;  // in the emulator's form, as far as it can be observed from outside
-  std::shared_ptr<const emulator::Metrics> metrics;  // never null; borrows the scenario
-  std::uint64_t asked = 0;                           // requests, retries not counted
-  std::uint64_t wrong_responses =
-      0;                       // responses that belong to another request, or have an unknown
-                               /// status
-  Duration max_send_delay{0};  // the most that the load generator was behind its time
-  double proxy_cpu_s = 0;      // of all proxies together
+  Json::Value result;  // in the emulator's format, as far as it can be observed
+  std::shared_ptr<const emulator::Metrics> metrics;  // never null; refers to the scenario
+  std::uint64_t asked = 0;                           // number of requests, not counting retries
+  /// Responses that belong to another request or have an unknown status.
+  std::uint64_t wrong_responses = 0;
+  Duration max_send_delay{0};  // maximum delay of the load generator
+  double proxy_cpu_s = 0;      // CPU time of all proxies together
 
-  std::uint64_t violations = 0;  // of the rules
-  std::string violation_text;    // the first few, with their traces
-  std::uint64_t excused = 0;     // responses that are missing because of a fault of the proxy
+  std::uint64_t violations = 0;  // number of rule violations
+  std::string violation_text;    // the first few violations, with their traces
+  std::uint64_t excused = 0;     // responses that are missing because of a proxy fault
 
-  /// The most at one backend in one second, after the warm-up.
+  /// Maximum number of new connections and of attempts at one backend in one second, after the
+  /// warm-up.
   std::uint32_t max_connections_per_s = 0;
   std::uint32_t max_attempts_per_s = 0;
-  /// The most lists that one proxy asked discovery for.
+  /// Maximum number of endpoint lists that one proxy requested from discovery.
   std::uint32_t max_snapshot_requests = 0;
-  /// When the last proxy that a fault took away was ready again; 0: none was away.
+  /// Time at which the last proxy that a fault made unavailable was ready again; 0 if there was
+  /// none.
   Time last_ready_at{0};
 
-  /// Lines of the proxies' logs by event, of those about snapshots: whether a fault took effect, no
-  /// verdict.
+  /// Number of lines in the proxies' logs for each event about snapshots. They show whether a fault
+  /// took effect and are not part of the rule check.
   std::map<std::string, std::size_t> log_events;
-  /// Backends whose state in a snapshot was used, and those whose state was not.
+  /// Number of backends whose state in a snapshot was used, and of those whose state was discarded.
   std::uint64_t restored_endpoints = 0;
   std::uint64_t discarded_endpoints = 0;
 
   /// Maintenance: attempts that reached a backend while it was out, backends that were worked on,
-  /// the most at one time, requests that are open at the end, the last status that a proxy gave,
-  /// and when the last request was completed (0: not).
+  /// maximum number of backends out at the same time, requests that were open at the end, the last
+  /// status from a proxy, and the time at which the last request was completed (0: not completed).
   std::uint64_t attempts_during_maintenance = 0;
   std::uint32_t taken_out = 0;
   std::uint32_t max_backends_out = 0;
@@ -56,14 +57,15 @@
   Time maintenance_completed_at{0};
 };
 
-/// Runs the scenario, which must outlive the result, with `scenario.proxies` processes of
-/// `program`, and stops all that it started. Blocks for the scenario's length and a little.
-/// `progress` is called about twice a second with one line. Throws std::invalid_argument for what
-/// real processes can't play, std::runtime_error where a proxy does not come up.
+/// Runs the scenario with `scenario.proxies` processes of `program`, and stops everything that it
+/// started. The scenario must outlive the result. Blocks for slightly longer than the scenario's
+/// length. `progress` is called about twice a second with one line of text. Throws
+/// std::invalid_argument for a scenario that real processes do not support, and std::runtime_error
+/// if `program` is not executable or a proxy does not become ready.
 LoadTestResult run_load_test(const emulator::Scenario& scenario, const std::string& program,
                              const std::function<void(const std::string&)>& progress = {});
 
-/// The path of the proxy program that was built with this one.
+/// Returns the path of the proxy program that was built together with the running program.
 std::string default_proxy_program();
 
 }  // namespace beechhill::testbed
--- a/src/testbed/load_test_commands.cpp
+++ b/src/testbed/load_test_commands.cpp
@@ -29,10 +29,10 @@
 constexpr std::uint32_t kMaxCostClients = 10'000;
 
 struct LoadTestOptions {
-  std::string scenario_file;  // empty: the demo
+  std::string scenario_file;  // empty: the demo scenario
   std::string proxy_program = default_proxy_program();
-  std::string json_file;  // empty: none
-  std::string html_file;  // empty: none
+  std::string json_file;  // empty: not written
+  std::string html_file;  // empty: not written
 };
 
 void print_run(const LoadTestResult& run) {
--- a/src/testbed/main.cpp
+++ b/src/testbed/main.cpp
@@ -19,14 +19,14 @@
 
 using namespace beechhill;
 
-// Throws what the command throws.
+// Parses the command line and runs the command. Exceptions of the command propagate.
 int run(int argc, char** argv) {
   CLI::App app{
       "beechhill-testbed: an emulator of proxies and backends, experiments with it, and tests of "
       "real proxies with fake backends"};
   app.require_subcommand(1);
   app.footer(
-      "Exit codes: 0 success, 1 an error of the machine or a file, 2 invalid arguments or input, 3 "
+      "Exit codes: 0 success, 1 system or file error, 2 invalid arguments or input, 3 "
       "a rule was violated, 4 interrupted.");
   int exit_code = testbed::kSuccess;
   testbed::add_emulator_commands(app, exit_code);
--- a/src/testbed/maintenance_operators.cpp
+++ b/src/testbed/maintenance_operators.cpp
@@ -20,7 +20,8 @@
 constexpr auto kPollInterval = 100ms;
 constexpr auto kCallTimeout = 2s;
 constexpr std::string_view kBackendNamePrefix = "node-";
-// So that operators of one round ask different proxies.
+// Offset between the proxies that the operators call in the same round, so that they call different
+// ones.
 constexpr std::size_t kOperatorStride = 3;
 
 bool parse_json(const std::string& text, Json::Value& root) {
@@ -47,7 +48,7 @@
     co_await submit_requests();
     co_await poll_status();
     finish_due_work();
-    ++round_;
+    ++poll_round_;
     co_await sleep_for(scheduler_, kPollInterval);
   }
 }
@@ -60,8 +61,9 @@
   co_return response;
 }
 
-// Even backends for the first operator, odd ones for the second.
-std::string MaintenanceOperators::backends_of(std::size_t operator_number) const {
+// Returns a comma-separated list of backend names: even ids for the first operator, odd ids for the
+// second.
+std::string MaintenanceOperators::backend_names(std::size_t operator_number) const {
   std::string names;
   for (const auto& backend : services_.backends()) {
     if (backend->id() % kOperators == operator_number) {
@@ -78,8 +80,8 @@
     }
     const std::string target =
         fmt::format("/api/maintenance/request?id=half-{}&at_once=2&by=staff-{}&machines={}", i, i,
-                    backends_of(i));
-    const HttpResponse response = co_await call(round_ + kOperatorStride * i, "PUT", target);
+                    backend_names(i));
+    const HttpResponse response = co_await call(poll_round_ + kOperatorStride * i, "PUT", target);
     submitted_[i] = response.status == 200;
   }
 }
@@ -96,7 +98,7 @@
 }
 
 Task<> MaintenanceOperators::poll_status() {
-  const HttpResponse response = co_await call(round_, "GET", "/api/maintenance");
+  const HttpResponse response = co_await call(poll_round_, "GET", "/api/maintenance");
   Json::Value status;
   if (response.status != 200 || !parse_json(response.body, status)) {
     co_return;
@@ -107,7 +109,7 @@
     if (!workflow.out) {
       continue;
     }
-    if (done_.contains(workflow.backend)) {
+    if (unreported_backends_.contains(workflow.backend)) {
       co_await report_done(workflow);
     }
     begin_work(workflow);
@@ -118,13 +120,14 @@
 Task<> MaintenanceOperators::report_done(Workflow workflow) {
   const std::string target = fmt::format("/api/maintenance/done?id={}&machine={}", workflow.request,
                                          workflow.backend_name);
-  const HttpResponse response = co_await call(round_, "PUT", target);
+  const HttpResponse response = co_await call(poll_round_, "PUT", target);
   if (response.status == 200) {
-    done_.erase(workflow.backend);
+    unreported_backends_.erase(workflow.backend);
   }
 }
 
-// Once for each time that the backend is taken out: a fencing token is never used twice.
+// Begins work once for each time that the backend is taken out, which is recognized by a new
+// fencing token.
 void MaintenanceOperators::begin_work(const Workflow& workflow) {
   const EndpointId backend = workflow.backend;
   if (work_ends_.contains(backend) || last_fencing_token_[backend] == workflow.fencing_token) {
@@ -146,7 +149,7 @@
     observations_.set_in_maintenance(backend, false);
     services_.restart_backend(backend);
     ++outcome_.backends_done;
-    done_.insert(backend);
+    unreported_backends_.insert(backend);
     it = work_ends_.erase(it);
   }
 }
--- a/src/testbed/maintenance_operators.h
+++ b/src/testbed/maintenance_operators.h
@@ -1,5 +1,5 @@
-// Two operators who do not know of each other and each ask, through the proxies' operator
-// interface, for maintenance of half of all backends.
+// Two independent operators that each request maintenance of half of the backends through the
+// proxies' operator interface.
 #pragma once
 
 #include <json/json.h>
@@ -20,36 +20,36 @@
 
 namespace beechhill::testbed {
 
-/// What became of their requests.
+/// Progress of the operators' maintenance requests.
 struct MaintenanceOutcome {
-  std::uint32_t backends_done = 0;  // taken out, worked on and restarted
-  std::uint32_t max_out = 0;        // the most that were out at one time
-  std::uint32_t open_requests = 0;  // by the last status that a proxy gave
-  std::string last_status;          // that status, as the proxy wrote it
-  Time completed_at{0};             // when the last request was first seen completed; 0: never
+  std::uint32_t backends_done = 0;  // backends taken out, worked on and restarted
+  std::uint32_t max_out = 0;        // maximum number of backends out at the same time
+  std::uint32_t open_requests = 0;  // in the last status from a proxy
+  std::string last_status;          // JSON text of the last status
+  Time completed_at{0};             // when no open request was first reported; 0: never
 };
 
-/// What it borrows must outlive it, and it must outlive the scheduler's run.
+/// Objects passed by reference must outlive it, and it must outlive the scheduler's run.
 class MaintenanceOperators {
  public:
-  /// `admin_addresses`: of the proxies' operator interface.
+  /// `admin_addresses`: addresses of the proxies' operator interfaces.
   MaintenanceOperators(runtime::Scheduler& scheduler, const TestbedClock& clock,
                        const emulator::Scenario& scenario, FakeServices& services,
                        ObservationLog& observations, std::vector<sockaddr_in> admin_addresses);
-  /// Submits the requests until both are taken, then works on each backend that is out, restarts it
-  /// and reports it done. Runs until the scheduler stops.
+  /// Submits the requests until both are accepted, then works on each backend that is out, restarts
+  /// it and reports it as done. Runs until the scheduler stops.
   runtime::Task<> run();
   const MaintenanceOutcome& outcome() const { return outcome_; }
 
  private:
   static constexpr std::size_t kOperators = 2;
-  // A backend's place in the procedure, as a proxy reports it.
+  // The state of a backend in the maintenance procedure, as a proxy reports it.
   struct Workflow {
     EndpointId backend = 0;
     std::string backend_name;
     std::string request;
     std::uint64_t fencing_token = 0;
-    bool out = false;  // it may be worked on
+    bool out = false;  // out of service, so that work may begin
   };
   runtime::Task<> submit_requests();
   runtime::Task<> poll_status();
@@ -58,7 +58,7 @@
   void begin_work(const Workflow& workflow);
   void finish_due_work();
   void update_outcome(const Json::Value& status);
-  std::string backends_of(std::size_t operator_number) const;
+  std::string backend_names(std::size_t operator_number) const;
   static Workflow read_workflow(const Json::Value& json);
 
   runtime::Scheduler& scheduler_;
@@ -66,12 +66,13 @@
   const emulator::Scenario& scenario_;
   FakeServices& services_;
   ObservationLog& observations_;
-  const std::vector<sockaddr_in> admin_addresses_;  // by proxy
-  std::size_t round_ = 0;                           // chooses the proxy that is asked
+  const std::vector<sockaddr_in> admin_addresses_;  // indexed by proxy
+  std::size_t poll_round_ = 0;                      // selects the proxy to call
   std::array<bool, kOperators> submitted_{};
-  std::map<EndpointId, runtime::TimePoint> work_ends_;      // of backends that are worked on
-  std::map<EndpointId, std::uint64_t> last_fencing_token_;  // that work began with
-  std::set<EndpointId> done_;                               // not reported yet
+  std::map<EndpointId, runtime::TimePoint>
+      work_ends_;  // end of the work on each backend in progress
+  std::map<EndpointId, std::uint64_t> last_fencing_token_;  // of the last work on each backend
+  std::set<EndpointId> unreported_backends_;  // completed work that is not reported yet
   MaintenanceOutcome outcome_;
 };
 
--- a/src/testbed/observation_log.cpp
+++ b/src/testbed/observation_log.cpp
@@ -6,21 +6,21 @@
 namespace beechhill::testbed {
 namespace {
 
-// How long after a request's deadline backends may still see attempts for it: bytes that the proxy
-// wrote before, read late.
+// Time (5 s) after the deadline of a request during which backends may still receive attempts for
+// it, because a backend may read late what the proxy wrote before the deadline.
 constexpr Duration kRetention{5'000'000};
-constexpr std::size_t kMaxSeconds = 100'000;
+constexpr std::size_t kMaxRecordedSeconds = 100'000;
 
-// A backend cannot see when a proxy gives up one attempt for another, so two at once prove nothing
-// against it.
+// Disables the check for concurrent attempts. A backend cannot observe that a proxy gave up one
+// attempt before it sent another, so two attempts at the same time do not prove a violation.
 emulator::Scenario without_concurrency_check(emulator::Scenario scenario) {
   scenario.hedging_allowed = true;
   return scenario;
 }
 
-// Whether the text between the two is a number and nothing else.
+// Parses a number that extends over the whole text between the two pointers.
 template <class Number>
-bool parse_whole(const char* from, const char* to, Number& number, int base) {
+bool parse_number(const char* from, const char* to, Number& number, int base) {
   const auto [end, error] = std::from_chars(from, to, number, base);
   return error == std::errc() && end == to;
 }
@@ -51,40 +51,40 @@
   std::uint64_t request = 0;
   std::uint32_t attempt = 0;
   const char* const text = trace_id.data();
-  if (!parse_whole(text + first + 1, text + second, request, 16) ||
-      !parse_whole(text + second + 1, text + trace_id.size(), attempt, 10)) {
+  if (!parse_number(text + first + 1, text + second, request, 16) ||
+      !parse_number(text + second + 1, text + trace_id.size(), attempt, 10)) {
     return std::nullopt;
   }
   return client_attempt(request, attempt);
 }
 
-void ObservationLog::count(std::vector<std::uint32_t>& by_second, Time now) {
+void ObservationLog::count_event(std::vector<std::uint32_t>& by_second, Time now) {
   if (now < Time{0}) {
     return;
   }
   const auto second =
-      std::min(kMaxSeconds, static_cast<std::size_t>(now / std::chrono::seconds(1)));
+      std::min(kMaxRecordedSeconds, static_cast<std::size_t>(now / std::chrono::seconds(1)));
   if (by_second.size() <= second) {
     by_second.resize(second + 1);
   }
   ++by_second[second];
 }
 
-void ObservationLog::forget_expired() {
+void ObservationLog::remove_expired_requests() {
   while (!expiries_.empty() && expiries_.front().first < now_()) {
     const ClientAttemptId id = expiries_.front().second;
     rules_.forget(id);
-    open_.erase(id);
+    open_requests_.erase(id);
     expiries_.pop_front();
   }
 }
 
 void ObservationLog::request_sent(ClientAttemptId id, ClassId request_class, std::size_t proxy,
                                   Time deadline) {
-  forget_expired();
-  // By the longest deadline of all classes, so that requests expire in the order of sending.
+  remove_expired_requests();
+  // Uses the longest deadline of all classes, so that requests expire in the order of sending.
   const Time expiry = now_() + emulator::longest_deadline(scenario_) + kRetention;
-  open_[id] = {proxy, now_(), 0};
+  open_requests_[id] = {proxy, now_(), 0};
   expiries_.emplace_back(expiry, id);
   rules_.taken(now_(), id, request_class, deadline);
 }
@@ -94,12 +94,12 @@
 }
 
 void ObservationLog::no_response(ClientAttemptId id) {
-  const auto it = open_.find(id);
-  if (it == open_.end()) {
+  const auto it = open_requests_.find(id);
+  if (it == open_requests_.end()) {
     return;
   }
   const ProxyFaults& faults = proxy_faults_[it->second.proxy];
-  if (faults.active > 0 || faults.last_ended + kObservationTolerance >= it->second.sent) {
+  if (faults.active > 0 || faults.last_ended + kObservationTolerance >= it->second.sent_at) {
     ++excused_;
     rules_.excused(now_(), id);
   } else {
@@ -108,24 +108,24 @@
 }
 
 void ObservationLog::connection_accepted(EndpointId backend) {
-  count(connections_[backend], now_());
+  count_event(connections_[backend], now_());
 }
 
 std::uint32_t ObservationLog::attempt_received(ClientAttemptId id, const Endpoint& backend) {
-  count(attempts_[backend.id], now_());
+  count_event(attempts_[backend.id], now_());
   if (in_maintenance_.contains(backend.id)) {
     ++attempts_during_maintenance_;
   }
-  const auto it = open_.find(id);
-  if (it == open_.end()) {
+  const auto it = open_requests_.find(id);
+  if (it == open_requests_.end()) {
     return 0;
   }
   OpenRequest& request = it->second;
   const AdvertisedState& advertised = advertised_[request.proxy][backend.id];
   const auto partition = partitions_.find({request.proxy, backend.id});
-  Duration max_delay{0};  // that a partition may have held it for
-  if (partition != partitions_.end() && request.sent <= partition->second.ended) {
-    max_delay = std::max(Duration{0}, now_() - std::max(partition->second.began, request.sent));
+  Duration max_delay{0};  // by which a partition may have delayed the attempt
+  if (partition != partitions_.end() && request.sent_at <= partition->second.ended) {
+    max_delay = std::max(Duration{0}, now_() - std::max(partition->second.began, request.sent_at));
   }
   rules_.sent(now_(), id, 0, backend.id, backend, advertised.down_since, max_delay);
   return request.attempts++;
@@ -137,8 +137,8 @@
 
 void ObservationLog::work_received_in_slow_start(ClientAttemptId id, EndpointId backend,
                                                  double work, double capacity, Time started_at) {
-  const auto it = open_.find(id);
-  if (it == open_.end()) {
+  const auto it = open_requests_.find(id);
+  if (it == open_requests_.end()) {
     return;
   }
   const AdvertisedState& advertised = advertised_[it->second.proxy][backend];
@@ -155,7 +155,8 @@
   partition.ended = partitioned ? Time::max() : now_();
 }
 
-void ObservationLog::advertise(std::size_t proxy, EndpointId backend, EndpointStatus status) {
+void ObservationLog::record_advertised_status(std::size_t proxy, EndpointId backend,
+                                              EndpointStatus status) {
   AdvertisedState& state = advertised_[proxy][backend];
   if (status == EndpointStatus::kUp) {
     state.up = true;
@@ -171,7 +172,7 @@
                                     UpdateKind kind) {
   std::set<EndpointId> listed;
   for (const Endpoint& endpoint : endpoints) {
-    advertise(proxy, endpoint.id, endpoint.status);
+    record_advertised_status(proxy, endpoint.id, endpoint.status);
     listed.insert(endpoint.id);
   }
   if (kind != UpdateKind::kSnapshot) {
@@ -179,7 +180,7 @@
   }
   for (EndpointId backend = 0; backend < advertised_[proxy].size(); ++backend) {
     if (!listed.contains(backend)) {
-      advertise(proxy, backend, EndpointStatus::kRemoved);
+      record_advertised_status(proxy, backend, EndpointStatus::kRemoved);
     }
   }
 }
--- a/src/testbed/open_loop_load.cpp
+++ b/src/testbed/open_loop_load.cpp
@@ -21,7 +21,7 @@
 
 // Longer Retry-After times are ignored.
 constexpr double kMaxRetryAfterS = 3600;
-// Before another proxy is tried at once where one was unreachable.
+// Minimum delay before an attempt at another proxy when one was unreachable.
 constexpr Duration kMinUnreachableDelay{1000};
 
 Duration retry_after_of(const http::Message& response) {
@@ -38,7 +38,7 @@
   return response.status == 429 || response.status == 503;
 }
 
-// Counts a connection for as long as an attempt uses it.
+// Counts a connection while an attempt uses it.
 class ConnectionCount {
  public:
   explicit ConnectionCount(std::size_t& count) : count_(count) { ++count_; }
@@ -60,7 +60,7 @@
       scenario_(scenario),
       observations_(observations),
       proxies_(std::move(proxies)),
-      offered_(proxies_.size(), true),
+      in_rotation_(proxies_.size(), true),
       idle_(proxies_.size()),
       metrics_(scenario),
       random_(scenario.seed, emulator::Actor::kClients, 0),
@@ -72,29 +72,30 @@
   metrics_.seconds.resize(static_cast<std::size_t>(std::ceil(length_s)));
 }
 
-void OpenLoopLoad::set_proxy_offered(std::size_t proxy, bool offered) {
-  offered_[proxy] = offered;
+void OpenLoopLoad::set_proxy_in_rotation(std::size_t proxy, bool in_rotation) {
+  in_rotation_[proxy] = in_rotation;
 }
 
 void OpenLoopLoad::rebalance_to(std::size_t proxy) {
   if (!scenario_.clients.rebalances_on_return) {
     return;
   }
-  const auto offered = static_cast<std::size_t>(std::count(offered_.begin(), offered_.end(), true));
-  emulator::rebalance_connections(assigned_proxies_, static_cast<std::uint32_t>(proxy), offered,
-                                  random_);
+  const auto count_in_rotation =
+      static_cast<std::size_t>(std::count(in_rotation_.begin(), in_rotation_.end(), true));
+  emulator::rebalance_connections(assigned_proxies_, static_cast<std::uint32_t>(proxy),
+                                  count_in_rotation, random_);
 }
 
-// Any proxy, where none is offered.
-std::size_t OpenLoopLoad::draw_offered_proxy() {
+// Returns any proxy if none is in rotation.
+std::size_t OpenLoopLoad::draw_proxy_in_rotation() {
   std::vector<std::size_t> candidates;
-  for (std::size_t i = 0; i < offered_.size(); ++i) {
-    if (offered_[i]) {
+  for (std::size_t i = 0; i < in_rotation_.size(); ++i) {
+    if (in_rotation_[i]) {
       candidates.push_back(i);
     }
   }
   if (candidates.empty()) {
-    return random_.below(offered_.size());
+    return random_.below(in_rotation_.size());
   }
   return candidates[random_.below(candidates.size())];
 }
@@ -107,11 +108,11 @@
     }
     max_send_delay_ = std::max(max_send_delay_, clock_.now() - arrival->at);
     metrics_.asked(arrival->at, arrival->c, arrival->tenant, arrival->worth);
-    ++open_;
+    ++open_requests_;
     scheduler_.spawn(run_request(*arrival, requests_++));
   }
   all_sent_ = true;
-  while (open_ > 0) {
+  while (open_requests_ > 0) {
     Wait wait(scheduler_);
     wait.notified(all_ended_);
     co_await wait;
@@ -119,19 +120,19 @@
   metrics_.close();
 }
 
-// All attempts at one request.
+// Sends attempts until the request is served, no retry is allowed or its deadline has passed.
 Task<> OpenLoopLoad::run_request(emulator::Arrival arrival, std::uint64_t request) {
   const Time deadline = arrival.at + scenario_.classes[arrival.c].settings.deadline;
   AttemptResult result;
   for (std::uint32_t number = 1;; ++number) {
     count_attempt(arrival);
     std::uint32_t& proxy = assigned_proxies_[arrival.connection];
-    if (!offered_[proxy]) {
-      proxy = static_cast<std::uint32_t>(draw_offered_proxy());
+    if (!in_rotation_[proxy]) {
+      proxy = static_cast<std::uint32_t>(draw_proxy_in_rotation());
     }
-    const Duration patience = emulator::draw_attempt_timeout(scenario_, arrival.c, random_);
+    const Duration attempt_timeout = emulator::draw_attempt_timeout(scenario_, arrival.c, random_);
     const Attempt attempt{arrival, request, number, proxy,
-                          std::min(patience, deadline - clock_.now())};
+                          std::min(attempt_timeout, deadline - clock_.now())};
     result = co_await run_attempt(attempt);
     if (result.outcome == AttemptResult::Outcome::kServed) {
       break;
@@ -150,8 +151,8 @@
   if (served) {
     ++served_;
   }
-  --open_;
-  if (all_sent_ && open_ == 0) {
+  --open_requests_;
+  if (all_sent_ && open_requests_ == 0) {
     all_ended_.notify();
   }
 }
@@ -175,14 +176,15 @@
   }
 }
 
-// Until the next attempt, to another proxy where this one was unreachable; nullopt: there is none.
+// Returns the delay before the next attempt, or nullopt if there is none. If the proxy was
+// unreachable, assigns a randomly chosen proxy in rotation to the client's connection.
 std::optional<Duration> OpenLoopLoad::retry_delay(const emulator::Arrival& arrival,
                                                   std::uint32_t attempt,
                                                   const AttemptResult& result) {
   const bool rejected = result.outcome == AttemptResult::Outcome::kRejected;
   const bool unreachable = result.outcome == AttemptResult::Outcome::kUnreachable;
   if (unreachable) {
-    assigned_proxies_[arrival.connection] = static_cast<std::uint32_t>(draw_offered_proxy());
+    assigned_proxies_[arrival.connection] = static_cast<std::uint32_t>(draw_proxy_in_rotation());
   }
   std::optional<Duration> delay = emulator::wait_before_retry(
       scenario_, {arrival.c, attempt, rejected, unreachable, result.retry_after}, random_);
@@ -232,7 +234,7 @@
   return stream;
 }
 
-// An idle connection, or a new one.
+// Returns an idle connection or opens a new one.
 Task<OpenLoopLoad::Connection> OpenLoopLoad::connect(std::size_t proxy, TimePoint deadline) {
   Connection connection;
   connection.stream = take_idle_connection(proxy);
@@ -253,7 +255,7 @@
 Task<OpenLoopLoad::AttemptResult> OpenLoopLoad::run_attempt(const Attempt& attempt) {
   AttemptResult result;
   const TimePoint deadline = clock_.time_point(clock_.now() + attempt.timeout);
-  // A response is awaited until the rules can be judged; after the deadline it counts as failed.
+  // Waits for a response until the rules can be checked; after the deadline it counts as failed.
   const TimePoint read_deadline = deadline + kObservationTolerance;
   const ClientAttemptId id = ObservationLog::client_attempt(attempt.request, attempt.number);
   const std::string request = request_text(attempt);
@@ -266,21 +268,22 @@
     }
     const ConnectionCount counted(connections_);
     std::string buffer;
-    const HttpExchange sent =
+    const HttpExchange reply =
         co_await exchange(*connection.stream, request, buffer, deadline, read_deadline);
-    if (sent.complete) {
-      observations_.response_received(id, is_rejection(sent.response));
-      result = judge_response(attempt, sent.response, runtime::Clock::now() <= deadline);
-      if (sent.response.keep_alive()) {
+    if (reply.complete) {
+      observations_.response_received(id, is_rejection(reply.response));
+      result = check_response(attempt, reply.response, runtime::Clock::now() <= deadline);
+      if (reply.response.keep_alive()) {
         idle_[attempt.proxy].push_back(std::move(connection.stream));
         ++connections_;
       }
       co_return result;
     }
-    // The protocol has a reused connection that the proxy closed without reading replaced by a new
-    // one.
-    const bool closed_unread = connection.reused && !sent.response_started &&
-                               (sent.last_io == IoResult::kEof || sent.last_io == IoResult::kError);
+    // The protocol requires the client to retry on a new connection if the proxy closed a reused
+    // connection without reading the request.
+    const bool closed_unread =
+        connection.reused && !reply.response_started &&
+        (reply.last_io == IoResult::kEof || reply.last_io == IoResult::kError);
     if (!closed_unread || runtime::Clock::now() >= deadline) {
       observations_.no_response(id);
       co_return result;
@@ -288,7 +291,7 @@
   }
 }
 
-OpenLoopLoad::AttemptResult OpenLoopLoad::judge_response(const Attempt& attempt,
+OpenLoopLoad::AttemptResult OpenLoopLoad::check_response(const Attempt& attempt,
                                                          const http::Message& response,
                                                          bool in_time) {
   AttemptResult result;
--- a/src/testbed/proxy_configuration.cpp
+++ b/src/testbed/proxy_configuration.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-// Enough for any scenario's clients and backends.
+// Maximum number of sockets of a proxy, sufficient for any scenario's clients and backends.
 constexpr int kMaxSockets = 4096;
 
-// Seeds of one scenario's proxies are this far from those of the next scenario seed.
+// Difference between the proxy seeds for consecutive scenario seeds.
 constexpr std::uint64_t kSeedStride = 1000;
 
 Json::Int64 microseconds(Duration duration) {
@@ -19,8 +19,8 @@
 }
 
 Json::Value profile(const std::string& name, const ClassSettings& settings) {
-  static constexpr std::array kRepeat{"repeatable", "by_key", "once"};  // by Idempotency
-  static constexpr std::array kGroup{"all", "zone", "cell"};            // by DeduplicationScope
+  static constexpr std::array kRepeat{"repeatable", "by_key", "once"};  // indexed by Idempotency
+  static constexpr std::array kGroup{"all", "zone", "cell"};  // indexed by DeduplicationScope
   Json::Value json;
   json["name"] = name;
   json["repeat"] = kRepeat.at(static_cast<std::size_t>(settings.idempotency));
--- a/src/testbed/proxy_fault_injector.cpp
+++ b/src/testbed/proxy_fault_injector.cpp
@@ -28,13 +28,13 @@
       states_(proxies.size()) {
 }
 
-void ProxyFaultInjector::apply(const FaultSpec& fault, const std::vector<std::uint32_t>& struck,
+void ProxyFaultInjector::apply(const FaultSpec& fault, const std::vector<std::uint32_t>& affected,
                                FaultPhase phase) {
   if (emulator::affects_gossip(fault.kind)) {
-    proxies_.cluster()->apply(fault, struck, phase);
+    proxies_.cluster()->apply(fault, affected, phase);
     return;
   }
-  for (const std::uint32_t proxy : struck) {
+  for (const std::uint32_t proxy : affected) {
     if (emulator::affects_state(fault.kind)) {
       const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(fault.delay);
       proxies_.state_directory(proxy).apply(fault.kind, phase, age);
@@ -78,14 +78,14 @@
     return;
   }
   ++state.generation;
-  Duration notice = scenario_.proxy_notice;
+  Duration notice_delay = scenario_.proxy_notice;
   if (kind == FaultKind::kProxyEnd) {
     proxies_.process(proxy).request_shutdown();
-    notice = Duration{0};  // the load balancer learns of a graceful shutdown at once
+    notice_delay = Duration{0};  // the load balancer notices a graceful shutdown at once
   } else {
     proxies_.process(proxy).kill();
   }
-  scheduler_.spawn(withdraw_after(proxy, state.generation, notice));
+  scheduler_.spawn(remove_from_rotation_after(proxy, state.generation, notice_delay));
 }
 
 void ProxyFaultInjector::bring_up(std::size_t proxy) {
@@ -96,25 +96,27 @@
     return;
   }
   ProxyProcess& process = proxies_.process(proxy);
-  process.kill();  // a graceful shutdown that has taken too long
+  process.kill();  // in case a graceful shutdown is still in progress
   process.start();
   if (state.suspend_faults > 0) {
     process.suspend();
   }
   ++state.generation;
-  scheduler_.spawn(offer_when_ready(proxy, state.generation));
+  scheduler_.spawn(return_to_rotation_when_ready(proxy, state.generation));
 }
 
-Task<> ProxyFaultInjector::withdraw_after(std::size_t proxy, std::uint64_t generation,
-                                          Duration delay) {
+Task<> ProxyFaultInjector::remove_from_rotation_after(std::size_t proxy, std::uint64_t generation,
+                                                      Duration delay) {
   co_await sleep_for(scheduler_, delay);
   if (states_[proxy].generation == generation) {
-    load_.set_proxy_offered(proxy, false);
+    load_.set_proxy_in_rotation(proxy, false);
   }
 }
 
-Task<> ProxyFaultInjector::offer_when_ready(std::size_t proxy, std::uint64_t generation) {
-  // The fault that ends is over, and the start counts as another one until the proxy is ready.
+Task<> ProxyFaultInjector::return_to_rotation_when_ready(std::size_t proxy,
+                                                         std::uint64_t generation) {
+  // Ends the fault that took the proxy down, and counts the start as another fault until the proxy
+  // is ready.
   observations_.proxy_fault_ended(proxy, ProxyMemory::kLost);
   observations_.proxy_fault_began(proxy);
   while (states_[proxy].generation == generation) {
@@ -129,7 +131,7 @@
     co_return;
   }
   last_ready_at_ = clock_.now();
-  load_.set_proxy_offered(proxy, true);
+  load_.set_proxy_in_rotation(proxy, true);
   load_.rebalance_to(proxy);
 }
 
--- a/src/testbed/proxy_fault_injector.h
+++ b/src/testbed/proxy_fault_injector.h
@@ -1,5 +1,5 @@
-// Faults of the proxies themselves: killed, restarted, suspended, their state damaged, the network
-// between them impaired.
+// Injects faults into the proxies: their processes are killed, restarted or suspended, their state
+// is damaged, and the network between them is impaired.
 #pragma once
 
 #include <cstdint>
@@ -15,34 +15,38 @@
 
 namespace beechhill::testbed {
 
-/// Also plays the health checks of the load balancer in front of the proxies: the load is sent to a
-/// proxy that is away until the scenario's notice is over, and to one that is back once it is
-/// ready. What it borrows must outlive it, and it must outlive the scheduler's run.
+/// Also emulates the health checks of the load balancer in front of the proxies: a proxy that is
+/// down leaves rotation when the scenario's notice period is over, and a restarted one
+/// returns to rotation once it is ready. Objects passed by reference must outlive it, and it must
+/// outlive the scheduler's run.
 class ProxyFaultInjector {
  public:
   ProxyFaultInjector(runtime::Scheduler& scheduler, const TestbedClock& clock,
                      const emulator::Scenario& scenario, ProxyGroup& proxies, OpenLoopLoad& load,
                      ObservationLog& observations);
 
-  /// Faults of one kind may overlap at a proxy: the last to end brings it back.
-  void apply(const emulator::FaultSpec& fault, const std::vector<std::uint32_t>& struck,
+  /// Begins or ends a fault at the affected proxies. Faults of one kind may overlap at a proxy,
+  /// which recovers when the last one ends.
+  void apply(const emulator::FaultSpec& fault, const std::vector<std::uint32_t>& affected,
              FaultPhase phase);
-  /// When the last proxy was ready again; 0: none was away.
+  /// Time at which a proxy last became ready again after a fault; 0 if no fault made one
+  /// unavailable.
   Time last_ready_at() const { return last_ready_at_; }
 
  private:
   struct ProxyState {
-    std::uint32_t down_faults = 0;     // active ones that keep it down
-    std::uint32_t suspend_faults = 0;  // active ones that keep it suspended
-    std::uint64_t generation = 0;      // of its starts and ends
+    std::uint32_t down_faults = 0;     // active faults that keep it down
+    std::uint32_t suspend_faults = 0;  // active faults that keep it suspended
+    std::uint64_t generation = 0;      // incremented at each start and end of the process
   };
   void apply_to_process(const emulator::FaultSpec& fault, std::size_t proxy, FaultPhase phase);
   void suspend(std::size_t proxy);
   void resume(std::size_t proxy);
   void take_down(emulator::FaultKind kind, std::size_t proxy);
   void bring_up(std::size_t proxy);
-  runtime::Task<> withdraw_after(std::size_t proxy, std::uint64_t generation, Duration delay);
-  runtime::Task<> offer_when_ready(std::size_t proxy, std::uint64_t generation);
+  runtime::Task<> remove_from_rotation_after(std::size_t proxy, std::uint64_t generation,
+                                             Duration delay);
+  runtime::Task<> return_to_rotation_when_ready(std::size_t proxy, std::uint64_t generation);
 
   runtime::Scheduler& scheduler_;
   const TestbedClock& clock_;
@@ -50,7 +54,7 @@
   ProxyGroup& proxies_;
   OpenLoopLoad& load_;
   ObservationLog& observations_;
-  std::vector<ProxyState> states_;  // by proxy
+  std::vector<ProxyState> states_;  // indexed by proxy
   Time last_ready_at_{0};
 };
 
--- a/src/testbed/proxy_group.h
+++ b/src/testbed/proxy_group.h
@@ -1,5 +1,5 @@
-// The real proxies of a load test, with all that their processes need: ports, configuration, state
-// directories, and a cluster where the scenario has one.
+// The real proxies of a load test and the resources that their processes need: ports,
+// configuration, state directories and, if the scenario has one, a cluster.
 #pragma once
 
 #include <cstdint>
@@ -21,26 +21,27 @@
 /// Must outlive the scheduler's run.
 class ProxyGroup {
  public:
-  /// For `scenario.proxies` processes of `program`, none of them started yet. Throws
-  /// std::invalid_argument where the scenario needs a cluster and this build has none.
+  /// Prepares `scenario.proxies` processes of `program` without starting them. Throws
+  /// std::invalid_argument if the scenario needs a cluster and this build does not support
+  /// clusters.
   ProxyGroup(runtime::Scheduler& scheduler, const emulator::Scenario& scenario,
              const std::string& program, FakeServices& services);
 
-  /// Starts all; ends when each reports that it is ready. Throws std::runtime_error where one does
-  /// not come up.
+  /// Starts all proxies and completes when each one reports that it is ready. Throws
+  /// std::runtime_error if one does not become ready.
   runtime::Task<> start();
-  /// A graceful shutdown of all at once. Blocks.
+  /// Shuts down all proxies gracefully at the same time. Blocks.
   void shut_down();
 
   std::size_t size() const { return processes_.size(); }
   ProxyProcess& process(std::size_t proxy) { return *processes_[proxy]; }
   const ProxyProcess& process(std::size_t proxy) const { return *processes_[proxy]; }
-  /// Only where the scenario's proxies keep state.
+  /// Must only be called if the scenario's proxies keep state on disk.
   StateDirectoryFaults& state_directory(std::size_t proxy) { return *state_directories_[proxy]; }
-  /// Null where the scenario has none.
+  /// Returns null if the scenario has no cluster.
   ClusterDeployment* cluster() { return cluster_.get(); }
   std::vector<sockaddr_in> addresses() const;
-  /// Of the operators' interface, by proxy; empty where there is no cluster.
+  /// Addresses of the operator interface, indexed by proxy; empty if there is no cluster.
   std::vector<sockaddr_in> admin_addresses() const;
 
  private:
@@ -50,9 +51,10 @@
   runtime::Scheduler& scheduler_;
   const emulator::Scenario& scenario_;
   experiments::TempDirectory directory_;
-  std::vector<ReservedPort> ports_;  // stay reserved while a proxy is away
+  std::vector<ReservedPort> ports_;  // remain reserved while a proxy is down
   std::vector<ReservedPort> admin_ports_;
-  std::vector<std::unique_ptr<StateDirectoryFaults>> state_directories_;  // by proxy, or empty
+  std::vector<std::unique_ptr<StateDirectoryFaults>>
+      state_directories_;  // indexed by proxy; empty if no state is kept
   std::unique_ptr<ClusterDeployment> cluster_;
   std::vector<std::unique_ptr<ProxyProcess>> processes_;
 };
--- a/src/testbed/proxy_process.cpp
+++ b/src/testbed/proxy_process.cpp
@@ -28,8 +28,8 @@
 constexpr auto kReadinessTimeout = 200ms;
 constexpr auto kReadinessPollInterval = 20ms;
 constexpr auto kStartTimeout = 15s;
-constexpr int kExecFailed = 127;  // as a shell reports it
-// Fields of /proc/PID/stat between the name and the user time.
+constexpr int kExecFailed = 127;  // the same status as a shell's
+// Number of fields of /proc/PID/stat between the process name and the user time.
 constexpr int kStatFieldsBeforeCpu = 11;
 
 }  // namespace
@@ -52,7 +52,7 @@
 void ProxyProcess::start() {
   pid_ = ::fork();
   if (pid_ < 0) {
-    throw std::runtime_error("a proxy cannot be started");
+    throw std::runtime_error(program_ + ": cannot create a process");
   }
   if (pid_ == 0) {
     execute();
@@ -60,7 +60,7 @@
 }
 
 void ProxyProcess::execute() const {
-  ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // it never outlives the testbed
+  ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // kills the proxy when the testbed ends
   const int log = ::open(log_path_.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
   if (log < 0) {
     ::_exit(kExecFailed);
@@ -84,7 +84,7 @@
   if (pid_ <= 0) {
     return;
   }
-  signal(SIGKILL);  // ends a suspended one too
+  signal(SIGKILL);  // also ends a suspended process
   reap();
 }
 
@@ -101,10 +101,10 @@
 }
 
 bool ProxyProcess::exited() {
-  rusage used{};
+  rusage usage{};
   int status = 0;
-  if (pid_ > 0 && ::wait4(pid_, &status, WNOHANG, &used) == pid_) {
-    record_exit(used);
+  if (pid_ > 0 && ::wait4(pid_, &status, WNOHANG, &usage) == pid_) {
+    record_exit(usage);
   }
   return pid_ <= 0;
 }
@@ -113,7 +113,8 @@
   std::ifstream in(fmt::format("/proc/{}/stat", pid_));
   std::string text;
   std::getline(in, text);
-  std::istringstream fields(text.substr(text.rfind(')') + 2));  // a name may hold anything
+  std::istringstream fields(
+      text.substr(text.rfind(')') + 2));  // the process name may contain any character
   std::string skipped;
   double user = 0;
   double system = 0;
@@ -174,16 +175,16 @@
 }
 
 void ProxyProcess::reap() {
-  rusage used{};
+  rusage usage{};
   int status = 0;
-  if (::wait4(pid_, &status, 0, &used) == pid_) {
-    record_exit(used);
+  if (::wait4(pid_, &status, 0, &usage) == pid_) {
+    record_exit(usage);
   }
 }
 
-void ProxyProcess::record_exit(const rusage& used) {
+void ProxyProcess::record_exit(const rusage& usage) {
   pid_ = 0;
-  for (const timeval& t : {used.ru_utime, used.ru_stime}) {
+  for (const timeval& t : {usage.ru_utime, usage.ru_stime}) {
     cpu_s_ += static_cast<double>(t.tv_sec) + static_cast<double>(t.tv_usec) / 1e6;
   }
 }
@@ -202,10 +203,12 @@
       co_return;
     }
     if (proxy.exited()) {
-      throw std::runtime_error("a proxy exited at its start: " + proxy.last_log_line());
+      throw std::runtime_error("a proxy exited during its start; last log line: " +
+                               proxy.last_log_line());
     }
     if (Clock::now() > deadline) {
-      throw std::runtime_error("a proxy is not ready after 15 s: " + proxy.last_log_line());
+      throw std::runtime_error("a proxy was not ready after 15 s; last log line: " +
+                               proxy.last_log_line());
     }
     co_await sleep_for(scheduler, kReadinessPollInterval);
   }
--- a/src/testbed/proxy_process.h
+++ b/src/testbed/proxy_process.h
@@ -1,4 +1,4 @@
-// Real proxies as child processes of the testbed. None outlives it, however it ends.
+// Real proxies as child processes of the testbed. The kernel kills them when the testbed ends.
 #pragma once
 
 #include <json/json.h>
@@ -14,43 +14,44 @@
 
 namespace beechhill::testbed {
 
-/// One proxy, which may be started, stopped and killed several times. Blocking; for one thread.
+/// One proxy, which can be started, stopped and killed repeatedly. Calls may block; not
+/// thread-safe.
 class ProxyProcess {
  public:
-  /// Writes the proxy's configuration into `directory`, which must outlive this and takes its log.
-  /// `operator_file`: the text of the proxy's operator file; where empty, it has none.
+  /// Writes the proxy's configuration into `directory`, which also receives the log and must
+  /// outlive this object. `operator_file`: contents of the proxy's operator file; empty for none.
   ProxyProcess(const experiments::TempDirectory& directory, const std::string& program,
                Json::Value config, sockaddr_in address, const std::string& operator_file = {});
   ~ProxyProcess() { kill(); }
   ProxyProcess(const ProxyProcess&) = delete;
   ProxyProcess& operator=(const ProxyProcess&) = delete;
 
-  /// Throws std::runtime_error where the system has no process left.
+  /// Throws std::runtime_error if the system cannot create a process.
   void start();
-  /// SIGKILL; waits until the process is gone.
+  /// Sends SIGKILL and waits until the process has exited.
   void kill();
-  /// SIGTERM, for a graceful shutdown; does not wait for it.
+  /// Sends SIGTERM to request a graceful shutdown, and does not wait for it.
   void request_shutdown() { signal(SIGTERM); }
   void suspend() { signal(SIGSTOP); }
   void resume() { signal(SIGCONT); }
-  /// Graceful shutdown; after 5 s by SIGKILL. Blocks.
+  /// Shuts down gracefully, or with SIGKILL after 5 s. Blocks.
   void shut_down();
-  /// Whether no process runs: it was never started, or has exited and was reaped.
+  /// Whether no process is running: none was started, or it has exited and was reaped.
   bool exited();
 
-  /// CPU time of all processes of this proxy that have exited, in seconds.
+  /// CPU time in seconds of all processes of this proxy that have exited.
   double cpu_s() const { return cpu_s_; }
-  /// CPU time of the running process, from /proc, in seconds.
+  /// CPU time in seconds of the running process, from /proc.
   double running_cpu_s() const;
-  /// Resident memory of the running process.
+  /// Resident memory of the running process in KiB.
   long rss_kib() const;
   const sockaddr_in& address() const { return address_; }
 
-  /// The last line of its log, over all its processes.
+  /// The last line of the log, which all processes of this proxy append to.
   std::string last_log_line() const;
-  /// How many lines of its log record that event.
+  /// Number of log lines for the event.
   std::size_t count_log_events(const std::string& event) const;
-  /// The sum of the values after `key=` in those lines.
+  /// Sum of the values after `key=` in the log lines for the event.
   std::uint64_t sum_log_field(const std::string& event, const std::string& key) const;
 
  private:
@@ -58,20 +59,21 @@
   std::vector<std::string> log_lines(const std::string& event) const;
   void signal(int number) const;
   void reap();
-  void record_exit(const rusage& used);
+  void record_exit(const rusage& usage);
 
   std::string program_;
   std::string config_path_;
   std::string log_path_;
-  std::string operator_file_path_;  // empty: none
+  std::string operator_file_path_;  // empty: no operator file
   sockaddr_in address_{};
-  pid_t pid_ = 0;  // 0: no process runs
+  pid_t pid_ = 0;  // 0: no process is running
   double cpu_s_ = 0;
 };
 
-/// Whether the proxy at that address reports that it is ready, within 200 ms.
+/// Whether the proxy at the address reports within 200 ms that it is ready.
 runtime::Task<bool> is_ready(runtime::Scheduler& scheduler, sockaddr_in address);
-/// Throws std::runtime_error where the proxy exits, or is not ready within 15 s.
+/// Completes when the proxy is ready. Throws std::runtime_error if it exits or is not ready within
+/// 15 s.
 runtime::Task<> wait_until_ready(runtime::Scheduler& scheduler, ProxyProcess& proxy);
 
 }  // namespace beechhill::testbed
--- a/src/testbed/reserved_port.cpp
+++ b/src/testbed/reserved_port.cpp
@@ -8,8 +8,8 @@
 
 namespace beechhill::testbed {
 
-// Bound with SO_REUSEADDR and never listening: listeners with that option may bind the port too,
-// and the system does not hand it out.
+// The socket is bound with SO_REUSEADDR and never listens. Listeners with the same option can bind
+// the port too, and the system does not choose it for a socket that binds to port 0.
 ReservedPort::ReservedPort()
     : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)), address_(any_loopback_port()) {
   const int on = 1;
--- a/src/testbed/reserved_port.h
+++ b/src/testbed/reserved_port.h
@@ -1,15 +1,15 @@
-// Ports on loopback that stay the same while the process that listens on them comes and goes.
+// Loopback ports that stay reserved while the processes that listen on them restart.
 #pragma once
 
 #include "net/socket.h"
 
 namespace beechhill::testbed {
 
-/// Reserves a free port on loopback for as long as it lives. Whoever gets its number may listen on
-/// it, again and again; the system gives it to nobody else meanwhile.
+/// Reserves a free loopback port for the lifetime of the object. Any process may listen on the
+/// port, repeatedly; the system does not assign it to other sockets in the meantime.
 class ReservedPort {
  public:
-  /// Throws std::runtime_error where no port is free.
+  /// Throws std::runtime_error if no port is free.
   ReservedPort();
   const sockaddr_in& address() const { return address_; }
 
--- a/src/testbed/scenario_options.cpp
+++ b/src/testbed/scenario_options.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Sixteen small backends, of which two become unresponsive for 6 s and come back with a slow start.
-constexpr const char* kDemo = R"(
+// Sixteen small backends, two of which become unresponsive for 6 s and then return with slow start.
+constexpr const char* kDemoScenario = R"(
 name = "demo"
 length = "20s"
 warm_up = "2s"
@@ -58,11 +58,12 @@
 }  // namespace
 
 void add_scenario_options(CLI::App& command, ScenarioOptions& options) {
-  command.add_option("--seed", options.seed, "In place of the scenario's seed")
+  command.add_option("--seed", options.seed, "Seed that replaces the scenario's")
       ->check(CLI::NonNegativeNumber);
-  command.add_option("--set", options.overrides,
-                     "KEY=VALUE in place of the scenario's, such as load.utilisation=1.2 or "
-                     "fault.0.part=0.7");
+  command.add_option(
+      "--set", options.overrides,
+      "KEY=VALUE that overrides a setting of the scenario, such as load.utilisation=1.2 or "
+      "fault.0.part=0.7");
 }
 
 emulator::Scenario load_scenario(const ScenarioOptions& options) {
@@ -79,7 +80,7 @@
 
 emulator::Scenario load_scenario_or_demo(const std::string& file) {
   if (file.empty()) {
-    return emulator::read_scenario(config::parse_toml(kDemo, "demo"), "demo");
+    return emulator::read_scenario(config::parse_toml(kDemoScenario, "demo"), "demo");
   }
   return emulator::read_scenario(emulator::load_scenario(file), file);
 }
--- a/src/testbed/scenario_options.h
+++ b/src/testbed/scenario_options.h
@@ -1,4 +1,4 @@
-// Which scenario a command runs.
+// Command-line options that select the scenario of a command.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -10,22 +10,22 @@
 
 namespace beechhill::testbed {
 
-/// A scenario file, with changes from the command line.
+/// A scenario file and overrides from the command line.
 struct ScenarioOptions {
   std::string file;
   std::vector<std::string> overrides;  // "KEY=VALUE"
-  std::int64_t seed = -1;              // negative: the scenario's
+  std::int64_t seed = -1;              // negative: the seed in the file
 };
 
 /// Adds `--seed` and `--set` to a command. `options` must outlive the app's parsing.
 void add_scenario_options(CLI::App& command, ScenarioOptions& options);
 
-/// Throws config::TomlError for a faulty file or change, std::invalid_argument for a change of a
-/// key that does not exist.
+/// Throws config::TomlError for an invalid file or override, and std::invalid_argument for an
+/// override of a key that does not exist.
 emulator::Scenario load_scenario(const ScenarioOptions& options);
 
-/// The scenario in the file; where its name is empty, the demo's. Throws config::TomlError for a
-/// faulty file.
+/// Loads the scenario from `file`, or the demo scenario if `file` is empty. Throws
+/// config::TomlError for an invalid file.
 emulator::Scenario load_scenario_or_demo(const std::string& file);
 
 }  // namespace beechhill::testbed
--- a/src/testbed/server_io.cpp
+++ b/src/testbed/server_io.cpp
@@ -15,7 +15,7 @@
 sockaddr_in parse_own_address(const std::string& text) {
   const std::optional<sockaddr_in> address = net::parse_address(text);
   if (!address) {
-    throw std::invalid_argument(text + ": no address");
+    throw std::invalid_argument(text + ": not an address of the form host:port");
   }
   return *address;
 }
--- a/src/testbed/simulation_commands.cpp
+++ b/src/testbed/simulation_commands.cpp
@@ -29,30 +29,31 @@
 
 namespace {
 
-// ---- simulate-membership
+// Command simulate-membership.
 
 constexpr auto kSimulationStep = 100ms;
-constexpr auto kMaxConvergence = 600s;
-constexpr auto kSteadyState = 300s;  // over which traffic is measured
-constexpr auto kPartition = 120s;
-// One in so many members is suspended.
-constexpr std::size_t kSuspendedPart = 10;
+constexpr auto kMaxConvergenceTime = 600s;
+constexpr auto kSteadyStateDuration = 300s;  // duration of the traffic measurement
+constexpr auto kPartitionDuration = 120s;
+// One of this many members is suspended.
+constexpr std::size_t kMembersPerSuspended = 10;
 
-// What one simulation measured; durations are nullopt where members did not converge.
+// Measurements of one simulation. A duration is nullopt if the members did not converge.
 struct MembershipResult {
   std::optional<Duration> join;
-  double bytes_per_s = 0;           // of each member, while nothing happens
-  double false_deaths_per_h = 0;    // of each member, while nothing happens
-  std::vector<double> detection_s;  // sorted; by pair of a member and a suspended one
-  std::optional<Duration> death_known_to_all;
-  std::optional<Duration> heal;  // after a partition into halves
+  double bytes_per_s = 0;           // per member, without faults
+  double false_deaths_per_h = 0;    // per member, without faults
+  std::vector<double> detection_s;  // sorted; for each pair of a running and a suspended member
+  std::optional<Duration> detected_by_all;
+  std::optional<Duration> heal;  // after a partition into two halves
 };
 
-// Until each running member knows of each other one, and of nobody else.
+// Returns the time until each running member knows exactly the other running members, or nullopt if
+// it exceeds the maximum.
 std::optional<Duration> time_to_converge(GossipSimulation& simulation) {
   const Time began = simulation.now();
   while (!simulation.agreed()) {
-    if (simulation.now() - began > kMaxConvergence) {
+    if (simulation.now() - began > kMaxConvergenceTime) {
       return std::nullopt;
     }
     simulation.run(kSimulationStep);
@@ -62,27 +63,27 @@
 
 void measure_steady_state(GossipSimulation& simulation, MembershipResult& result) {
   const GossipSimulation::TrafficCounts before = simulation.traffic();
-  simulation.run(kSteadyState);
+  simulation.run(kSteadyStateDuration);
   const GossipSimulation::TrafficCounts& after = simulation.traffic();
   const double member_seconds =
-      to_s(Duration(kSteadyState)) * static_cast<double>(simulation.size());
+      to_s(Duration(kSteadyStateDuration)) * static_cast<double>(simulation.size());
   result.bytes_per_s = static_cast<double>(after.bytes - before.bytes) / member_seconds;
   result.false_deaths_per_h =
       static_cast<double>(after.false_deaths - before.false_deaths) / member_seconds * 3600;
 }
 
-// Suspends the last members, measures when the others notice, and resumes them.
+// Suspends the last members, measures when the others detect it, and resumes them.
 void measure_failure_detection(GossipSimulation& simulation, MembershipResult& result) {
-  const std::size_t count = std::max<std::size_t>(1, simulation.size() / kSuspendedPart);
+  const std::size_t count = std::max<std::size_t>(1, simulation.size() / kMembersPerSuspended);
   const std::size_t first = simulation.size() - count;
   const Time suspended_at = simulation.now();
   for (std::size_t i = first; i < simulation.size(); ++i) {
     simulation.stop(i);
   }
-  result.death_known_to_all = time_to_converge(simulation);
-  for (std::size_t watcher = 0; watcher < first; ++watcher) {
+  result.detected_by_all = time_to_converge(simulation);
+  for (std::size_t observer = 0; observer < first; ++observer) {
     for (std::size_t i = first; i < simulation.size(); ++i) {
-      if (const std::optional<Time> dead_since = simulation.dead_since(watcher, i)) {
+      if (const std::optional<Time> dead_since = simulation.dead_since(observer, i)) {
         result.detection_s.push_back(std::max(0.0, to_s(*dead_since - suspended_at)));
       }
     }
@@ -97,7 +98,7 @@
 void measure_partition(GossipSimulation& simulation, MembershipResult& result) {
   const std::size_t half = simulation.size() / 2;
   simulation.cut([half](std::size_t from, std::size_t to) { return (from < half) == (to < half); });
-  simulation.run(kPartition);
+  simulation.run(kPartitionDuration);
   simulation.cut({});
   result.heal = time_to_converge(simulation);
 }
@@ -112,7 +113,7 @@
   return result;
 }
 
-// 0 where there are no values.
+// Returns 0 if there are no values.
 double quantile(const std::vector<double>& sorted, double q) {
   if (sorted.empty()) {
     return 0;
@@ -130,7 +131,7 @@
                                             quantile(result.detection_s, 1));
   fmt::print("{:>8} {:>6.2f} {:>9} {:>11.0f} {:>15.3f} {:>16} {:>13} {:>9}\n", spec.members,
              spec.loss, seconds_text(result.join), result.bytes_per_s, result.false_deaths_per_h,
-             detection, seconds_text(result.death_known_to_all), seconds_text(result.heal));
+             detection, seconds_text(result.detected_by_all), seconds_text(result.heal));
   std::fflush(stdout);
 }
 
@@ -156,21 +157,21 @@
   return kSuccess;
 }
 
-// ---- simulate-maintenance
+// Command simulate-maintenance.
 
-constexpr std::size_t kEntryProxy = 0;  // where requests are submitted
-constexpr int kSubmissions = 3;         // one may be lost while a leader is elected
+constexpr std::size_t kSubmissionProxy = 0;  // to which requests are submitted
+constexpr int kSubmissions = 3;              // one may be lost while a leader is elected
 constexpr auto kSubmissionInterval = 300ms;
-constexpr auto kElection = 3s;
-constexpr auto kLeaderDown = 2s;
+constexpr auto kElectionTime = 3s;
+constexpr auto kLeaderDowntime = 2s;
 constexpr auto kMaxFailover = 120s;
-constexpr auto kMaxRound = 7200s;
+constexpr auto kMaxRoundDuration = 7200s;
 
 struct RoundOptions {
   std::uint32_t backends = 0;
   std::uint32_t followers = 0;
   std::uint64_t seed = 1;
-  bool leader_dies = false;  // half way through
+  bool kill_leader = false;  // halfway through the round
 };
 
 MaintenanceSimulationSpec round_spec(const RoundOptions& options) {
@@ -199,19 +200,19 @@
   command.request->id = "all";
   command.request->max_concurrent = backends;
   for (int i = 0; i < kSubmissions; ++i) {
-    simulation.order(kEntryProxy, command);
+    simulation.order(kSubmissionProxy, command);
     simulation.run(kSubmissionInterval);
   }
 }
 
-// Kills the leader and restarts it. Returns the time until work that began after its death has
-// ended.
+// Kills the leader and restarts it. Returns the time from its death until work that began
+// afterwards has ended.
 Duration measure_failover(MaintenanceSimulation& simulation, std::size_t leader,
                           std::uint32_t max_out) {
   const std::size_t done_before = simulation.taken_out();
   const Time died_at = simulation.now();
   simulation.kill(leader);
-  simulation.run(kLeaderDown);
+  simulation.run(kLeaderDowntime);
   simulation.start(leader);
   while (simulation.now() - died_at < kMaxFailover &&
          !(simulation.leader() && simulation.taken_out() > done_before + max_out)) {
@@ -220,20 +221,20 @@
   return simulation.now() - died_at;
 }
 
-// Maintenance of all backends once, with no fault but the leader's death where that is asked for;
-// compared with the shortest time that the disruption budget allows.
+// Runs maintenance of all backends once, without faults except for the leader's death if that is
+// requested, and compares the duration with the minimum that the disruption budget allows.
 void simulate_round(const RoundOptions& options) {
   const MaintenanceSimulationSpec spec = round_spec(options);
   MaintenanceSimulation simulation(spec);
-  simulation.run(kElection);
+  simulation.run(kElectionTime);
   submit_request_for_all(simulation, options.backends);
   const Time began = simulation.now();
   std::optional<Duration> failover;
-  while (simulation.now() - began < kMaxRound &&
+  while (simulation.now() - began < kMaxRoundDuration &&
          !(simulation.leader() && simulation.open_requests().empty())) {
     simulation.run(kSimulationStep);
     const std::optional<std::size_t> leader = simulation.leader();
-    if (options.leader_dies && !failover && leader &&
+    if (options.kill_leader && !failover && leader &&
         simulation.taken_out() >= options.backends / 2) {
       failover = measure_failover(simulation, *leader, spec.bounds.max_out);
     }
@@ -257,11 +258,11 @@
   std::uint64_t seed = 1;
   std::uint32_t plans = 100;
   std::uint32_t followers = 10;
-  std::uint32_t round_backends = 0;  // 0: drawn plans
-  bool leader_dies = false;
+  std::uint32_t round_backends = 0;  // 0: drawn plans instead of a round
+  bool kill_leader = false;
 };
 
-// Drawn plans; those that show a violation are printed on standard error.
+// Runs drawn plans and prints those with violations or unexplained waiting on standard error.
 ExitCode simulate_plans(const MaintenanceOptions& options) {
   std::uint64_t violating_plans = 0;
   std::uint64_t unexplained_requests = 0;
@@ -282,7 +283,7 @@
       fmt::print(stderr, "seed {}\n{}{}", seed, run.plan, run.verdict.text);
     }
     for (const std::string& id : run.silent) {
-      fmt::print(stderr, "{}: neither completed nor with a reason for waiting\n", id);
+      fmt::print(stderr, "{}: request neither completed nor has a reason for waiting\n", id);
     }
   }
   fmt::print(
@@ -296,7 +297,7 @@
   if (options.round_backends == 0) {
     return simulate_plans(options);
   }
-  simulate_round({options.round_backends, options.followers, options.seed, options.leader_dies});
+  simulate_round({options.round_backends, options.followers, options.seed, options.kill_leader});
   return kSuccess;
 }
 
@@ -310,7 +311,7 @@
   command->add_option("--members", options->members, "Cluster sizes, one row each")
       ->check(CLI::Range(2u, 1'000u))
       ->capture_default_str();
-  command->add_option("--loss", options->loss, "Parts of the datagrams that are lost, one row each")
+  command->add_option("--loss", options->loss, "Fractions of datagrams that are lost, one row each")
       ->check(CLI::Range(0.0, 0.9))
       ->capture_default_str();
   command->add_option("--interval", options->interval_s, "Seconds between a member's probes")
@@ -330,14 +331,15 @@
   command->add_option("--plans", options->plans, "Number of plans")
       ->check(CLI::Range(1u, 100'000u))
       ->capture_default_str();
-  command->add_option("--followers", options->followers, "Maximum of proxies that do not vote")
+  command->add_option("--followers", options->followers, "Maximum number of non-voting proxies")
       ->check(CLI::Range(0u, 200u))
       ->capture_default_str();
   command
       ->add_option("--round", options->round_backends,
-                   "In place of plans: one round of maintenance of so many backends")
+                   "Instead of plans: one round of maintenance of this many backends")
       ->check(CLI::Range(2u, 2'000u));
-  command->add_flag("--leader-dies", options->leader_dies, "The leader dies half way in the round");
+  command->add_flag("--leader-dies", options->kill_leader,
+                    "Kill the leader halfway through the round");
   command->callback([options, &exit_code] { exit_code = run_maintenance(*options); });
 }
 
--- a/src/testbed/simulation_commands.h
+++ b/src/testbed/simulation_commands.h
@@ -1,13 +1,14 @@
-// The commands that simulate parts of a cluster in simulated time: `simulate-membership`, what
-// gossip members learn of each other, and `simulate-maintenance`, maintenance of all backends under
-// drawn faults.
+// The commands that run parts of a cluster in simulated time: `simulate-membership` measures how
+// gossip members detect joins, failures and partitions, and `simulate-maintenance` runs maintenance
+// of all backends under randomly drawn faults.
 #pragma once
 
 #include <CLI/CLI.hpp>
 
 namespace beechhill::testbed {
 
-/// `exit_code` must outlive the app's parsing, which sets it.
+/// Add one command each to `app`. The command stores its exit code in `exit_code`, which must
+/// outlive the parsing of `app`.
 void add_simulate_membership_command(CLI::App& app, int& exit_code);
 void add_simulate_maintenance_command(CLI::App& app, int& exit_code);
 
--- a/src/testbed/state_directory_faults.cpp
+++ b/src/testbed/state_directory_faults.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-// Keeps these draws apart from those for backends, proxies, faults and fault plans.
+// Selects a random stream distinct from those for backends, proxies, faults and fault plans.
 constexpr std::uint64_t kStateStream = 1ULL << 38;
 
 std::string read_file(const fs::path& file) {
@@ -29,7 +29,7 @@
   std::ofstream(file, std::ios::binary | std::ios::trunc) << text;
 }
 
-// In the directory's own order; taken before any of them is changed.
+// Returns the files in directory order. The list is complete before the caller changes any file.
 std::vector<fs::path> regular_files(const fs::path& directory) {
   std::vector<fs::path> files;
   for (const auto& entry : fs::directory_iterator(directory)) {
@@ -72,7 +72,7 @@
       break;
   }
   if (!begins) {
-    return;  // the others leave their damage
+    return;  // the damage of the other faults is permanent
   }
   switch (kind) {
     case FaultKind::kStateLost:
@@ -156,7 +156,7 @@
     fs::create_directory(temporary_file_, ignored);
   }
   if (kind == FaultKind::kDiskHangs) {
-    ::mkfifo(temporary_file_.c_str(), 0600);  // opening it to write blocks until it has a reader
+    ::mkfifo(temporary_file_.c_str(), 0600);  // blocks a writer's open() until there is a reader
   }
 }
 
--- a/src/testbed/state_directory_faults.h
+++ b/src/testbed/state_directory_faults.h
@@ -1,5 +1,5 @@
-// Faults of the directory in which one process keeps its durable state: lost, restored from an old
-// copy, truncated or corrupted files, and a disk that is full, hangs or cannot be written.
+// Injects faults into the directory in which a process keeps its durable state: lost, outdated,
+// truncated or corrupted files, and a disk that is full, hangs or cannot be written.
 #pragma once
 
 #include <chrono>
@@ -14,12 +14,12 @@
 
 namespace beechhill::testbed {
 
-/// Faults of the disk need no privileges: the temporary file that the process writes before it
-/// renames it is replaced by something that is no regular file.
+/// Disk faults need no privileges: the temporary file that the process writes and then renames is
+/// replaced by something that is not a regular file.
 class StateDirectoryFaults {
  public:
-  /// Makes the directory. `temporary_file`: the name of the file in it that the process writes
-  /// before it renames it.
+  /// Creates the directory. `temporary_file`: name of the file in it that the process writes and
+  /// then renames.
   StateDirectoryFaults(std::filesystem::path directory, const std::string& temporary_file,
                        std::uint64_t seed);
   ~StateDirectoryFaults();
@@ -27,9 +27,9 @@
   StateDirectoryFaults& operator=(const StateDirectoryFaults&) = delete;
 
   std::string path() const { return directory_.string(); }
-  /// A fault of state (emulator::affects_state) begins or ends; others are ignored. Faults of the
-  /// disk may overlap: the first to end mends it. `age`: how much older snapshots become, for
-  /// kStateAged.
+  /// Begins or ends a state fault (emulator::affects_state); other faults are ignored. Disk faults
+  /// may overlap: the first one that ends makes the disk writable again. `age`: for kStateAged, the
+  /// time by which snapshots are backdated.
   void apply(emulator::FaultKind kind, FaultPhase phase, std::chrono::milliseconds age);
 
  private:
@@ -44,10 +44,10 @@
 
   const std::filesystem::path directory_;
   const std::filesystem::path temporary_file_;
-  std::map<std::string, std::string> saved_files_;  // contents by name
+  std::map<std::string, std::string> saved_files_;  // file contents, indexed by file name
   emulator::Stream random_;
-  // The reading end of the pipe of a disk that hung: its writer, once let go, is not killed by
-  // SIGPIPE.
+  // Read end of the pipe that emulates a hanging disk. It stays open so that the writer, when it is
+  // unblocked, is not killed by SIGPIPE.
   net::FileDescriptor pipe_reader_;
 };
 
--- a/src/testbed/task_helpers.h
+++ b/src/testbed/task_helpers.h
@@ -1,4 +1,4 @@
-// Small tasks that most of the testbed needs.
+// Coroutine helpers that most of the testbed uses.
 #pragma once
 
 #include "runtime/scheduler.h"
@@ -8,8 +8,8 @@
 runtime::Task<> sleep_until(runtime::Scheduler& scheduler, runtime::TimePoint at);
 runtime::Task<> sleep_for(runtime::Scheduler& scheduler, runtime::Clock::duration duration);
 
-/// Runs the scheduler until the task ends, then stops it and all other tasks. Throws what the task,
-/// or another one, throws.
+/// Runs the scheduler until `task` completes, then stops the scheduler and all other tasks.
+/// Rethrows an exception of `task` or of any other task.
 void run_until_done(runtime::Scheduler& scheduler, runtime::Task<> task);
 
 }  // namespace beechhill::testbed
--- a/src/testbed/tcp_fault_proxy.cpp
+++ b/src/testbed/tcp_fault_proxy.cpp
@@ -13,7 +13,7 @@
 struct TcpFaultProxy::Connection {
   std::unique_ptr<net::Stream> client;
   std::unique_ptr<net::Stream> backend;
-  // Wake the task that reads from that end.
+  // Each of these wakes the task that reads from that end.
   runtime::Notifier client_closed;
   runtime::Notifier backend_closed;
   bool closed = false;
@@ -63,7 +63,7 @@
   std::unique_ptr<net::Stream> backend =
       co_await net::Stream::connect(scheduler_, backend_, Clock::now() + kNoTimeout);
   if (!backend) {
-    co_return;  // refused, as the client would see it without a proxy between
+    co_return;  // closes the client's connection, because the backend rejected the proxy's
   }
   connection->backend = std::move(backend);
   connections_.insert(connection);
@@ -102,7 +102,7 @@
     }
     bytes.clear();
   }
-  // A partition holds the end of a connection as well.
+  // A partition also holds back the closure of a connection.
   co_await wait_until_forwardable(*connection, partitioned, Clock::now());
   connection->close();
   connections_.erase(connection);
--- a/src/testbed/tcp_fault_proxy.h
+++ b/src/testbed/tcp_fault_proxy.h
@@ -10,18 +10,18 @@
 
 namespace beechhill::testbed {
 
-/// Forwards what comes to its own address to one backend. Must outlive the scheduler's run.
+/// Forwards connections to its own address to one backend. Must outlive the scheduler's run.
 class TcpFaultProxy {
  public:
   TcpFaultProxy(runtime::Scheduler& scheduler, const sockaddr_in& backend);
   std::string address_text() const { return net::to_string(listener_.address()); }
 
-  /// While a direction is partitioned its bytes and ends of connections are held; they pass once it
-  /// is healed.
+  /// Partitions or heals each direction. While a direction is partitioned, bytes and connection
+  /// closures are held; they are forwarded once it is healed.
   void set_partitioned(bool to_backend, bool from_backend);
-  /// Of bytes that are read from now on, in each direction.
+  /// Sets the delay in each direction of bytes that are read after the call.
   void set_delay(runtime::Clock::duration delay) { delay_ = delay; }
-  /// Ends all present connections.
+  /// Closes all current connections.
   void reset_connections();
 
  private:
--- a/tests/cluster_test_test.cpp
+++ b/tests/cluster_test_test.cpp
@@ -1,5 +1,6 @@
-// Many proxies under fault injection plans, with real processes and in the emulator. Each test is a
-// plan; the verdict is the rules, and that every request was answered that no fault excuses.
+// Runs many proxies under fault plans, with real processes and in the emulator. Each test checks
+// that no rule is violated and that every request is answered unless a fault explains the missing
+// response.
 #include "testbed/cluster_test/cluster_test.h"
 
 #include <gtest/gtest.h>
@@ -22,13 +23,15 @@
 const testbed::ClusterTestOptions kEmulatedWithoutControl{
     .emulated = true, .policy = "module", .program = {}, .control = false};
 
-// Of the requests that came from `from` on nearly all are served: no proxy stays away.
+// Expects that nearly all requests from time `from` on are served, so that no proxy remains
+// unavailable.
 void expect_recovery(const testbed::LoadTestResult& run, const Scenario& scenario, Duration from) {
   EXPECT_GT(run.metrics->goodput_between(from, scenario.length), 0.9);
 }
 
-// Seven in ten proxies at once, while a backend is slow. Each that returns asks for one list, and
-// backends see no more new connections in a second than the clients could cause.
+// Seven in ten proxies restart at once while a backend is slow. Each restarted proxy must request
+// only one more list, and no backend may receive more new connections per second than the clients
+// have connections.
 TEST(ClusterTest, RecoversWhenMostProxiesRestartAtOnceBesideASlowBackend) {
   const Scenario scenario = cluster_scenario(fault("proxy_crash", "2s", "800ms", "part = 0.7") +
                                              fault("slow", "1s", "7s", "nodes = 1\nfactor = 3.0"));
@@ -38,7 +41,8 @@
   EXPECT_LE(run.max_connections_per_s, scenario.clients.connections);
 }
 
-// And again before they have warmed up; the clients that were unreachable return together.
+// All proxies restart a second time before they have warmed up, and the clients that could not
+// reach them return together.
 TEST(ClusterTest, RecoversWhenAllProxiesRestartTwice) {
   const Scenario scenario = cluster_scenario(
       fault("proxy_crash", "2s", "600ms", "part = 1.0\ntimes = 2\nevery = \"1500ms\""));
@@ -48,15 +52,15 @@
   EXPECT_EQ(run.max_snapshot_requests, 3u);
 }
 
-// It costs the requests that it was sent, and no more.
+// A proxy that crashes in a loop must fail only the requests that were sent to it.
 TEST(ClusterTest, KeepsGoodputWhenOneProxyCrashesInALoop) {
   const testbed::LoadTestResult run = run_without_violations(cluster_scenario(
       fault("proxy_crash", "1500ms", "300ms", "proxies = 1\ntimes = 5\nevery = \"1s\"")));
   EXPECT_GT(run.result["goodput"].asDouble(), 0.9);
 }
 
-// Backends begin to drain while most proxies are away, half of the discovery servers are
-// unresponsive when they return, and one proxy is still suspended.
+// Backends begin to drain while most proxies are down. When the proxies return, half of the
+// discovery servers are unresponsive and one proxy is still suspended.
 TEST(ClusterTest, RecoversWhenProxiesReturnToADrainAndUnresponsiveDiscovery) {
   const Scenario scenario =
       cluster_scenario(fault("proxy_crash", "2s", "700ms", "part = 0.8") +
@@ -66,8 +70,8 @@
   expect_recovery(run_without_violations(scenario), scenario, seconds(6));
 }
 
-// For longer than any watch lasts: nothing is sent by the endpoint list of before to a backend that
-// has gone meanwhile.
+// All proxies are suspended for longer than a watch lasts. When they resume, they must not use the
+// old endpoint list to send requests to a backend that has crashed in the meantime.
 TEST(ClusterTest, SendsNothingByAnOldListWhenAllProxiesAreSuspendedAndResumed) {
   const Scenario scenario = cluster_scenario(fault("proxy_stop", "1500ms", "3500ms", "part = 1.0") +
                                              fault("crash", "2s", "1500ms", "nodes = 1"));
@@ -87,11 +91,11 @@
 }
 
 // All proxies restart at once, each with its state in another condition: lost, truncated, with one
-// bit flipped, an hour old, from a full disk, and from a disk that hung.
+// bit flipped, one hour old, on a full disk, and on a disk that hung.
 TEST(ClusterTest, RestartsWithDamagedStateOfEveryKind) {
-  const auto state_fault = [](const char* kind, int proxy, const char* more = "") {
+  const auto state_fault = [](const char* kind, int proxy, const char* extra_lines = "") {
     return fault(kind, "2200ms", "100ms",
-                 "proxies = 1\nfirst = " + std::to_string(proxy) + "\n" + more);
+                 "proxies = 1\nfirst = " + std::to_string(proxy) + "\n" + extra_lines);
   };
   const Scenario scenario = cluster_scenario_with_snapshots(
       fault("proxy_crash", "2s", "600ms", "part = 1.0") + state_fault("state_lost", 0) +
@@ -102,16 +106,16 @@
   testbed::LoadTestResult run = run_without_violations(scenario);
   expect_recovery(run, scenario, seconds(6));
   EXPECT_EQ(run.max_snapshot_requests, 2u);
-  // The truncated, the flipped and the old one.
+  // The truncated, the corrupted and the old snapshot.
   EXPECT_EQ(run.log_events["snapshot_set_aside"], 3u);
-  // The full disk.
+  // The snapshot on the full disk.
   EXPECT_GE(run.log_events["snapshot_lost"], 1u);
-  // The last three proxies; of the old snapshot only the bans.
+  // The last three proxies find a snapshot; from the old one, only the excluded backends are used.
   EXPECT_GE(run.log_events["snapshot_found"], 3u);
 }
 
-// The state is restored to that of before every backend was replaced: all of it is discarded, and
-// nothing is sent to what was there then.
+// The proxies' state is restored to a copy from before all backends were replaced. The proxies must
+// discard all of it and send no requests to the replaced backends.
 TEST(ClusterTest, DiscardsStateFromBeforeARollingDeployment) {
   const Scenario scenario =
       cluster_scenario_with_snapshots(fault("state_old", "1300ms", "3s", "part = 1.0") +
@@ -125,8 +129,8 @@
   EXPECT_GT(run.discarded_endpoints, 0u);
 }
 
-// Half of the proxies return with fresh state and half with old state, while the discovery of three
-// sends a list from before a drain.
+// Half of the proxies return with fresh state and half with old state, while three proxies'
+// discovery servers send a list from before a drain.
 TEST(ClusterTest, RecoversWhenHalfOfTheStateIsOldAndDiscoveryIsRewound) {
   const Scenario scenario = cluster_scenario_with_snapshots(
       fault("proxy_crash", "3s", "600ms", "part = 1.0") +
@@ -136,7 +140,7 @@
   expect_recovery(run_without_violations(scenario), scenario, seconds(6));
 }
 
-// With faults of state among them.
+// Runs three drawn plans, which include state faults because the proxies keep snapshots.
 void run_drawn_plans(std::uint64_t first_seed) {
   constexpr std::uint64_t kPlans = 3;
   for (std::uint64_t seed = first_seed; seed < first_seed + kPlans; ++seed) {
@@ -157,10 +161,10 @@
   run_drawn_plans(4);
 }
 
-// Of the emulator's whole result.
+// Returns the emulator's whole result as JSON text, except for the number of events.
 std::string emulated_result(const Scenario& scenario) {
   testbed::ClusterTestResult test = testbed::run_cluster_test(scenario, kEmulatedWithoutControl);
-  test.result.removeMember("events");  // a fault of state is two of them by itself
+  test.result.removeMember("events");  // each state fault adds two events
   return test.result.toStyledString();
 }
 
@@ -169,7 +173,7 @@
   const std::string state_lost = fault("state_lost", "3200ms", "100ms", "part = 1.0");
   const std::string first_start = emulated_result(cluster_scenario(crash));
   EXPECT_EQ(emulated_result(cluster_scenario_with_snapshots(crash + state_lost)), first_start);
-  // State that is not lost makes a difference.
+  // State that is not lost must change the result.
   EXPECT_NE(emulated_result(cluster_scenario_with_snapshots(crash)), first_start);
 }
 
--- a/tests/fault_plan_test.cpp
+++ b/tests/fault_plan_test.cpp
@@ -1,4 +1,5 @@
-// Fault injection plans: drawing, writing, shrinking, and measuring the recovery from one.
+// Tests of fault plans: drawing, writing as TOML, shrinking, and measuring the recovery from
+// faults.
 #include "testbed/cluster_test/fault_plan.h"
 
 #include <gtest/gtest.h>
@@ -44,7 +45,8 @@
   EXPECT_TRUE(fails(shrunk));
 }
 
-// A run of ten requests a second; in the faulty one none of half a second, from 1 s on, is served.
+// Two runs of ten requests per second. The control serves all requests; the faulty run serves none
+// from 1 s to 1.5 s.
 class RecoveryMeasurement : public testing::Test {
  protected:
   RecoveryMeasurement() {
--- a/tests/load_test_test.cpp
+++ b/tests/load_test_test.cpp
@@ -1,5 +1,5 @@
-// Load tests: the real proxy with fake backends, compared with the emulator's result for the same
-// scenario.
+// Tests of load tests: the result with the real proxy and fake backends is compared with the
+// emulator's result for the same scenario.
 #include "testbed/load_test.h"
 
 #include <gtest/gtest.h>
@@ -13,10 +13,10 @@
 namespace beechhill::test {
 namespace {
 
-// The proxy and the emulator may differ by so much.
+// Maximum difference in goodput between the real proxy and the emulator.
 constexpr double kGoodputTolerance = 0.05;
 
-// Small and slow enough for a build with sanitizers.
+// A load low enough for a build with sanitizers.
 constexpr const char* kScenario = R"(
 length = "6s"
 warm_up = "1s"
--- a/tests/observation_log_test.cpp
+++ b/tests/observation_log_test.cpp
@@ -1,5 +1,5 @@
-// The observation log finds violations of the rules from what clients, backends and discovery
-// servers saw.
+// Tests that the observation log detects rule violations from the records of clients, backends and
+// discovery servers.
 #include "testbed/observation_log.h"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
 constexpr testbed::ClientAttemptId kRequest = 1;
 constexpr std::size_t kProxy = 0;
 
-// A log of two proxies, of which the first was sent a list of two backends at time 0.
+// A log for two proxies. The first proxy received a list of two backends at time 0.
 class ObservationLogTest : public testing::Test {
  protected:
   ObservationLogTest() : endpoints_(2) {
@@ -39,7 +39,8 @@
   std::vector<Endpoint> endpoints_;
 };
 
-// The drain grace is 2 s, the tolerance 500 ms.
+// The scenario's drain grace is 2 s and the log's tolerance 500 ms, so an attempt at a removed
+// backend is a violation from 2.5 s after the removal on.
 class RemovedBackendTest : public ObservationLogTest {
  protected:
   void send_to_removed_backend_at(Time at) {
--- a/tests/support/fault_plan_text.h
+++ b/tests/support/fault_plan_text.h
@@ -1,14 +1,16 @@
-// How the rig's tests write a fault of their plans.
+// Writes the faults of a plan as TOML for the testbed's tests.
 #pragma once
 
 #include <string>
 
 namespace beechhill::test {
 
+/// Returns a `[[fault]]` table. `length` is the value of its key `for`, and `extra_lines` holds
+/// further lines.
 inline std::string fault(const std::string& kind, const std::string& at, const std::string& length,
-                         const std::string& more) {
+                         const std::string& extra_lines) {
   return "[[fault]]\nkind = \"" + kind + "\"\nat = \"" + at + "\"\nfor = \"" + length + "\"\n" +
-         more + "\n";
+         extra_lines + "\n";
 }
 
 }  // namespace beechhill::test
--- a/tests/support/testbed_fixture.h
+++ b/tests/support/testbed_fixture.h
@@ -1,4 +1,4 @@
-// Scenarios and checks that the testbed's tests share.
+// Scenarios and checks that are shared by the testbed's tests.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
   return emulator::read_scenario(config::parse_toml(toml, "test"), "test");
 }
 
-/// Six proxies and eight backends, slow enough for a build with sanitizers.
+/// Six proxies and eight backends, with a load low enough for a build with sanitizers.
 inline constexpr const char* kClusterScenario = R"(
 length = "8s"
 warm_up = "1s"
@@ -62,20 +62,20 @@
 cold = { from = 0.3, span = "2s" }
 )";
 
-/// `faults`: `[[fault]]` tables.
+/// Returns the cluster scenario with the given `[[fault]]` tables.
 inline emulator::Scenario cluster_scenario(const std::string& faults = "") {
   return parse_scenario(kClusterScenario + faults);
 }
 
-/// The same with proxies that keep snapshots.
+/// Returns the same scenario with proxies that keep snapshots.
 inline emulator::Scenario cluster_scenario_with_snapshots(const std::string& faults = "") {
   std::string text = kClusterScenario + faults;
   text.insert(text.find("count = 6"), "snapshot_every = \"100ms\"\n");
   return parse_scenario(text);
 }
 
-/// Runs the scenario with real proxies, and expects that no rule is violated and that every request
-/// was answered that no fault excuses.
+/// Runs the scenario with real proxies. Expects that no rule is violated and that every request is
+/// answered unless a fault explains the missing response.
 inline testbed::LoadTestResult run_without_violations(const emulator::Scenario& scenario) {
   testbed::LoadTestResult run = testbed::run_load_test(scenario, PROXY_PROGRAM);
   std::fprintf(stderr, "requests %llu goodput %.3f excused %llu snapshot requests %u\n",
