--- a/src/testbed/cluster_test/cluster_test.cpp
+++ b/src/testbed/cluster_test/cluster_test.cpp
@@ -26,7 +26,8 @@
   std::uint64_t max_snapshot_requests = 0;
   std::uint64_t violations = 0;
   std::string violation_text;
-  std::optional<Time> last_ready_at;  // of a proxy that a fault made unavailable
+  // When the last proxy that a fault made unavailable was ready again.
+  std::optional<Time> last_ready_at;
 };
 
 void check_maintenance(const LoadTestResult& load_test, const Scenario& scenario, SingleRun& run) {
--- a/src/testbed/cluster_test/cluster_test.h
+++ b/src/testbed/cluster_test/cluster_test.h
@@ -41,8 +41,8 @@
   std::string violation_text;  // the first few violations, with their traces
 };
 
-/// Blocks; with real processes for slightly longer than the scenario's length, and twice as long
-/// with a control. Throws the same exceptions as run_load_test().
+/// Blocks. With real processes, a run takes slightly longer than the scenario's length, and a
+/// control run takes as long again. Throws the same exceptions as run_load_test().
 ClusterTestResult run_cluster_test(const emulator::Scenario& scenario,
                                    const ClusterTestOptions& options);
 
--- a/src/testbed/cluster_test/cluster_test_command.cpp
+++ b/src/testbed/cluster_test/cluster_test_command.cpp
@@ -123,7 +123,7 @@
     times_.push_back(recovery.full_after);
     lost_.push_back(recovery.worth_lost);
   }
-  // Must only be called after add().
+  // Requires at least one call of add().
   void print() {
     // Sorts runs that did not recover to the end.
     std::sort(times_.begin(), times_.end(),
--- a/src/testbed/console.h
+++ b/src/testbed/console.h
@@ -32,7 +32,7 @@
 /// Formats a duration in seconds with one decimal place; "never" for nullopt.
 std::string seconds_text(const std::optional<Duration>& duration);
 
-/// Replaces the contents of the file by `text`. Throws std::runtime_error if the file cannot be
+/// Replaces the contents of the file with `text`. Throws std::runtime_error if the file cannot be
 /// written.
 void write_text_file(const std::string& path, const std::string& text);
 
--- a/src/testbed/datagram_fault_proxy.h
+++ b/src/testbed/datagram_fault_proxy.h
@@ -12,9 +12,9 @@
 
 namespace beechhill::testbed {
 
-/// Each process is advertised at one of the proxy's addresses. The proxy forwards a datagram from
-/// there with the sender's advertised address as its source, so that both ends see the same
-/// addresses as without the proxy. Must outlive the scheduler's run.
+/// Each process is advertised at one of the proxy's addresses. The proxy forwards datagrams that
+/// arrive there to the process, with the sender's advertised address as their source, so that both
+/// ends see the same addresses as without the proxy. Must outlive the scheduler's run.
 class DatagramFaultProxy {
  public:
   /// Supports at most 100 processes and throws std::invalid_argument for more. Uses loopback
@@ -42,7 +42,8 @@
   const std::size_t processes_;
   emulator::Stream random_;
   std::vector<std::unique_ptr<net::DatagramSocket>> sockets_;  // indexed by process
-  std::vector<int> partitions_;  // number of nested calls, at [from * processes_ + to]
+  // Number of set_partitioned(true) calls in effect, at [from * processes_ + to].
+  std::vector<int> partitions_;
   double loss_ = 0;
   double duplication_ = 0;
   runtime::Clock::duration max_delay_{0};
--- a/src/testbed/fake_backend.cpp
+++ b/src/testbed/fake_backend.cpp
@@ -22,8 +22,9 @@
 namespace {
 
 constexpr std::string_view kWorkParameter = "work_us=";
-constexpr double kMaxWorkUs = 3600e6;     // maximum of one request, in core-microseconds
-constexpr auto kAcceptRetryDelay = 10ms;  // for example when file descriptors are exhausted
+constexpr double kMaxWorkUs = 3600e6;  // maximum of one request, in core-microseconds
+// Delay after accept() failed, for example for lack of file descriptors.
+constexpr auto kAcceptRetryDelay = 10ms;
 // Selects a random stream for error responses that is distinct from that of the node model.
 constexpr std::uint64_t kErrorStream = 1ULL << 32;
 
--- a/src/testbed/fake_backend.h
+++ b/src/testbed/fake_backend.h
@@ -39,7 +39,7 @@
   std::uint32_t zone() const { return cell() % spec_.zones; }
   /// Returns the endpoint as discovery lists it while the backend is up.
   Endpoint endpoint() const;
-  /// Time of the last start; nullopt if it was before the run.
+  /// Time of the last start; nullopt if the backend has not restarted since the run began.
   const std::optional<Time>& started_at() const { return model_.born(); }
 
   /// Leaving kServing discards all work; entering kServing restarts the backend, with slow start.
@@ -61,7 +61,7 @@
   };
   // A request that is being served.
   struct Exchange {
-    std::optional<ClientAttemptId> observed_id;  // nullopt: not observed
+    std::optional<ClientAttemptId> observed_id;  // nullopt: not recorded
     std::uint32_t attempt = 0;                   // number of the attempt in the observation log
     double work = 0;                             // core-seconds on a core of speed 1
     int status = 200;
--- a/src/testbed/fake_discovery.h
+++ b/src/testbed/fake_discovery.h
@@ -34,8 +34,8 @@
   void publish(Json::Value row, const Endpoint& endpoint, Time at);
   /// While unresponsive, the server keeps connections open and sends nothing. Calls nest.
   void set_unresponsive(bool unresponsive);
-  /// Resets the list and its version to those of time `to` and ends all watches; nullopt restores
-  /// the current list.
+  /// Rewinds the list and its version to their state at time `to` and ends all watches; nullopt
+  /// restores the current list.
   void rewind(std::optional<Time> to);
 
  private:
--- a/src/testbed/load_test.h
+++ b/src/testbed/load_test.h
@@ -22,7 +22,7 @@
   std::uint64_t asked = 0;                           // number of requests, not counting retries
   /// Responses that belong to another request or have an unknown status.
   std::uint64_t wrong_responses = 0;
-  Duration max_send_delay{0};  // maximum delay of the load generator
+  Duration max_send_delay{0};  // maximum time by which the load generator was late
   double proxy_cpu_s = 0;      // CPU time of all proxies together
 
   std::uint64_t violations = 0;  // number of rule violations
--- a/src/testbed/maintenance_operators.h
+++ b/src/testbed/maintenance_operators.h
@@ -26,7 +26,7 @@
   std::uint32_t max_out = 0;        // maximum number of backends out at the same time
   std::uint32_t open_requests = 0;  // in the last status from a proxy
   std::string last_status;          // JSON text of the last status
-  Time completed_at{0};             // when no open request was first reported; 0: never
+  Time completed_at{0};             // when all requests were first reported as completed; 0: never
 };
 
 /// Objects passed by reference must outlive it, and it must outlive the scheduler's run.
@@ -69,8 +69,8 @@
   const std::vector<sockaddr_in> admin_addresses_;  // indexed by proxy
   std::size_t poll_round_ = 0;                      // selects the proxy to call
   std::array<bool, kOperators> submitted_{};
-  std::map<EndpointId, runtime::TimePoint>
-      work_ends_;  // end of the work on each backend in progress
+  // End of the work on each backend in progress.
+  std::map<EndpointId, runtime::TimePoint> work_ends_;
   std::map<EndpointId, std::uint64_t> last_fencing_token_;  // of the last work on each backend
   std::set<EndpointId> unreported_backends_;  // completed work that is not reported yet
   MaintenanceOutcome outcome_;
--- a/src/testbed/observation_log.cpp
+++ b/src/testbed/observation_log.cpp
@@ -123,7 +123,7 @@
   OpenRequest& request = it->second;
   const AdvertisedState& advertised = advertised_[request.proxy][backend.id];
   const auto partition = partitions_.find({request.proxy, backend.id});
-  Duration max_delay{0};  // by which a partition may have delayed the attempt
+  Duration max_delay{0};  // time for which a partition may have held back the attempt
   if (partition != partitions_.end() && request.sent_at <= partition->second.ended) {
     max_delay = std::max(Duration{0}, now_() - std::max(partition->second.began, request.sent_at));
   }
--- a/src/testbed/observation_log.h
+++ b/src/testbed/observation_log.h
@@ -121,12 +121,13 @@
   const emulator::Scenario scenario_;
   std::function<Time()> now_;
   emulator::RuleChecker rules_;
-  std::unordered_map<ClientAttemptId, OpenRequest>
-      open_requests_;  // never iterated, so that its order has no effect
-  std::deque<std::pair<Time, ClientAttemptId>> expiries_;  // in the order of sending
+  // Never iterated, so that its order has no effect.
+  std::unordered_map<ClientAttemptId, OpenRequest> open_requests_;
+  std::deque<std::pair<Time, ClientAttemptId>> expiries_;  // expiry times, in the order of sending
   std::vector<std::vector<AdvertisedState>> advertised_;   // indexed by proxy and backend
   std::vector<ProxyFaults> proxy_faults_;
-  std::map<std::pair<std::size_t, EndpointId>, Partition> partitions_;  // the latest of each link
+  // Most recent partition of each link.
+  std::map<std::pair<std::size_t, EndpointId>, Partition> partitions_;
   CountsPerSecond connections_;
   CountsPerSecond attempts_;
   std::vector<std::uint32_t> snapshot_requests_;
--- a/src/testbed/open_loop_load.h
+++ b/src/testbed/open_loop_load.h
@@ -87,8 +87,8 @@
   ObservationLog& observations_;
   std::vector<sockaddr_in> proxies_;
   std::vector<bool> in_rotation_;  // indexed by proxy
-  std::vector<std::vector<std::unique_ptr<net::Stream>>>
-      idle_;  // idle connections, indexed by proxy
+  // Idle connections, indexed by proxy.
+  std::vector<std::vector<std::unique_ptr<net::Stream>>> idle_;
   std::size_t connections_ = 0;
   emulator::Metrics metrics_;
   emulator::Stream random_;
--- a/src/testbed/proxy_group.h
+++ b/src/testbed/proxy_group.h
@@ -30,7 +30,7 @@
   /// Starts all proxies and completes when each one reports that it is ready. Throws
   /// std::runtime_error if one does not become ready.
   runtime::Task<> start();
-  /// Shuts down all proxies gracefully at the same time. Blocks.
+  /// Shuts down all proxies gracefully at the same time. Blocks until they have exited.
   void shut_down();
 
   std::size_t size() const { return processes_.size(); }
@@ -53,8 +53,8 @@
   experiments::TempDirectory directory_;
   std::vector<ReservedPort> ports_;  // remain reserved while a proxy is down
   std::vector<ReservedPort> admin_ports_;
-  std::vector<std::unique_ptr<StateDirectoryFaults>>
-      state_directories_;  // indexed by proxy; empty if no state is kept
+  // Indexed by proxy; empty if no state is kept.
+  std::vector<std::unique_ptr<StateDirectoryFaults>> state_directories_;
   std::unique_ptr<ClusterDeployment> cluster_;
   std::vector<std::unique_ptr<ProxyProcess>> processes_;
 };
--- a/src/testbed/proxy_process.cpp
+++ b/src/testbed/proxy_process.cpp
@@ -113,8 +113,8 @@
   std::ifstream in(fmt::format("/proc/{}/stat", pid_));
   std::string text;
   std::getline(in, text);
-  std::istringstream fields(
-      text.substr(text.rfind(')') + 2));  // the process name may contain any character
+  // The process name is in parentheses and may contain any character.
+  std::istringstream fields(text.substr(text.rfind(')') + 2));
   std::string skipped;
   double user = 0;
   double system = 0;
--- a/src/testbed/simulation_commands.cpp
+++ b/src/testbed/simulation_commands.cpp
@@ -159,7 +159,7 @@
 
 // Command simulate-maintenance.
 
-constexpr std::size_t kSubmissionProxy = 0;  // to which requests are submitted
+constexpr std::size_t kSubmissionProxy = 0;  // the proxy to which requests are submitted
 constexpr int kSubmissions = 3;              // one may be lost while a leader is elected
 constexpr auto kSubmissionInterval = 300ms;
 constexpr auto kElectionTime = 3s;
@@ -258,11 +258,12 @@
   std::uint64_t seed = 1;
   std::uint32_t plans = 100;
   std::uint32_t followers = 10;
-  std::uint32_t round_backends = 0;  // 0: drawn plans instead of a round
+  std::uint32_t round_backends = 0;  // 0: run drawn plans instead of a round
   bool kill_leader = false;
 };
 
-// Runs drawn plans and prints those with violations or unexplained waiting on standard error.
+// Runs randomly drawn fault plans and prints those with violations or unexplained waiting on
+// standard error.
 ExitCode simulate_plans(const MaintenanceOptions& options) {
   std::uint64_t violating_plans = 0;
   std::uint64_t unexplained_requests = 0;
--- a/tests/cluster_test_test.cpp
+++ b/tests/cluster_test_test.cpp
@@ -106,9 +106,9 @@
   testbed::LoadTestResult run = run_without_violations(scenario);
   expect_recovery(run, scenario, seconds(6));
   EXPECT_EQ(run.max_snapshot_requests, 2u);
-  // The truncated, the corrupted and the old snapshot.
+  // The truncated, the corrupted and the old snapshot are set aside.
   EXPECT_EQ(run.log_events["snapshot_set_aside"], 3u);
-  // The snapshot on the full disk.
+  // The proxy with the full disk cannot write its snapshot.
   EXPECT_GE(run.log_events["snapshot_lost"], 1u);
   // The last three proxies find a snapshot; from the old one, only the excluded backends are used.
   EXPECT_GE(run.log_events["snapshot_found"], 3u);
--- a/tests/load_test_test.cpp
+++ b/tests/load_test_test.cpp
@@ -85,7 +85,7 @@
   EXPECT_GT(run.result["unreachable"].asUInt64(), 0u);
 }
 
-TEST(LoadTest, RejectsFaultsThatRealProcessesCannotPlay) {
+TEST(LoadTest, RejectsFaultsThatRealProcessesDoNotSupport) {
   const emulator::Scenario scenario = scenario_with("[[fault]]\nkind = \"replace\"\nat = \"1s\"\n");
   EXPECT_THROW(testbed::run_load_test(scenario, PROXY_PROGRAM), std::invalid_argument);
 }
--- a/tests/observation_log_test.cpp
+++ b/tests/observation_log_test.cpp
@@ -84,7 +84,7 @@
   EXPECT_EQ(log_.rules().count(Rule::kOneAnswer), 1u);
 }
 
-TEST_F(ObservationLogTest, ExcusesAMissingResponseWhenTheProxyIsStruckByAFault) {
+TEST_F(ObservationLogTest, ExcusesAMissingResponseWhenAFaultAffectsTheProxy) {
   send_request(kIdempotentClass);
   now_ = milliseconds(500);
   log_.proxy_fault_began(kProxy);
