--- a/src/cluster/disk_raft_storage.cpp
+++ b/src/cluster/disk_raft_storage.cpp
@@ -22,7 +22,7 @@
 namespace beechhill::maintenance {
 namespace {
 
-// Limits the wait for pending writes at the end of the process, in case the disk hangs.
+// Maximum time that the destructor waits for pending writes, as the disk may hang.
 constexpr std::chrono::milliseconds kStopTimeout{500};
 
 std::string file_path(const std::string& directory, const std::string& name) {
@@ -43,7 +43,8 @@
   return fd;
 }
 
-// If the rename fails, the file stays and is found and rejected again at the next start.
+// Renames a file that must not be used. If the rename fails, the next start of the process finds
+// the file and rejects it again.
 void rename_aside(const std::string& path, std::string_view reason) {
   static_cast<void>(std::rename(path.c_str(), (path + ".aside").c_str()));
   log::warning("agreement_set_aside", {{"reason", reason}});
--- a/src/cluster/disk_raft_storage.h
+++ b/src/cluster/disk_raft_storage.h
@@ -21,15 +21,18 @@
       : std::runtime_error(path + ": " + reason) {}
 };
 
-/// Holds an exclusive lock on the storage during its lifetime. append() returns before a record is
-/// durable; records become durable in the order in which they were appended.
+/// A voter's Raft storage in a file. The object holds an exclusive lock on the storage until it is
+/// destroyed. append() returns before a record is durable; records become durable in the order in
+/// which they were appended.
 class DiskRaftStorage : public RaftStorage {
  public:
-  /// Opens the storage of the voter `name`. Returns null if it does not exist or its file is
-  /// damaged; a damaged file is renamed and logged. Throws RaftStorageError.
+  /// Opens the storage of the voter `name` in `directory`. Returns null if there is no file, or if
+  /// the file is damaged, belongs to another voter or exceeds kMaxRaftLogFileBytes; such a file is
+  /// renamed and logged. Throws RaftStorageError.
   static std::unique_ptr<DiskRaftStorage> open(const std::string& directory,
                                                const std::string& name);
-  /// Creates the storage of a voter that has none, containing `records`. Throws RaftStorageError.
+  /// Creates the storage of `voter` with `records` as its content. Throws RaftStorageError, also if
+  /// the voter has a storage already.
   static std::unique_ptr<DiskRaftStorage> create(const std::string& directory, const Voter& voter,
                                                  const std::vector<LogRecord>& records);
   /// Waits up to 500 ms for records that are not durable yet.
@@ -37,8 +40,8 @@
   DiskRaftStorage(const DiskRaftStorage&) = delete;
   DiskRaftStorage& operator=(const DiskRaftStorage&) = delete;
 
-  /// Renames the file of a storage that was restored from an older copy. Nothing is written
-  /// afterwards.
+  /// Renames the file, because it was restored from an older copy. Afterwards no further record is
+  /// written.
   void set_aside();
 
   const Voter& voter() const { return voter_; }
--- a/src/cluster/gossip_actor.cpp
+++ b/src/cluster/gossip_actor.cpp
@@ -17,14 +17,15 @@
 namespace {
 
 constexpr std::size_t kInboxCapacity = 1'024;
-// Limit on the datagrams received per turn, so that other actors on the thread get to run.
+// Maximum number of datagrams received per turn of run(), so that other actors on the thread get to
+// run.
 constexpr int kDatagramsPerTurn = 64;
-// Gap between two turns, in probe intervals, above which the process counts as paused. A process
-// that misses two probes in a row may have been declared suspect.
+// Time between two turns of run(), in probe intervals, above which the process counts as paused. A
+// process that misses two probes in a row may have been declared suspect.
 constexpr int kResumeGapIntervals = 2;
 
-// Returns random bits from the operating system instead of the configured seed: session nonces must
-// be unpredictable, and boot ids must differ between two starts.
+// Returns random bits from the operating system. The configured seed is not used, because session
+// nonces must be unpredictable and boot ids must differ between two starts.
 std::uint64_t random_bits() {
   if (sodium_init() < 0) {
     throw std::runtime_error("libsodium could not be initialized");
@@ -65,7 +66,8 @@
     runtime::Wait wait(scheduler_);
     wait.readable(socket_.io());
     wait.notified(inbox_.arrived());
-    // The socket is edge-triggered and does not report the datagrams that are still queued.
+    // The socket is edge-triggered, so it does not report the remaining datagrams again. The actor
+    // takes its next turn immediately to receive them.
     wait.until(runtime::to_point(more_datagrams ? now() : swim_.next_tick()));
     co_await wait;
   }
--- a/src/cluster/gossip_actor.h
+++ b/src/cluster/gossip_actor.h
@@ -42,17 +42,18 @@
   std::string payload;
 };
 
-/// The process was paused. Delivered before any payload that arrived during the pause.
+/// Reports that the process was paused. Delivered before any payload that arrived during the pause.
 struct ProcessResumed {};
 
-/// Receivers of payloads and resume events. Each may be empty. A handler returns false if it could
+/// Handlers of payloads and resume events. Each may be empty. A handler returns false if it could
 /// not accept the event, which is then dropped.
 struct GossipHandlers {
   std::function<bool(PayloadReceived)> on_payload;
   std::function<bool(ProcessResumed)> on_resume;
 };
 
-/// Runs on the event loop thread.
+/// Runs the membership protocol and transports the payloads of other actors. Runs on the event loop
+/// thread.
 class GossipActor {
  public:
   /// Listens on `listen`. The other members send to `advertise` or, if that is empty, to the
@@ -68,9 +69,9 @@
   /// Announces immediately that this member leaves. Must be called when the process ends.
   void leave();
   const SwimNode& membership() const { return swim_; }
-  /// Identifies this process; drawn at its start.
+  /// Random number that identifies this process, drawn at its start.
   std::uint64_t boot_id() const { return boot_id_; }
-  /// Datagrams that failed verification.
+  /// Number of received datagrams that failed verification.
   std::uint64_t rejected_datagrams() const { return rejected_datagrams_; }
 
  private:
@@ -91,7 +92,7 @@
   const std::uint64_t boot_id_;
   DatagramAuthenticator authenticator_;
   SwimNode swim_;
-  /// A longer interval between two turns of run() is treated as a pause of the process.
+  /// Maximum time between two turns of run(). A longer one is treated as a pause of the process.
   const Duration resume_gap_;
   PayloadAssembler assembler_;
   const GossipHandlers handlers_;
--- a/src/cluster/maintenance_actor.cpp
+++ b/src/cluster/maintenance_actor.cpp
@@ -13,11 +13,12 @@
 
 namespace {
 
-// Large enough for the datagrams that arrive at the same time in a common fault.
+// Maximum number of queued messages. It exceeds the number of datagrams that arrive at the same
+// time when a fault affects many proxies.
 constexpr std::size_t kInboxCapacity = 1'024;
 constexpr int kMaxMessagesPerRound = 64;
 constexpr Duration kObservationInterval{200'000};
-// Poll interval while records are not durable yet.
+// Interval at which the actor checks whether appended records have become durable.
 constexpr Duration kDiskPollInterval{5'000};
 constexpr Duration kMinWait{1'000};
 // Derives a seed for Raft that differs from the boot id, which seeds other generators.
@@ -108,7 +109,7 @@
   Time wake_up = std::min(coordinator_->next_tick(), next_observation_);
   for (const auto& [machine, end] : published_machines_) {
     if (end > now()) {
-      // A permission that expires must be published immediately.
+      // The actor wakes up when a permission expires, in order to publish that immediately.
       wake_up = std::min(wake_up, end);
     }
   }
@@ -182,7 +183,8 @@
         is_raft ? membership::Channel::kRaft : membership::Channel::kCoordination,
         std::move(message.bytes)});
     if (!gossip_.post(std::move(payload))) {
-      // Equivalent to loss on the network: Raft and the lease client retransmit.
+      // A dropped payload is equivalent to loss on the network: Raft and the lease client
+      // retransmit.
       log::dropped_message("maintenance_payload");
     }
   }
--- a/src/cluster/maintenance_actor.h
+++ b/src/cluster/maintenance_actor.h
@@ -32,13 +32,13 @@
                                         SubmitCommand, QueryStatus>;
 using MaintenanceMailbox = runtime::Mailbox<MaintenanceMessage>;
 
-/// The sole owner of the coordinator and its storage. Runs on the scheduler's thread.
+/// Owns the maintenance coordinator of this proxy and its storage. Runs on the scheduler's thread.
 class MaintenanceActor {
  public:
-  /// `observe` returns this proxy's current view. `set_draining` is called with true when this
-  /// proxy must stop accepting clients, and with false when it may accept them again. Referenced
-  /// objects must outlive the actor. Throws RaftStorageError on a voter whose storage directory
-  /// cannot be used.
+  /// `observe` returns the state that this proxy observes locally. `set_draining` is called with
+  /// true when this proxy must stop accepting clients, and with false when it may accept them
+  /// again. Referenced objects must outlive the actor. Throws RaftStorageError on a voter whose
+  /// storage directory cannot be used.
   MaintenanceActor(runtime::Scheduler& scheduler, CoordinatorSettings settings,
                    std::string storage_directory, std::uint64_t boot_id,
                    membership::GossipMailbox& gossip, proxy::DecisionMailbox& decisions,
@@ -54,7 +54,9 @@
   void on(SubmitCommand& message);
   void on(QueryStatus& message);
   void take_messages();
-  /// A voter without usable storage acts as a non-voting proxy until the leader readmits it.
+  /// Logs a halt of the voter, sets a rolled-back storage aside, and creates a new storage when the
+  /// leader readmits the voter. Until then a voter without usable storage acts as a non-voting
+  /// proxy.
   void check_storage();
   void create_storage(std::uint32_t generation);
   void send_messages();
@@ -77,10 +79,11 @@
   std::unique_ptr<MaintenanceCoordinator> coordinator_;
   Time next_observation_{0};
   /// The permissions last published: for each machine in maintenance, the time until which new
-  /// requests may be sent to it.
+  /// requests may be sent to it; Time::min() if sending is not permitted.
   std::map<std::string, Time> published_machines_;
+  /// The time last published until which this proxy may send requests to any backend.
   Time published_serving_ = Time::min();
-  /// The states last reported.
+  /// The states that were last passed on or logged.
   bool was_self_out_ = false;
   bool was_leader_ = false;
   bool halt_logged_ = false;
--- a/src/cluster/raft_log_file.h
+++ b/src/cluster/raft_log_file.h
@@ -26,6 +26,7 @@
 std::string encode_file(const Voter& voter, const DurableState& state,
                         std::uint64_t appended_records);
 
+/// The decoded content of a file.
 struct RaftLogFile {
   Voter voter;
   DurableState state;
@@ -36,9 +37,9 @@
   std::size_t valid_bytes = 0;
 };
 
-/// Returns nothing if the file does not belong to the voter `name`, or is damaged before its end,
-/// because the voter may already have acted on the damaged record. A torn last record is not
-/// treated as damage.
+/// Decodes a complete file. Returns nothing if the file does not belong to the voter `name`, or if
+/// a record before the last is damaged, because the voter may already have acted on that record. A
+/// torn last record is ignored.
 std::optional<RaftLogFile> decode_file(std::string_view bytes, const std::string& name);
 
 }  // namespace beechhill::maintenance
--- a/src/cluster/raft_log_writer.h
+++ b/src/cluster/raft_log_writer.h
@@ -15,10 +15,11 @@
 
 namespace beechhill::maintenance {
 
-/// Thread-safe. Ownership is shared with the writer thread, which may outlive the owner by one
-/// write if the disk hangs.
+/// The writer thread and the queue of its writes. Thread-safe. Ownership is shared with the thread,
+/// which may outlive the owner by one write if the disk hangs.
 class RaftLogWriter {
  public:
+  /// A write to the file.
   struct Write {
     std::string bytes;
     /// Total number of records that are durable after this write.
@@ -33,10 +34,10 @@
 
   void submit(Write write);
   std::uint64_t durable_records() const;
-  /// Whether a write has failed or fail() was called. Nothing is written afterwards.
+  /// Whether a write has failed or fail() was called. No further write is started afterwards.
   bool failed() const;
   void fail();
-  /// Ends the thread after all submitted writes, and waits up to `timeout` for that.
+  /// Requests that the thread ends after all submitted writes, and waits up to `timeout` for them.
   void stop(std::chrono::milliseconds timeout);
 
  private:
--- a/src/hot_restart/hot_restart_actor.cpp
+++ b/src/hot_restart/hot_restart_actor.cpp
@@ -16,15 +16,16 @@
 
 namespace {
 
-// Interval between synchronizations. A command at one process must take effect in the others within
-// one second.
+// Interval between synchronizations with the directory. A command sent to one process must take
+// effect in the others within one second.
 constexpr std::chrono::milliseconds kSyncInterval = 50ms;
-// Interval used until readiness is published, because the predecessor and the platform wait for it.
+// Interval between synchronizations until this process has published that it is ready, because the
+// predecessor and the platform wait for that.
 constexpr std::chrono::milliseconds kStartupSyncInterval = 5ms;
-// Time limit for the owning actor to execute a command. Operators must get their response within
-// one second, including the time to store the command.
+// Time limit for the actor that executes a command to reply. Operators must get their response
+// within one second, including the time to store the command.
 constexpr std::chrono::milliseconds kOwnerTimeout = 600ms;
-// Time limit for acquiring the directory's lock from another process.
+// Time limit for acquiring the directory's lock while another process holds it.
 constexpr std::chrono::milliseconds kLockTimeout = 150ms;
 constexpr std::chrono::milliseconds kLockRetryInterval = 5ms;
 constexpr std::size_t kInboxCapacity = 64;
@@ -92,8 +93,8 @@
   if (post_to_owner(command, owner_reply)) {
     status = co_await runtime::await_reply(scheduler_, owner_reply, kOwnerTimeout);
   }
-  // The command has been executed in this process. Status 200 also promises that the other
-  // processes will follow, so the command must be stored first.
+  // Status 200 promises that the other processes will execute the command too, so the command must
+  // be stored before the reply is sent.
   if (directory_ && status == kOk) {
     const bool stored = co_await store(command);
     if (!stored) {
@@ -139,14 +140,15 @@
   co_return true;
 }
 
-// Posts the changes of the shared state to this process's actors. Changes that the actors have
-// already executed have no effect.
+// Posts the changes of the shared state since `forwarded_state_` to the actors of this process.
+// Changes that the actors have already executed have no effect.
 void HotRestartActor::forward_state_changes() {
   const SharedState& current = directory_->state();
   const bool exclusions_posted = post_exclusion_changes(current);
   const bool drain_posted = post_drain_change(current);
   if (!exclusions_posted || !drain_posted) {
-    // All changes since `forwarded_state_` are posted again after the next change of the state.
+    // `forwarded_state_` stays unchanged, so that the next change of the state posts these changes
+    // again.
     log::dropped_message("handover");
     return;
   }
--- a/src/hot_restart/hot_restart_actor.h
+++ b/src/hot_restart/hot_restart_actor.h
@@ -1,6 +1,6 @@
-// The actor that makes an operator's command at one process take effect in all processes of the
-// proxy: it passes commands to the actors that execute them and shares them with the other
-// processes.
+// The actor that makes an operator's command that was sent to one process take effect in all
+// processes of the proxy: it passes commands to the actors that execute them and shares them with
+// the other processes.
 #pragma once
 
 #include <cstdint>
@@ -13,9 +13,10 @@
 
 namespace beechhill::hot_restart {
 
+/// An operator's command that changes the shared state.
 struct OperatorCommand {
   StateChange change = StateChange::kExclude;
-  /// The backend concerned by kExclude and kInclude.
+  /// Id of the backend to exclude or include; unused by the other changes.
   std::string backend_id;
   /// Completed with 200 once the command has been executed in this process and stored for the
   /// others. Otherwise completed with the status of the actor that executes the command, or with
@@ -24,7 +25,8 @@
 };
 using OperatorCommandMailbox = runtime::Mailbox<OperatorCommand>;
 
-/// Runs on the scheduler's thread.
+/// Executes operators' commands and synchronizes this process with the other processes of the
+/// proxy. Runs on the scheduler's thread.
 class HotRestartActor {
  public:
   /// The status that this process publishes to the others.
@@ -53,8 +55,8 @@
   /// if it had no successor.
   bool readiness_published() const { return !directory_ || readiness_published_; }
 
-  /// Reads the directory and returns whether a later process accepts clients. Called at a planned
-  /// shutdown.
+  /// Reads the directory and returns whether a process that started later is alive and accepts
+  /// clients. Always false without a directory. Blocks on the local disk.
   bool has_successor();
 
  private:
@@ -74,7 +76,7 @@
   StatusExchange exchange_status_;
   OperatorCommandMailbox inbox_;
   bool readiness_published_ = false;
-  /// The shared state as last forwarded to this process's actors.
+  /// The shared state that was last posted to the actors of this process.
   SharedState forwarded_state_;
 };
 
--- a/src/hot_restart/process_liveness_lock.h
+++ b/src/hot_restart/process_liveness_lock.h
@@ -12,6 +12,7 @@
 
 namespace beechhill::hot_restart {
 
+/// Holds the lock on the liveness file of this process, and publishes its status in the file.
 class ProcessLivenessLock {
  public:
   /// The content of the file, in native byte order, since all readers are on the same machine.
@@ -31,9 +32,8 @@
   /// Returns false and sets errno if the status could not be written.
   bool publish(Status status);
 
-  /// Returns the status of the process whose file is at `path`, or nothing if the file does not
-  /// exist or its process is not alive. Returns a default Status if the process has not published
-  /// one yet.
+  /// Returns the status of the process whose file is at `path`, or nothing if the file cannot be
+  /// opened or is not locked. Returns a default Status if the process has not published one yet.
   static std::optional<Status> read_if_alive(const std::string& path);
 
  private:
--- a/src/hot_restart/shared_state.h
+++ b/src/hot_restart/shared_state.h
@@ -10,6 +10,7 @@
 
 namespace beechhill::hot_restart {
 
+/// The state that the processes of one proxy share.
 struct SharedState {
   /// Generation of the process that started last; the first process has generation 1.
   std::uint64_t generation = 0;
@@ -21,8 +22,8 @@
   bool operator==(const SharedState&) const = default;
 };
 
-/// A change requested by an operator. Changes are applied to the stored state and never to a
-/// process's copy of it, so that concurrent changes by two processes are both kept.
+/// A change requested by an operator. A change is applied to the stored state under the directory's
+/// lock, so that concurrent changes by two processes are both kept.
 enum class StateChange { kExclude, kInclude, kDrain, kResume };
 
 /// Applies `change`. `backend_id` is used by kExclude and kInclude only. Idempotent.
--- a/src/hot_restart/shared_state_directory.cpp
+++ b/src/hot_restart/shared_state_directory.cpp
@@ -17,12 +17,12 @@
 namespace beechhill::hot_restart {
 namespace {
 
-// Number of generations whose processes may still be alive. Processes of older generations are
+// Number of latest generations whose processes are examined. Processes of older generations are
 // assumed to have ended.
 constexpr std::uint64_t kMaxLiveGenerations = 8;
 constexpr std::size_t kMaxStateBytes = std::size_t{4} * 1024 * 1024;
-// Attempts to acquire the lock at startup, 5 ms apart. A holder keeps the lock for one read and one
-// write.
+// Maximum number of attempts to acquire the lock at startup, 5 ms apart. A process holds the lock
+// only for one read and one write.
 constexpr int kMaxLockAttempts = 200;
 constexpr std::chrono::milliseconds kLockRetryInterval{5};
 
@@ -94,8 +94,8 @@
 
 void SharedStateDirectory::read_state() {
   const std::string path = state_path();
-  // Taken before the text is read, so that a state replaced in between is read again by the next
-  // refresh().
+  // The version is determined before the text is read. If the file is replaced in between, the next
+  // refresh() detects a different version and reads the file again.
   version_ = stored_version();
   const std::optional<std::string> text = storage::read_file(path, kMaxStateBytes);
   if (!text) {
@@ -103,8 +103,8 @@
   }
   std::optional<SharedState> stored = decode(*text);
   if (!stored) {
-    // The damaged file is renamed so that no process reads it again. This process keeps its own
-    // state.
+    // The damaged file is renamed so that no process reads it again. This process keeps the state
+    // that it last read or wrote.
     (void)std::rename(path.c_str(), (path + ".faulty").c_str());
     log::warning("handover_set_aside", {{"file", std::string_view(path)}});
     return;
--- a/src/hot_restart/shared_state_directory.h
+++ b/src/hot_restart/shared_state_directory.h
@@ -15,7 +15,8 @@
 
 namespace beechhill::hot_restart {
 
-/// One process's view of the directory. Must be used by one thread. Calls block on the local disk.
+/// Gives one process access to the directory. Must be used by one thread. Calls block on the local
+/// disk.
 class SharedStateDirectory {
  public:
   /// The combined published status of the other processes.
@@ -30,26 +31,29 @@
     std::uint32_t descriptors = 0;
   };
 
-  /// Joins the processes that share `path` under `process_name`, as the next generation. Waits up
-  /// to 1 s for the lock. Throws std::system_error if a file cannot be written or locked.
+  /// Joins the processes that share the directory `path` under `process_name`, as the next
+  /// generation. Waits up to 1 s for the lock. Throws std::system_error if the lock is not acquired
+  /// in time or a file cannot be written or locked.
   SharedStateDirectory(const std::string& path, const std::string& process_name);
 
   /// Returns the state as last read or written by this process.
   const SharedState& state() const { return state_; }
 
-  /// Reads the state if its file was replaced since the last access. Returns whether it was, in
-  /// which case state() may have changed.
+  /// Reads the state if its file was replaced or removed since the last access. Returns whether it
+  /// was, in which case state() may have changed.
   bool refresh();
 
   /// Applies one change under the lock. Returns false if another process holds the lock, in which
-  /// case the caller should retry. Throws std::system_error if the state cannot be written.
+  /// case the caller should retry. Throws std::system_error if the lock file cannot be opened or
+  /// the state cannot be written.
   bool try_apply(StateChange change, const std::string& backend_id);
 
   /// Publishes to the other processes whether this one accepts clients, and the number of file
   /// descriptors that it holds. A failure is logged.
   void publish(bool ready, std::uint32_t descriptors);
 
-  /// Returns the combined status of the other processes. Examines a bounded number of generations.
+  /// Returns the combined status of the other processes, from the liveness files of the latest
+  /// eight generations.
   ProcessGroupStatus process_group_status() const;
 
  private:
--- a/src/membership/datagram_authenticator.cpp
+++ b/src/membership/datagram_authenticator.cpp
@@ -7,7 +7,8 @@
 namespace beechhill::membership {
 namespace {
 
-// Payloads kept for each receiver: the latest probe and the message sent with it.
+// Maximum number of payloads kept for each receiver. Two suffice for the latest probe and the
+// message sent with it.
 constexpr std::size_t kMaxKeptPayloads = 2;
 // Minimum size of a datagram that is verified: a magic number of 4 bytes and a MAC.
 constexpr std::size_t kMinDatagramBytes = 4 + kMacBytes;
@@ -80,8 +81,8 @@
   InboundSession& session = inbound_sessions_[decoded->sender];
   const std::uint64_t nonce = decoded->session_nonce;
   if (nonce != 0 && decoded->boot_id == session.pending_boot_id && nonce == session.pending_nonce) {
-    // The process has proved that it received the nonce, so it is running now and replaces the
-    // sender's previous process.
+    // The datagram proves that the process received the nonce, so the process is running now and
+    // replaces the sender's previous process.
     session = InboundSession{decoded->boot_id, nonce, {}, 0, 0};
   }
   if (nonce == 0 || decoded->boot_id != session.boot_id || nonce != session.session_nonce) {
@@ -97,7 +98,8 @@
   return result;
 }
 
-// The receiver at `from` requires a new nonce: the latest payloads are sent again with that nonce.
+// Handles a hello in which the receiver at `from` gives this process a nonce. If the nonce is new,
+// returns the latest payloads for that receiver, signed with the nonce.
 DatagramAuthenticator::VerifyResult DatagramAuthenticator::accept_hello(const std::string& from,
                                                                         std::string_view payload) {
   const std::optional<SessionHello> hello = decode_hello(payload);
--- a/src/membership/datagram_authenticator.h
+++ b/src/membership/datagram_authenticator.h
@@ -23,7 +23,7 @@
 
 /// Why a datagram was rejected.
 enum class RejectionReason {
-  /// Shorter than the minimum, or longer than kMaxDatagramBytes.
+  /// The datagram is shorter than a magic number and a MAC, or longer than kMaxDatagramBytes.
   kSize,
   /// The MAC was made with none of the known keys, or the datagram was altered.
   kMac,
@@ -33,9 +33,9 @@
   kSenderName,
   /// The hello is malformed or is addressed to another process.
   kHello,
-  /// Datagrams from kMaxMembers different senders have been accepted already.
+  /// The sender is new, and kMaxMembers other senders are known already.
   kTooManySenders,
-  /// The datagram does not carry the current session nonce. The replies include a hello with the
+  /// The datagram does not carry the current session nonce. The replies include a hello with that
   /// nonce.
   kSessionNonce,
   /// The counter value was accepted before, or is older than the replay window.
@@ -53,8 +53,8 @@
   void change_keys(MacKeys keys) { keys_ = std::move(keys); }
 
   /// Returns a signed datagram for the member at address `to`. `payload` has at most
-  /// kMaxPayloadBytes. The latest payloads for each address are kept, because they are sent again
-  /// when the receiver requests a new session.
+  /// kMaxPayloadBytes. The latest two payloads for each address are kept, because they are sent
+  /// again when the receiver requests a new session.
   std::string sign(const std::string& to, Channel channel, std::string payload);
 
   struct VerifiedPayload {
@@ -79,8 +79,8 @@
     std::uint64_t boot_id = 0;
     std::uint64_t session_nonce = 0;
     ReplayWindow window;
-    /// The boot id and nonce of a process that has not yet sent the nonce back; a nonce of 0 means
-    /// that none is pending.
+    /// The boot id and nonce of a process that has not yet sent a datagram with the nonce. A nonce
+    /// of 0 means that there is no such process.
     std::uint64_t pending_boot_id = 0;
     std::uint64_t pending_nonce = 0;
   };
--- a/src/membership/datagram_codec.h
+++ b/src/membership/datagram_codec.h
@@ -21,8 +21,8 @@
   kCoordination,
 };
 
-/// Maximum size of a datagram, which fits into the MTU of common links and so avoids IP
-/// fragmentation.
+/// Maximum size of a datagram in bytes. Datagrams of this size fit into the MTU of common links,
+/// which avoids IP fragmentation.
 inline constexpr std::size_t kMaxDatagramBytes = 1'400;
 /// Maximum size of a datagram's payload in bytes, for the longest sender name.
 inline constexpr std::size_t kMaxPayloadBytes = 1'250;
--- a/src/membership/dissemination_queue.cpp
+++ b/src/membership/dissemination_queue.cpp
@@ -5,8 +5,8 @@
 namespace beechhill::membership {
 namespace {
 
-// The parameter lambda of the SWIM paper. docs/design/membership.md gives measurements with this
-// value.
+// Number of transmissions of an update per unit of the binary logarithm of the cluster size (lambda
+// in the SWIM paper). docs/design/membership.md gives measurements with this value.
 constexpr unsigned kTransmissionFactor = 3;
 
 }  // namespace
--- a/src/membership/dissemination_queue.h
+++ b/src/membership/dissemination_queue.h
@@ -38,8 +38,8 @@
   std::set<std::pair<unsigned, std::string>> order_;
 };
 
-/// Returns how many times each member sends an update: lambda times the logarithm of the cluster
-/// size. `known_members` is the number of other members in the table.
+/// Returns how many times each member sends an update: 3 times the binary logarithm of the cluster
+/// size, rounded up. `known_members` is the number of other members in the table.
 unsigned max_transmissions(std::size_t known_members);
 
 }  // namespace beechhill::membership
--- a/src/membership/indirect_probe_relay.cpp
+++ b/src/membership/indirect_probe_relay.cpp
@@ -6,7 +6,8 @@
 namespace beechhill::membership {
 namespace {
 
-// Limits memory and the traffic that ping requests can cause. Further requests are ignored.
+// Maximum number of concurrent indirect probes, which limits memory and the traffic that ping
+// requests can cause. Further ping requests are ignored.
 constexpr std::size_t kMaxIndirectProbes = 64;
 
 }  // namespace
--- a/src/membership/indirect_probe_relay.h
+++ b/src/membership/indirect_probe_relay.h
@@ -27,7 +27,8 @@
 /// The indirect probes in progress, keyed by the sequence number of the ping sent for each.
 class IndirectProbeRelay {
  public:
-  /// Whether the limit on concurrent indirect probes is reached, so that add() must not be called.
+  /// Whether the maximum number of concurrent indirect probes is reached. If it is, add() must not
+  /// be called.
   bool full() const;
   void add(std::uint64_t sequence_number, IndirectProbe probe);
   /// Removes and returns the probe that the ack of ping `sequence_number` belongs to, if any.
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -1,5 +1,5 @@
-// The other members of the cluster as this process knows them. Anti-entropy compares tables by
-// their digest and copies them page by page.
+// The other members of the cluster as this process knows them. Anti-entropy, which makes the tables
+// of all members converge, compares tables by their digests and copies them page by page.
 #pragma once
 
 #include <cstdint>
@@ -27,9 +27,9 @@
   std::string name;
   MemberState from = MemberState::kAlive;
   MemberState to = MemberState::kAlive;
-  /// The member's boot id changed: another process now runs under its name.
+  /// Whether the member's boot id changed: another process now runs under its name.
   bool restarted = false;
-  /// The member was not in the table before.
+  /// Whether the member was not in the table before.
   bool joined = false;
 };
 
--- a/src/membership/message.h
+++ b/src/membership/message.h
@@ -56,8 +56,8 @@
   /// Asks the receiver to ping `subject` (an indirect probe).
   kPingRequest,
   kAck,
-  /// Sent by the receiver of a ping request that got no ack from `subject` in time. It shows that
-  /// the requester itself is not cut off.
+  /// Sent by the receiver of a ping request that got no ack from `subject` in time. It shows the
+  /// requester that the requester itself is connected.
   kNack,
   /// Requests the members whose names sort after `subject`.
   kSyncRequest,
@@ -68,11 +68,12 @@
 /// A protocol message, which always fits into one datagram.
 struct Message {
   MessageType type = MessageType::kPing;
-  /// Identifies the ping that the message belongs to; 0 for anti-entropy syncs.
+  /// Identifies the ping that the message belongs to; 0 for sync requests and responses.
   std::uint64_t sequence_number = 0;
-  /// The member that a ping request concerns, or the name after which a sync page starts.
+  /// The member to be pinged, in a ping request and its ack or nack. In a sync request, the name
+  /// after which the requested page starts. Otherwise empty.
   std::string subject;
-  /// The sender's SwimNode::digest().
+  /// Digest of the sender's member table (see SwimNode::digest()).
   std::uint64_t digest = 0;
   std::vector<MemberUpdate> updates;
 };
--- a/src/membership/message_codec.cpp
+++ b/src/membership/message_codec.cpp
@@ -10,7 +10,8 @@
 
 // Length of the longest address, "255.255.255.255:65535".
 constexpr std::size_t kMaxAddressBytes = 21;
-// Besides the piggybacked updates, a sender includes the destination's state and its own.
+// Maximum number of updates in a message. Besides the piggybacked updates, a sender includes the
+// destination's state and its own state.
 constexpr std::size_t kMaxDecodedUpdates = kMaxUpdatesPerMessage + 2;
 
 void encode_update(ByteWriter& writer, const MemberUpdate& update) {
--- a/src/membership/payload_fragments.cpp
+++ b/src/membership/payload_fragments.cpp
@@ -9,12 +9,13 @@
 namespace beechhill::membership {
 namespace {
 
-// A fragment's header: the payload's id, the fragment's index and the number of fragments.
+// Size of a fragment's header: the payload's id, the fragment's index and the number of fragments.
 constexpr std::size_t kHeaderBytes = 8 + 2 + 2;
-// Unused bytes left in each fragment's payload as a safety margin.
+// Number of unused bytes left in each datagram's payload as a safety margin.
 constexpr std::size_t kSpareBytes = 4;
 constexpr std::size_t kFragmentBytes = kMaxPayloadBytes - kHeaderBytes - kSpareBytes;
-// Limits a payload to about 300 kB, several times the largest payload that is ever sent.
+// Maximum number of fragments of a payload. It limits a payload to about 300 kB, several times the
+// largest payload that is ever sent.
 constexpr std::size_t kMaxFragments = 256;
 
 }  // namespace
--- a/src/membership/payload_fragments.h
+++ b/src/membership/payload_fragments.h
@@ -14,11 +14,13 @@
 /// the sender's payloads. Returns an empty vector if the payload is longer than about 300 kB.
 std::vector<std::string> split_payload(std::uint64_t payload_id, std::string_view payload);
 
-/// Reassembles the fragments of each sender's latest payload. Fragments may arrive in any order. An
-/// incomplete payload is dropped when a fragment of the sender's next payload arrives.
+/// Reassembles the latest payload of each sender from its fragments. Fragments may arrive in any
+/// order. An incomplete payload is dropped when a fragment of another payload arrives from the same
+/// sender.
 class PayloadAssembler {
  public:
   /// Adds a fragment received from `sender`. Returns the payload if this fragment completes it.
+  /// Fragments with an invalid header are ignored, as are duplicates.
   std::optional<std::string> add(const std::string& sender, std::string_view fragment);
 
  private:
--- a/src/membership/probe_schedule.h
+++ b/src/membership/probe_schedule.h
@@ -14,14 +14,14 @@
 
 namespace beechhill::membership {
 
-/// Maximum of LocalHealth::penalty(). The probe interval grows to at most nine times its base.
+/// Maximum of LocalHealth::penalty(), at which the probe interval is nine times its base.
 inline constexpr unsigned kMaxLocalHealthPenalty = 8;
 
 /// Lifeguard's local health multiplier: a score of how impaired this process is, derived from
 /// missed acks and nacks and from suspicions that this process had to refute.
 class LocalHealth {
  public:
-  /// 0 if the process is healthy, and at most kMaxLocalHealthPenalty.
+  /// Returns the score, from 0 for a healthy process to kMaxLocalHealthPenalty.
   unsigned penalty() const { return penalty_; }
   /// Adds `delta` to the penalty, clamped to its bounds.
   void adjust(int delta);
@@ -44,7 +44,7 @@
   std::vector<std::string> pending_;
 };
 
-/// The probe in progress.
+/// The state of one probe of a member.
 struct Probe {
   std::string member;
   std::uint64_t sequence_number = 0;
--- a/src/membership/replay_window.h
+++ b/src/membership/replay_window.h
@@ -5,13 +5,14 @@
 
 namespace beechhill::membership {
 
-/// Accepts each number at most once. Numbers may arrive out of order by less than kSize.
+/// Accepts each number at most once. A number is rejected if a number that is higher by kSize or
+/// more has been accepted.
 class ReplayWindow {
  public:
   static constexpr std::uint64_t kSize = 64;
 
-  /// Returns whether `number` is new, and records it. Returns false for numbers older than the
-  /// window.
+  /// Records `number` and returns true if it is new and lies within the window. Returns false
+  /// otherwise.
   bool accept(std::uint64_t number) {
     if (number > highest_) {
       const std::uint64_t advance = number - highest_;
--- a/src/membership/suspicion_tracker.cpp
+++ b/src/membership/suspicion_tracker.cpp
@@ -9,7 +9,7 @@
 // The three constants below are alpha, beta and K of the Lifeguard paper; docs/design/membership.md
 // gives measurements with these values.
 
-// Shortest timeout, in probe intervals times the decimal logarithm of the cluster size.
+// Ratio of the shortest timeout in probe intervals to the decimal logarithm of the cluster size.
 constexpr double kMinTimeoutIntervals = 4;
 // Ratio of the timeout of an unconfirmed suspicion to the shortest timeout.
 constexpr double kUnconfirmedFactor = 6;
@@ -23,8 +23,8 @@
       kMinTimeoutIntervals *
       std::max(1.0, std::log10(static_cast<double>(inputs.known_members) + 1));
   const std::size_t confirmations = accusers > 0 ? accusers - 1 : 0;
-  // The accuser and the suspect cannot confirm the suspicion, so it has no confirmations in a
-  // cluster of two.
+  // Neither the accuser nor the suspect can confirm the suspicion. Without possible confirmations
+  // the shortest timeout applies.
   const std::size_t possible_confirmations =
       std::min(kMaxConfirmations, inputs.active_members > 2 ? inputs.active_members - 2 : 0);
   double factor = 1;
--- a/src/membership/suspicion_tracker.h
+++ b/src/membership/suspicion_tracker.h
@@ -31,12 +31,13 @@
 class SuspicionTracker {
  public:
   /// Records that `accuser` suspects `member`, and starts the timeout if `member` was not suspected
-  /// yet. Returns whether the accusation should be disseminated: the accuser is new, and more
-  /// confirmations would still shorten the timeout.
+  /// yet. Returns whether `accuser` was added to the member's accusers and the accusation should be
+  /// disseminated. This is not the case if `accuser` is empty or already recorded, or if four
+  /// accusers are recorded, after which further ones do not shorten the timeout.
   bool add(Time now, const std::string& member, const std::string& accuser);
   /// Removes the suspicion of `member`, after it was refuted or the member was declared dead.
   void clear(const std::string& member) { suspicions_.erase(member); }
-  /// Restarts all timeouts, as after a pause of this process.
+  /// Restarts the timeouts of all suspicions.
   void restart_timeouts(Time now);
 
   /// Returns the members whose timeout has expired.
--- a/src/membership/swim_node.cpp
+++ b/src/membership/swim_node.cpp
@@ -9,21 +9,23 @@
 
 // docs/design/membership.md gives measurements with the values of the constants below.
 
-// Members asked for an indirect probe (k in the SWIM paper).
+// Number of members asked for an indirect probe (k in the SWIM paper).
 constexpr std::size_t kIndirectProbes = 3;
-// Members that are notified immediately when this member leaves.
+// Number of members that are notified immediately when this member leaves.
 constexpr std::size_t kLeaveFanout = 4;
-// Suspects pinged in each probe interval, so that they learn of the suspicion and can refute it.
+// Maximum number of suspects pinged in each probe interval, so that they learn of the suspicion and
+// can refute it.
 constexpr std::size_t kSuspectPings = 3;
 // The direct ack of a probe must arrive within a third of a probe interval.
 constexpr int kDirectProbeDivisor = 3;
-// The first probe after a start or resume, and the nack of an indirect probe, are sent within a
-// quarter of a probe interval.
+// The first probe after a start or resume, and the nack of an indirect probe, are sent at most a
+// quarter of a probe interval later.
 constexpr int kQuarterIntervalDivisor = 4;
-// Every eighth probe interval one inactive member or seed is pinged, which reconnects the two sides
-// of a healed partition.
+// Number of probe intervals between pings of an inactive member or a seed, which reconnect the two
+// sides of a healed partition.
 constexpr std::uint64_t kReconnectIntervals = 8;
-// If digests differ, the complete table is requested in every thirtieth probe interval.
+// Number of probe intervals between requests for the complete table of members with a different
+// digest.
 constexpr std::uint64_t kSyncIntervals = 30;
 
 bool is_active_member(const Member& member) {
@@ -379,7 +381,8 @@
   suspect(now, probe.member, name_);
 }
 
-// Pings an inactive member or a seed, so that the two sides of a healed partition find each other.
+// Pings a random inactive member. Also pings a random seed if there is no inactive member or no
+// other member is alive. These pings reconnect the two sides of a healed partition.
 void SwimNode::probe_inactive_or_seed(std::vector<Outgoing>& out) {
   const std::vector<std::string> inactive =
       sample(1, [](const Member& member) { return !is_active_member(member); });
@@ -401,7 +404,8 @@
 void SwimNode::on_resume(Time now, std::vector<Outgoing>& out) {
   probe_.reset();
   relay_.clear();
-  // Refutations may have been missed while the process was paused.
+  // Refutations may have been missed while the process was paused, so every suspect gets the
+  // complete timeout to refute the suspicion again.
   suspicions_.restart_timeouts(now);
   contact_sequence_number_ = next_sequence_number_;
   has_contact_ = table_.members().empty();
--- a/src/membership/swim_node.h
+++ b/src/membership/swim_node.h
@@ -58,9 +58,9 @@
   /// Announces that this member leaves. Afterwards the node only replies to messages.
   void leave(Time now, std::vector<Outgoing>& out);
 
-  /// Whether another member has answered since the start or the last on_resume(), so that this
-  /// member would have learned if it had been declared dead. Always true if there are no other
-  /// members.
+  /// Whether another member has sent an ack since the start or the last on_resume(), so that this
+  /// member would have learned if it had been declared dead. Also true after a start without the
+  /// seed addresses of other members, and after on_resume() with an empty member table.
   bool has_contact() const { return has_contact_; }
   /// Lifeguard's score of how impaired this process is; 0 means healthy.
   unsigned local_health_penalty() const { return local_health_.penalty(); }
--- a/src/snapshot/async_snapshot_writer.cpp
+++ b/src/snapshot/async_snapshot_writer.cpp
@@ -22,12 +22,13 @@
   return storage::replace_file(path, text, storage::Durability::kMachineCrash);
 }
 
+// The state that AsyncSnapshotWriter shares with its thread.
 struct AsyncSnapshotWriter::Queue {
   Queue(std::string file_path, DurableWrite durable_write)
       : path(std::move(file_path)), write(std::move(durable_write)) {}
 
-  // Runs on the writer thread until `stopping` is set, and then writes a snapshot that is still
-  // pending.
+  // Writes each pending snapshot. Runs on the writer thread until `stopping` is set and no snapshot
+  // is pending.
   void run();
   // Logs the first failure of a series, and the first success after it.
   void log_outcome(std::error_code error);
--- a/src/snapshot/async_snapshot_writer.h
+++ b/src/snapshot/async_snapshot_writer.h
@@ -1,5 +1,5 @@
-// Writes snapshots on a separate thread, so that a slow or full disk can lose snapshots but never
-// delays a request.
+// Writes snapshots on a separate thread, so that a slow or full disk never delays a request.
+// Snapshots may be lost instead.
 #pragma once
 
 #include <functional>
@@ -25,8 +25,8 @@
  public:
   /// Starts the thread, which calls `write` to replace the file at `path`.
   AsyncSnapshotWriter(std::string path, DurableWrite write);
-  /// Waits at most 300 ms for pending and running writes. The thread finishes a longer write by
-  /// itself and then ends.
+  /// Waits at most 300 ms for pending and running writes. The thread finishes a longer write and
+  /// then ends.
   ~AsyncSnapshotWriter();
   AsyncSnapshotWriter(const AsyncSnapshotWriter&) = delete;
   AsyncSnapshotWriter& operator=(const AsyncSnapshotWriter&) = delete;
--- a/src/snapshot/snapshot.cpp
+++ b/src/snapshot/snapshot.cpp
@@ -11,18 +11,20 @@
 
 constexpr int kFormat = 2;
 constexpr const char* kMagic = "beechhill-snapshot";
-// Significant digits of stored statistics; load reports are no more precise.
+// Number of significant digits of stored statistics; load reports are no more precise.
 constexpr int kSignificantDigits = 6;
 
-// Time constant of the exponential decay of statistics. The load of a backend and of its neighbours
-// changes within minutes; its hardware, within days.
+// Time constant of the exponential decay of statistics. It is of the order of minutes because the
+// load of a backend and of its neighbours changes within minutes. Its hardware changes only within
+// days.
 constexpr Duration kDecayTime{60'000'000};
-// Smallest weight of a report or response that is kept; a lower weight has no influence on
+// Minimum weight of a report or response that is used; a lower weight has no influence on
 // decisions.
 constexpr double kMinWeight = 0.01;
 
 // Plausibility limits. The balancer's smoothing never holds a weight above five reports or seven
-// responses, and clamps latency ratios to kMaxLatencyRatio, so larger values indicate damage.
+// responses, and clamps latency ratios to kMaxLatencyRatio, so values above these limits indicate
+// damage.
 constexpr double kMaxReportWeight = 10;
 constexpr double kMaxResponseWeight = 10;
 constexpr double kMaxLatencyRatio = 10;
@@ -31,10 +33,11 @@
 constexpr double kMaxUtilization = 8;
 constexpr double kMaxRate = 1e5;
 
-// Five times kDecayTime, after which less than a hundredth of the weight of the records remains.
+// Maximum age of a usable snapshot. It is five times kDecayTime, after which less than a hundredth
+// of the weight of the records remains.
 constexpr std::chrono::milliseconds kMaxAge{300'000};
-// Clock corrections can put the time of writing slightly into the future; such a snapshot is
-// accepted.
+// Maximum time by which a snapshot's time of writing may lie in the future, because clocks are
+// corrected.
 constexpr std::chrono::milliseconds kClockTolerance{2'000};
 
 // Keys of the stored format.
--- a/src/snapshot/snapshot.h
+++ b/src/snapshot/snapshot.h
@@ -26,6 +26,7 @@
   EndpointStats stats;
 };
 
+/// What one process has learned about its backends.
 struct Snapshot {
   /// Name of the process that wrote the snapshot.
   std::string name;
@@ -61,7 +62,7 @@
   kDamaged,
   kOtherProcess,
   kOtherSettings,
-  /// The time of writing lies in the future by this machine's clock.
+  /// The snapshot's time of writing is in the future by this machine's clock.
   kFromTheFuture,
   kTooOld,
 };
--- a/src/snapshot/snapshot_store.h
+++ b/src/snapshot/snapshot_store.h
@@ -18,8 +18,8 @@
 
 namespace beechhill::snapshot {
 
-/// Holds an exclusive lock on the process name in the directory during its lifetime. Must be used
-/// by one thread.
+/// Loads and saves the snapshots of one process name. Holds an exclusive lock on the process name
+/// in the directory until it is destroyed. Must be used by one thread.
 class SnapshotStore {
  public:
   /// Throws std::runtime_error if the directory cannot be used, or if another process stores
--- a/src/storage/file.h
+++ b/src/storage/file.h
@@ -24,7 +24,8 @@
 net::FileDescriptor open_file(const std::string& path, int flags);
 
 /// Acquires an exclusive lock, which is released when the descriptor is closed or the process ends.
-/// Returns false and sets errno if another descriptor holds the lock. Does not block.
+/// Returns false and sets errno if another descriptor holds the lock or the lock cannot be
+/// acquired. Does not block.
 bool try_lock(const net::FileDescriptor& file);
 
 /// Returns up to `max_bytes` from the start of a file, or nothing if the file cannot be opened. A
--- a/tests/datagram_authenticator_test.cpp
+++ b/tests/datagram_authenticator_test.cpp
@@ -98,11 +98,12 @@
   EXPECT_TRUE(pair.b.verify("from", captured).verified);
   EXPECT_EQ(pair.b.verify("from", captured).rejection, RejectionReason::kReplay);
   EXPECT_EQ(pair.b.verify("from", later).rejection, RejectionReason::kReplay);
-  // A restarted receiver has no counters, but it rejects a session nonce that it has not drawn.
+  // A restarted receiver has lost its replay windows, but it rejects the datagram because it has
+  // not drawn the session nonce.
   DatagramAuthenticator restarted_b(keys('a'), "two", 23, 3);
   EXPECT_EQ(restarted_b.verify("from", captured).rejection, RejectionReason::kSessionNonce);
-  // Once a restarted sender has established a session, the session of its previous process is
-  // invalid.
+  // When a restarted sender has established a session, datagrams of its previous process are
+  // rejected.
   DatagramAuthenticator restarted_a(keys('a'), "one", 12, 4);
   EXPECT_EQ(Pair::exchange(restarted_a, pair.b, restarted_a.sign("to", Channel::kSwim, "new")),
             Payloads{"new"});
--- a/tests/disk_raft_storage_test.cpp
+++ b/tests/disk_raft_storage_test.cpp
@@ -72,9 +72,9 @@
     EXPECT_EQ(storage->state().vote, 42u);
     EXPECT_EQ(storage->state().entries.size(), 4u);
     appended = storage->appended_records();
-    // The count includes the record of the initial term.
+    // The number of appended records includes the record of the initial term.
     EXPECT_EQ(appended, 6u);
-    // A snapshot replaces the file; the count of appended records continues.
+    // A snapshot replaces the file, but the number of appended records continues to increase.
     storage->append(LogRecord::take_snapshot(1, RaftSnapshot{4, 1, 1, {{"v#3", 1}}, "content"}));
     storage->append(entries(0, 1));
     wait_until_durable(*storage);
@@ -100,7 +100,8 @@
     good_ = read_file(directory_.file(kFile));
   }
 
-  // Returns the number of entries read from a file with content `bytes`, or kSetAside.
+  // Returns the number of entries read from a file with the content `bytes`, or kSetAside if the
+  // file was set aside.
   int entries_with(const std::string& bytes) const {
     std::filesystem::remove(directory_.file(kFile) + ".aside");
     std::ofstream(directory_.file(kFile), std::ios::binary | std::ios::trunc) << bytes;
@@ -113,7 +114,7 @@
 
 TEST_F(DamagedRaftStorageTest, TruncatesATornLastRecord) {
   EXPECT_EQ(entries_with(good_), 3);
-  // The torn record can be dropped: it was never durable, so no message depended on it.
+  // The torn record can be dropped, because it never became durable and no message depended on it.
   EXPECT_EQ(entries_with(good_.substr(0, good_.size() - 5)), 2);
 }
 
@@ -137,7 +138,7 @@
 TEST_F(DiskRaftStorageTest, ReportsADiskFailure) {
   const auto storage = DiskRaftStorage::create(directory_.path, {"v", 1}, {entries(1, 1)});
   std::filesystem::remove(directory_.file(kFile));
-  // A directory at the file's path makes opening it for writing fail.
+  // Opening the file for writing fails because there is a directory at its path.
   std::filesystem::create_directory(directory_.file(kFile));
   storage->append(entries(0, 1));
   const auto deadline = Clock::now() + kTestTimeout;
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -1,5 +1,5 @@
-// Tests hot restarts with real processes: two at a time, which share an inherited listening socket
-// and a directory.
+// Tests hot restarts with real processes. Two processes at a time share an inherited listening
+// socket and a directory.
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 
@@ -84,8 +84,8 @@
   return "[" + first.host() + "," + second.host() + "]";
 }
 
-// Sends one request on a new connection. Returns the name of the backend that served it, or nothing
-// if the response does not belong to the request.
+// Sends one request with trace id `id` on a new connection. Returns the name of the backend that
+// served it, or nothing if the status is not 200 or the body does not start with `id`.
 std::optional<std::string> serving_backend(const ProxyUnderTest& proxy, const std::string& id) {
   TestConnection client = proxy.client();
   client.send(ProxyUnderTest::get(id));
@@ -101,8 +101,8 @@
   return proxy.admin_request("GET", "/api/telemetry").body.find(field) != std::string::npos;
 }
 
-// Clients that send requests continuously. Half of them use a new connection for each request, the
-// others a persistent one. The destructor stops and joins them.
+// Clients that send requests continuously and expect each to be served. Half of them use a new
+// connection for each request, the others a persistent one. The destructor stops and joins them.
 class SteadyLoad {
  public:
   explicit SteadyLoad(const ProxyUnderTest& proxy) {
@@ -210,7 +210,8 @@
   EXPECT_EQ(last.ready(), 200);
 }
 
-// The old process must continue to serve, and must shut down like a process without a successor.
+// The old process must continue to serve requests, and must shut down like a process without a
+// successor.
 TEST_F(HotRestart, SurvivesASuccessorThatIsKilledBeforeItIsReady) {
   const EchoBackend backend("s-1");
   ProxyUnderTest old(hosts(backend), "[]", &shared_);
@@ -241,8 +242,8 @@
   }
 }
 
-// A damaged state file must be renamed, at startup and while the process runs. Requests must be
-// served and commands stored afterwards.
+// A damaged state file must be renamed, both at startup and while the process runs. The process
+// must still serve requests and store commands.
 TEST_F(HotRestart, SetsADamagedStateAside) {
   const EchoBackend backend("s-1");
   const std::string state = shared_.state_directory.path + "/beechhill-t.state";
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -60,8 +60,8 @@
   simulation.run(20s);
   EXPECT_TRUE(simulation.agreed());
   EXPECT_EQ(state_seen_by(simulation, 0, 7), MemberState::kAlive);
-  // The five members that ran throughout see both restarts. Members 5 and 7 may see each other as
-  // new instead.
+  // The five members that ran throughout must report both restarts. Members 5 and 7 may report each
+  // other as new members instead.
   EXPECT_GE(simulation.traffic().restarts_seen, 10u);
 }
 
@@ -104,8 +104,8 @@
   EXPECT_EQ(simulation.traffic().false_deaths, 0u);
 }
 
-// Lifeguard's local health multiplier: a member with a lossy link must slow its probes, so that its
-// suspicions do not lead to other members being declared dead.
+// A member with a lossy link must raise its local health penalty, which slows its probes
+// (Lifeguard), so that its suspicions do not lead to other members being declared dead.
 TEST(Membership, MemberWithABadLinkRaisesItsLocalHealthPenalty) {
   constexpr std::size_t kImpaired = 11;
   GossipSimulation simulation(spec(12));
@@ -169,7 +169,7 @@
           [split](std::size_t from, std::size_t to) { return (from < split) == (to < split); });
       break;
     default:
-      // Cuts one direction only.
+      // Cuts the links in one direction only.
       simulation.cut(
           [split](std::size_t from, std::size_t to) { return from < split || to >= split; });
       break;
--- a/tests/raft_format_test.cpp
+++ b/tests/raft_format_test.cpp
@@ -268,8 +268,8 @@
 TEST(RaftFormat, ReadsTheStateInStoragesOfThePreviousVersion) {
   const auto storages = expected_storages();
   ASSERT_EQ(storages.size(), 2u);
-  // All entries after the first, which is the configuration, are commands, one of each type in
-  // order. Later entries were truncated.
+  // The first entry is the configuration. The others are commands, one of each type in the order of
+  // the types. Later entries were truncated.
   const DurableState& log_only = storages[0].state;
   ASSERT_EQ(log_only.entries.size(), 18u);
   for (std::size_t i = 1; i < log_only.entries.size(); ++i) {
--- a/tests/return_test.cpp
+++ b/tests/return_test.cpp
@@ -14,13 +14,14 @@
 
 constexpr std::size_t kProcesses = 3;
 constexpr std::size_t kClientsPerProcess = 4;
-// Exceeds the drain grace (2 s), but not the time after which a silent watch is ended (2.5 s).
+// Length of a pause that exceeds the drain grace (2 s), but not the time after which a silent watch
+// is ended (2.5 s).
 constexpr std::chrono::microseconds kPauseBeyondTheDrainGrace = 2'200ms;
-// Exceeds the time (2.5 s) after which a silent watch is ended.
+// Length of a pause that exceeds the time after which a silent watch is ended (2.5 s).
 constexpr std::chrono::microseconds kPauseBeyondTheWatchSilence = 3'200ms;
 
-// Processes in front of the same two backends. Each has its own discovery server and clients with
-// persistent connections.
+// Several proxy processes with the same two backends. Each process has its own discovery server and
+// its own clients with persistent connections.
 class PausedProcesses : public testing::Test {
  protected:
   PausedProcesses() {
@@ -32,7 +33,7 @@
         clients_.push_back(proxies_.back()->client());
       }
     }
-    // A client counts as active after its first request.
+    // Each client sends a first request, because a client counts as active only after it.
     for (TestConnection& client : clients_) {
       client.send("GET /health/ready HTTP/1.1\r\nHost: t\r\n\r\n");
       expect_status(client, 200);
--- a/tests/snapshot_process_test.cpp
+++ b/tests/snapshot_process_test.cpp
@@ -109,8 +109,8 @@
   EXPECT_LT(3 * restored, 2 * torn);
 }
 
-// An exclusion must be restored even if the rest of the snapshot is too old, and one call must
-// include the backend again.
+// An exclusion must be restored even if the rest of the snapshot is too old. A single request to
+// the admin server must include the backend again.
 TEST_F(SnapshotProcessTest, ExclusionsSurviveAKill) {
   configure_snapshots(folder_.path);
   {
--- a/tests/snapshot_store_test.cpp
+++ b/tests/snapshot_store_test.cpp
@@ -71,7 +71,7 @@
   }
 }
 
-// A disk whose writes hang until they are released and then fail because the disk is full.
+// A disk on which each write hangs until it is released, and then fails because the disk is full.
 struct HangingDisk {
   void wait_for_write(int number) const {
     const auto deadline = Clock::now() + kTestTimeout;
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -20,7 +20,7 @@
 };
 
 TEST_F(StorageFile, IsReadAsItWasWritten) {
-  // Longer than one read chunk, and contains a zero byte.
+  // The text is longer than one read chunk and contains a zero byte.
   const std::string text = std::string(100'000, 'x') + '\0' + "end";
   for (const Durability durability : {Durability::kProcessCrash, Durability::kMachineCrash}) {
     ASSERT_FALSE(replace_file(path(), text, durability));
--- a/tests/stored_format_test.cpp
+++ b/tests/stored_format_test.cpp
@@ -49,7 +49,8 @@
   expect_equal(read->records[0],
                {"s-1", 1'764'630'000'001ms, 1'764'633'599'000ms, {12.25, 0.5, 3, 2}});
   expect_equal(read->records[1], {"s \"2\"\n\xc3\xa9", 0ms, 1ms, {0, 0, 0, 0}});
-  // Written from 1234567.89, 0.123456789, 1/3 and 2/3 with six significant digits.
+  // The statistics of this record were written from 1234567.89, 0.123456789, 1/3 and 2/3 with six
+  // significant digits.
   expect_equal(read->records[2],
                {"s-3", -5ms, 1'764'633'598'765ms, {1.23457e+06, 0.123457, 0.333333, 0.666667}});
 }
