--- a/src/cluster/maintenance_cli.cpp
+++ b/src/cluster/maintenance_cli.cpp
@@ -185,7 +185,7 @@
   }
 }
 
-/// Adds the subcommands, which share one set of options.
+/// Adds the subcommands of `beechhill maintenance`, which share one set of options.
 class SubcommandBuilder {
  public:
   SubcommandBuilder(CLI::App& parent, OptionsPtr options, int& exit_code)
--- a/src/cluster/raft_log_writer.h
+++ b/src/cluster/raft_log_writer.h
@@ -19,7 +19,7 @@
 /// which may outlive the owner by one write if the disk hangs.
 class RaftLogWriter {
  public:
-  /// A write to the file.
+  /// A change of the file, to be made by the writer thread.
   struct Write {
     std::string bytes;
     /// Total number of records that are durable after this write.
--- a/src/membership/dissemination_queue.h
+++ b/src/membership/dissemination_queue.h
@@ -12,7 +12,7 @@
 
 namespace beechhill::membership {
 
-/// Holds at most one update for each member, the latest.
+/// Queues the latest update about each member until it has been sent often enough.
 class DisseminationQueue {
  public:
   /// Queues `update` with no transmissions counted, replacing an earlier update about the same
--- a/src/membership/mac_keys.h
+++ b/src/membership/mac_keys.h
@@ -24,7 +24,7 @@
 /// are not one or two keys.
 MacKeys parse_keys(std::string_view text);
 
-/// Returns the MAC of `bytes`, which has kMacBytes.
+/// Returns the MAC of `bytes`. The size of the MAC is kMacBytes.
 std::string compute_mac(const MacKey& key, std::string_view bytes);
 
 /// Whether `mac`, which must have kMacBytes, is the MAC of `bytes` under one of `keys`. Compares in
--- a/src/membership/suspicion_tracker.h
+++ b/src/membership/suspicion_tracker.h
@@ -22,9 +22,9 @@
   std::size_t active_members = 0;
 };
 
-/// Returns how long a suspicion raised by `accusers` members lasts before the member is declared
-/// dead. The timeout grows with the logarithm of the cluster size and shrinks with the logarithm of
-/// the number of confirmations.
+/// Returns how long a suspicion lasts before the suspected member is declared dead. `accusers` is
+/// the number of members that raised or confirmed the suspicion. The timeout grows with the
+/// logarithm of the cluster size and shrinks with the logarithm of the number of confirmations.
 Duration suspicion_timeout(const SuspicionTimeoutInputs& inputs, std::size_t accusers);
 
 /// The current suspicions of this process, each with the members that raised or confirmed it.
--- a/src/snapshot/snapshot.h
+++ b/src/snapshot/snapshot.h
@@ -30,10 +30,10 @@
 struct Snapshot {
   /// Name of the process that wrote the snapshot.
   std::string name;
-  /// Equal for processes that agree in all settings that the records depend on. Records from a
-  /// process with a different fingerprint are not used.
+  /// Fingerprint of all settings that the records depend on. Records from a process with a
+  /// different fingerprint are not used.
   std::string settings_fingerprint;
-  /// Counts the processes of this name, starting at 1.
+  /// Sequence number of the process among the processes of this name, starting at 1.
   std::uint64_t incarnation = 0;
   /// Unix time at which the snapshot was taken.
   std::chrono::milliseconds written_at{0};
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -135,7 +135,7 @@
         connection = proxy.client();
       }
       if (connection->readable(0ms)) {
-        connection = proxy.client();  // the proxy has closed it between requests
+        connection = proxy.client();  // the proxy has closed the connection
       }
       connection->send(ProxyUnderTest::get(id));
       const http::Message answer = connection->response();
@@ -182,15 +182,16 @@
   EXPECT_TRUE(load.makes_progress());
 }
 
-// An operator's command at either process must take effect in both processes and in a third one
-// that starts later.
+// An operator's command that is sent to either process must take effect in both processes and in a
+// third one that starts later.
 TEST_F(HotRestart, SharesOperatorCommandsBetweenProcesses) {
   const EchoBackend first("s-1");
   const EchoBackend second("s-2");
   ProxyUnderTest old(hosts(first, second), "[]", &shared_);
   ASSERT_EQ(old.admin_request("PUT", "/api/exclude?target=s-1").status, 200);
   ASSERT_EQ(old.admin_request("PUT", "/api/evacuate").status, 200);
-  ProxyUnderTest fresh(hosts(first, second), "[]", &shared_);  // starts up although it is drained
+  // The new process starts while the proxy is drained.
+  ProxyUnderTest fresh(hosts(first, second), "[]", &shared_);
   for (int n = 0; n < 6; ++n) {
     EXPECT_EQ(serving_backend(fresh, "a" + std::to_string(n)), "s-2");
     EXPECT_EQ(fresh.ready(), 503);
@@ -224,7 +225,8 @@
   }  // the destructor kills the process
   old.signal(SIGTERM);
   ::usleep(200'000);
-  EXPECT_EQ(serving_backend(old, "late"), "s-1");  // still accepts, because it has no successor
+  // The old process still accepts clients, because it has no successor.
+  EXPECT_EQ(serving_backend(old, "late"), "s-1");
   EXPECT_EQ(old.exit_status(), 0);
 }
 
--- a/tests/stored_format_test.cpp
+++ b/tests/stored_format_test.cpp
@@ -101,7 +101,7 @@
   {
     SnapshotStore store(folder.path, "site/t", "z/0/ver");
     store.save_async({{"s-1", 5ms, 999'000ms, {12.25, 0.5, 3, 2}}}, {"s-9"}, 1'000'000ms);
-  }  // the destructor waits for the write
+  }  // the store's destructor waits for the write
   EXPECT_EQ(read_file(folder.file("beechhill-site_t.snapshot")),
             read_file(kSnapshotData + "beechhill-site_t.snapshot"));
 }
