--- a/src/cluster/gossip_actor.cpp
+++ b/src/cluster/gossip_actor.cpp
@@ -17,8 +17,8 @@
 namespace {
 
 constexpr std::size_t kInboxCapacity = 1'024;
-// Maximum number of datagrams received per turn of run(), to limit the delay of
-// other actors on the thread.
+// Maximum number of datagrams received per turn of run(), to limit the delay of other actors on the
+// thread.
 constexpr int kDatagramsPerTurn = 64;
 // Time between two turns of run(), in probe intervals, above which the process counts as paused. A
 // process that misses two probes in a row may have been declared suspect.
--- a/src/cluster/maintenance_actor.cpp
+++ b/src/cluster/maintenance_actor.cpp
@@ -197,10 +197,10 @@
     machines[machine] = end <= now() ? Time::min() : end;
   }
   const Time serving = coordinator_->serving_permitted_until();
-  const bool lapsed = std::any_of(
+  const bool permission_expired = std::any_of(
       published_machines_.begin(), published_machines_.end(),
       [](const auto& entry) { return entry.second > Time::min() && entry.second <= now(); });
-  if (machines == published_machines_ && serving == published_serving_ && !lapsed) {
+  if (machines == published_machines_ && serving == published_serving_ && !permission_expired) {
     return;
   }
   proxy::DecisionMessage message(proxy::DispatchPermissions{machines, serving});
--- a/src/hot_restart/process_liveness_lock.h
+++ b/src/hot_restart/process_liveness_lock.h
@@ -26,7 +26,7 @@
 
   /// Creates an object that holds no lock.
   ProcessLivenessLock() = default;
-  /// Creates or truncates the file and locks it. Throws std::system_error on failure.
+  /// Creates or truncates the file at `path` and locks it. Throws std::system_error on failure.
   explicit ProcessLivenessLock(const std::string& path);
 
   /// Returns false and sets errno if the status could not be written.
--- a/src/membership/message.h
+++ b/src/membership/message.h
@@ -40,7 +40,7 @@
   std::uint32_t incarnation = 0;
   /// Drawn by a process at its start, so that a changed value indicates a restart.
   std::uint64_t boot_id = 0;
-  /// The member that raised or confirmed the suspicion; empty in other states.
+  /// Name of the member that raised or confirmed the suspicion; empty unless `state` is kSuspect.
   std::string suspected_by;
 
   bool operator==(const MemberUpdate&) const = default;
--- a/src/membership/swim_node.cpp
+++ b/src/membership/swim_node.cpp
@@ -232,8 +232,8 @@
   if (message.type != MessageType::kAck || message.digest == digest()) {
     return false;
   }
-  const bool young = intervals_ < kSyncIntervals && std::has_single_bit(intervals_);
-  return !had_contact || young || intervals_ % kSyncIntervals == 0;
+  const bool startup_sync_due = intervals_ < kSyncIntervals && std::has_single_bit(intervals_);
+  return !had_contact || startup_sync_due || intervals_ % kSyncIntervals == 0;
 }
 
 // ---- Sent messages
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -54,7 +54,7 @@
   }
   EXPECT_EQ(simulation.traffic().false_deaths, 0u);
   simulation.kill(7);
-  // The restart happens before any other member has noticed the death.
+  // Member 7 restarts before any other member has noticed its death, member 5 long after.
   simulation.start(7);
   simulation.start(5);
   simulation.run(20s);
--- a/tests/return_test.cpp
+++ b/tests/return_test.cpp
@@ -77,9 +77,9 @@
   std::vector<TestConnection> clients_;
 };
 
-// When the processes continue, both requests and the update that drains a backend are waiting, and
-// the requests arrived first. No request may go to the draining backend, because its drain grace
-// has expired since the update was sent.
+// When the processes continue, requests and the update that drains a backend are waiting to be
+// read, and the requests arrived first. No request may go to the draining backend, because its
+// drain grace has expired since the update was sent.
 TEST_F(PausedProcesses, ReadUpdatesBeforeTheySendRequests) {
   signal_all(SIGSTOP);
   send_requests("a");
--- a/tests/snapshot_process_test.cpp
+++ b/tests/snapshot_process_test.cpp
@@ -65,9 +65,9 @@
   }
 
   static void serve(const FakeListener& backend, const std::string& headers) {
-    TestConnection wire = backend.accept();
-    wire.request();
-    wire.reply(200, "Connection: close\r\n" + headers, "");
+    TestConnection connection = backend.accept();
+    connection.request();
+    connection.reply(200, "Connection: close\r\n" + headers, "");
   }
 
   std::string hosts() const {
