--- a/src/cluster/maintenance_actor.cpp
+++ b/src/cluster/maintenance_actor.cpp
@@ -13,11 +13,12 @@
 
 namespace {
 
-// Large enough for the datagrams that arrive at the same time in a common fault.
+// Maximum number of queued messages. It exceeds the number of datagrams that arrive at the same
+// time when a fault affects many proxies.
 constexpr std::size_t kInboxCapacity = 1'024;
 constexpr int kMaxMessagesPerRound = 64;
 constexpr Duration kObservationInterval{200'000};
-// Poll interval while records are not durable yet.
+// Interval at which the actor checks whether appended records have become durable.
 constexpr Duration kDiskPollInterval{5'000};
 constexpr Duration kMinWait{1'000};
 // Derives a seed for Raft that differs from the boot id, which seeds other generators.
@@ -108,7 +109,7 @@
   Time wake_up = std::min(coordinator_->next_tick(), next_observation_);
   for (const auto& [machine, end] : published_machines_) {
     if (end > now()) {
-      // A permission that expires must be published immediately.
+      // The actor wakes up when a permission expires, in order to publish that immediately.
       wake_up = std::min(wake_up, end);
     }
   }
@@ -182,7 +183,8 @@
         is_raft ? membership::Channel::kRaft : membership::Channel::kCoordination,
         std::move(message.bytes)});
     if (!gossip_.post(std::move(payload))) {
-      // Equivalent to loss on the network: Raft and the lease client retransmit.
+      // A dropped payload is equivalent to loss on the network: Raft and the lease client
+      // retransmit.
       log::dropped_message("maintenance_payload");
     }
   }
@@ -195,10 +197,10 @@
     machines[machine] = end <= now() ? Time::min() : end;
   }
   const Time serving = coordinator_->serving_permitted_until();
-  const bool lapsed = std::any_of(
+  const bool permission_expired = std::any_of(
       published_machines_.begin(), published_machines_.end(),
       [](const auto& entry) { return entry.second > Time::min() && entry.second <= now(); });
-  if (machines == published_machines_ && serving == published_serving_ && !lapsed) {
+  if (machines == published_machines_ && serving == published_serving_ && !permission_expired) {
     return;
   }
   proxy::DecisionMessage message(proxy::DispatchPermissions{machines, serving});
--- a/src/membership/dissemination_queue.h
+++ b/src/membership/dissemination_queue.h
@@ -12,7 +12,7 @@
 
 namespace beechhill::membership {
 
-/// Holds at most one update for each member, the latest.
+/// Queues the latest update about each member until it has been sent often enough.
 class DisseminationQueue {
  public:
   /// Queues `update` with no transmissions counted, replacing an earlier update about the same
@@ -38,8 +38,8 @@
   std::set<std::pair<unsigned, std::string>> order_;
 };
 
-/// Returns how many times each member sends an update: lambda times the logarithm of the cluster
-/// size. `known_members` is the number of other members in the table.
+/// Returns how many times each member sends an update: 3 times the binary logarithm of the cluster
+/// size, rounded up. `known_members` is the number of other members in the table.
 unsigned max_transmissions(std::size_t known_members);
 
 }  // namespace beechhill::membership
--- a/src/membership/suspicion_tracker.h
+++ b/src/membership/suspicion_tracker.h
@@ -22,21 +22,22 @@
   std::size_t active_members = 0;
 };
 
-/// Returns how long a suspicion raised by `accusers` members lasts before the member is declared
-/// dead. The timeout grows with the logarithm of the cluster size and shrinks with the logarithm of
-/// the number of confirmations.
+/// Returns how long a suspicion lasts before the suspected member is declared dead. `accusers` is
+/// the number of members that raised or confirmed the suspicion. The timeout grows with the
+/// logarithm of the cluster size and shrinks with the logarithm of the number of confirmations.
 Duration suspicion_timeout(const SuspicionTimeoutInputs& inputs, std::size_t accusers);
 
 /// The current suspicions of this process, each with the members that raised or confirmed it.
 class SuspicionTracker {
  public:
   /// Records that `accuser` suspects `member`, and starts the timeout if `member` was not suspected
-  /// yet. Returns whether the accusation should be disseminated: the accuser is new, and more
-  /// confirmations would still shorten the timeout.
+  /// yet. Returns whether `accuser` was added to the member's accusers and the accusation should be
+  /// disseminated. This is not the case if `accuser` is empty or already recorded, or if four
+  /// accusers are recorded, after which further ones do not shorten the timeout.
   bool add(Time now, const std::string& member, const std::string& accuser);
   /// Removes the suspicion of `member`, after it was refuted or the member was declared dead.
   void clear(const std::string& member) { suspicions_.erase(member); }
-  /// Restarts all timeouts, as after a pause of this process.
+  /// Restarts the timeouts of all suspicions.
   void restart_timeouts(Time now);
 
   /// Returns the members whose timeout has expired.
--- a/src/snapshot/snapshot.h
+++ b/src/snapshot/snapshot.h
@@ -26,13 +26,14 @@
   EndpointStats stats;
 };
 
+/// What one process has learned about its backends.
 struct Snapshot {
   /// Name of the process that wrote the snapshot.
   std::string name;
-  /// Equal for processes that agree in all settings that the records depend on. Records from a
-  /// process with a different fingerprint are not used.
+  /// Fingerprint of all settings that the records depend on. Records from a process with a
+  /// different fingerprint are not used.
   std::string settings_fingerprint;
-  /// Counts the processes of this name, starting at 1.
+  /// Sequence number of the process among the processes of this name, starting at 1.
   std::uint64_t incarnation = 0;
   /// Unix time at which the snapshot was taken.
   std::chrono::milliseconds written_at{0};
@@ -61,7 +62,7 @@
   kDamaged,
   kOtherProcess,
   kOtherSettings,
-  /// The time of writing lies in the future by this machine's clock.
+  /// The snapshot's time of writing is in the future by this machine's clock.
   kFromTheFuture,
   kTooOld,
 };
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -1,5 +1,5 @@
-// Tests hot restarts with real processes: two at a time, which share an inherited listening socket
-// and a directory.
+// Tests hot restarts with real processes. Two processes at a time share an inherited listening
+// socket and a directory.
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 
@@ -84,8 +84,8 @@
   return "[" + first.host() + "," + second.host() + "]";
 }
 
-// Sends one request on a new connection. Returns the name of the backend that served it, or nothing
-// if the response does not belong to the request.
+// Sends one request with trace id `id` on a new connection. Returns the name of the backend that
+// served it, or nothing if the status is not 200 or the body does not start with `id`.
 std::optional<std::string> serving_backend(const ProxyUnderTest& proxy, const std::string& id) {
   TestConnection client = proxy.client();
   client.send(ProxyUnderTest::get(id));
@@ -101,8 +101,8 @@
   return proxy.admin_request("GET", "/api/telemetry").body.find(field) != std::string::npos;
 }
 
-// Clients that send requests continuously. Half of them use a new connection for each request, the
-// others a persistent one. The destructor stops and joins them.
+// Clients that send requests continuously and expect each to be served. Half of them use a new
+// connection for each request, the others a persistent one. The destructor stops and joins them.
 class SteadyLoad {
  public:
   explicit SteadyLoad(const ProxyUnderTest& proxy) {
@@ -135,7 +135,7 @@
         connection = proxy.client();
       }
       if (connection->readable(0ms)) {
-        connection = proxy.client();  // the proxy has closed it between requests
+        connection = proxy.client();  // the proxy has closed the connection
       }
       connection->send(ProxyUnderTest::get(id));
       const http::Message answer = connection->response();
@@ -182,15 +182,16 @@
   EXPECT_TRUE(load.makes_progress());
 }
 
-// An operator's command at either process must take effect in both processes and in a third one
-// that starts later.
+// An operator's command that is sent to either process must take effect in both processes and in a
+// third one that starts later.
 TEST_F(HotRestart, SharesOperatorCommandsBetweenProcesses) {
   const EchoBackend first("s-1");
   const EchoBackend second("s-2");
   ProxyUnderTest old(hosts(first, second), "[]", &shared_);
   ASSERT_EQ(old.admin_request("PUT", "/api/exclude?target=s-1").status, 200);
   ASSERT_EQ(old.admin_request("PUT", "/api/evacuate").status, 200);
-  ProxyUnderTest fresh(hosts(first, second), "[]", &shared_);  // starts up although it is drained
+  // The new process starts while the proxy is drained.
+  ProxyUnderTest fresh(hosts(first, second), "[]", &shared_);
   for (int n = 0; n < 6; ++n) {
     EXPECT_EQ(serving_backend(fresh, "a" + std::to_string(n)), "s-2");
     EXPECT_EQ(fresh.ready(), 503);
@@ -210,7 +211,8 @@
   EXPECT_EQ(last.ready(), 200);
 }
 
-// The old process must continue to serve, and must shut down like a process without a successor.
+// The old process must continue to serve requests, and must shut down like a process without a
+// successor.
 TEST_F(HotRestart, SurvivesASuccessorThatIsKilledBeforeItIsReady) {
   const EchoBackend backend("s-1");
   ProxyUnderTest old(hosts(backend), "[]", &shared_);
@@ -223,7 +225,8 @@
   }  // the destructor kills the process
   old.signal(SIGTERM);
   ::usleep(200'000);
-  EXPECT_EQ(serving_backend(old, "late"), "s-1");  // still accepts, because it has no successor
+  // The old process still accepts clients, because it has no successor.
+  EXPECT_EQ(serving_backend(old, "late"), "s-1");
   EXPECT_EQ(old.exit_status(), 0);
 }
 
@@ -241,8 +244,8 @@
   }
 }
 
-// A damaged state file must be renamed, at startup and while the process runs. Requests must be
-// served and commands stored afterwards.
+// A damaged state file must be renamed, both at startup and while the process runs. The process
+// must still serve requests and store commands.
 TEST_F(HotRestart, SetsADamagedStateAside) {
   const EchoBackend backend("s-1");
   const std::string state = shared_.state_directory.path + "/beechhill-t.state";
