--- a/simhost/directory.h
+++ b/simhost/directory.h
@@ -20,7 +20,7 @@
   std::string instance_type;
   EndpointStatus status = EndpointStatus::kUp;
   std::uint32_t cell = 0;
-  /// Absent where the simulator states no start time, which counts as long ago.
+  /// Absent if the simulator gives no start time; the endpoint then counts as started long ago.
   std::optional<Time> started_at;
 };
 
--- a/simhost/instance.cpp
+++ b/simhost/instance.cpp
@@ -15,7 +15,7 @@
 using config::require_object;
 using config::throw_json_error;
 
-// Maximum length of a timer tag: every number of 19 decimal digits fits a 64-bit integer.
+// Maximum length of a timer tag. Every number of 19 decimal digits fits into a 64-bit integer.
 constexpr std::size_t kMaxTagDigits = 19;
 
 Result read_result(const Json::Value& event) {
@@ -126,8 +126,7 @@
     return read_client_disconnect(json);
   }
   if (type == "Message") {
-    // A message of another balancer. Balancers of this implementation exchange none, so the event
-    // is ignored.
+    // Ignores a message of another balancer, as this implementation's balancers exchange none.
     return std::nullopt;
   }
   throw_json_error("event_type", "not a known event");
--- a/simhost/instance.h
+++ b/simhost/instance.h
@@ -23,7 +23,7 @@
 
   Balancer& balancer() { return balancer_; }
 
-  /// Converts `json`, an event of type `type`. Returns nullopt where the event does not concern the
+  /// Converts `json`, an event of type `type`. Returns nullopt if the event does not concern the
   /// balancer or refers to a request that has ended. Throws config::JsonError.
   std::optional<Event> read_event(std::string_view type, const Json::Value& json,
                                   const Directories& directories);
@@ -71,7 +71,7 @@
   config::Interner tenants_;
   std::unordered_map<std::string, RequestId> request_ids_;
   std::unordered_map<RequestId, RequestEntry> requests_;
-  // Requests to which an event or an ending action of the current batch applied.
+  // Requests that an event or a final action of the current batch concerned.
   std::vector<RequestId> changed_requests_;
   RequestId next_request_id_ = 0;
   Balancer balancer_;
--- a/simhost/wire.cpp
+++ b/simhost/wire.cpp
@@ -70,8 +70,8 @@
     reply["out"] = std::move(json_actions);
   }
 
-  // Appends the balancer's actions to `json_actions`. Where the balancer throws, an "InternalError"
-  // with the exception's message follows the actions that precede it.
+  // Appends the balancer's actions to `json_actions`. If the balancer throws, an "InternalError"
+  // with the exception's message is appended after the actions that it returned before.
   void handle_event(Time now, const std::string& name, const Json::Value& event,
                     Json::Value& json_actions) {
     const auto type = get_member<std::string>(event, "event_type");
--- a/simhost/wire.h
+++ b/simhost/wire.h
@@ -21,7 +21,7 @@
   Host(const Host&) = delete;
   Host& operator=(const Host&) = delete;
 
-  /// Handles one batch and returns the reply, both without a line end. Throws WireError where the
+  /// Handles one batch and returns the reply, both without a line end. Throws WireError if the
   /// batch is invalid.
   std::string reply_to(const std::string& line);
 
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -23,8 +23,8 @@
 
 // Timeout from accepting a connection to reading the last byte of its call.
 constexpr auto kReadTimeout = 1500ms;
-// While all connections are in use, one that has not sent a complete call by this age may be
-// evicted. Callers that are not idle have sent their call by then.
+// Minimum age at which a connection that has not sent a complete call may be evicted, which happens
+// while all connections are in use. Callers that are not idle have sent their call by then.
 constexpr auto kEvictionAge = 20ms;
 // Timeout for the reply of the actor that owns the state. Operators must get a response within 1 s.
 constexpr auto kReplyTimeout = 800ms;
@@ -37,7 +37,7 @@
 
 constexpr std::string_view kJsonHeader = "Content-Type: application/json\r\n";
 
-// Writes a response that closes its connection: each connection carries one call.
+// Formats a response with "Connection: close", as each connection carries only one call.
 std::string write_last_response(int status, std::string_view headers = "",
                                 std::string_view body = "") {
   return http::write_response(status, headers, body, true);
@@ -100,7 +100,7 @@
     try {
       connections_.push_back(std::make_shared<Connection>(scheduler_, std::move(fd)));
       scheduler_.spawn(run_connection(connections_.back()));
-    } catch (const std::system_error& error) {  // the descriptor could not be added to epoll
+    } catch (const std::system_error& error) {  // epoll rejected the descriptor
       log::fault("operator_let_go", error);
     }
   }
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -1,6 +1,7 @@
-// HTTP server for operators, with one call per connection. Each command is sent to the actor that
-// owns the affected state and answered after that actor has executed it. The server has its own
-// descriptors, so operators can connect even if clients use up all of theirs.
+// HTTP server for operators, with one call (an HTTP request) per connection. Each command is sent
+// to the actor that owns the affected state and answered after that actor has executed it.
+// Descriptors are reserved for the server, so operators can connect even if clients use all of the
+// descriptors for client connections.
 #pragma once
 
 #include <functional>
@@ -26,7 +27,7 @@
 using ClusterHandler =
     std::function<void(const Command& command, std::shared_ptr<runtime::PendingTextReply> reply)>;
 
-/// Must be used on the scheduler's thread.
+/// Accepts operators' connections and answers their calls. Must be used on the scheduler's thread.
 class AdminServer {
  public:
   /// Listens on `address`. All referenced objects must outlive the server. `class_names` is indexed
--- a/src/admin/command.cpp
+++ b/src/admin/command.cpp
@@ -28,7 +28,7 @@
     {"GET", "/api/maintenance", CommandType::kMaintenanceStatus, Arguments::kParameters},
 };
 
-// The path of a maintenance command ends in the name of the action.
+// Route of maintenance commands. The name of the action follows this prefix in the path.
 constexpr Route kMaintenanceCommandRoute = {
     "PUT", kMaintenanceCommandPrefix, CommandType::kMaintenanceCommand, Arguments::kParameters};
 
--- a/src/admin/command.h
+++ b/src/admin/command.h
@@ -21,6 +21,7 @@
   kMaintenanceCommand
 };
 
+/// A parsed call.
 struct Command {
   CommandType type = CommandType::kReady;
   /// Id of the backend that kExclude or kInclude affects; empty for other commands.
--- a/src/admin/query_string.cpp
+++ b/src/admin/query_string.cpp
@@ -8,7 +8,7 @@
 namespace beechhill::admin {
 namespace {
 
-constexpr std::size_t kEscapeLength = 3;  // bytes of an escape such as "%2F"
+constexpr std::size_t kEscapeLength = 3;  // length of an escape such as "%2F" in bytes
 constexpr int kHexadecimal = 16;
 
 struct RawParameter {
--- a/src/base/byte_codec.h
+++ b/src/base/byte_codec.h
@@ -85,9 +85,9 @@
   /// Reads all remaining bytes, as a view of the input.
   std::string_view rest() { return take(remaining_.size()); }
 
-  /// Whether every value read so far was complete and within its size limit.
+  /// Returns whether every value read so far was complete and within its size limit.
   bool ok() const { return ok_; }
-  /// Whether ok() is true and no bytes remain.
+  /// Returns whether ok() is true and no bytes remain.
   bool done() const { return ok_ && remaining_.empty(); }
 
  private:
--- a/src/bootstrap/cluster.cpp
+++ b/src/bootstrap/cluster.cpp
@@ -18,7 +18,7 @@
 
 using runtime::now;
 
-// A drained listener is assumed to get no new clients after this time.
+// Time after the beginning of a drain from which the listener is assumed to get no new clients.
 constexpr Duration kDrainSettleTime = std::chrono::seconds(2);
 
 membership::MacKeys load_keys(const std::string& file) {
@@ -34,8 +34,8 @@
   }
 }
 
-// Returns the settings of the SWIM node. Checks that this process's name is valid as a member's
-// name.
+// Returns the settings of the SWIM node. Throws std::runtime_error if the configured name is
+// invalid as a member's name, or if the listener is inherited.
 membership::SwimSettings swim_settings(const config::Config& config,
                                        const config::MembershipSettings& settings) {
   const std::string& name = config.name;
@@ -98,8 +98,9 @@
   void leave() override { gossip_.leave(); }
 
  private:
-  // Messages are dropped while the maintenance actor's mailbox is full. Its protocol tolerates
-  // that, as datagrams may be lost too.
+  // Returns handlers that forward messages to the maintenance actor. If its mailbox is full, the
+  // message is dropped. The maintenance protocol tolerates lost messages, as datagrams may be lost
+  // too.
   membership::GossipHandlers gossip_handlers() {
     const auto post = [this](auto message) {
       maintenance::MaintenanceMessage posted(std::move(message));
@@ -192,7 +193,8 @@
     return maintenance::QueryStatus{request_id, std::move(reply)};
   }
 
-  // Returns nothing if the command is malformed, and sets the reply's text to the error.
+  // Converts an operator's command to a message. If the command is malformed, sets the reply's text
+  // to the error and returns nothing.
   static std::optional<maintenance::MaintenanceMessage> maintenance_command(
       const admin::Command& command, std::shared_ptr<runtime::PendingTextReply> reply) {
     auto parsed =
--- a/src/bootstrap/cluster.h
+++ b/src/bootstrap/cluster.h
@@ -12,7 +12,7 @@
 
 namespace beechhill::bootstrap {
 
-/// Interface of the cluster for the rest of the process. Must be used on the scheduler's thread.
+/// This process's member of the cluster. Must be used on the scheduler's thread.
 class Cluster {
  public:
   virtual ~Cluster() = default;
--- a/src/bootstrap/coordinator_settings.cpp
+++ b/src/bootstrap/coordinator_settings.cpp
@@ -39,7 +39,7 @@
   result.max_request_duration = longest_deadline(settings);
   result.disruption_budget = maintenance.disruption_budget;
   // The backends of a zone or cell hold the idempotency keys of earlier requests, so they must not
-  // all be taken out.
+  // all be taken out of service at a time.
   result.disruption_budget.preserve_last_in_zone =
       deduplicates_within(settings, DeduplicationScope::kZone);
   result.disruption_budget.preserve_last_in_cell =
--- a/src/bootstrap/coordinator_settings.h
+++ b/src/bootstrap/coordinator_settings.h
@@ -8,9 +8,10 @@
 
 namespace beechhill::bootstrap {
 
-/// Lease durations and the disruption budget come from `maintenance`. `config` provides the name,
-/// the zone, the longest deadline of any class, and whether the last backend in a zone or cell must
-/// be kept because it deduplicates requests with idempotency keys.
+/// Returns the coordinator's settings. Lease durations and the disruption budget come from
+/// `maintenance`. `config` provides the name, the zone, the longest deadline of any class, and
+/// whether the last backend in a zone or cell must be kept because it deduplicates requests with
+/// idempotency keys.
 maintenance::CoordinatorSettings coordinator_settings(
     const config::Config& config, const config::MaintenanceSettings& maintenance);
 
--- a/src/bootstrap/resource_allocation.cpp
+++ b/src/bootstrap/resource_allocation.cpp
@@ -9,10 +9,11 @@
 
 constexpr std::size_t kOwnDescriptors = 24;
 constexpr std::size_t kClientPercent = 55;
-// A process may always use 1/4 of the descriptors, however many the other processes hold.
+// A process may always use 1/4 of its descriptors, regardless of how many the other processes of
+// the same proxy hold.
 constexpr std::size_t kMinimumDivisor = 4;
-// While other processes are running, 1/10 of the descriptors is left unallocated, as the number
-// that they hold may grow before they exchange their status again.
+// While other processes of the same proxy are running, 1/10 of the descriptors is left
+// unallocated, as the other processes may open more before they publish their status again.
 constexpr std::size_t kReserveDivisor = 10;
 // Streamed bodies may use 1/6 of the memory; the rest is for buffered requests and the program.
 constexpr std::size_t kBodyMemoryDivisor = 6;
--- a/src/bootstrap/resource_allocation.h
+++ b/src/bootstrap/resource_allocation.h
@@ -1,4 +1,5 @@
-// Divides the process's limits on file descriptors and memory.
+// Divides the process's limits on file descriptors and memory between their uses and between the
+// processes of one proxy.
 #pragma once
 
 #include <cstddef>
--- a/src/bootstrap/restored_state.cpp
+++ b/src/bootstrap/restored_state.cpp
@@ -27,8 +27,8 @@
   }
 }
 
-// Records of endpoints are valid only for the zone, the tier and the classes under which they were
-// made, so the scope identifies all of these.
+// Returns the scope of the snapshots. Records of endpoints are valid only for the zone, the tier
+// and the classes for which they were made, so the scope identifies all of these.
 std::string snapshot_scope(const config::Config& config) {
   std::string scope =
       config.named_settings.zone + "/" + std::to_string(config.named_settings.settings.tier);
--- a/src/bootstrap/restored_state.h
+++ b/src/bootstrap/restored_state.h
@@ -15,14 +15,15 @@
 namespace beechhill::bootstrap {
 
 struct RestoredState {
-  /// Null if no other process can share state with this one.
+  /// Directory of the state shared by the processes of one proxy. Null if no directory is
+  /// configured or it cannot be opened.
   std::unique_ptr<hot_restart::SharedStateDirectory> shared_directory;
-  /// Null if snapshots are disabled.
+  /// Null if snapshots are disabled or the store cannot be opened.
   std::unique_ptr<snapshot::SnapshotStore> snapshot_store;
   bool drained = false;
   /// Ids of the backends that operators have excluded.
   std::set<std::string> excluded_backends;
-  /// What an earlier process recorded about its backends.
+  /// Records of endpoints in the snapshot of an earlier process; empty if there is no snapshot.
   std::vector<snapshot::EndpointRecord> endpoint_records;
 };
 
--- a/src/bootstrap/run.cpp
+++ b/src/bootstrap/run.cpp
@@ -11,7 +11,8 @@
 namespace beechhill::bootstrap {
 
 void run(const std::string& operator_file) {
-  // Signals are blocked first, so that one that arrives during the start is handled afterwards.
+  // Blocks the signals first, so that a signal that arrives during the start is handled later
+  // instead of ending the process.
   net::FileDescriptor signals = block_signals();
   const config::Config config = config::load_config();
   const config::OperatorSettings settings = config::load_operator_settings(operator_file);
--- a/src/bootstrap/server.cpp
+++ b/src/bootstrap/server.cpp
@@ -111,16 +111,17 @@
                                                config_.named_settings.settings, endpoint, address);
 }
 
-// The configured endpoint list may be out of date, so if another process of the proxy can serve in
-// the meantime, this process waits for discovery's list.
+// Returns whether the listener may accept clients. The configured endpoint list may be out of date,
+// so if another process of the same proxy can serve in the meantime, this process first waits for
+// an endpoint list from discovery, at most for kDiscoveryTimeout.
 bool Server::may_serve() const {
   return decisions_.ready() && decisions_.serving_permitted() &&
          (!await_discovery_ || decisions_.has_discovery_update() ||
           runtime::Clock::now() >= discovery_deadline_);
 }
 
-// Adapts this process's limits to the other processes of its proxy and returns the status to
-// publish to them.
+// Adjusts the limits on descriptors and body memory to what the other processes of the same proxy
+// use. Returns the status of this process that is published to them.
 HotRestartActor::ProcessStatus Server::exchange_status(
     const SharedStateDirectory::ProcessGroupStatus& others) {
   const DescriptorAllocation allocation = descriptors_.shared_with(others);
@@ -149,8 +150,8 @@
   }
 }
 
-// Returns false if the listener's mailbox is full; shutdown must then be requested by another
-// signal.
+// Starts a graceful shutdown. Returns false if the listener's mailbox is full; the next SIGTERM or
+// SIGINT then tries again.
 bool Server::begin_shutdown() {
   const bool has_successor = hot_restart_.has_successor();
   log::info("ending", {{"succeeded", has_successor}});
@@ -161,8 +162,9 @@
   return false;
 }
 
-// Applies discovery's address from the configuration, and the log level and the membership keys
-// from the operator file. If either file is invalid, logs the error and changes nothing.
+// Reads both files again. Applies discovery's address from the configuration, and the log level and
+// the membership keys from the operator file. If either file is invalid, logs the error and changes
+// nothing.
 void Server::reload() {
   try {
     const sockaddr_in discovery = config::reload_config().discovery;
@@ -184,7 +186,7 @@
   }
 }
 
-// Stops the scheduler once the graceful shutdown is complete.
+// Runs the listener and stops the scheduler once the graceful shutdown is complete.
 runtime::Task<> Server::run_listener() {
   co_await listener_.run_lifecycle();
   if (cluster_) {
--- a/src/bootstrap/server.h
+++ b/src/bootstrap/server.h
@@ -64,7 +64,8 @@
   const net::FileDescriptor signals_;
   const DescriptorAllocation descriptors_;
 
-  // The order matters: a member may refer to the members before it, and is destroyed before them.
+  // The order of the members matters: a member may refer to those declared before it, and is
+  // destroyed before they are.
   runtime::Scheduler scheduler_;
   proxy::Telemetry telemetry_;
   proxy::BodyBudget body_budget_;
--- a/src/bootstrap/signals.h
+++ b/src/bootstrap/signals.h
@@ -1,4 +1,4 @@
-// Delivers the signals that a serving process handles through a file descriptor.
+// Delivers signals through a file descriptor, so that the event loop handles them.
 #pragma once
 
 #include "net/socket.h"
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -71,7 +71,7 @@
   return text.str();
 }
 
-// An environment variable that takes precedence over a key of the file.
+// An environment variable that takes precedence over a key of the configuration file.
 struct Override {
   const char* variable;
   const char* key;
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -12,6 +12,7 @@
 
 namespace beechhill::config {
 
+/// The configuration of one proxy, with the values from environment variables applied.
 struct Config {
   std::string name;
   sockaddr_in listen{};
@@ -34,12 +35,12 @@
 
 /// Loads the file that GW_CONFIG names. GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_ADMIN_ADDR, if set,
 /// take precedence over its keys. The inherited listener is read only from the environment, from
-/// GW_FD, and so is the shared state directory, from TMPDIR if GW_FD is set. Throws like
-/// read_config().
+/// GW_FD. The shared state directory is TMPDIR if GW_FD is set, otherwise there is none. Throws
+/// like read_config().
 Config load_config();
 
-/// Loads the same file after it was replaced. Takes the discovery address from the file even if
-/// GW_DISCOVERY is set. Throws like read_config().
+/// Like load_config(), but takes the discovery address from the file even if GW_DISCOVERY is set.
+/// Called when operators have replaced the file. Throws like read_config().
 Config reload_config();
 
 }  // namespace beechhill::config
--- a/src/config/endpoint_list.cpp
+++ b/src/config/endpoint_list.cpp
@@ -7,7 +7,7 @@
 namespace beechhill::config {
 namespace {
 
-// Prevents overflow when a start time is converted to microseconds.
+// Latest accepted start time. It does not overflow when it is converted to microseconds.
 constexpr std::chrono::milliseconds kMaxStartTime{100'000'000'000'000};
 
 EndpointStatus read_status(const Json::Value& entry) {
--- a/src/config/endpoint_list.h
+++ b/src/config/endpoint_list.h
@@ -13,21 +13,24 @@
 
 namespace beechhill::config {
 
+/// One endpoint of a list, or the removal of one (EndpointStatus::kRemoved).
 struct EndpointListEntry {
   std::string host;
   std::string zone;
   std::string instance_type;
-  /// The address to connect to; not set if the endpoint has been removed.
+  /// Address for connections to the endpoint; not set if the endpoint has been removed.
   sockaddr_in address{};
   std::uint32_t cell = 0;
   EndpointStatus status = EndpointStatus::kUp;
-  /// Milliseconds since the Unix epoch; 0 if the start time is not given.
+  /// Start time of the backend's process in milliseconds since the Unix epoch; 0 if unknown.
   std::chrono::milliseconds started_at{0};
 };
 
+/// A snapshot or a delta of the endpoints known to discovery.
 struct EndpointList {
   std::uint64_t version = 0;
-  /// Whether the list contains all endpoints, or only those that have changed.
+  /// True for a snapshot, which contains all endpoints; false for a delta, which contains only
+  /// those that have changed.
   bool complete = true;
   std::vector<EndpointListEntry> entries;
 };
--- a/src/config/interner.h
+++ b/src/config/interner.h
@@ -10,11 +10,12 @@
 
 namespace beechhill::config {
 
-/// Each operation takes amortised constant time, plus the time to hash the name.
+/// Assigns integers, from 0 upwards, to names. Each operation takes amortised constant time, plus
+/// the time to hash the name.
 class Interner {
  public:
-  /// Returns the integer of `name`. A new name gets a released integer if there is one, otherwise
-  /// the next higher one.
+  /// Returns the integer of `name`. A name without an integer is assigned a released integer if
+  /// there is one, otherwise the lowest integer that was never assigned.
   std::uint32_t id(std::string_view name) {
     const auto next =
         unused_ids_.empty() ? static_cast<std::uint32_t>(names_.size()) : unused_ids_.back();
--- a/src/config/json.cpp
+++ b/src/config/json.cpp
@@ -49,7 +49,7 @@
       return value;
     }
   } catch (const Json::Exception& error) {
-    errors = error.what();  // nested deeper than kMaxNesting
+    errors = error.what();  // The text is nested deeper than kMaxNesting.
   }
   std::replace(errors.begin(), errors.end(), '\n', ' ');
   throw_json_error(name, "not JSON: " + errors);
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -1,4 +1,5 @@
-// Typed access to JSON objects. Every error names the invalid key. A null value counts as absent.
+// Typed access to JSON objects. Every error names the invalid key. A member whose value is null
+// counts as absent.
 #pragma once
 
 #include <json/json.h>
@@ -17,7 +18,7 @@
 /// An error in a JSON text. what() is "KEY: REASON", preceded by "LOCATION: " if there is one.
 class JsonError : public std::runtime_error {
  public:
-  /// `offset`: byte offset of the invalid value in the text; absent if it is unknown.
+  /// `offset`: byte offset of the invalid value in the text, if known.
   JsonError(std::string key, std::string reason, std::optional<std::size_t> offset = {},
             const std::string& location = "");
 
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -12,10 +12,11 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t kMaxNameBytes = 48;  // limit of the datagram format for a member's name
+// Maximum length of a member's name in the datagram format.
+constexpr std::size_t kMaxNameBytes = 48;
 constexpr std::size_t kMaxVoters = 7;
-constexpr std::int64_t kMaxCount =
-    100'000;  // upper bound on numbers of machines, proxies or endpoints
+// Upper bound on the settings that are numbers of machines, proxies or endpoints.
+constexpr std::int64_t kMaxCount = 100'000;
 constexpr std::int64_t kMaxCoverage = 10'000;
 constexpr double kMaxCapacityReserve = 10;
 constexpr std::int64_t kMinLogQueue = 16;
--- a/src/config/operator_file.h
+++ b/src/config/operator_file.h
@@ -14,18 +14,21 @@
 
 namespace beechhill::config {
 
+/// Settings of the periodic snapshots, from the table `snapshot`.
 struct SnapshotSettings {
-  /// Directory of the snapshots, on a disk that outlives the process; empty: none are written.
+  /// Directory of the snapshots, on a disk that outlives the process. If it is empty, no snapshots
+  /// are written.
   std::string directory;
   std::chrono::milliseconds interval{2000};
 };
 
+/// Settings of the cluster membership, from the table `membership`.
 struct MembershipSettings {
-  /// IPv4 address and UDP port to listen on; empty: the process is not in a cluster.
+  /// IPv4 address and UDP port to listen on. If it is empty, the process is not in a cluster.
   std::string listen_address;
-  /// Address at which the other members reach this process; empty: `listen_address`.
+  /// Address to which the other members send datagrams. If it is empty, `listen_address` is used.
   std::string advertised_address;
-  /// Addresses of some of the other members.
+  /// Addresses of other members that this process contacts in order to join.
   std::vector<std::string> seed_addresses;
   /// File with one key per line, as 64 hexadecimal digits. The first key signs datagrams; a second
   /// key is also accepted on received ones.
@@ -34,10 +37,11 @@
   Duration forget_after{3'600'000'000};
 };
 
+/// Settings of the coordinated maintenance, from the table `maintenance`.
 struct MaintenanceSettings {
-  /// Names of the proxies that vote; empty: maintenance is not coordinated.
+  /// Names of the proxies that vote. If it is empty, maintenance is not coordinated.
   std::vector<std::string> voters;
-  /// Directory of a voter's log, on a disk that outlives the process.
+  /// Directory of the Raft log if this proxy is a voter, on a disk that outlives the process.
   std::string storage_directory;
   Duration lease_duration{5'000'000};
   /// Time for which a proxy keeps serving after its lease has expired; 0: without limit.
@@ -47,6 +51,7 @@
   maintenance::DisruptionBudget disruption_budget;
 };
 
+/// The contents of the operator file.
 struct OperatorSettings {
   log::Settings log;
   MembershipSettings membership;
@@ -55,7 +60,8 @@
   routing::SubsetSettings subset;
 };
 
-/// Throws TomlError with `file`, the line and the key. An unknown key is an error.
+/// Reads and validates the settings. Throws TomlError, with `file`, the line and the key, if a key
+/// is unknown or its value is invalid.
 OperatorSettings read_operator_settings(const toml::table& root, const std::string& file);
 /// Loads the file at `path`; returns the defaults if `path` is empty. Throws TomlError.
 OperatorSettings load_operator_settings(const std::string& path);
--- a/src/config/settings_reader.h
+++ b/src/config/settings_reader.h
@@ -13,7 +13,7 @@
 /// The balancer's settings with the names of the zone, classes and tenants, which the settings
 /// identify by number.
 struct NamedSettings {
-  /// `settings.zone` is 0 and stands for `zone`.
+  /// `settings.zone`, the id of `zone`, is always 0.
   Settings settings;
   std::string zone;
   /// Names of the classes, indexed by ClassId.
@@ -22,8 +22,8 @@
   std::vector<std::string> tenants;
 };
 
-/// Reads the settings from `env` and sets their seed to `seed`. Unknown keys are ignored. Value
-/// ranges are not checked; call validate() for that. Throws JsonError.
+/// Reads the settings from `env` and sets their seed to `seed`. Unknown keys are ignored. Does not
+/// check value ranges, which validate() does. Throws JsonError.
 NamedSettings read_settings(const Json::Value& env, std::uint64_t seed);
 
 }  // namespace beechhill::config
--- a/src/config/toml_reader.cpp
+++ b/src/config/toml_reader.cpp
@@ -13,7 +13,7 @@
 constexpr std::streamsize kMaxFileBytes = 1 << 20;
 constexpr double kMaxDurationMicroseconds = 366.0 * 86'400e6;
 
-// Stands in for a table that is absent.
+// Read in place of a table that is absent, so that all of its values have their defaults.
 const toml::table kEmptyTable;
 
 struct DurationUnit {
--- a/src/config/toml_reader.h
+++ b/src/config/toml_reader.h
@@ -1,5 +1,5 @@
 // Typed access to TOML tables, for the operator file, scenarios and experiments. Every error names
-// the file, the line and the key. A key that was not read is also an error.
+// the file, the line and the key. An unknown key is an error.
 #pragma once
 
 #include <toml++/toml.h>
@@ -33,7 +33,7 @@
 /// microseconds. Returns nothing if `text` is not a duration or is longer than 366 days.
 std::optional<Duration> parse_duration(std::string_view text);
 
-/// Bounds of a uniform distribution.
+/// Bounds of a uniform distribution; equal bounds stand for a constant.
 struct Range {
   double from = 0;
   double to = 0;
@@ -67,7 +67,8 @@
   TomlReader table(std::string_view key);
   std::vector<TomlReader> tables(std::string_view key);
 
-  /// Returns the value, of any type, or null if the key is absent.
+  /// Returns the value as a node of any type, or null if the key is absent. The node is owned by
+  /// the table.
   const toml::node* raw(std::string_view key);
 
   /// Throws TomlError if the table contains a key that was not read.
--- a/src/http/chunked_decoder.cpp
+++ b/src/http/chunked_decoder.cpp
@@ -10,7 +10,7 @@
 namespace beechhill::http {
 namespace {
 
-// Maximum length in bytes of a line with a chunk's size and extensions, or with a trailer field.
+// Maximum length in bytes of a chunk's first line (its size and extensions) and of a trailer field.
 constexpr std::size_t kMaxLineBytes = 4096;
 constexpr int kHexadecimal = 16;
 
@@ -19,7 +19,8 @@
 Progress ChunkedDecoder::feed(std::string& buffer, std::string& body) {
   std::size_t used = 0;
   const Progress progress = decode(buffer, used, body);
-  // Erases once for all chunks: one erase for each chunk would take quadratic time on tiny chunks.
+  // Erases all decoded chunks at once. One erase per chunk would take quadratic time for tiny
+  // chunks.
   buffer.erase(0, used);
   return progress;
 }
@@ -55,7 +56,7 @@
   }
 }
 
-// Decodes one line outside of chunk data. Returns kNeedsMore where the body continues after it.
+// Decodes one line outside of chunk data. Returns kNeedsMore if the body continues after it.
 Progress ChunkedDecoder::decode_line(std::string_view line) {
   if (line.size() > kMaxLineBytes) {
     return Progress::kMalformed;
--- a/src/http/chunked_decoder.h
+++ b/src/http/chunked_decoder.h
@@ -14,7 +14,7 @@
  public:
   /// Removes the bytes that can be decoded from the front of `buffer` and appends the decoded body
   /// to `body`. On kNeedsMore, call again after appending more bytes to `buffer`. Returns
-  /// kMalformed where the framing is invalid. Runs in time linear in the size of `buffer`.
+  /// kMalformed if the framing is invalid. Runs in time linear in the size of `buffer`.
   Progress feed(std::string& buffer, std::string& body);
 
  private:
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -24,13 +24,13 @@
   /// Pairs of a name as received and a value without surrounding whitespace, in order of arrival.
   std::vector<std::pair<std::string, std::string>> fields;
 
-  /// Returns the value of the first field named `name`, or null where there is none. Names are
+  /// Returns the value of the first field named `name`, or null if there is none. Names are
   /// compared without regard to case. The pointer is valid until `fields` changes.
   const std::string* find(std::string_view name) const;
   /// Returns the number of fields named `name`, compared without regard to case.
   std::size_t count(std::string_view name) const;
-  /// Whether a field named `name`, read as a comma-separated list, contains `token`. Both are
-  /// compared without regard to case.
+  /// Returns whether a field named `name`, read as a comma-separated list, contains `token`. Both
+  /// are compared without regard to case.
   bool has_token(std::string_view name, std::string_view token) const;
 };
 
@@ -44,7 +44,7 @@
   Headers headers;
   std::string body;
 
-  /// Whether the connection persists after this message (RFC 9112, section 9.3).
+  /// Returns whether the connection persists after this message (RFC 9112, section 9.3).
   bool keep_alive() const;
 };
 
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -20,8 +20,8 @@
                       [](char c) { return (static_cast<unsigned char>(c) & 0x80) != 0; });
 }
 
-// Converts a target in absolute form to origin form (RFC 9112, section 3.2.2). Returns false where
-// its host is empty.
+// Converts a target in absolute form to origin form (RFC 9112, section 3.2.2). Returns false if its
+// host is empty.
 bool to_origin_form(std::string& target) {
   constexpr std::string_view kScheme = "http://";
   if (!equals_ignoring_case(std::string_view(target).substr(0, kScheme.size()), kScheme)) {
@@ -69,7 +69,7 @@
   return framing_ == Framing::kUntilClose ? Progress::kComplete : fail(400);
 }
 
-// Returns false where the empty lines exceed kMaxEmptyLineBytes.
+// Removes the empty lines before a request. Returns false if they exceed kMaxEmptyLineBytes.
 bool Parser::skip_empty_lines(std::string& buffer) {
   std::size_t skipped = 0;
   while (std::string_view(buffer).substr(skipped).starts_with(kLineEnd)) {
@@ -145,7 +145,7 @@
   return parse_version(line.substr(last_space + 1));
 }
 
-// "HTTP/1.1 200 OK"; the reason phrase may be absent.
+// Parses a status line such as "HTTP/1.1 200 OK". The reason phrase may be absent.
 bool Parser::parse_status_line(std::string_view line) {
   constexpr std::size_t kCodeStart = kVersionSize + 1;
   if (line.size() < kCodeStart + kStatusCodeSize || line[kVersionSize] != ' ') {
@@ -179,8 +179,8 @@
   const std::string_view name = line.substr(0, colon);
   const std::string_view value = trim(line.substr(colon + 1));
   if (!is_field_value(value)) {
-    // An invalid value, such as an unreadable load report, does not invalidate a response: the
-    // field is ignored. The fields that determine the framing must be valid.
+    // A response with an invalid field value is accepted without the field, unless the field
+    // determines the framing.
     return kind_ != Kind::kRequest && !equals_ignoring_case(name, "Content-Length") &&
            !equals_ignoring_case(name, "Transfer-Encoding");
   }
@@ -188,7 +188,7 @@
   return true;
 }
 
-// Returns nullopt where a framing field is repeated or has an unsupported value.
+// Returns nullopt if a framing field is repeated or has an unsupported value.
 std::optional<Parser::FramingFields> Parser::read_framing_fields() const {
   FramingFields fields;
   for (const auto& [name, value] : message_.headers.fields) {
@@ -208,15 +208,15 @@
   return fields;
 }
 
-// Implements RFC 9112, section 6.3, except that framings which a proxy need not support are
-// rejected.
+// Determines how the end of the body is found (RFC 9112, section 6.3). Framings that a proxy need
+// not support are rejected.
 bool Parser::determine_framing() {
   const std::optional<FramingFields> fields = read_framing_fields();
   if (!fields) {
     return false;
   }
-  // Two recipients could frame a message with both fields differently, which permits request
-  // smuggling.
+  // Rejects a message with both fields, as two recipients could frame it differently, which permits
+  // request smuggling.
   if (fields->is_chunked && fields->length) {
     return false;
   }
@@ -233,8 +233,8 @@
   } else if (length_ || !may_last_until_close) {
     framing_ = Framing::kLength;
   } else {
-    // Without a stated length or "Connection: close", a complete body cannot be told from a
-    // truncated one.
+    // Rejects a response without a stated length or "Connection: close", as its complete body
+    // cannot be distinguished from a truncated one.
     if (kind_ == Kind::kResponse && !message_.headers.has_token("Connection", "close")) {
       return false;
     }
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -13,8 +13,9 @@
 
 namespace beechhill::http {
 
-/// Parses one message. A caller uses exactly one of feed(), feed_part(), or feed_head() followed by
-/// feed_body(), with a buffer of received bytes; each call removes the parsed bytes from its front.
+/// Parses one message. A caller must use only feed(), only feed_part(), or feed_head() followed by
+/// feed_body(). Each call takes a buffer of received bytes and removes the parsed bytes from its
+/// front.
 class Parser {
  public:
   /// kResponseHead: only the head is parsed, so that a response without a stated body length is
@@ -25,16 +26,16 @@
 
   /// Parses a complete message with a body of at most kMaxBufferedBodyBytes.
   Progress feed(std::string& buffer);
-  /// Parses the head, then appends the received part of the body, of at most kMaxStreamedBodyBytes
-  /// in all, to message().body.
+  /// Parses the head, then appends the received part of the body to message().body. The whole body
+  /// may have at most kMaxStreamedBodyBytes.
   Progress feed_part(std::string& buffer);
   /// Parses the head alone.
   Progress feed_head(std::string& buffer);
-  /// Appends the received part of the body to `body`, at most kMaxStreamedBodyBytes in all. Must be
-  /// called only after the head is complete.
+  /// Appends the received part of the body to `body`. The whole body may have at most
+  /// kMaxStreamedBodyBytes. Must be called only after the head is complete.
   Progress feed_body(std::string& buffer, std::string& body);
-  /// Handles the end of the connection: kComplete where the body lasts until then, else
-  /// kMalformed.
+  /// Handles the end of the connection. Returns kComplete if the end of the connection ends the
+  /// body, otherwise kMalformed, as the message is truncated.
   Progress end();
 
   Message& message() { return message_; }
@@ -42,7 +43,7 @@
   bool chunked() const { return framing_ == Framing::kChunked; }
   /// The body's length in bytes as stated by Content-Length.
   std::optional<std::uint64_t> length() const { return length_; }
-  /// The status code of the response to a request for which a call returned kMalformed.
+  /// Status code with which to answer a request after a call returned kMalformed.
   int error_status() const { return error_status_; }
 
  private:
@@ -69,7 +70,7 @@
   std::optional<std::uint64_t> length_;
   std::size_t body_bytes_left_ = 0;
   std::size_t decoded_bytes_ = 0;
-  // Bytes at the front of the buffer that are known not to contain the end of the head.
+  // Number of bytes at the front of the buffer that do not contain the end of the head.
   std::size_t scanned_bytes_ = 0;
   std::size_t empty_line_bytes_ = 0;
   std::size_t interim_responses_ = 0;
@@ -77,9 +78,8 @@
   int error_status_ = 400;
 };
 
-/// Whether `bytes`, after any empty lines, may be the beginning of a GET or POST request: the
-/// method, complete or not. Bytes after a request that fail this test show that the stated length
-/// of that request was wrong.
+/// Returns whether `bytes`, after any empty lines, begins with a GET or POST method or with a part
+/// of one. If the bytes after a request do not, the stated length of that request was wrong.
 bool may_begin_request(std::string_view bytes);
 
 }  // namespace beechhill::http
--- a/src/http/progress.h
+++ b/src/http/progress.h
@@ -3,7 +3,7 @@
 
 namespace beechhill::http {
 
-/// kNeedsMore: the parser needs further bytes. kMalformed: the input is malformed or exceeds a size
+/// kNeedsMore: the parser needs more bytes. kMalformed: the input is malformed or exceeds a size
 /// limit; the parser must not be used again.
 enum class Progress { kNeedsMore, kComplete, kMalformed };
 
--- a/src/http/syntax.h
+++ b/src/http/syntax.h
@@ -7,17 +7,18 @@
 
 inline constexpr std::string_view kLineEnd = "\r\n";
 
-/// Compares strings without regard to the case of ASCII letters.
+/// Returns whether `a` and `b` are equal without regard to the case of ASCII letters.
 bool equals_ignoring_case(std::string_view a, std::string_view b);
 
 /// Returns `text` without leading and trailing spaces and tabs.
 std::string_view trim(std::string_view text);
 
-/// Whether `text` is a token: one or more ASCII letters, digits and characters of
+/// Returns whether `text` is a token: one or more ASCII letters, digits and characters of
 /// "!#$%&'*+-.^_`|~".
 bool is_token(std::string_view text);
 
-/// Whether `text` contains no control characters and no whitespace. Bytes over 0x7f are accepted.
+/// Returns whether `text` contains no control characters and no whitespace. Bytes over 0x7f are
+/// accepted.
 bool is_visible(std::string_view text);
 
 /// Like is_visible(), but also accepts spaces and tabs.
--- a/src/http/writer.h
+++ b/src/http/writer.h
@@ -23,7 +23,7 @@
 std::string write_request_head(std::string_view method, std::string_view target,
                                std::string_view host, std::string_view extra_headers,
                                std::optional<std::uint64_t> length);
-/// Returns a request with its body. Content-Length is written where the body is not empty or the
+/// Returns a request with its body. Content-Length is written if the body is not empty or the
 /// method is POST.
 std::string write_request(std::string_view method, std::string_view target, std::string_view host,
                           std::string_view extra_headers, std::string_view body);
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -31,7 +31,8 @@
 
 std::atomic<std::uint64_t> lines_written{0};
 
-// Writes to standard output. Used only by the single thread of the pool, so it needs no mutex.
+// A sink that writes to standard output. Used only by the single thread of the pool, so it needs no
+// mutex.
 class StandardOutput : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  public:
   explicit StandardOutput(Format format) : format_(format) {}
@@ -55,8 +56,8 @@
   std::uint64_t reported_drops_ = 0;
 };
 
-// Never destroyed, because destruction would join a thread that may be blocked in write() and so
-// block the exit of the program.
+// The state of the log after start(). Never destroyed: the destructor would join the writer thread,
+// which may be blocked in write(), and so block the exit of the program.
 struct Writer {
   Settings settings;
   std::shared_ptr<spdlog::details::thread_pool> pool;
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -18,6 +18,7 @@
 enum class Level { kDebug, kInfo, kWarning, kError, kOff };
 enum class Format { kLogfmt, kJson };
 
+/// Settings of the log.
 struct Settings {
   /// Events with a lower level are not written.
   Level level = Level::kInfo;
@@ -28,6 +29,7 @@
   std::size_t queue = 2048;
 };
 
+/// A typed field of an event.
 struct Field {
   /// The field's name, which consists of letters, digits, '_' and '.'.
   std::string_view name;
@@ -40,16 +42,18 @@
 std::string format_line(Format format, Level level, std::string_view name, const Field* fields,
                         std::size_t count, const std::chrono::system_clock::time_point* at);
 
-/// Starts the writer thread. Must be called at most once in a process, after its signals are
-/// blocked. Until then, events are written synchronously by the thread that logs them.
+/// Starts the writer thread. Must be called at most once in a process, after the signals of the
+/// process are blocked. Before this call, events are written synchronously by the thread that logs
+/// them.
 void start(const Settings& settings);
 /// Changes the level; the other settings are fixed by start().
 void set_level(Level level);
-/// Waits at most `timeout` until all logged lines are written. Lines that remain are lost.
+/// Waits until all logged lines are written or dropped, at most for `timeout`. If the program then
+/// ends, the remaining lines are lost.
 void finish(std::chrono::milliseconds timeout);
 /// Logs an event. After start() it never blocks and may be called by any thread.
 void event(Level level, std::string_view name, std::initializer_list<Field> fields);
-/// Returns the number of lines dropped so far.
+/// Returns the number of lines dropped because the queue was full, since start().
 std::uint64_t dropped();
 
 inline void info(std::string_view name, std::initializer_list<Field> fields = {}) {
--- a/src/log/log_line.cpp
+++ b/src/log/log_line.cpp
@@ -47,7 +47,8 @@
 std::string format_value(Format, std::uint64_t value) {
   return std::to_string(value);
 }
-// JSON cannot represent infinity and NaN, so they are written as null.
+// Formats a floating-point value. JSON cannot represent infinity and NaN, so they are written as
+// null.
 std::string format_value(Format format, double value) {
   return format == Format::kJson && !std::isfinite(value) ? "null" : fmt::format("{:g}", value);
 }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -32,7 +32,7 @@
 constexpr int kFailure = 1;
 constexpr int kUsageError = 2;
 
-// The longest time for which a stalled reader of the log may delay the exit of the program.
+// Maximum time for which a stalled reader of the log delays the exit of the program.
 constexpr auto kLogFlushTimeout = 250ms;
 
 std::string operator_file_from_environment() {
@@ -64,7 +64,8 @@
   return kSuccess;
 }
 
-// Reads both files as serve() does. `config` takes precedence over GW_CONFIG.
+// Reads and validates both files as serve() does, and returns the exit code. `config` takes
+// precedence over GW_CONFIG.
 int check(const std::string& config, const std::string& operator_file) {
   if (!config.empty()) {
     ::setenv("GW_CONFIG", config.c_str(), 1);
--- a/src/net/datagram.cpp
+++ b/src/net/datagram.cpp
@@ -35,7 +35,8 @@
     if (size >= 0) {
       return std::string(buffer.data(), static_cast<std::size_t>(size));
     }
-    // ECONNREFUSED reports the failure of a datagram sent earlier: the next one may be pending.
+    // ECONNREFUSED reports that a datagram sent earlier was not delivered. A received datagram may
+    // still be pending.
     if (errno != EINTR && errno != ECONNREFUSED) {
       return std::nullopt;
     }
--- a/src/net/datagram.h
+++ b/src/net/datagram.h
@@ -16,11 +16,11 @@
 /// A non-blocking IPv4 UDP socket bound to one address. Must be used on the event loop thread.
 class DatagramSocket {
  public:
-  /// Throws std::system_error where the socket cannot be created or bound to `address`.
+  /// Throws std::system_error if the socket cannot be created or bound to `address`.
   DatagramSocket(runtime::Scheduler& scheduler, const sockaddr_in& address);
 
   /// Returns the next datagram, truncated to 2,048 bytes, and sets `from` to its sender. Returns
-  /// nullopt where none is pending; io() then becomes readable once the next one arrives.
+  /// nullopt if none is pending; io() then becomes readable when the next one arrives.
   std::optional<std::string> take(sockaddr_in& from);
   /// Sends a datagram. Delivery is best effort: errors are ignored, and a datagram that the kernel
   /// does not accept is lost.
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -45,7 +45,7 @@
          address.sin_family == AF_INET;
 }
 
-// Makes `fd` non-blocking and returns it. Throws std::invalid_argument where it is not a listening
+// Makes `fd` non-blocking and returns it. Throws std::invalid_argument if it is not a listening
 // IPv4 TCP socket.
 FileDescriptor check_listening(FileDescriptor fd) {
   const bool listening_tcp = has_socket_option(fd, SO_ACCEPTCONN, 1) &&
@@ -75,7 +75,7 @@
     if (accepted) {
       return IoResult::kOk;
     }
-    // ECONNABORTED: a pending connection was reset. Another one may be pending.
+    // ECONNABORTED reports that a pending connection was reset. Another one may be pending.
     if (errno == EINTR || errno == ECONNABORTED) {
       continue;
     }
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -12,11 +12,11 @@
 /// Accepts connections on one address. Must be used on the event loop thread.
 class Listener {
  public:
-  /// Throws std::system_error where listening on `address` fails.
+  /// Throws std::system_error if listening on `address` fails.
   Listener(runtime::Scheduler& scheduler, const sockaddr_in& address);
   /// Takes ownership of a socket that already listens and may be shared with other processes. Makes
   /// it non-blocking, which affects these processes too because they share the flag, and never
-  /// calls shutdown() on it. Throws std::invalid_argument where it is not a listening IPv4 TCP
+  /// calls shutdown() on it. Throws std::invalid_argument if it is not a listening IPv4 TCP
   /// socket.
   Listener(runtime::Scheduler& scheduler, FileDescriptor listening);
 
@@ -25,7 +25,7 @@
   /// connection is pending but cannot be accepted, for example because no descriptor is free.
   runtime::Task<IoResult> accept(runtime::TimePoint deadline, FileDescriptor& accepted,
                                  sockaddr_in& from, runtime::Notifier* notifier = nullptr);
-  /// Like accept(), but does not wait: returns kTimeout where no connection is pending.
+  /// Like accept(), but does not wait: returns kTimeout if no connection is pending.
   IoResult accept_now(FileDescriptor& accepted, sockaddr_in& from);
   /// Returns the listening address, with the port that the kernel chose if port 0 was requested.
   sockaddr_in address() const;
--- a/src/net/socket_internal.h
+++ b/src/net/socket_internal.h
@@ -9,7 +9,7 @@
 
 namespace beechhill::net {
 
-/// Whether errno reports that a non-blocking call would have to wait.
+/// Returns whether errno reports that a non-blocking call would have to wait.
 inline bool would_block() {
   return errno == EAGAIN || errno == EWOULDBLOCK;
 }
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -61,8 +61,8 @@
   co_return stream;
 }
 
-// Reads the available bytes. Returns nullopt where the caller has to wait. Separate from read() to
-// keep the array out of the coroutine frame.
+// Reads the available bytes. Returns nullopt if the caller has to wait. Separate from read() to
+// keep the read buffer out of the coroutine frame.
 std::optional<IoResult> Stream::read_now(std::string& buffer) {
   std::array<char, kReadChunkBytes> chunk;
   for (;;) {
@@ -121,8 +121,8 @@
     if (wake == Wake::kNotified) {
       co_return IoResult::kNotified;
     }
-    // After a time-out, reads once more: if this process was delayed, bytes may have arrived before
-    // the deadline.
+    // After a time-out, reads once more, as bytes may have arrived before the deadline while this
+    // process was delayed.
     timed_out = wake == Wake::kTime;
   }
 }
@@ -183,7 +183,7 @@
     Wait wait(scheduler_);
     wait.notified(notifier);
     if (result) {
-      // More bytes may be available: yields to other coroutines before reading again.
+      // Yields to other coroutines before reading again, as more bytes may be available at once.
       wait.until(Clock::now());
     } else {
       wait.until(deadline).readable(io_);
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -48,8 +48,8 @@
   /// the peer need not have received them.
   runtime::Task<IoResult> write(std::string_view bytes, runtime::TimePoint deadline);
 
-  /// Whether the peer of an idle connection has closed it or sent unsolicited bytes. Does not wait,
-  /// and leaves the bytes unread.
+  /// Returns whether the peer of an idle connection has closed it or sent unsolicited bytes. Does
+  /// not wait, and leaves the bytes unread.
   bool stale();
   /// Sets the watcher that is called when stale() may have become true, while no coroutine reads.
   /// Null removes it. The watcher must outlive the stream or be removed first.
@@ -72,7 +72,7 @@
   runtime::Scheduler& scheduler_;
   FileDescriptor fd_;
   runtime::IoSource io_;
-  /// Bytes read since a read() of this stream last waited.
+  /// Number of bytes read since a read() of this stream last waited.
   std::size_t bytes_this_turn_ = 0;
 };
 
--- a/src/runtime/mailbox.h
+++ b/src/runtime/mailbox.h
@@ -17,8 +17,8 @@
  public:
   explicit Mailbox(std::size_t capacity) : capacity_(capacity) {}
 
-  /// Queues `message`. Returns false and leaves `message` unmoved where the mailbox is full: the
-  /// sender must handle that.
+  /// Queues `message`. Returns false and leaves `message` unmoved if the mailbox is full, which
+  /// the sender must handle.
   [[nodiscard]] bool post(T&& message) {
     if (messages_.size() >= capacity_) {
       return false;
@@ -28,8 +28,8 @@
     return true;
   }
 
-  /// Removes all queued messages for which `is_replaced` holds and queues `message`, even where the
-  /// mailbox is full. It can thereby exceed its capacity by one message. O(n).
+  /// Removes all queued messages for which `is_replaced` holds and queues `message`, even if the
+  /// mailbox is full, so that it may exceed its capacity by one message. Takes linear time.
   template <typename Predicate>
   void replace(T message, const Predicate& is_replaced) {
     std::erase_if(messages_, is_replaced);
--- a/src/runtime/pending_reply.h
+++ b/src/runtime/pending_reply.h
@@ -32,7 +32,7 @@
   }
 };
 
-/// The HTTP status code, Service Unavailable, that stands for a reply not completed in time.
+/// HTTP status code (Service Unavailable) of a reply that was not completed in time.
 inline constexpr int kReplyTimeoutStatus = 503;
 
 /// A pending reply with a text body.
@@ -40,7 +40,7 @@
   std::string text;
 };
 
-/// Waits until `reply` is complete. Returns its status, or kReplyTimeoutStatus where it is not
+/// Waits until `reply` is complete. Returns its status, or kReplyTimeoutStatus if it is not
 /// complete within `timeout`.
 inline Task<int> await_reply(Scheduler& scheduler, std::shared_ptr<PendingReply> reply,
                              std::chrono::milliseconds timeout) {
--- a/src/runtime/scheduler.cpp
+++ b/src/runtime/scheduler.cpp
@@ -14,7 +14,7 @@
 
 // Maximum number of events that one epoll_wait() reports; the next call reports the remaining ones.
 constexpr std::size_t kMaxEventsPerPoll = 128;
-// Keeps the time-out within the int that epoll_wait() takes. An early time-out is harmless, as the
+// Maximum time-out of one epoll_wait(), which takes it as an int. If no event is due by then, the
 // event loop polls again.
 constexpr std::int64_t kMaxPollTimeoutMs = 60'000;
 constexpr int kNoPollTimeout = -1;
@@ -47,8 +47,8 @@
     return;
   }
   dequeue(it->second.start);
-  // Destroyed only after the erasure, because the destructors of its locals may cancel other tasks
-  // and thereby modify tasks_.
+  // Moves the task out, so that it is destroyed after the erasure: the destructors of the
+  // coroutine's locals may cancel other tasks and thereby modify tasks_.
   const Task<> task = std::move(it->second.task);
   tasks_.erase(it);
 }
@@ -74,8 +74,8 @@
 }
 
 void Scheduler::run_ready() {
-  // Coroutines that become ready meanwhile wait for the next round, so that descriptors and timers
-  // are polled in between.
+  // Coroutines that become ready during this loop are resumed by the next call, so that descriptors
+  // and timers are polled in between.
   for (std::size_t remaining = ready_.size(); remaining > 0 && !ready_.empty(); --remaining) {
     ReadyEntry& entry = *ready_.front();
     const std::coroutine_handle<> handle = entry.handle;
--- a/src/runtime/scheduler.h
+++ b/src/runtime/scheduler.h
@@ -18,7 +18,7 @@
 /// Owns the spawned tasks, the ready queue, the timers and an epoll instance. Not thread-safe.
 class Scheduler {
  public:
-  /// Throws std::system_error where epoll_create1() fails.
+  /// Throws std::system_error if epoll_create1() fails.
   Scheduler();
   /// Cancels all tasks.
   ~Scheduler();
@@ -64,7 +64,7 @@
 
   int epoll_fd_;
   bool stopped_ = false;
-  /// The exception of the task that ended with one.
+  /// The exception that ended a task, to be rethrown by run(); null if there is none.
   std::exception_ptr task_error_;
   TaskId next_task_id_ = 1;
   ReadyQueue ready_;
--- a/src/runtime/wait.cpp
+++ b/src/runtime/wait.cpp
@@ -111,7 +111,7 @@
     scheduler_.timers_.erase(*timer_);
   }
   timer_.reset();
-  // Without this, the scheduler would resume a coroutine that has been destroyed.
+  // Prevents the scheduler from resuming a coroutine that has been destroyed.
   scheduler_.dequeue(ready_entry_);
 }
 
--- a/src/runtime/wait.h
+++ b/src/runtime/wait.h
@@ -17,14 +17,14 @@
 class Wait;
 
 struct ReadyEntry;
-/// The coroutines to be resumed, in this order.
+/// The coroutines that are ready, in the order in which they will be resumed.
 using ReadyQueue = std::list<ReadyEntry*>;
 
 /// A coroutine's entry in the ready queue. Its owner must dequeue it before the coroutine is
 /// destroyed.
 struct ReadyEntry {
   std::coroutine_handle<> handle;
-  /// The position in the ready queue; nullopt where the coroutine is not queued.
+  /// The position in the ready queue; nullopt if the coroutine is not queued.
   std::optional<ReadyQueue::iterator> position;
 };
 
@@ -45,17 +45,17 @@
 /// read and one to write at a time. Does not own the descriptor, which must outlive the IoSource.
 class IoSource {
  public:
-  /// Throws std::system_error where the descriptor cannot be registered with epoll.
+  /// Throws std::system_error if the descriptor cannot be registered with epoll.
   IoSource(Scheduler& scheduler, int fd);
   ~IoSource();
   IoSource(const IoSource&) = delete;
   IoSource& operator=(const IoSource&) = delete;
 
   /// Sets the watcher; null removes it. The watcher is not called for bytes that arrived before
-  /// this call: read until EAGAIN first.
+  /// this call, so the caller must first read until EAGAIN.
   void watch(IoWatcher* watcher) { watcher_ = watcher; }
-  /// Whether the peer has closed its sending side or the connection has failed. Bytes received
-  /// before may still be unread.
+  /// Returns whether the peer has closed its sending side or the connection has failed. Bytes
+  /// received before may still be unread.
   bool ended() const { return ended_; }
 
  private:
@@ -70,8 +70,9 @@
   IoWatcher* watcher_ = nullptr;
 };
 
-/// Wakes the one Wait that waits for it. If there is none, the next Wait on it ends at once.
-/// Repeated notifications before that count as one.
+/// Lets one coroutine notify another. notify() ends the Wait to which this notifier was added. If
+/// there is no such Wait, the next one ends at once; until then, further notifications have no
+/// effect. At most one Wait at a time may use a notifier.
 class Notifier {
  public:
   Notifier() = default;
@@ -102,7 +103,7 @@
   Wait(const Wait&) = delete;
   Wait& operator=(const Wait&) = delete;
 
-  /// Each call adds an event. At most one event of each kind may be added.
+  /// Each of these functions adds an event. At most one event of each kind may be added.
   Wait& readable(IoSource& source);
   Wait& writable(IoSource& source);
   Wait& until(TimePoint deadline);
--- a/tests/coordinator_settings_test.cpp
+++ b/tests/coordinator_settings_test.cpp
@@ -20,7 +20,7 @@
 TEST(CoordinatorSettings, PreservesTheLastBackendOnlyWhereAClassDeduplicates) {
   config::Config config;
   config::MaintenanceSettings maintenance;
-  // Ignored: derived from the classes, not set by operators.
+  // This value must be ignored, as it is derived from the classes and not set by operators.
   maintenance.disruption_budget.preserve_last_in_cell = true;
   config.named_settings.settings.classes = {
       class_with(Idempotency::kIdempotencyKey, DeduplicationScope::kZone, 2s),
--- a/tests/http_parser_test.cpp
+++ b/tests/http_parser_test.cpp
@@ -11,9 +11,9 @@
   Parser::Kind kind;
   std::string bytes;
   Progress progress;
-  int error_status = 0;   // The expected status code for a malformed request.
-  std::string body = {};  // The expected body of a complete message.
-  std::string rest = {};  // The bytes expected to remain in the buffer after a complete message.
+  int error_status = 0;   // Expected status code for a malformed request.
+  std::string body = {};  // Expected body of a complete message.
+  std::string rest = {};  // Bytes that must remain in the buffer after a complete message.
 };
 
 const auto kRequest = Parser::Kind::kRequest;
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -72,10 +72,10 @@
   for (int i = 0; i < 20'000; ++i) {
     info("line", {{"number", std::int64_t{i}}, {"padding", std::string_view(padding)}});
   }
-  if (dropped() <= 10'000) {  // more than half, as a pipe holds only 64 KiB
+  if (dropped() <= 10'000) {  // More than half must be dropped, as a pipe holds only 64 KiB.
     std::abort();
   }
-  finish(50ms);  // must return even though nobody reads
+  finish(50ms);  // This must return although nobody reads the pipe.
   ::raise(SIGSTOP);
   info("last");
   finish(test::kTestTimeout);
--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -26,7 +26,8 @@
 }
 
 // Callers that send nothing or half a call hold all operator connections, and clients hold all of
-// theirs. A complete call must still be answered, which requires that the idle callers are evicted.
+// the descriptors for clients. A complete call must still be answered, which requires that the idle
+// callers are evicted.
 TEST(OperatorCalls, AreAnsweredWhileIdleCallersAndClientsHoldAllConnections) {
   const FakeListener first, second;
   const ProxyUnderTest proxy(hosts_json(first, second));
@@ -50,7 +51,7 @@
 }
 
 // Each accepted request is counted exactly once, as pending, completed, rejected or failed, unless
-// its client leaves. Every class is listed before its first request.
+// its client disconnects. Every class is listed before its first request.
 TEST(OperatorTelemetry, CountsEachRequestOnce) {
   const FakeListener backend;
   const ProxyUnderTest proxy("[" + host_json("s-1", backend.address()) + "]");
@@ -103,8 +104,8 @@
   expect_status(client, 200);
 }
 
-// Repeats a request until the backend gets it. An included backend is in slow start, so the first
-// requests may be rejected with a Retry-After.
+// Repeats a request until the backend receives it, and answers it. A backend that has just been
+// included is in slow start, so the first requests may be rejected with a Retry-After.
 void answer_eventually(const FakeListener& backend, TestConnection& client, const std::string& id) {
   for (int attempt = 0;; ++attempt) {
     client.send(ProxyUnderTest::get(id + std::to_string(attempt)));
@@ -113,7 +114,7 @@
       return answer_next(backend, client);
     }
     expect_status(client, 503);
-    ASSERT_LT(attempt, 8);  // takes at most 5 s
+    ASSERT_LT(attempt, 8);  // The requests take at most 5 s.
   }
 }
 
@@ -168,7 +169,7 @@
   expect_status(client, 200);
   EXPECT_EQ(proxy.admin_request("PUT", "/api/exclude?target=s-1").status, 200);
   EXPECT_FALSE(server.receive());
-  // If it were queued, it would wait for half of its latency objective.
+  // The request must not be queued, where it would wait for half of its latency objective.
   client.send(ProxyUnderTest::get("a2", 60000));
   const http::Message answer = client.response();
   EXPECT_EQ(answer.status, 503);
@@ -177,8 +178,9 @@
   answer_eventually(backend, client, "c");
 }
 
-// A drained proxy is not ready, but still serves new clients. It closes idle connections, and each
-// other connection with the last response that it owes. It can be resumed or shut down.
+// A drained proxy is not ready, but still serves new clients. It closes idle connections at once
+// and each other connection after the response to the last request that it has read. It can be
+// resumed or shut down.
 TEST(OperatorDrain, ClosesClientConnectionsUntilResumed) {
   const FakeListener backend;
   ProxyUnderTest proxy("[" + host_json("s-1", backend.address()) + "]");
@@ -217,7 +219,7 @@
   other.request();
   other.reply(200, "", "4");
   EXPECT_EQ(fresh.response().body, "4");
-  EXPECT_FALSE(idle.receive());  // closed by the drain, as it has no pending request
+  EXPECT_FALSE(idle.receive());  // The drain closes a connection without a pending request.
   server.reply(200, "", "1");
   answer = busy.response();
   EXPECT_EQ(answer.body, "1");
@@ -234,7 +236,7 @@
   EXPECT_EQ(answer.body, "5");
   EXPECT_TRUE(answer.keep_alive());
   EXPECT_EQ(proxy.admin_request("PUT", "/api/evacuate").status, 200);
-  proxy.signal(SIGTERM);  // must also work during a drain
+  proxy.signal(SIGTERM);  // A shutdown must also work during a drain.
   EXPECT_EQ(proxy.exit_status(), 0);
 }
 
