--- a/simhost/instance.h
+++ b/simhost/instance.h
@@ -14,6 +14,7 @@
 
 namespace beechhill::wire {
 
+/// A balancer with the names and the requests of the simulator that it has received.
 class Instance {
  public:
   /// `begin` is the "Begin" event, which contains the settings. Appends the balancer's first
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -72,7 +72,7 @@
   const std::function<bool()> is_ready_;
   const ClusterHandler cluster_handler_;
   net::Listener listener_;
-  std::list<std::shared_ptr<Connection>> connections_;  // oldest first
+  std::list<std::shared_ptr<Connection>> connections_;  // sorted by age, the oldest first
   runtime::Notifier connection_ended_;
 };
 
--- a/src/admin/command.cpp
+++ b/src/admin/command.cpp
@@ -28,7 +28,7 @@
     {"GET", "/api/maintenance", CommandType::kMaintenanceStatus, Arguments::kParameters},
 };
 
-// Route of maintenance commands. The name of the action follows this prefix in the path.
+// Route of maintenance commands. The name of the action follows the prefix in the path.
 constexpr Route kMaintenanceCommandRoute = {
     "PUT", kMaintenanceCommandPrefix, CommandType::kMaintenanceCommand, Arguments::kParameters};
 
--- a/src/admin/command.h
+++ b/src/admin/command.h
@@ -34,7 +34,7 @@
 
 enum class CommandError { kMalformed, kUnknown, kWrongMethod };
 
-/// Returns the HTTP status code for a call with this error.
+/// Returns the HTTP status code of the response to a call that has this error.
 int status_code(CommandError error);
 
 using ParsedCommand = std::variant<Command, CommandError>;
--- a/src/admin/query_string.cpp
+++ b/src/admin/query_string.cpp
@@ -13,7 +13,7 @@
 
 struct RawParameter {
   std::string_view name;
-  std::optional<std::string_view> value;  // not decoded; absent if there is no '='
+  std::optional<std::string_view> value;  // the undecoded value; absent if there is no '='
 };
 
 // Removes the first parameter from the front of `query` and returns it.
--- a/src/bootstrap/cluster.h
+++ b/src/bootstrap/cluster.h
@@ -12,7 +12,7 @@
 
 namespace beechhill::bootstrap {
 
-/// This process's member of the cluster. Must be used on the scheduler's thread.
+/// This process's membership of the cluster. Must be used on the scheduler's thread.
 class Cluster {
  public:
   virtual ~Cluster() = default;
--- a/src/bootstrap/resource_allocation.h
+++ b/src/bootstrap/resource_allocation.h
@@ -13,7 +13,7 @@
 /// standard streams, epoll, signals, listeners, discovery and operators' connections.
 std::size_t reserved_descriptors();
 
-/// Divides the descriptors for connections into those for clients and those for backends.
+/// The numbers of descriptors that one process may use for client and for backend connections.
 class DescriptorAllocation {
  public:
   /// `available`: the number of descriptors for client and backend connections together.
--- a/src/bootstrap/restored_state.h
+++ b/src/bootstrap/restored_state.h
@@ -14,9 +14,10 @@
 
 namespace beechhill::bootstrap {
 
+/// The saved state, with the directory and the store from which it was read.
 struct RestoredState {
-  /// Directory of the state shared by the processes of one proxy. Null if no directory is
-  /// configured or it cannot be opened.
+  /// Directory of the state shared by the processes of one proxy. Null if the listener is
+  /// not inherited or the directory cannot be opened.
   std::unique_ptr<hot_restart::SharedStateDirectory> shared_directory;
   /// Null if snapshots are disabled or the store cannot be opened.
   std::unique_ptr<snapshot::SnapshotStore> snapshot_store;
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -12,7 +12,7 @@
 
 namespace beechhill::config {
 
-/// The configuration of one proxy, with the values from environment variables applied.
+/// The configuration of one proxy.
 struct Config {
   std::string name;
   sockaddr_in listen{};
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -95,7 +95,7 @@
     check_address(table, "seeds", seed);
   }
   if (!settings.listen_address.empty() && settings.key_file.empty()) {
-    table.fault("key_file", "missing; required where membership.listen is set");
+    table.fault("key_file", "missing; required if membership.listen is set");
   }
 #ifndef BEECHHILL_CLUSTER
   if (!settings.listen_address.empty()) {
--- a/src/config/operator_file.h
+++ b/src/config/operator_file.h
@@ -28,7 +28,7 @@
   std::string listen_address;
   /// Address to which the other members send datagrams. If it is empty, `listen_address` is used.
   std::string advertised_address;
-  /// Addresses of other members that this process contacts in order to join.
+  /// Addresses of other members that this process contacts to join or rejoin the cluster.
   std::vector<std::string> seed_addresses;
   /// File with one key per line, as 64 hexadecimal digits. The first key signs datagrams; a second
   /// key is also accepted on received ones.
@@ -44,7 +44,7 @@
   /// Directory of the Raft log if this proxy is a voter, on a disk that outlives the process.
   std::string storage_directory;
   Duration lease_duration{5'000'000};
-  /// Time for which a proxy keeps serving after its lease has expired; 0: without limit.
+  /// Time for which a proxy keeps serving after its lease has expired; 0 means no limit.
   Duration isolation_timeout{0};
   Duration initial_lease_timeout{5'000'000};
   bool serve_without_lease = false;
--- a/src/config/toml_reader.cpp
+++ b/src/config/toml_reader.cpp
@@ -204,7 +204,7 @@
   const std::optional<Duration> value =
       text != nullptr ? parse_duration(text->get()) : std::nullopt;
   if (!value) {
-    fault(key, "not a span of time such as \"250ms\", \"1.5s\" or \"2m\"");
+    fault(key, "not a duration such as \"250ms\", \"1.5s\" or \"2m\"");
   }
   if (*value < min) {
     fault(key, "must be at least " + std::to_string(min.count()) + "us");
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -78,8 +78,9 @@
   int error_status_ = 400;
 };
 
-/// Returns whether `bytes`, after any empty lines, begins with a GET or POST method or with a part
-/// of one. If the bytes after a request do not, the stated length of that request was wrong.
+/// Returns whether `bytes` may be the beginning of a GET or POST request, which empty lines may
+/// precede. An incomplete method is accepted. If this function returns false for the bytes after a
+/// request, the stated length of that request was wrong.
 bool may_begin_request(std::string_view bytes);
 
 }  // namespace beechhill::http
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -59,9 +59,9 @@
             "2023-11-14T22:13:20.123Z x");
 }
 
-// Child process: while nobody reads the pipe, logs more than the queue and the pipe can hold, then
-// stops itself with SIGSTOP. After SIGCONT it logs one more line and waits until all lines are
-// written. Aborts if too few lines were dropped.
+// Runs in a child process. Logs more than the queue and the pipe can hold while nobody reads the
+// pipe, then stops itself with SIGSTOP. After SIGCONT it logs one more line and waits until all
+// lines are written. Aborts if too few lines were dropped.
 [[noreturn]] void log_into_a_stalled_pipe(int out) {
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
   ::dup2(out, STDOUT_FILENO);
@@ -93,7 +93,7 @@
 
 struct LineCounts {
   long long written = 0;
-  long long dropped = 0;  // sum of the counts in log_dropped lines
+  long long dropped = 0;  // the sum of the counts in log_dropped lines
 };
 
 LineCounts count_lines(const std::string& text) {
@@ -136,7 +136,7 @@
   EXPECT_EQ(counts.written + counts.dropped, 20'001);
 }
 
-// Child process: logs from several threads at once and waits until all lines are written.
+// Runs in a child process. Logs from several threads at once and waits until all lines are written.
 [[noreturn]] void log_from_threads(int out, int thread_count, int lines_per_thread) {
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
   ::dup2(out, STDOUT_FILENO);
