--- a/src/bootstrap/no_cluster.cpp
+++ b/src/bootstrap/no_cluster.cpp
@@ -4,7 +4,8 @@
 namespace beechhill::bootstrap {
 
 std::unique_ptr<Cluster> join_cluster(const ClusterDependencies& /*dependencies*/) {
-  // In these builds, reading the operator file fails if membership.listen is set.
+  // Membership is never enabled here, as reading the operator file fails in these builds if
+  // membership.listen is set.
   return nullptr;
 }
 
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -17,11 +17,13 @@
   std::string name;
   sockaddr_in listen{};
   sockaddr_in discovery{};
-  /// Listening address for operators' calls; absent: operators cannot connect.
+  /// Listening address for operators' calls. If it is absent, operators cannot connect.
   std::optional<sockaddr_in> admin;
-  /// A descriptor that already listens for clients; absent: the process binds `listen` itself.
+  /// A descriptor that already listens for clients. If it is absent, the process itself listens on
+  /// `listen`.
   std::optional<int> inherited_listener_fd;
-  /// Directory of the state that the processes of one proxy share; empty: no state is shared.
+  /// Directory of the state that the processes of one proxy share. If it is empty, no state is
+  /// shared.
   std::string shared_state_directory;
   std::uint32_t max_descriptors = 1024;
   std::uint32_t memory_mb = 192;
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -35,10 +35,10 @@
 };
 
 struct Message {
-  /// Set for requests. The target is in origin form: it begins with '/'.
+  /// Set in requests. The target is in origin form: it begins with '/'.
   std::string method;
   std::string target;
-  /// Set for responses.
+  /// Set in responses.
   int status = 0;
   int minor_version = 1;
   Headers headers;
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -18,8 +18,8 @@
 /// front.
 class Parser {
  public:
-  /// kResponseHead: only the head is parsed, so that a response without a stated body length is
-  /// accepted.
+  /// With kResponseHead, only the head is parsed, so that a response without a stated body length
+  /// is accepted.
   enum class Kind { kRequest, kResponse, kResponseHead };
 
   explicit Parser(Kind kind) : kind_(kind) {}
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -24,9 +24,9 @@
   kError
 };
 
-/// A connected, non-blocking TCP socket. At most one coroutine reads and one writes at a time, on
-/// the event loop thread. Deadlines are absolute. Data that is already available is read even after
-/// the deadline.
+/// A connected, non-blocking TCP socket. At most one coroutine may read and one may write at a
+/// time, on the event loop thread. Deadlines are absolute. Data that is already available is read
+/// even after the deadline.
 class Stream {
  public:
   Stream(runtime::Scheduler& scheduler, FileDescriptor fd);
--- a/src/runtime/wait.h
+++ b/src/runtime/wait.h
@@ -41,8 +41,9 @@
 };
 
 /// Registers a descriptor with the scheduler's epoll instance. The registration is edge-triggered:
-/// a Wait on it is valid only after a call that failed with EAGAIN. At most one coroutine waits to
-/// read and one to write at a time. Does not own the descriptor, which must outlive the IoSource.
+/// a Wait on it is valid only after a call that failed with EAGAIN. At most one coroutine may wait
+/// to read and one to write at a time. Does not own the descriptor, which must outlive the
+/// IoSource.
 class IoSource {
  public:
   /// Throws std::system_error if the descriptor cannot be registered with epoll.
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -30,7 +30,8 @@
          event + "]}]}";
 }
 
-// Compares JSON values rather than texts, because the order of an object's members may differ.
+// Parses a reply. The tests compare JSON values rather than texts, because the order of an object's
+// members may differ.
 Json::Value parse_json(const std::string& text) {
   return config::parse(text.data(), text.data() + text.size(), "reply");
 }
