--- a/src/admin/query_string.cpp
+++ b/src/admin/query_string.cpp
@@ -8,12 +8,12 @@
 namespace beechhill::admin {
 namespace {
 
-constexpr std::size_t kEscapeLength = 3;  // bytes of an escape such as "%2F"
+constexpr std::size_t kEscapeLength = 3;  // length of an escape such as "%2F" in bytes
 constexpr int kHexadecimal = 16;
 
 struct RawParameter {
   std::string_view name;
-  std::optional<std::string_view> value;  // not decoded; absent if there is no '='
+  std::optional<std::string_view> value;  // the undecoded value; absent if there is no '='
 };
 
 // Removes the first parameter from the front of `query` and returns it.
