--- a/src/maintenance/command_result.h
+++ b/src/maintenance/command_result.h
@@ -46,8 +46,8 @@
 /// empty for kApplied.
 const char* to_string(CommandResult result);
 
-/// Whether the reason code means that the command may have been left undecided, so that the
-/// operator may send it again.
+/// Whether an operator may send a command again after this reason code: the command was rejected
+/// for a temporary reason, or its outcome is unknown.
 bool is_retryable(std::string_view reason_code);
 
 }  // namespace beechhill::maintenance
--- a/src/maintenance/coordination_messages.h
+++ b/src/maintenance/coordination_messages.h
@@ -37,7 +37,7 @@
   kReadmission,
 };
 
-/// States that the sender has no requests in flight to the machine of the workflow with this token.
+/// States that the sender has no requests in flight to `machine`, whose workflow has this token.
 struct DrainConfirmation {
   std::string machine;
   FencingToken fencing_token = 0;
@@ -47,9 +47,9 @@
 struct LeaseRequest {
   /// Request number, repeated in the answer.
   std::uint64_t number = 0;
-  /// Differs between processes that run under the same proxy name.
+  /// Identifies the process among those that run under the same proxy name.
   std::uint64_t boot_id = 0;
-  /// Log index of the replicated state that the proxy has received with its last lease.
+  /// LeaseGrant::applied_index of the last lease that the proxy received; 0 if there was none.
   LogIndex acknowledged_index = 0;
   std::string zone;
   bool has_discovery_update = false;
@@ -119,8 +119,8 @@
   std::string text;
 };
 
-/// Sent by the leader to a voter that has lost its storage: the generation for which that voter
-/// must create a new storage.
+/// Sent by the leader to a voter that has lost its storage. Gives the generation for which that
+/// voter must create a new storage.
 struct Readmission {
   std::uint32_t generation = 0;
 };
--- a/src/maintenance/coordinator_settings.h
+++ b/src/maintenance/coordinator_settings.h
@@ -21,15 +21,16 @@
   std::vector<std::string> voters;
   /// How long a proxy may rely on committed state without renewing its lease.
   Duration lease_duration{5'000'000};
-  /// A proxy stops serving when its lease expired this long ago; drains then need neither wait for
-  /// that proxy nor for an operator to declare that it is off. With 0, an isolated proxy serves on
-  /// with the permissions that it last received, and drains wait for it.
+  /// Time after the expiry of its lease at which a proxy stops serving, so that drains need not
+  /// wait for it. With 0, an isolated proxy continues to serve with the permissions that it last
+  /// received, and announced drains wait until it renews its lease or an operator removes it.
   Duration isolation_timeout{0};
   /// Whether a process that has not yet held a lease serves after initial_lease_timeout. Machines
   /// that are out may then receive requests from that process.
   bool serve_without_lease = false;
   Duration initial_lease_timeout{5'000'000};
-  /// How long a request that was assigned to a machine before its exclusion may still be sent.
+  /// Time after the exclusion of a machine during which requests that were assigned to the machine
+  /// earlier may still be sent.
   Duration drain_grace{2'000'000};
   /// The longest request deadline of any class.
   Duration max_request_duration{10'000'000};
--- a/src/maintenance/disruption_budget_check.h
+++ b/src/maintenance/disruption_budget_check.h
@@ -10,9 +10,9 @@
 
 namespace beechhill::maintenance {
 
-/// Sums up the capacity of all machines of one role at construction, in time linear in machines and
-/// workflows; each check then takes logarithmic time. The constructor's arguments must outlive the
-/// object and stay unchanged.
+/// Checks the disruption budget for the machines of one role. The constructor sums up the capacity
+/// of these machines, in time linear in machines and workflows; each check then takes logarithmic
+/// time. The constructor's arguments must outlive the object and stay unchanged.
 class DisruptionBudgetCheck {
  public:
   DisruptionBudgetCheck(const DisruptionBudget& budget, Role role,
@@ -28,9 +28,9 @@
  private:
   /// Sums over the machines of one scope: the whole role, a zone or a cell.
   struct Scope {
-    /// Machines with a workflow.
+    /// Number of machines with a workflow.
     std::uint32_t out = 0;
-    /// Machines that are up, warm and without a workflow, and their total relative capacity.
+    /// Number and total relative capacity of the machines that are up, warm and without a workflow.
     std::uint32_t serving = 0;
     double serving_capacity = 0;
     /// Capacity that the current load requires.
@@ -50,8 +50,8 @@
   Scope total_;
   std::map<std::string, Scope> zones_;
   std::map<CellKey, Scope> cells_;
-  /// Workflows whose machine is no longer listed. They count as out in every scope, because the
-  /// zone and cell of the machine are unknown.
+  /// Number of workflows whose machine is no longer listed. These machines count as out in every
+  /// scope, because their zones and cells are unknown.
   std::uint32_t unlisted_ = 0;
 };
 
--- a/src/maintenance/forwarded_calls.h
+++ b/src/maintenance/forwarded_calls.h
@@ -17,7 +17,7 @@
 };
 using ResponseCallback = std::function<void(const OperatorResponse& response)>;
 
-/// Holds at most kMaxCalls calls, each for at most kCallTimeout.
+/// Holds the calls that wait for an answer: at most kMaxCalls, each for at most kCallTimeout.
 class ForwardedCalls {
  public:
   static constexpr std::size_t kMaxCalls = 32;
@@ -26,9 +26,10 @@
   bool full() const { return calls_.size() >= kMaxCalls; }
   /// Adds a call and returns its number, which the answer repeats. Must not be called when full().
   std::uint64_t add(Time now, ResponseCallback callback);
-  /// Runs the callback of the call with this number; ignored if there is no such call.
+  /// Removes the call with this number and runs its callback. Has no effect if there is no such
+  /// call.
   void complete(std::uint64_t number, const OperatorResponse& response);
-  /// Answers calls older than kCallTimeout with kNoAnswer.
+  /// Removes the calls that have waited for kCallTimeout and answers them with kNoAnswer.
   void expire(Time now);
 
  private:
--- a/src/maintenance/incident_detector.cpp
+++ b/src/maintenance/incident_detector.cpp
@@ -8,18 +8,20 @@
 namespace beechhill::maintenance {
 namespace {
 
-// Fraction of all proxies without a valid lease above which an incident is reported.
+// Maximum fraction of the proxies that have no valid lease; a larger one is reported as an
+// incident.
 constexpr double kSilentProxyRatio = 0.25;
-// Fractions of the listed machines, in total and per zone, that are down without having a workflow,
-// above which an incident is reported.
+// Maximum fractions of the listed machines, in total and per zone, that are down without having a
+// workflow; larger ones are reported as an incident.
 constexpr double kDownMachineRatio = 0.1;
 constexpr double kLostZoneRatio = 0.5;
-// Drop of the served fraction of requests below its moving average above which an incident is
-// reported.
+// Maximum drop of the served ratio below its moving average; a larger one is reported as an
+// incident.
 constexpr double kMaxGoodputDrop = 0.1;
-// Time constant of the moving average of the served fraction, in seconds.
+// Time constant of the moving average of the served ratio, in seconds.
 constexpr double kAveragingTimeSeconds = 60;
-// Minimum number of requests between two checks; the served fraction of fewer is not significant.
+// Minimum number of requests since the last check. With fewer, the served ratio is not significant
+// and is not checked.
 constexpr std::uint64_t kMinRequests = 50;
 
 struct MachineCounts {
@@ -34,7 +36,7 @@
 }  // namespace
 
 void IncidentDetector::reset(Time now) {
-  usual_served_ratio_ = 1;
+  average_served_ratio_ = 1;
   averaged_at_ = now;
 }
 
@@ -87,12 +89,12 @@
     return {};
   }
   const double served_ratio = static_cast<double>(served) / static_cast<double>(requests);
-  if (served_ratio < usual_served_ratio_ - kMaxGoodputDrop) {
+  if (served_ratio < average_served_ratio_ - kMaxGoodputDrop) {
     return "goodput: " + std::to_string(static_cast<int>(100 * served_ratio)) + " of 100 served";
   }
   const std::chrono::duration<double> elapsed = now - std::exchange(averaged_at_, now);
-  usual_served_ratio_ +=
-      (served_ratio - usual_served_ratio_) * std::min(1.0, elapsed.count() / kAveragingTimeSeconds);
+  average_served_ratio_ += (served_ratio - average_served_ratio_) *
+                           std::min(1.0, elapsed.count() / kAveragingTimeSeconds);
   return {};
 }
 
--- a/src/maintenance/incident_detector.h
+++ b/src/maintenance/incident_detector.h
@@ -9,10 +9,11 @@
 
 namespace beechhill::maintenance {
 
-/// Performs no I/O and reads no clock.
+/// Compares the lease requests of the proxies, the endpoint list and the outcomes of requests with
+/// fixed limits. Performs no I/O and reads no clock.
 class IncidentDetector {
  public:
-  /// Resets the usual success ratio. Must be called when this proxy becomes the leader.
+  /// Resets the average served ratio to 1. Must be called when this proxy becomes the leader.
   void reset(Time now);
   /// Returns the incident at `now`, as its name and figures for operators; empty if there is none.
   std::string detect(Time now, const MaintenanceStateMachine& state, const LocalView& view,
@@ -24,8 +25,8 @@
   static std::string machines_down(const MaintenanceStateMachine& state, const LocalView& view);
   std::string goodput_drop(Time now, ProxyTracker& proxies);
 
-  /// Moving average of the fraction of requests that are served.
-  double usual_served_ratio_ = 1;
+  /// Moving average of the served ratio, the fraction of requests that are served.
+  double average_served_ratio_ = 1;
   Time averaged_at_{0};
 };
 
--- a/src/maintenance/leader_proposals.h
+++ b/src/maintenance/leader_proposals.h
@@ -1,4 +1,4 @@
-// Proposals that the leader makes on its own; each is in flight at most once.
+// Proposes the commands that the leader issues itself, as opposed to operators' commands.
 #pragma once
 
 #include <functional>
@@ -9,14 +9,14 @@
 
 namespace beechhill::maintenance {
 
-/// The constructor's arguments must outlive the object, and the object must outlive `raft`'s
-/// pending proposals, whose callbacks refer to it.
+/// Tracks the keys of the proposals in flight. `raft` must outlive the object. Callbacks of pending
+/// proposals refer to the object, so `raft` must not run them after the object's destruction.
 class LeaderProposals {
  public:
   LeaderProposals(RaftNode& raft, std::function<Seconds()> unix_time)
       : raft_(raft), unix_time_(std::move(unix_time)) {}
 
-  /// Clears the set of proposals in flight. Must be called when this proxy becomes the leader.
+  /// Clears the set of keys in flight. Must be called when this proxy becomes the leader.
   void reset() { in_flight_.clear(); }
   /// Proposes the command with the current Unix time.
   void propose(Command command, RaftNode::ProposalCallback done = {});
--- a/src/maintenance/leadership_check.h
+++ b/src/maintenance/leadership_check.h
@@ -12,7 +12,7 @@
 
 namespace beechhill::maintenance {
 
-/// Runs one round at a time. Performs no I/O and reads no clock.
+/// Collects the confirmations of one round at a time. Performs no I/O and reads no clock.
 class LeadershipCheckRounds {
  public:
   LeadershipCheckRounds(std::string self, Duration timeout)
--- a/src/maintenance/lease_client.cpp
+++ b/src/maintenance/lease_client.cpp
@@ -6,12 +6,14 @@
 namespace beechhill::maintenance {
 namespace {
 
-// Lease requests per lease duration, so that the loss of some does not end the lease. While any
-// machine has a workflow the rate is kDrainingRequestFactor times higher, because drains wait for
-// the state that each request acknowledges.
+// Number of lease requests per lease duration. Several are sent, so that the loss of some does not
+// end the lease.
 constexpr int kRequestsPerLease = 5;
+// Factor by which the rate of lease requests rises while any machine has a workflow. Drains wait
+// for the state that each request acknowledges.
 constexpr int kDrainingRequestFactor = 4;
-// With more unanswered requests than this, the proxy asks another voter.
+// Maximum number of unanswered requests. Beyond it the next request is sent to the leader known to
+// raft or, if none is known, to the next voter.
 constexpr std::size_t kMaxUnansweredRequests = 2;
 
 }  // namespace
--- a/src/maintenance/lease_client.h
+++ b/src/maintenance/lease_client.h
@@ -11,7 +11,8 @@
 
 namespace beechhill::maintenance {
 
-/// Performs no I/O and reads no clock. `settings` must outlive the object.
+/// Requests and holds the lease of one proxy. Performs no I/O and reads no clock. `settings` must
+/// outlive the object.
 class LeaseClient {
  public:
   /// `first_voter` is the index, modulo the number of voters, of the voter to ask first.
@@ -26,14 +27,15 @@
   LeaseRequest next_request(Time now, const LocalView& view, bool has_lost_storage,
                             const std::string& known_leader);
 
-  /// Accepts a lease. Ignored if it answers no outstanding request, or if its state is older than
-  /// the one held.
+  /// Accepts a lease. Has no effect if the grant answers no outstanding request, or if its
+  /// permissions are older than those held.
   void handle(const LeaseGrant& grant);
-  /// Redirects requests to the leader that the answer names; if it differs from the proxy asked so
-  /// far, the next request is due at once.
+  /// Redirects later requests to the leader that the answer names. If that is another proxy than
+  /// before, the next request is due at once. Has no effect if the answer belongs to no outstanding
+  /// request.
   void handle(Time now, const NotLeader& answer);
-  /// Like handle(NotLeader), for a request that this proxy sent to itself, but does not make the
-  /// next request due earlier.
+  /// Redirects later requests like handle(), after a request that this proxy sent to itself. The
+  /// time of the next request stays unchanged.
   void redirect(const NotLeader& answer);
 
   /// Name of the proxy to which requests are sent; empty before the first request, and after an
@@ -48,7 +50,8 @@
   /// Time until which new requests may be sent to the machine; Time::max() if unlimited,
   /// Time::min() if none may be sent.
   Time dispatch_permitted_until(Time now, const std::string& machine) const;
-  /// Time until which requests may be sent to any machine at all.
+  /// Time until which this proxy may send requests at all; Time::max() if unlimited, Time::min() if
+  /// it may send none.
   Time serving_permitted_until(Time now) const;
 
  private:
--- a/src/maintenance/lease_granter.cpp
+++ b/src/maintenance/lease_granter.cpp
@@ -5,9 +5,10 @@
 namespace beechhill::maintenance {
 namespace {
 
-// Heartbeat intervals after which a check without a majority is repeated.
+// Time after which a check without a majority is repeated, in heartbeat intervals.
 constexpr int kCheckTimeoutHeartbeats = 3;
-// With more queued lease requests the oldest is dropped; proxies repeat their requests.
+// Maximum number of queued lease requests. Beyond it the oldest is dropped; its proxy sends another
+// request anyway.
 constexpr std::size_t kMaxQueuedRequests = 2 * kMaxProxies;
 
 }  // namespace
--- a/src/maintenance/lease_granter.h
+++ b/src/maintenance/lease_granter.h
@@ -17,17 +17,19 @@
 /// Sends a message to the proxy with the given name, which may be this proxy.
 using MessageSender = std::function<void(const std::string& to, CoordinationMessage message)>;
 
-/// The constructor's arguments must outlive the object.
+/// Holds the queue of lease requests and runs leadership checks for them. The constructor's
+/// arguments must outlive the object.
 class LeaseGranter {
  public:
   LeaseGranter(const CoordinatorSettings& settings, const RaftNode& raft,
                const MaintenanceStateMachine& state_machine, ProxyTracker& proxies,
                MessageSender send);
 
-  /// Clears the queue. Must be called when this proxy becomes the leader.
+  /// Clears the queue and abandons the check in progress. Must be called when this proxy becomes
+  /// the leader.
   void reset();
-  /// Abandons the round in progress. Must be called after the process was suspended, since
-  /// confirmations from before the suspension prove nothing.
+  /// Abandons the check in progress. Must be called when the process resumes after a suspension,
+  /// because confirmations from before it do not show that this voter still is the leader.
   void abandon_check() { check_.end(); }
   void enqueue(Time now, const std::string& proxy, std::uint64_t request_number);
   void handle(const std::string& from, const LeadershipConfirmation& confirmation);
@@ -38,7 +40,7 @@
   struct QueuedRequest {
     std::string proxy;
     std::uint64_t number = 0;
-    /// The first round that begins after the request has arrived.
+    /// Number of the first round that begins after the request has arrived.
     std::uint64_t required_round = 0;
   };
 
--- a/src/maintenance/libraft_conversions.cpp
+++ b/src/maintenance/libraft_conversions.cpp
@@ -108,7 +108,7 @@
   arguments.last_log_term = body.last_log_term;
 }
 
-// Never sent through libraft, so there is nothing to convert.
+// StorageRolledBack is not a message of libraft, so this function is never called.
 void to_libraft(const StorageRolledBack&, raft_message&) {
 }
 
--- a/src/maintenance/libraft_conversions.h
+++ b/src/maintenance/libraft_conversions.h
@@ -16,7 +16,8 @@
 
 namespace beechhill::maintenance {
 
-/// Returns the id by which libraft knows an address. Never 0, which libraft uses for no server.
+/// Returns the id that a server with this address has in libraft; never 0, which stands for no
+/// server.
 raft_id server_id(const std::string& address);
 
 /// Copies `content` to libraft's heap. Throws std::bad_alloc.
--- a/src/maintenance/maintenance_codec.h
+++ b/src/maintenance/maintenance_codec.h
@@ -12,8 +12,8 @@
 
 namespace beechhill::maintenance {
 
-/// Writes the number of texts and then the texts. When reading, the number is bounded by the bytes
-/// that remain, and the size of each text by kMaxTextBytes.
+/// Writes the number of texts and then the texts. read_texts() limits the number to what the
+/// remaining bytes can hold, and the size of each text to kMaxTextBytes.
 void write_texts(base::ByteWriter& writer, const std::set<std::string>& texts);
 std::set<std::string> read_texts(base::ByteReader& reader);
 
@@ -24,7 +24,7 @@
 DisruptionBudget read_budget(base::ByteReader& reader);
 
 void write_workflow(base::ByteWriter& writer, const MaintenanceWorkflow& workflow);
-/// Does not check that the state is in range; the caller must.
+/// The caller must check that the state is in range.
 MaintenanceWorkflow read_workflow(base::ByteReader& reader);
 
 /// Writes the machines in order of their ids, and the utilization by zone.
--- a/src/maintenance/maintenance_commands.h
+++ b/src/maintenance/maintenance_commands.h
@@ -13,7 +13,7 @@
 
 namespace beechhill::maintenance {
 
-/// Stored and sent as a number: new types are appended at the end.
+/// Stored and sent as a number: values must not change, and new types must be appended at the end.
 enum class CommandType : std::uint8_t {
   // Commands of operators.
   kSubmitRequest,
--- a/src/maintenance/maintenance_coordinator.h
+++ b/src/maintenance/maintenance_coordinator.h
@@ -25,14 +25,14 @@
 /// Protocol to which a message belongs.
 enum class Channel : std::uint8_t { kRaft, kCoordination };
 
-/// Not thread-safe.
+/// Coordinates maintenance on one proxy. Not thread-safe.
 class MaintenanceCoordinator {
  public:
   /// `storage` is the storage of a voter, created for the generation `voter_generation`; null on
-  /// proxies that do not vote and on a voter that has lost its storage. `boot_id` differs between
-  /// processes that run under the same name. `unix_time` is only compared with the maintenance
-  /// windows of requests. Objects that are referred to must outlive the coordinator. Throws what
-  /// RaftNode's constructor throws.
+  /// proxies that do not vote and on a voter that has lost its storage. `boot_id` must differ
+  /// between processes that run under the same name. `unix_time` is only compared with the
+  /// maintenance windows of requests. `storage` and all objects that `unix_time` refers to must
+  /// outlive the coordinator. Throws std::runtime_error if libraft rejects the stored state.
   MaintenanceCoordinator(Time now, CoordinatorSettings settings, RaftStorage* storage,
                          std::uint32_t voter_generation, std::uint64_t boot_id, std::uint64_t seed,
                          std::function<Seconds()> unix_time);
@@ -62,7 +62,8 @@
   /// Time until which new requests may be sent to the machine; Time::max() if unlimited,
   /// Time::min() if none may be sent.
   Time dispatch_permitted_until(const std::string& machine) const;
-  /// Time until which requests may be sent to any machine at all.
+  /// Time until which this proxy may send requests at all; Time::max() if unlimited, Time::min() if
+  /// it may send none.
   Time serving_permitted_until() const;
   /// Permissions of machines with a workflow, as last granted.
   const DispatchPermissionMap& dispatch_permissions() const { return lease_.permissions(); }
@@ -72,10 +73,11 @@
 
   // ---- Operators
 
-  /// Applies the command if this proxy is the leader, otherwise forwards it to the leader. `done`
-  /// may be called before this returns.
+  /// Proposes the command if this proxy is the leader, otherwise forwards it to the leader. `done`
+  /// may be called before this function returns.
   void submit_command(Time now, Command command, ResponseCallback done);
-  /// Passes `done` the status of all requests as JSON, or that of one request and why it waits.
+  /// Passes `done` the status of all requests as JSON or, if `request` is not empty, that of the
+  /// request with this id and the reasons why it waits.
   void query(Time now, const std::string& request, ResponseCallback done);
 
   // ---- Voters
@@ -88,13 +90,14 @@
   bool halted() const { return raft_ && raft_->halted(); }
   /// Whether the storage is an older copy, which must not be used any more.
   bool rolled_back() const { return raft_ && raft_->rolled_back(); }
-  /// On a voter without usable storage: the generation for which it may create a new storage, after
-  /// which the coordinator must be constructed again with that storage.
+  /// On a voter without usable storage, the generation for which it may create a new storage; empty
+  /// until the leader has sent it. The coordinator must then be constructed again with that
+  /// storage.
   std::optional<std::uint32_t> readmitted() const { return readmitted_; }
 
  private:
   bool is_ready_leader() const { return leader_ && leader_->is_ready(); }
-  /// Whether a call can be forwarded to a leader.
+  /// Whether an operator's call can be forwarded to a leader.
   bool can_forward() const;
   bool has_lost_storage() const;
   void request_lease(Time now);
@@ -120,7 +123,7 @@
   Time next_tick_;
   LeaseClient lease_;
   ForwardedCalls calls_;
-  /// Null on proxies that are not voters.
+  /// Null if the constructor was given no storage, like `leader_`.
   std::unique_ptr<RaftNode> raft_;
   std::unique_ptr<MaintenanceLeader> leader_;
   std::optional<std::uint32_t> readmitted_;
--- a/src/maintenance/maintenance_leader.cpp
+++ b/src/maintenance/maintenance_leader.cpp
@@ -51,8 +51,8 @@
   leases_.reset();
   proposals_.reset();
   observations_.reset(now, now + settings_.lease_duration / kFirstReportDivisor);
-  // Replicates the disruption budget of this proxy's operator file. As the first command of the new
-  // term it also commits all entries of earlier terms.
+  // Replicates the disruption budget from this proxy's settings. This is the first command of the
+  // new term, so committing it also commits all entries of earlier terms.
   Command command;
   command.type = CommandType::kSetDisruptionBudget;
   command.disruption_budget = settings_.disruption_budget;
@@ -94,8 +94,8 @@
   if (raft_.joining_generation(voter) == 0) {
     raft_.readmit(voter);
   }
-  // Repeated at each request, because the message may be lost and the configuration change waits
-  // for the voter.
+  // The generation is sent at each request of the voter, because an earlier message may have been
+  // lost and the configuration change waits for the voter.
   if (const std::uint32_t generation = raft_.joining_generation(voter)) {
     send_(voter, Readmission{generation});
   }
--- a/src/maintenance/maintenance_leader.h
+++ b/src/maintenance/maintenance_leader.h
@@ -10,8 +10,8 @@
 
 namespace beechhill::maintenance {
 
-/// Exists on every voter and does nothing while another voter leads. The constructor's arguments
-/// must outlive the object.
+/// Holds the state of the leader's duties. Exists on every voter and does nothing while another
+/// voter leads. The constructor's arguments must outlive the object.
 class MaintenanceLeader {
  public:
   MaintenanceLeader(const CoordinatorSettings& settings, RaftNode& raft,
@@ -24,7 +24,7 @@
   /// Whether this voter leads and has applied a command of its own term, and with it every earlier
   /// command.
   bool is_ready() const { return raft_.is_leader() && ready_; }
-  /// Handles a lease request; is_ready() must hold.
+  /// Handles a lease request. Must be called only if is_ready().
   void handle(Time now, const std::string& from, const LeaseRequest& request);
   void handle(const std::string& from, const LeadershipConfirmation& confirmation);
 
--- a/src/maintenance/maintenance_model.h
+++ b/src/maintenance/maintenance_model.h
@@ -28,6 +28,7 @@
 
 enum class Role : std::uint8_t { kBackend, kProxy };
 
+/// A backend or a proxy, as observed by the leader.
 struct Machine {
   std::string id;
   std::string zone;
@@ -40,7 +41,8 @@
   bool up = true;
   /// False during the machine's slow start.
   bool warm = true;
-  /// Start time of the machine's current process, as given by the endpoint list.
+  /// Start time of the machine's current process, as given by the endpoint list. For a proxy, a
+  /// number derived from its boot id, which differs between its processes.
   std::int64_t started_at = 0;
   bool operator==(const Machine&) const = default;
 };
@@ -59,6 +61,7 @@
 struct Request {
   std::string id;
   MachineSelector selector;
+  /// Maximum number of machines that are out for this request at the same time.
   std::uint32_t max_concurrent = 1;
   /// Expected duration of the work on one machine; 0 if unknown.
   Seconds work_duration = 0;
@@ -85,8 +88,9 @@
 
 /// State of one machine's workflow. In all states the machine counts as out of service.
 enum class WorkflowState : std::uint8_t {
-  /// Proxies learn that the machine is about to be drained; those that hold a lease still send to
-  /// it.
+  /// Proxies are notified that the machine is about to be drained. Those that hold a valid lease
+  /// may
+  /// still send requests to it.
   kAnnounced,
   /// Proxies send no new requests to the machine, and confirm once they have none in flight to it.
   kDraining,
@@ -101,6 +105,7 @@
 /// Returns the state's name in operators' output, a string literal.
 const char* name(WorkflowState state);
 
+/// Progress of one machine through its maintenance for one request.
 struct MaintenanceWorkflow {
   /// Ids of the request and the machine.
   std::string request;
@@ -119,17 +124,19 @@
 /// Limits on how many machines may be out of service at the same time. The budget is replicated so
 /// that all voters decide by the same values.
 struct DisruptionBudget {
-  /// Capacity that must remain in service in excess of what the load requires, as a fraction of it.
+  /// Capacity that must remain in service beyond what the load requires, as a fraction of the
+  /// required capacity.
   double capacity_reserve = 0.25;
   std::uint32_t max_out = 1;
   std::uint32_t max_out_per_zone = 1;
   std::uint32_t max_out_per_cell = 1;
-  /// Whether the last machine of a zone or cell is never taken out, because it holds the
-  /// deduplication state of requests with an idempotency key.
+  /// Whether the last machine in service of a zone or cell must not be taken out, because it holds
+  /// the deduplication state of requests with an idempotency key.
   bool preserve_last_in_zone = false;
   bool preserve_last_in_cell = false;
   std::uint32_t min_proxies_per_zone = 1;
-  /// A drain that stays longer than this in any state before kOut is aborted.
+  /// Maximum time that a workflow may spend in each state before kOut. After it the drain is
+  /// aborted.
   Seconds drain_timeout = 60;
   /// Delay before an aborted drain is retried.
   Seconds deferral = 60;
--- a/src/maintenance/maintenance_planner.cpp
+++ b/src/maintenance/maintenance_planner.cpp
@@ -82,7 +82,8 @@
       }
       starved = starved || (has_aged(*request) && request->not_before <= now);
     }
-    // Serving later requests first could starve this one forever.
+    // Serves no later request while an aged one is blocked, as that could delay the aged one
+    // forever.
     const bool window_over = request->not_after != 0 && request->not_after < now;
     if (starved && !state_.paused() && !window_over) {
       return;
--- a/src/maintenance/maintenance_planner.h
+++ b/src/maintenance/maintenance_planner.h
@@ -17,10 +17,11 @@
  public:
   explicit MaintenancePlanner(const MaintenanceStateMachine& state) : state_(state) {}
 
-  /// Returns the commands that are due, with the time of the state. At most one of them announces a
-  /// drain, because each announcement changes which drains are allowed next. Requests are served by
-  /// priority, which rises with waiting time, and then in order of submission. A request that has
-  /// waited for more than one aging interval is not overtaken.
+  /// Returns the commands that are due, issued at the time of the state. At most one of them
+  /// announces a drain, because each announcement changes which drains are allowed next. Requests
+  /// are served by priority, which rises with waiting time, and then in order of submission. While
+  /// a request that has waited for more than one aging interval is blocked, no request after it in
+  /// this order is served, unless maintenance is paused or the blocked request's window is closed.
   std::vector<Command> next_commands(const AcknowledgedIndexes& acknowledged) const;
 
   /// Returns the reasons why a request waits, one line each; empty if nothing blocks it.
@@ -32,8 +33,8 @@
   std::string blocking_reason(const Request& request, const Machine& machine) const;
 
  private:
-  /// Adds the command that advances the workflow, if one is due. In kConfirmDrained the proxy is
-  /// left empty: that command completes a drain whose remaining awaited proxies have been removed.
+  /// Adds the command that advances the workflow, if one is due. A kConfirmDrained command added
+  /// here names no proxy; it completes a drain after the last awaited proxies have been removed.
   void add_workflow_command(const MaintenanceWorkflow& workflow,
                             const AcknowledgedIndexes& acknowledged,
                             std::vector<Command>& commands) const;
--- a/src/maintenance/maintenance_state_machine.cpp
+++ b/src/maintenance/maintenance_state_machine.cpp
@@ -20,7 +20,7 @@
 
 CommandResult MaintenanceStateMachine::apply(LogIndex index, const Command& command) {
   applied_index_ = std::max(applied_index_, index);
-  // Clocks may step and leaders change, so the time is kept from going backwards.
+  // The time never decreases, even if a clock steps or the clock of a new leader is behind.
   time_ = std::max(time_, command.issued_at);
   switch (command.type) {
     case CommandType::kSubmitRequest:
@@ -146,7 +146,8 @@
 }
 
 bool MaintenanceStateMachine::has_work_left(const Request& request) const {
-  // Before the first observation it is not known which machines the request selects.
+  // Before the first observation it is not known which machines the request selects, so the request
+  // counts as unfinished.
   if (machines_.empty()) {
     return true;
   }
@@ -188,7 +189,8 @@
     const MaintenanceWorkflow& workflow, const AcknowledgedIndexes& acknowledged) const {
   const Role role = role_of(workflow);
   const auto is_awaited = [&](const std::string& proxy) {
-    // Only a proxy itself knows which requests it has in flight.
+    // The drain of a proxy waits only for that proxy, because no other knows which requests it has
+    // in flight.
     if (role == Role::kProxy && proxy != workflow.machine) {
       return false;
     }
--- a/src/maintenance/maintenance_state_machine.h
+++ b/src/maintenance/maintenance_state_machine.h
@@ -19,7 +19,7 @@
 /// Log index acknowledged by each proxy; a proxy that is missing has acknowledged index 0.
 using AcknowledgedIndexes = std::map<std::string, LogIndex>;
 
-/// Not thread-safe. Results depend only on the state and the arguments.
+/// One replica of the state. Not thread-safe. Results depend only on the state and the arguments.
 class MaintenanceStateMachine {
  public:
   /// Applies the committed command at `index`, which must increase from call to call.
--- a/src/maintenance/observation_reporter.cpp
+++ b/src/maintenance/observation_reporter.cpp
@@ -8,9 +8,10 @@
 namespace {
 
 constexpr Duration kReportInterval{1'000'000};
-// Maximum number of machines in one command; further changes follow in later commands.
+// Maximum number of changed machines, and of removed machines, in one command. Further changes are
+// sent in later commands.
 constexpr std::size_t kMaxMachinesPerReport = 400;
-// Changes of a zone's utilization up to this size are not reported.
+// Maximum change of a zone's utilization that is not reported.
 constexpr double kUtilizationStep = 0.05;
 constexpr const char* kProposalKey = "observations";
 
@@ -62,8 +63,8 @@
     proxy.role = Role::kProxy;
     proxy.up = now <= status.lease_expiry && !status.is_shutting_down;
     proxy.warm = status.has_discovery_update;
-    // The boot id stands in for a start time, since it also differs between processes. It is halved
-    // to fit a signed integer.
+    // The boot id is used as the start time, because it also differs between processes. It is
+    // halved to fit a signed integer.
     proxy.started_at = static_cast<std::int64_t>(status.boot_id >> 1);
     observed[name] = std::move(proxy);
   }
--- a/src/maintenance/observation_reporter.h
+++ b/src/maintenance/observation_reporter.h
@@ -10,6 +10,7 @@
 
 namespace beechhill::maintenance {
 
+/// Compares the observations of the leader's proxy with the replicated ones and proposes updates.
 /// The constructor's arguments must outlive the object.
 class ObservationReporter {
  public:
@@ -23,7 +24,7 @@
   /// At most once a second, proposes an update if observations have changed. If nothing changed but
   /// requests or workflows are open, proposes to advance the time of the state.
   void tick(Time now, const LocalView& view);
-  /// The incident of the last report; empty if there was none.
+  /// The incident detected at the last report; empty if there was none.
   const std::string& incident() const { return incident_; }
 
  private:
--- a/src/maintenance/operator_commands.cpp
+++ b/src/maintenance/operator_commands.cpp
@@ -9,7 +9,7 @@
 namespace beechhill::maintenance {
 namespace {
 
-// Upper bound of times and durations: a Unix time in the year 5138.
+// Maximum of times and durations, in seconds; as a Unix time it lies in the year 5138.
 constexpr Seconds kMaxSeconds = 100'000'000'000;
 constexpr std::int64_t kMaxConcurrent = 10'000;
 constexpr std::int64_t kMaxPriority = 1'000;
@@ -63,7 +63,7 @@
     }
   }
 
-  /// Returns whether there was no error and all parameters have been read.
+  /// Fails if the query has a parameter that was not read. Returns whether there was no error.
   bool all_read() {
     for (const auto& [key, value] : query_) {
       if (!known_keys_.contains(key)) {
--- a/src/maintenance/proxy_tracker.cpp
+++ b/src/maintenance/proxy_tracker.cpp
@@ -17,7 +17,7 @@
 void ProxyTracker::update(Time now, const std::string& proxy, const LeaseRequest& request) {
   ProxyStatus& status = proxies_[proxy];
   if (status.boot_id != request.boot_id) {
-    // A lease of the previous process may still be valid.
+    // Keeps the lease's expiry, because a lease of the previous process may still be valid.
     const Time lease_expiry = status.lease_expiry;
     status = ProxyStatus{};
     status.boot_id = request.boot_id;
@@ -59,7 +59,7 @@
   if (found == proxies_.end()) {
     return earlier_leases_expiry;
   }
-  // A proxy whose request has just arrived is about to receive a lease.
+  // Includes the lease that may be granted in answer to the proxy's last request.
   const ProxyStatus& status = found->second;
   return std::max(
       {earlier_leases_expiry, status.lease_expiry, status.last_request_at + max_lease()});
--- a/src/maintenance/proxy_tracker.h
+++ b/src/maintenance/proxy_tracker.h
@@ -1,5 +1,5 @@
-// What the leader knows about each proxy from its lease requests, and until when its leases may be
-// valid.
+// Tracks the state that each proxy reports to the leader in its lease requests, and the time until
+// which the proxy's leases may be valid.
 #pragma once
 
 #include <cstdint>
@@ -12,6 +12,7 @@
 
 namespace beechhill::maintenance {
 
+/// State of one proxy, as reported in its last lease request.
 struct ProxyStatus {
   std::uint64_t boot_id = 0;
   LogIndex acknowledged_index = 0;
@@ -27,7 +28,8 @@
   std::uint64_t unserved_requests = 0;
 };
 
-/// Performs no I/O and reads no clock. `settings` must outlive the object.
+/// Holds the status of the proxies that have sent lease requests to this leader. Performs no I/O
+/// and reads no clock. `settings` must outlive the object.
 class ProxyTracker {
  public:
   explicit ProxyTracker(const CoordinatorSettings& settings) : settings_(settings) {}
@@ -55,7 +57,7 @@
     std::uint64_t served = 0;
     std::uint64_t unserved = 0;
   };
-  /// Returns the number of requests of all proxies since the last call.
+  /// Returns the numbers of requests of all proxies since the last call.
   RequestCounts take_request_counts();
 
  private:
--- a/src/maintenance/raft_codec.h
+++ b/src/maintenance/raft_codec.h
@@ -10,12 +10,12 @@
 
 namespace beechhill::maintenance {
 
-/// Does not write the number of entries, whose size differs between records and messages.
+/// Writes the entries without their number, which records and messages encode in different sizes.
 void write_entries(base::ByteWriter& writer, const std::vector<LogEntry>& entries);
 /// Reads `count` entries, or fewer if the input ends earlier.
 std::vector<LogEntry> read_entries(base::ByteReader& reader, std::size_t count);
 
-/// Also writes the number of servers, at most 255.
+/// Writes the number of servers, at most 255, and then the servers.
 void write_servers(base::ByteWriter& writer, const std::vector<RaftServer>& servers);
 std::vector<RaftServer> read_servers(base::ByteReader& reader);
 
--- a/src/maintenance/raft_messages.h
+++ b/src/maintenance/raft_messages.h
@@ -57,7 +57,7 @@
 };
 
 struct RequestVoteResult {
-  /// Whether the vote that is answered was a pre-vote, numbered as in libraft.
+  /// Whether this is the answer to a pre-vote; values are those of libraft.
   enum class PreVote : std::uint8_t { kUnknown, kTrue, kFalse };
 
   std::uint64_t term = 0;
@@ -80,8 +80,8 @@
   std::uint64_t last_log_term = 0;
 };
 
-/// Tells the receiver that the sender has seen more records of the receiver's storage than that
-/// storage has now. The header holds the number of records seen.
+/// Notifies the receiver that the sender has seen more records of the receiver's storage than that
+/// storage has now. The message's header holds the number of records seen.
 struct StorageRolledBack {};
 
 using RaftMessageBody =
--- a/src/maintenance/raft_node.cpp
+++ b/src/maintenance/raft_node.cpp
@@ -14,15 +14,16 @@
 
 namespace {
 
-// Number of entries, of some hundred bytes each, after which a snapshot is taken, and number of
-// entries before the snapshot that are kept for followers slightly behind.
+// Number of log entries, of some hundred bytes each, after which a snapshot is taken, and number of
+// entries before the snapshot that are kept for followers that lag slightly behind.
 constexpr unsigned kSnapshotThreshold = 512;
 constexpr unsigned kSnapshotTrailing = 64;
 constexpr std::size_t kMaxPendingProposals = 256;
-// With more queued messages the oldest are dropped; raft tolerates lost messages.
+// Maximum number of queued messages. Beyond it the oldest message is dropped, which raft tolerates.
 constexpr std::size_t kMaxOutgoing = 1'024;
 constexpr std::uint32_t kMaxGeneration = 1'000'000'000;
-// Limits on the callbacks run at a time, because callbacks may queue further ones.
+// Maximum numbers of callbacks that are run at a time. They ensure that the loops end, as callbacks
+// may queue further ones.
 constexpr int kMaxCallbacksPerTick = 1'000;
 constexpr int kMaxCallbacksAtShutdown = 10'000;
 
@@ -53,7 +54,8 @@
   for (const std::string& name : voters) {
     servers.push_back({Voter{name, 1}.address(), RAFT_VOTER});
   }
-  // Sorted, so that all voters write the same entry whatever the order in their settings.
+  // Sorts the servers, so that all voters write the same entry whatever the order in their
+  // settings.
   std::sort(servers.begin(), servers.end(),
             [](const RaftServer& a, const RaftServer& b) { return a.address < b.address; });
   raft_configuration configuration;
--- a/src/maintenance/raft_node.h
+++ b/src/maintenance/raft_node.h
@@ -1,6 +1,6 @@
-// One voter of the replicated log: the core of libraft with our clock, network and storage, so that
-// the simulation and the program run the same code. A message is sent only after the records that
-// it depends on are durable.
+// One voter of the replicated log. Combines the core of libraft with a clock, network and storage
+// that the caller provides, so that simulations and the program run the same code. A message is
+// sent only after the records that it depends on are durable.
 #pragma once
 
 #include <functional>
@@ -22,7 +22,7 @@
   /// Incremented when the voter has lost its storage, since raft must then treat it as a new
   /// server.
   std::uint32_t generation = 1;
-  /// "name#generation".
+  /// Returns the voter's server address in libraft, "name#generation".
   std::string address() const { return name + "#" + std::to_string(generation); }
 };
 /// Returns nullopt if `address` is not of the form made by Voter::address().
@@ -39,7 +39,7 @@
   Duration heartbeat_interval{200'000};
 };
 
-/// Not thread-safe.
+/// Runs the raft protocol of one voter. Not thread-safe.
 class RaftNode {
  public:
   /// `storage` and `state_machine` must outlive the node; the state machine must be empty. Throws
@@ -84,9 +84,9 @@
   std::size_t pending_proposals() const;
 
   /// Begins the next configuration change that readmits the voter `name` as its next generation
-  /// after it has lost its storage. Readmission needs several changes, one at a time. Returns that
-  /// generation, or 0 if no change was begun: this node is not the leader, `name` is this node or
-  /// no voter, another change is in progress, or libraft rejects the change.
+  /// after it has lost its storage. Readmission needs several changes, one at a time. Returns the
+  /// next generation, or 0 if no change was begun: this node is not the leader, `name` is this node
+  /// or no voter, another change is in progress, or libraft rejects the change.
   std::uint32_t readmit(const std::string& name);
   /// Returns the generation of `name` that has no vote yet; 0 if there is none.
   std::uint32_t joining_generation(const std::string& name) const;
--- a/src/maintenance/raft_node_impl.h
+++ b/src/maintenance/raft_node_impl.h
@@ -53,6 +53,7 @@
 
   struct ConfiguredVoter {
     Voter voter;
+    /// Role as numbered by libraft.
     int role = 0;
   };
   /// Servers whose address has the form of a voter's, in the order of the configuration.
--- a/src/maintenance/raft_node_io.cpp
+++ b/src/maintenance/raft_node_io.cpp
@@ -9,7 +9,7 @@
 namespace beechhill::maintenance {
 namespace {
 
-// Number of preallocated CommandResult values, to which the results that libraft carries point.
+// Number of preallocated CommandResult values. libraft carries pointers to them as results.
 constexpr std::size_t kCommandResultCount = 256;
 
 CommandResult* as_pointer(CommandResult result) {
--- a/src/maintenance/raft_storage.h
+++ b/src/maintenance/raft_storage.h
@@ -50,7 +50,7 @@
   RecordType type = RecordType::kTerm;
   /// kTerm: the term. kVote: id of the candidate. kAppend: index of the first entry; 0 appends
   /// after the last one. kTruncate: index of the first entry to remove. kSnapshot: number of
-  /// entries to keep before the snapshot's index; 0 removes the whole log.
+  /// entries to keep up to the snapshot's index; 0 removes the whole log.
   std::uint64_t value = 0;
   std::vector<LogEntry> entries;
   std::optional<RaftSnapshot> snapshot;
@@ -96,7 +96,7 @@
 class RaftStorage {
  public:
   virtual ~RaftStorage() = default;
-  /// The loaded state with all records appended since, whether durable or not.
+  /// State that results from all appended records, whether durable or not.
   virtual const DurableState& state() const = 0;
   /// Appends the record without waiting for the disk. Returns appended_records().
   virtual std::uint64_t append(LogRecord record) = 0;
--- a/src/maintenance/workflow_driver.h
+++ b/src/maintenance/workflow_driver.h
@@ -7,7 +7,8 @@
 
 namespace beechhill::maintenance {
 
-/// The constructor's arguments must outlive the object.
+/// Proposes the commands that advance workflows. The constructor's arguments must outlive the
+/// object.
 class WorkflowDriver {
  public:
   WorkflowDriver(const MaintenanceStateMachine& state, const ProxyTracker& proxies, RaftNode& raft,
@@ -16,7 +17,8 @@
 
   /// Proposes to commit a proxy's confirmation that it has no requests in flight to a machine.
   void confirm_drained(const std::string& proxy, const DrainConfirmation& confirmation);
-  /// Confirms drains on behalf of proxies whose lease has expired.
+  /// Confirms drains on behalf of proxies whose lease expired so long ago that none of their
+  /// requests is still in flight.
   void confirm_expired_leases(Time now);
   void remove_stopped_proxies(Time now);
   void continue_readmissions();
--- a/src/maintenance/workflow_transitions.cpp
+++ b/src/maintenance/workflow_transitions.cpp
@@ -85,8 +85,8 @@
 }
 
 CommandResult MaintenanceStateMachine::mark_out(MaintenanceWorkflow& workflow) {
-  // Updated even if the transition is rejected, as earlier versions do, so that replicas of
-  // different versions hold the same state.
+  // started_at is updated even if the transition is rejected, as earlier versions do, so that
+  // replicas of different versions hold the same state.
   if (const auto machine = machines_.find(workflow.machine); machine != machines_.end()) {
     workflow.started_at = machine->second.started_at;
   }
--- a/tests/cluster_maintenance_test.cpp
+++ b/tests/cluster_maintenance_test.cpp
@@ -1,6 +1,7 @@
 // Runs proxy processes that coordinate maintenance in front of fake backends, with injected faults.
-// Checks that no request reaches a backend that is out, that the disruption budget is kept
-// according to the operators' own count, and that clients receive correct responses.
+// Checks that no request reaches a backend that is out, that the number of backends that the
+// emulated operators see out at the same time stays within the disruption budget, and that clients
+// receive correct responses.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -98,7 +99,7 @@
   EXPECT_GT(run.result["goodput"].asDouble(), 0.95);
 }
 
-// The three voters crash one after another, so that the leader is among them.
+// The three voters crash one after another, so that one of the crashes hits the leader.
 TEST(ClusterMaintenance, StaysSafeWhenVotersCrash) {
   run_and_check(scenario_with(fault("proxy_crash", "3s", "1s", "proxies = 1\nfirst = 0") +
                                   fault("proxy_crash", "5s", "1s", "proxies = 1\nfirst = 1") +
@@ -110,7 +111,8 @@
   run_and_check(scenario_with(fault("proxy_crash", "4s", "300ms", "proxies = 3\nfirst = 0")));
 }
 
-// A proxy that is no voter, and later a voter, resume with permissions that have expired.
+// A proxy that is not a voter, and later a voter, are suspended and resume with permissions that
+// have expired.
 TEST(ClusterMaintenance, StaysSafeWhenAProcessResumes) {
   run_and_check(scenario_with(fault("proxy_stop", "3s", "5s", "proxies = 1\nfirst = 4") +
                               fault("proxy_stop", "9s", "3s", "proxies = 1\nfirst = 0")));
--- a/tests/maintenance_simulation_test.cpp
+++ b/tests/maintenance_simulation_test.cpp
@@ -44,8 +44,8 @@
   return spec;
 }
 
-// Sends the same request three times, since it is lost while there is no leader. Repetitions of an
-// accepted request change nothing.
+// Submits the same request three times, since a submission fails while there is no leader.
+// Repetitions of an accepted request change nothing.
 void submit_all(MaintenanceSimulation& simulation, std::size_t at) {
   for (int i = 0; i < 3; ++i) {
     simulation.order(at, make_submission("all", 2));
@@ -151,7 +151,7 @@
 }
 
 // A proxy that was suspended for 30 s still has the permissions from before and must not act on
-// them. Checked for a voter (0) and for a proxy that is no voter (4).
+// them. The test runs with proxy 0, which is a voter, and with proxy 4, which is not.
 TEST(MaintenanceCoordinator, StaysSafeWhenAProxyResumes) {
   for (std::size_t proxy : {std::size_t{0}, std::size_t{4}}) {
     MaintenanceSimulation simulation(make_spec());
@@ -166,8 +166,7 @@
 }
 
 // Proxy 5 is partitioned from the others and continues to serve. With an isolation timeout,
-// maintenance continues without it; otherwise maintenance waits, and the explanation names the
-// proxy.
+// maintenance proceeds without proxy 5; otherwise it waits, and the explanation names that proxy.
 TEST(MaintenanceCoordinator, StaysSafeInAPartition) {
   for (const bool has_isolation_timeout : {false, true}) {
     MaintenanceSimulationSpec spec = make_spec();
@@ -211,7 +210,7 @@
     const auto leader = simulation.leader();
     ASSERT_TRUE(leader);
     EXPECT_GT(simulation.coordinator(1).state_machine().applied_index(), 5u);
-    // The next generation of voter 1 forms a majority with one other voter.
+    // A leader without the other voter needs the vote of voter 1's next generation.
     const std::size_t other = *leader == 2 ? 0 : 2;
     simulation.kill(other);
     simulation.run(10s);
--- a/tests/maintenance_state_machine_test.cpp
+++ b/tests/maintenance_state_machine_test.cpp
@@ -71,7 +71,7 @@
   }
   CommandResult apply(Command command) {
     command.issued_at = time;
-    // Encoded and decoded, as a command read from the log is.
+    // Encodes and decodes the command, as if it were read from the log.
     const auto decoded = decode(encode(command));
     return state.apply(++index, decoded.value());
   }
@@ -195,7 +195,8 @@
   budget = four_out;
   budget.max_out_per_cell = 1;
   EXPECT_EQ(reason(budget, 0.4, other_out("m-0")), "most_out_cell");
-  // The load with the reserve needs 0.7 x 1.25 x 4 = 3.5 machines, and three would remain.
+  // In zone a the load with the reserve needs 0.7 x 1.25 x 4 = 3.5 machines, but without m-1 only
+  // three would remain.
   EXPECT_EQ(reason(four_out, 0.7), "reserve");
   budget = four_out;
   budget.preserve_last_in_cell = true;
