--- a/src/maintenance/coordination_messages.h
+++ b/src/maintenance/coordination_messages.h
@@ -57,6 +57,7 @@
   bool is_shutting_down = false;
   /// The proxy is a voter that has no usable storage.
   bool has_lost_storage = false;
+  /// Numbers of requests since the process started.
   std::uint64_t served_requests = 0;
   std::uint64_t unserved_requests = 0;
   /// Utilization by zone, from 0 to 1, sent in whole millionths; at most kMaxReportedZones zones.
@@ -87,6 +88,7 @@
   std::uint64_t round = 0;
 };
 
+/// Answer to a LeadershipCheck by a voter that is in the same term. Repeats the check's values.
 struct LeadershipConfirmation {
   std::uint64_t term = 0;
   std::uint64_t round = 0;
@@ -94,6 +96,7 @@
 
 /// An operator's command, forwarded to the leader.
 struct Submit {
+  /// Call number, repeated in the answer.
   std::uint64_t number = 0;
   Command command;
 };
@@ -107,6 +110,7 @@
 
 /// An operator's query, forwarded to the leader.
 struct Query {
+  /// Call number, repeated in the answer.
   std::uint64_t number = 0;
   /// Id of the request to report on; empty for all requests.
   std::string request;
--- a/src/maintenance/disruption_budget_check.h
+++ b/src/maintenance/disruption_budget_check.h
@@ -36,7 +36,8 @@
     /// Capacity that the current load requires.
     double needed_capacity = 0;
   };
-  using CellKey = std::pair<std::string, std::string>;  // Zone and cell.
+  /// Names of a cell's zone and of the cell.
+  using CellKey = std::pair<std::string, std::string>;
 
   bool serves(const Machine& machine) const;
   std::string count_violation(const Machine& machine, const Scope& zone, const Scope& cell) const;
--- a/src/maintenance/leader_proposals.h
+++ b/src/maintenance/leader_proposals.h
@@ -18,7 +18,7 @@
 
   /// Clears the set of keys in flight. Must be called when this proxy becomes the leader.
   void reset() { in_flight_.clear(); }
-  /// Proposes the command with the current Unix time.
+  /// Sets the command's issue time to the current Unix time and proposes the command.
   void propose(Command command, RaftNode::ProposalCallback done = {});
   /// Like propose(), but does nothing while a command with the same key is in flight.
   void propose_once(const std::string& key, Command command);
--- a/src/maintenance/leadership_check.h
+++ b/src/maintenance/leadership_check.h
@@ -25,7 +25,7 @@
 
   /// Begins the next round. This voter itself counts as confirmed.
   void begin(Time now);
-  /// Records a confirmation; ignored if `round` is not the round in progress.
+  /// Records a confirmation. Has no effect if `round` is not the round in progress.
   void confirm(const std::string& voter, std::uint64_t round);
   bool has_majority(const std::vector<Voter>& voters) const;
   void end() { in_progress_ = false; }
--- a/src/maintenance/lease_client.h
+++ b/src/maintenance/lease_client.h
@@ -34,8 +34,8 @@
   /// before, the next request is due at once. Has no effect if the answer belongs to no outstanding
   /// request.
   void handle(Time now, const NotLeader& answer);
-  /// Redirects later requests like handle(), after a request that this proxy sent to itself. The
-  /// time of the next request stays unchanged.
+  /// Like handle(), for an answer of this proxy to its own request. Does not make the next request
+  /// due earlier.
   void redirect(const NotLeader& answer);
 
   /// Name of the proxy to which requests are sent; empty before the first request, and after an
--- a/src/maintenance/libraft_conversions.cpp
+++ b/src/maintenance/libraft_conversions.cpp
@@ -108,7 +108,7 @@
   arguments.last_log_term = body.last_log_term;
 }
 
-// StorageRolledBack is not a message of libraft, so this function is never called.
+// Needed by std::visit, but never called, because StorageRolledBack is not a message of libraft.
 void to_libraft(const StorageRolledBack&, raft_message&) {
 }
 
--- a/src/maintenance/maintenance_model.h
+++ b/src/maintenance/maintenance_model.h
@@ -89,8 +89,7 @@
 /// State of one machine's workflow. In all states the machine counts as out of service.
 enum class WorkflowState : std::uint8_t {
   /// Proxies are notified that the machine is about to be drained. Those that hold a valid lease
-  /// may
-  /// still send requests to it.
+  /// may still send requests to the machine.
   kAnnounced,
   /// Proxies send no new requests to the machine, and confirm once they have none in flight to it.
   kDraining,
@@ -107,7 +106,7 @@
 
 /// Progress of one machine through its maintenance for one request.
 struct MaintenanceWorkflow {
-  /// Ids of the request and the machine.
+  /// Ids of the request and of the machine.
   std::string request;
   std::string machine;
   FencingToken fencing_token = 0;
@@ -140,7 +139,7 @@
   Seconds drain_timeout = 60;
   /// Delay before an aborted drain is retried.
   Seconds deferral = 60;
-  /// Waiting time after which the priority of a request rises by one.
+  /// The priority of a request rises by one for each such interval that the request has waited.
   Seconds priority_aging_interval = 600;
   /// Time without an incident after which the pause caused by the last incident ends.
   Seconds quiet_period = 30;
@@ -151,7 +150,7 @@
 /// Whether, and under which condition, proxies may send new requests to a machine with a workflow.
 struct DispatchPermission {
   bool dispatch_forbidden = false;
-  /// Whether only proxies that hold a lease may send to the machine.
+  /// Whether only proxies that hold a valid lease may send new requests to the machine.
   bool lease_required = false;
   FencingToken fencing_token = 0;
 };
--- a/src/maintenance/maintenance_state_machine.h
+++ b/src/maintenance/maintenance_state_machine.h
@@ -45,7 +45,8 @@
   /// Role of the workflow's machine.
   Role role_of(const MaintenanceWorkflow& workflow) const;
   /// Proxies for which the workflow waits: in kAnnounced, those that have not acknowledged the log
-  /// index of that state; in later states, those that have not confirmed the drain.
+  /// index of that state; in later states, those that have not confirmed the drain. The workflow of
+  /// a proxy waits for that proxy only.
   std::vector<std::string> awaited_proxies(const MaintenanceWorkflow& workflow,
                                            const AcknowledgedIndexes& acknowledged) const;
 
--- a/src/maintenance/proxy_tracker.h
+++ b/src/maintenance/proxy_tracker.h
@@ -57,7 +57,7 @@
     std::uint64_t served = 0;
     std::uint64_t unserved = 0;
   };
-  /// Returns the numbers of requests of all proxies since the last call.
+  /// Returns the numbers of requests that all proxies have reported since the last call.
   RequestCounts take_request_counts();
 
  private:
@@ -66,7 +66,7 @@
   const CoordinatorSettings& settings_;
   Time leader_since_{0};
   std::map<std::string, ProxyStatus> proxies_;
-  /// Request counts at the last take_request_counts().
+  /// Request counts of each proxy at the last call of take_request_counts().
   std::map<std::string, RequestCounts> counted_;
 };
 
--- a/src/maintenance/raft_messages.h
+++ b/src/maintenance/raft_messages.h
@@ -92,8 +92,8 @@
   /// Addresses of the form "name#generation".
   std::string from;
   std::string to;
-  /// Number of records ever appended to the sender's storage; in StorageRolledBack, to the
-  /// receiver's.
+  /// Number of records ever appended to the sender's storage. In StorageRolledBack, the number of
+  /// records that the sender has seen of the receiver's storage.
   std::uint64_t appended_records = 0;
   /// May be a type that this version does not know.
   RaftMessageType type = RaftMessageType::kAppendEntries;
--- a/src/maintenance/raft_storage.h
+++ b/src/maintenance/raft_storage.h
@@ -36,7 +36,7 @@
   /// Index of the last entry that the snapshot replaces.
   std::uint64_t index = 0;
   std::uint64_t term = 0;
-  /// Index of the entry that holds the configuration.
+  /// Index of the log entry that holds the configuration `servers`.
   std::uint64_t configuration_index = 0;
   std::vector<RaftServer> servers;
   std::string data;
--- a/tests/maintenance_simulation_test.cpp
+++ b/tests/maintenance_simulation_test.cpp
@@ -263,8 +263,8 @@
   expect_no_violation(simulation);
 }
 
-// Under random fault plans the invariants hold, and every request ends or has an explanation why it
-// waits. The command `beechhill-testbed simulate-maintenance` runs larger numbers of such plans.
+// Under random fault plans the invariants hold, and every request ends or its status explains why
+// it waits. The command `beechhill-testbed simulate-maintenance` runs larger numbers of such plans.
 TEST(MaintenanceCoordinator, HoldsItsInvariantsUnderRandomFaultPlans) {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     const emulator::MaintenanceRun run = emulator::run_drawn_maintenance(seed, 4);
