--- a/src/maintenance/maintenance_coordinator.h
+++ b/src/maintenance/maintenance_coordinator.h
@@ -123,7 +123,7 @@
   Time next_tick_;
   LeaseClient lease_;
   ForwardedCalls calls_;
-  /// Null if the constructor was given no storage, like `leader_`.
+  /// `raft_` and `leader_` are null if the constructor was given no storage.
   std::unique_ptr<RaftNode> raft_;
   std::unique_ptr<MaintenanceLeader> leader_;
   std::optional<std::uint32_t> readmitted_;
