--- a/src/maintenance/coordination_messages.h
+++ b/src/maintenance/coordination_messages.h
@@ -37,7 +37,7 @@
   kReadmission,
 };
 
-/// States that the sender has no requests in flight to the machine of the workflow with this token.
+/// States that the sender has no requests in flight to `machine`, whose workflow has this token.
 struct DrainConfirmation {
   std::string machine;
   FencingToken fencing_token = 0;
@@ -47,9 +47,9 @@
 struct LeaseRequest {
   /// Request number, repeated in the answer.
   std::uint64_t number = 0;
-  /// Differs between processes that run under the same proxy name.
+  /// Identifies the process among those that run under the same proxy name.
   std::uint64_t boot_id = 0;
-  /// Log index of the replicated state that the proxy has received with its last lease.
+  /// LeaseGrant::applied_index of the last lease that the proxy received; 0 if there was none.
   LogIndex acknowledged_index = 0;
   std::string zone;
   bool has_discovery_update = false;
@@ -57,6 +57,7 @@
   bool is_shutting_down = false;
   /// The proxy is a voter that has no usable storage.
   bool has_lost_storage = false;
+  /// Numbers of requests since the process started.
   std::uint64_t served_requests = 0;
   std::uint64_t unserved_requests = 0;
   /// Utilization by zone, from 0 to 1, sent in whole millionths; at most kMaxReportedZones zones.
@@ -87,6 +88,7 @@
   std::uint64_t round = 0;
 };
 
+/// Answer to a LeadershipCheck by a voter that is in the same term. Repeats the check's values.
 struct LeadershipConfirmation {
   std::uint64_t term = 0;
   std::uint64_t round = 0;
@@ -94,6 +96,7 @@
 
 /// An operator's command, forwarded to the leader.
 struct Submit {
+  /// Call number, repeated in the answer.
   std::uint64_t number = 0;
   Command command;
 };
@@ -107,6 +110,7 @@
 
 /// An operator's query, forwarded to the leader.
 struct Query {
+  /// Call number, repeated in the answer.
   std::uint64_t number = 0;
   /// Id of the request to report on; empty for all requests.
   std::string request;
@@ -119,8 +123,8 @@
   std::string text;
 };
 
-/// Sent by the leader to a voter that has lost its storage: the generation for which that voter
-/// must create a new storage.
+/// Sent by the leader to a voter that has lost its storage. Gives the generation for which that
+/// voter must create a new storage.
 struct Readmission {
   std::uint32_t generation = 0;
 };
--- a/src/maintenance/libraft_conversions.cpp
+++ b/src/maintenance/libraft_conversions.cpp
@@ -108,7 +108,7 @@
   arguments.last_log_term = body.last_log_term;
 }
 
-// Never sent through libraft, so there is nothing to convert.
+// Needed by std::visit, but never called, because StorageRolledBack is not a message of libraft.
 void to_libraft(const StorageRolledBack&, raft_message&) {
 }
 
