--- a/include/beechhill/actions.h
+++ b/include/beechhill/actions.h
@@ -45,7 +45,8 @@
   Time at{0};
 };
 
-/// Subscribe to discovery. The embedder reports an EndpointUpdate.
+/// Subscribe to discovery. The embedder then reports endpoint lists and failures as EndpointUpdate
+/// events.
 struct WatchEndpoints {};
 
 using Action =
--- a/include/beechhill/events.h
+++ b/include/beechhill/events.h
@@ -53,7 +53,7 @@
   TenantId tenant = kNoTenant;
   /// Time at which the client stops waiting.
   Time deadline{0};
-  /// The amount of work that the client announced, as a duration.
+  /// The processing time that the client announced.
   std::optional<Duration> work_hint;
   /// Whether the request body is still being received from the client. The latency of such a
   /// request depends on its client, so the balancer uses the class's average latency instead.
--- a/src/balancer/discovery_polling.h
+++ b/src/balancer/discovery_polling.h
@@ -32,7 +32,7 @@
  private:
   // Divisor of the poll interval that gives the longest delay before the first subscription.
   static constexpr double kInitialDivisor = 4;
-  // Divisor of the poll interval that gives the step by which the backoff grows.
+  // The backoff grows in steps of the poll interval divided by this number.
   static constexpr double kBackoffDivisor = 8;
   // Maximum number of steps of the backoff.
   static constexpr int kMaxBackoffSteps = 3;
--- a/src/balancer/policy/health_checker.cpp
+++ b/src/balancer/policy/health_checker.cpp
@@ -7,7 +7,7 @@
 
 // Maximum cost of health checks, as a share of the cost of all attempts.
 constexpr double kMaxCostShare = 0.006;
-// Maximum of the budget, in checks.
+// Maximum of the health-check budget, in checks.
 constexpr double kMaxBudget = 10;
 // Sum of an instance type's reported utilization above which its weight counts as known.
 constexpr double kSufficientUtilization = 1;
--- a/src/hot_restart/hot_restart_actor.cpp
+++ b/src/hot_restart/hot_restart_actor.cpp
@@ -147,8 +147,8 @@
   const bool exclusions_posted = post_exclusion_changes(current);
   const bool drain_posted = post_drain_change(current);
   if (!exclusions_posted || !drain_posted) {
-    // `forwarded_state_` stays unchanged, so that the next change of the state posts these changes
-    // again.
+    // `forwarded_state_` stays unchanged, so these changes are posted again with the next change of
+    // the state.
     log::dropped_message("handover");
     return;
   }
--- a/src/membership/swim_node.cpp
+++ b/src/membership/swim_node.cpp
@@ -97,8 +97,7 @@
 // disseminating a higher incarnation.
 void SwimNode::refute(const MemberUpdate& update) {
   const bool about_this_process = update.boot_id == boot_id_;
-  // A death is counted even if the update about it arrives after this member has refuted the
-  // suspicion that preceded it.
+  // Counts a declared death even if this member has already refuted the preceding suspicion.
   if (about_this_process && update.state == MemberState::kDead &&
       update.incarnation >= uncounted_death_incarnation_) {
     ++times_declared_dead_;
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -51,8 +51,8 @@
   /// Returns whether the peer of an idle connection has closed it or sent unsolicited bytes. Does
   /// not wait, and leaves the bytes unread.
   bool stale();
-  /// Sets the watcher that is called when stale() may have become true, while no coroutine reads.
-  /// Null removes it. The watcher must outlive the stream or be removed first.
+  /// Sets the watcher; null removes it. The watcher is called when stale() may have become true. It
+  /// is not called while a coroutine reads. It must outlive the stream or be removed first.
   void watch(runtime::IoWatcher* watcher) { io_.watch(watcher); }
 
   /// Performs a lingering close: shuts down the sending side, then reads and discards bytes until
--- a/src/proxy/backend_exchange.cpp
+++ b/src/proxy/backend_exchange.cpp
@@ -24,8 +24,8 @@
 // Maximum time without progress when part of a streamed body is read or written.
 constexpr auto kStreamTimeout = 5000ms;
 
-// Number of body bytes beyond which a response is forwarded as it arrives, if its stated length
-// exceeds http::kMaxBufferedBodyBytes.
+// A response whose stated length exceeds http::kMaxBufferedBodyBytes is forwarded as it arrives
+// once more than this many bytes of its body have been received.
 constexpr std::size_t kFirstPartBytes = std::size_t{8} * 1024;
 
 LoadReport load_report_of(const http::Headers& headers) {
--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -165,8 +165,8 @@
     progress = parse_buffer(parser);
   }
   enter_phase(Phase::kActive);
-  // If the bytes after a request cannot begin another one, the stated length of the request is
-  // wrong, and it is rejected.
+  // If the bytes after a request cannot begin another one, the request is rejected, because its
+  // stated length is wrong.
   const bool followed_by_request =
       progress != http::Progress::kComplete || http::may_begin_request(buffer_);
   co_return progress == http::Progress::kMalformed || !followed_by_request ? ReadOutcome::kMalformed
@@ -198,8 +198,8 @@
   co_return std::nullopt;
 }
 
-// Returns when the current request must have arrived. A large body may take longer, as long as it
-// arrives at a minimum rate.
+// Returns when the current request must have arrived. Received bytes extend the time, so that a
+// large body is in time if it arrives at kMinUploadRate or faster.
 TimePoint ClientConnection::request_read_deadline() const {
   return request_started_at_ + kRequestTimeout +
          std::chrono::milliseconds(received_bytes_ / kMinUploadRate);
@@ -363,8 +363,8 @@
   if (io != IoResult::kOk) {
     co_return WaitOutcome::kDisconnected;
   }
-  // If the bytes after a request cannot begin another one, the stated length of the request is
-  // wrong, and it is rejected.
+  // If the bytes after a request cannot begin another one, the request is rejected, because its
+  // stated length is wrong.
   const bool valid = uploading ? forward_upload(request, parser) : http::may_begin_request(buffer_);
   co_return valid ? WaitOutcome::kPending : WaitOutcome::kMalformed;
 }
--- a/src/proxy/client_listener.cpp
+++ b/src/proxy/client_listener.cpp
@@ -116,7 +116,8 @@
     if (io == IoResult::kOk) {
       accept_client(std::move(fd), remote);
     } else if (io == IoResult::kError) {
-      // Avoids a busy loop when the system has no descriptors left.
+      // Avoids a busy loop if accept() keeps failing, for example when the system has no
+      // descriptors left.
       co_await sleep_for(kRetryInterval);
     }
   }
--- a/src/proxy/client_request.h
+++ b/src/proxy/client_request.h
@@ -41,7 +41,7 @@
 /// A client's request, shared by its connection, the decision actor and the backends' actors. The
 /// connection waits on `response_ready` for `response` to be set.
 struct ClientRequest {
-  /// Assigned by the decision actor.
+  /// The request's id, assigned by the decision actor.
   RequestId id = 0;
   ClassId class_id = 0;
   TenantId tenant = kNoTenant;
--- a/src/proxy/connection_log.h
+++ b/src/proxy/connection_log.h
@@ -13,9 +13,9 @@
   kClientClosed,
   /// The client closed the connection while its request was queued or in flight.
   kClientDisconnected,
-  /// Closed after a response that announced the close.
+  /// The connection was closed after a response that announced the close.
   kClosedAfterResponse,
-  /// Closed after an invalid request was rejected.
+  /// The connection was closed after an invalid request was rejected.
   kBadRequest,
   /// A new client sent nothing within the time limit, or a client did not complete its request in
   /// time.
@@ -24,16 +24,17 @@
   kWriteFailed,
   /// The process is draining or shutting down.
   kDraining,
-  /// Closed to free a descriptor: a client's connection without an outstanding response, or an idle
-  /// connection to a backend.
+  /// The connection was closed to free a descriptor. It was a client's connection without an
+  /// outstanding response, or an idle connection to a backend.
   kEvicted,
-  /// Closed after its idle timeout. Also used for connections to backends.
+  /// The connection was closed after its idle timeout. Also used for connections to backends.
   kIdle,
 
   // Connections to backends.
   /// The backend closed the connection while it was idle, or announced that it would.
   kBackendClosed,
-  /// Closed because the backend is draining, was removed, or has restarted or moved.
+  /// The connection was closed because the backend is draining, was removed, or has restarted or
+  /// moved.
   kBackendDrained,
   /// The connection was refused or not established in time. Also used for connections to discovery.
   kConnectFailed,
@@ -56,8 +57,8 @@
   kDiscoveryMalformed,
   /// A new configuration names another address of discovery.
   kDiscoveryMoved,
-  /// Closed to request the complete list on a new connection, after a gap in which the process did
-  /// not run, because updates may be missing on the old one.
+  /// The watch was closed to request the complete list on a new connection, after a gap in which
+  /// the process did not run, because updates may be missing on the old connection.
   kDiscoveryResync,
 
   /// An unexpected error, such as an exception.
--- a/src/proxy/decision_actor_requests.cpp
+++ b/src/proxy/decision_actor_requests.cpp
@@ -61,7 +61,7 @@
       request.streams_body() && request.payload->remaining_body()->reading_started();
   const std::shared_ptr<BodyPipe> response_stream = outcome.response.remaining_body;
   if (response_stream) {
-    // Counted as a reference until ResponseStreamEnded arrives.
+    // The response stream holds a reference to the endpoint until ResponseStreamEnded arrives.
     add_reference(active->attempts()[outcome.attempt_number].endpoint);
   }
   if (outcome.result == Result::kOk && !active->closed()) {
--- a/src/proxy/decision_messages.h
+++ b/src/proxy/decision_messages.h
@@ -52,8 +52,8 @@
 struct ExcludeBackend {
   std::string backend_id;
   bool excluded = true;
-  /// Completed with 200, or with 404 if no endpoint list is known to have named the backend. Null
-  /// if another process of this proxy received the command.
+  /// The reply, completed with 200, or with 404 if no endpoint list is known to have named the
+  /// backend. Null if another process of this proxy received the command.
   std::shared_ptr<runtime::PendingReply> reply;
 };
 
--- a/src/proxy/endpoint_watch_actor.cpp
+++ b/src/proxy/endpoint_watch_actor.cpp
@@ -28,8 +28,9 @@
 // Discovery's agent runs on this machine or nearby and answers much faster.
 constexpr auto kResponseHeadTimeout = 500ms;
 
-// After every group of this many consecutive unanswered connections, the timeout for the response
-// head grows by kResponseHeadTimeout, up to kWatchSilenceTimeout, in case the agent is slow.
+// Number of consecutive unanswered connections per increase of the response head timeout. Each
+// increase adds kResponseHeadTimeout, up to a total of kWatchSilenceTimeout, so that a slow
+// discovery agent can answer.
 constexpr int kUnansweredPerTimeoutStep = 8;
 
 // Range of the backoff after a connection that lasted less than kResponseHeadTimeout. A drain's
@@ -56,8 +57,8 @@
       : address(to), decoder(max_object_bytes) {}
 
   sockaddr_in address;
-  /// Whether the watch requested changes since version 0. Discovery answers this with the complete
-  /// list at once.
+  /// Whether the watch requested changes since version 0. Discovery answers such a request with
+  /// the complete list at once.
   bool requested_snapshot = false;
   TimePoint silence_deadline{};
   http::Parser head{http::Parser::Kind::kResponseHead};
@@ -144,9 +145,9 @@
   }
 }
 
-// Whether reads must return at once if no data is available, which shows that everything that
-// discovery has written has been read. If the complete list was requested, this applies only after
-// it has arrived.
+// Whether reads must return at once if no data is available. A read that returns no data then shows
+// that everything that discovery has written has been read. If the complete list was requested,
+// reads wait until the list has arrived.
 bool EndpointWatchActor::is_catching_up(const Watch& watch) const {
   return resync_pending_ && (!watch.requested_snapshot || watch.lists > 0);
 }
--- a/src/proxy/idle_connections.h
+++ b/src/proxy/idle_connections.h
@@ -35,8 +35,8 @@
   DescriptorBudget::Slot slot;
   sockaddr_in address;
   std::unique_ptr<net::Stream> stream;
-  /// The reason that is logged unless another one is set. Cancelling an attempt destroys its
-  /// connection without setting a reason.
+  /// The reason logged when the connection ends. The default applies to a cancelled attempt, which
+  /// destroys its connection without setting a reason.
   EndReason end_reason = EndReason::kAttemptCancelled;
   std::uint64_t requests = 0;
   /// Whether the latest response began with its request's trace id.
--- a/src/proxy/listener_messages.h
+++ b/src/proxy/listener_messages.h
@@ -13,9 +13,9 @@
 /// A command from an operator or the platform.
 struct ListenerCommand {
   ListenerCommandType type = ListenerCommandType::kShutdown;
-  /// For kShutdown: whether another process accepts this one's clients.
+  /// For kShutdown: whether another process now accepts connections in place of this one.
   bool has_successor = false;
-  /// Completed with 200; null if nobody waits for the reply.
+  /// The reply, completed with 200; null if nobody waits for it.
   std::shared_ptr<runtime::PendingReply> reply;
 };
 
--- a/src/recovery/recovery_tracker.cpp
+++ b/src/recovery/recovery_tracker.cpp
@@ -58,7 +58,7 @@
 
 void RecoveryTracker::on_endpoint_update() {
   has_endpoints_ = true;
-  // During a resync this may be the first of several updates, so `updated_` is set only in
+  // During a resync this update may be the first of several, so `updated_` is set only in
   // on_resync_complete().
   if (!resyncing_) {
     updated_ = true;
--- a/src/routing/subset.cpp
+++ b/src/routing/subset.cpp
@@ -9,14 +9,15 @@
 namespace beechhill::routing {
 namespace {
 
-// Number of arc widths per factor of 2: widths are rounded up to 2^(i / kStepsPerOctave) for an
-// integer i.
+// Number of rounding steps for each doubling of the arc width: widths are rounded up to
+// 2^(i / kStepsPerOctave) for an integer i.
 constexpr double kStepsPerOctave = 2;
 // An arc is widened while it contains fewer endpoints that are up than this fraction of the number
 // of endpoints expected for its width.
 constexpr double kMinUpFraction = 0.5;
-// Seed of the hash that gives a unit's ring position, which makes the position independent of
-// endpoint hashes.
+// Seed of the hash that maps a unit (an endpoint, cell or zone) to its ring position. It differs
+// from the seed of hash_of_name(), which is 0, so that positions are independent of endpoint
+// hashes.
 constexpr std::uint64_t kUnitHashSeed = 1;
 
 // Maps a hash to [0, 1). Uses its upper 53 bits, which a double represents exactly.
--- a/src/runtime/mailbox.h
+++ b/src/runtime/mailbox.h
@@ -17,8 +17,8 @@
  public:
   explicit Mailbox(std::size_t capacity) : capacity_(capacity) {}
 
-  /// Queues `message`. Returns false and leaves `message` unmoved if the mailbox is full, which
-  /// the sender must handle.
+  /// Queues `message`. Returns false and leaves `message` unmoved if the mailbox is full. The
+  /// sender must handle a full mailbox.
   [[nodiscard]] bool post(T&& message) {
     if (messages_.size() >= capacity_) {
       return false;
--- a/src/runtime/pending_reply.h
+++ b/src/runtime/pending_reply.h
@@ -16,11 +16,12 @@
 struct PendingReply {
   /// The HTTP status code of the result; 0 until the reply is complete.
   int status = 0;
-  /// Set in replies to proxy::GetEndpointCounts: the number of listed endpoints, and the number of
-  /// these that the balancer avoids.
+  /// The number of listed endpoints, and the number of these that the balancer avoids. Set only in
+  /// replies to proxy::GetEndpointCounts.
   std::size_t endpoint_count = 0;
   std::size_t avoided_endpoint_count = 0;
-  /// Set in replies to proxy::GetEndpointCounts: the name of the recovery stage, a string literal.
+  /// The name of the recovery stage, a string literal. Set only in replies to
+  /// proxy::GetEndpointCounts.
   const char* recovery_stage = "";
   /// Notified by complete().
   Notifier completed;
--- a/src/runtime/scheduler.h
+++ b/src/runtime/scheduler.h
@@ -31,8 +31,9 @@
   /// Destroys the task with everything it owns and ends its waits. Has no effect if
   /// the task has ended. A task must not cancel itself.
   void cancel(TaskId id);
-  /// Runs until stop() is called or a spawned task ends with an exception. Then cancels all other
-  /// tasks, while the objects that they refer to still exist, and rethrows the exception.
+  /// Runs until stop() is called or a spawned task ends with an exception. Then cancels all
+  /// remaining tasks, while the objects that they refer to still exist, and rethrows the exception,
+  /// if any.
   void run();
   /// Makes run() return once the calling coroutine has suspended and the coroutines that are
   /// already ready have been resumed.
--- a/src/snapshot/async_snapshot_writer.h
+++ b/src/snapshot/async_snapshot_writer.h
@@ -38,7 +38,8 @@
  private:
   struct Queue;
 
-  /// Shared with the thread, which may outlive this object by one write if the disk hangs.
+  /// The state shared with the thread, which may outlive this object by one write if the disk
+  /// hangs.
   std::shared_ptr<Queue> queue_;
 };
 
--- a/src/snapshot/snapshot.h
+++ b/src/snapshot/snapshot.h
@@ -52,8 +52,8 @@
 /// six significant digits.
 std::string encode(const Snapshot& snapshot);
 
-/// Returns the complete snapshot, or nothing if `text` is torn, damaged, too long or of another
-/// format or version.
+/// Returns the complete snapshot, or nothing if `text` is incomplete, damaged, too long or of
+/// another format or version.
 std::optional<Snapshot> decode(std::string_view text);
 
 /// The reason why the records of a stored snapshot are not used.
--- a/tests/balancer/endpoint_selector_test.cpp
+++ b/tests/balancer/endpoint_selector_test.cpp
@@ -238,8 +238,8 @@
   return static_cast<double>(crossed) / 400;
 }
 
-// The balancer's zone has capacity at both utilizations, so no request may be sent to the other
-// zone.
+// The balancer's zone has capacity at utilizations of 0.2 and 0.6, so no request may be sent to the
+// other zone.
 TEST(CrossZone, StaysInTheOwnZoneWhileItHasCapacity) {
   EXPECT_EQ(cross_zone_share(0.2), 0);
   EXPECT_EQ(cross_zone_share(0.6), 0);
--- a/tests/proxy_rules.cpp
+++ b/tests/proxy_rules.cpp
@@ -246,7 +246,8 @@
   ASSERT_GE(closed, 10);
 }
 
-// A request with the trace id of an open one gets 409. The open request is still answered.
+// A request with the trace id of a request in progress gets 409. The earlier request is still
+// answered.
 TEST(ProxyRules, RejectsTraceIdOfOpenRequest) {
   const FakeListener backend;
   const ProxyUnderTest proxy(single_backend_list(backend));
