--- a/src/emulator/backend_fleet.cpp
+++ b/src/emulator/backend_fleet.cpp
@@ -10,14 +10,15 @@
 namespace beechhill::emulator {
 namespace {
 
-// The wait in seconds that the oracle policy sees for a backend that cannot serve requests.
+// Result of wait_s() for a backend that cannot serve requests, in seconds.
 constexpr double kUnavailableWaitS = 1e9;
-// The oracle policy treats a backend as unable to serve if a fault makes more than this share of
-// its jobs fail.
+// Maximum share of jobs that fail because of a fault at which wait_s() treats a backend as able to
+// serve requests.
 constexpr double kUnavailableErrorRate = 0.1;
-// Processing time of a job that fails because of an error.
+// Time that a backend takes to send an error response.
 constexpr Duration kErrorTime{500};
-// For one backend, the random stream of its host must differ from that of its model.
+// Offset between the stream indices of BackendState::random and of the backend's Node, which must
+// not share a random stream.
 constexpr std::uint64_t kHostStreamOffset = 1ULL << 32;
 constexpr unsigned kTierShift = 24;
 
@@ -203,7 +204,8 @@
   schedule_phases(starts);
 }
 
-// Whether this job makes a cold backend collapse.
+// Returns whether this job overloads its backend while the backend is cold. Clears `warming_up`
+// once the backend is warm.
 bool BackendFleet::overloads_cold_backend(const BackendJob& job) {
   BackendState& backend = backend_of(job);
   if (!backend.model.cold(sim_.now)) {
@@ -310,7 +312,8 @@
   job.at_backend = false;
 }
 
-// Schedules the delivery of a response to the proxy.
+// Schedules the delivery of a response to the proxy. Removes the job without a response if the
+// backend is silent or a partition blocks the response.
 void BackendFleet::respond(JobId id, Result result) {
   BackendJob& job = *jobs_.find(id);
   ProxyState& proxy = sim_.proxies[job.proxy];
--- a/src/emulator/backend_fleet.h
+++ b/src/emulator/backend_fleet.h
@@ -1,5 +1,5 @@
 /// The backends of all tiers and the jobs that they process. Each backend calls the next tier
-/// through a proxy of its own.
+/// through a proxy that serves only this backend.
 #pragma once
 
 #include <json/json.h>
@@ -20,7 +20,7 @@
 
 namespace beechhill::emulator {
 
-/// An attempt that is being processed by a backend, or is in transit to or from it.
+/// An attempt at a backend, from the time its request is sent until its response is received.
 struct BackendJob {
   std::uint32_t tier = 0;
   std::uint32_t proxy = 0;
@@ -37,8 +37,8 @@
   double second_phase_s = 0;
   /// The part of the first phase that is spent on opening a new connection, in core-seconds.
   double handshake_s = 0;
-  /// Work done for the job, in core-seconds: at this backend, and in the tiers below for successful
-  /// calls.
+  /// Work done for the job except handshakes, in core-seconds at speed 1: at this backend, and in
+  /// lower tiers for its successful calls.
   double useful_work_s = 0;
   std::uint32_t downstream_calls_left = 0;
   bool at_backend = false;
@@ -58,13 +58,14 @@
   kDown,
 };
 
+/// One backend: the model of its load, its entry in discovery, and the faults that affect it.
 struct BackendState {
   BackendState(const TierSpec& spec, std::uint64_t seed, std::uint64_t index,
                std::optional<Time> started_at, Time now);
 
   Node model;
   Stream random;
-  /// The state that discovery is to publish for the backend.
+  /// The backend's entry in the endpoint list of discovery.
   Endpoint endpoint;
   BackendMode mode = BackendMode::kUp;
   /// Share of the jobs that fail because of a fault, from 0 to 1.
@@ -81,7 +82,8 @@
   std::vector<JobId> jobs;
 };
 
-/// Owns backends and jobs, and provides their true state to the oracle policy.
+/// Owns the backends and their jobs, and provides the true state of the backends to the oracle
+/// policy.
 class BackendFleet : public TrueBackendState {
  public:
   explicit BackendFleet(Simulation& sim);
@@ -89,15 +91,16 @@
   double wait_s(Time now, std::uint32_t tier, EndpointId endpoint) const override;
   bool has_headroom(Time now, std::uint32_t tier, EndpointId endpoint) const override;
 
-  /// Adds a backend. `started_at` is set if it starts during the run, and is therefore cold.
+  /// Adds a backend and returns its id, which is unique within the tier. `started_at` must be set
+  /// if the backend starts during the run; the backend is then cold.
   EndpointId add(std::uint32_t tier, std::optional<Time> started_at);
   BackendState& at(std::uint32_t tier, EndpointId endpoint) { return backends_[tier][endpoint]; }
   std::deque<BackendState>& in_tier(std::uint32_t tier) { return backends_[tier]; }
   /// The endpoints that discovery lists at present.
   std::vector<Endpoint> listed_endpoints(std::uint32_t tier) const;
 
-  /// Stops the backend's process and discards its jobs. With `silent`, connections are not reset
-  /// and callers get no error.
+  /// Stops the backend's process and discards its jobs. The proxies that wait for these jobs
+  /// receive a connection reset, or nothing if `silent` is true.
   void stop(std::uint32_t tier, EndpointId endpoint, bool silent);
   /// Starts the backend again as cold, unless it has been permanently removed.
   void restart(std::uint32_t tier, EndpointId endpoint);
@@ -111,8 +114,8 @@
   /// Returns null if the job is over. The pointer is valid until the next add_job().
   BackendJob* find_job(JobId id) { return jobs_.find(id); }
   void remove_job(JobId id) { jobs_.remove(id); }
-  /// Marks the job as cancelled by its proxy. If it is still queued for a slot or core, it is
-  /// dropped in tiers that drop cancelled jobs.
+  /// Marks the job as cancelled by its proxy. In tiers with TierSpec::drops_cancelled_jobs, a job
+  /// that is queued for a slot or core is dropped.
   void cancel(JobId id);
 
   void on_job_arrived(JobId id);
@@ -120,7 +123,7 @@
   void on_downstream_call_due(JobId id);
   void on_downstream_answer(JobId id, bool succeeded, double useful_work_s);
 
-  /// Records the values of one second of the time series at its end.
+  /// Records one second of the time series. Must be called at the end of that second.
   void record_second(std::size_t second);
   /// Writes the totals of each tier to the metrics. Must be called at the end of the run.
   void summarize();
@@ -140,9 +143,9 @@
   // Indexed by tier.
   std::vector<std::deque<BackendState>> backends_;
   Slab<BackendJob> jobs_;
-  // Work of the mean request over all tiers, in core-seconds at speed 1.
+  // Mean work of a request over all tiers, in core-seconds at speed 1.
   double mean_work_s_ = 0;
-  // Core-seconds that all backends were busy until the last recorded second.
+  // Total busy time of all backends up to the end of the last recorded second, in core-seconds.
   double busy_until_last_second_ = 0;
 };
 
--- a/src/emulator/client_population.cpp
+++ b/src/emulator/client_population.cpp
@@ -91,21 +91,23 @@
   if (!proxy.paused) {
     return sim_.requests.open(std::move(request));
   }
-  // The process does not read its socket, and the client may disconnect before the request is read.
+  // A paused proxy does not read its socket. The request is kept until the proxy resumes; the
+  // client may time out before.
   operation.unread = true;
   sim_.events.schedule(request.deadline, ClientTimeout{id, operation.attempts});
   proxy.unread_requests.push_back(std::move(request));
 }
 
-// Keeps the connection if its proxy accepts requests, otherwise opens it to a proxy drawn at
-// random. Returns false if that proxy does not accept requests.
+// Keeps the connection if its proxy accepts requests. Otherwise opens it to a random proxy of those
+// that the front-end lists, and returns false if none is listed or the drawn proxy does not accept
+// requests.
 bool ClientPopulation::connect(std::uint32_t connection) {
   std::uint32_t& current = connections_[connection];
   if (sim_.proxies[current].accepts_requests()) {
     return true;
   }
-  // The front-end detects a dead proxy only after proxy_notice. Until then, new connections can be
-  // routed to it.
+  // The front-end lists a dead proxy until `proxy_notice` has passed since its death. New
+  // connections can be routed to the dead proxy until then.
   std::vector<std::uint32_t> offered;
   for (const std::uint32_t index : sim_.proxies.in_tier(0)) {
     const ProxyState& proxy = sim_.proxies[index];
@@ -159,7 +161,7 @@
       {operation->class_id, operation->attempts, rejected, unreachable, result.retry_after},
       random_);
   if (wait && unanswered) {
-    // A connection that is refused or reset takes one network delay.
+    // The client detects a refused or reset connection after one network delay.
     wait = std::max(*wait, sim_.scenario.network);
   }
   if (!wait || sim_.now + *wait >= operation->deadline) {
--- a/src/emulator/client_population.h
+++ b/src/emulator/client_population.h
@@ -23,13 +23,13 @@
   kFailed,
   /// The client got no answer: the proxy died or did not read the request in time.
   kConnectionLost,
-  /// No proxy accepted the connection.
+  /// No proxy accepted the connection, or the proxy died before it read the request.
   kUnreachable,
 };
 
 struct ClientAttemptResult {
   ClientOutcome outcome = ClientOutcome::kFailed;
-  /// Retry-After of a rejection; 0: not given.
+  /// Retry-After of a rejection; 0: the rejection has none.
   Duration retry_after{0};
   /// Work that contributed to a successful answer, in core-seconds at speed 1.
   double useful_work_s = 0;
@@ -81,7 +81,7 @@
   Arrivals arrivals_;
   std::optional<Arrival> next_arrival_;
   Stream random_;
-  // The index of the proxy that each connection leads to, indexed by connection.
+  // Index of the proxy that each connection leads to, by index of the connection.
   std::vector<std::uint32_t> connections_;
   Slab<ClientOperation> operations_;
 };
--- a/src/emulator/clients.cpp
+++ b/src/emulator/clients.cpp
@@ -114,7 +114,7 @@
 }
 
 // Thinning (Lewis and Shedler, 1979): draws times at the maximum rate, and keeps each with the
-// probability that the present rate bears to the maximum.
+// probability (present rate) / (maximum rate).
 std::optional<Arrival> Arrivals::next() {
   do {
     now_ += std::max(Duration{1}, to_duration(random_.exponential(1 / max_rate_)));
--- a/src/emulator/clients.h
+++ b/src/emulator/clients.h
@@ -46,8 +46,8 @@
   double tenant_weight(std::size_t tenant, Time t) const;
   TenantId draw_tenant();
   double draw_work(const ClassSpec& request_class);
-  /// Takes a token if the tenant's bucket holds one; returns whether it did. Tenants without a
-  /// quota are always within it.
+  /// Returns whether a request of the tenant is within its quota, and takes a token from the
+  /// tenant's bucket in that case. Always true for tenants without a quota.
   bool within_quota(TenantId tenant);
 
   const Scenario& scenario_;
@@ -59,20 +59,20 @@
   std::vector<QuotaBucket> quotas_;
 };
 
-/// An attempt without success, as its client sees it.
+/// An unsuccessful attempt, as observed by its client.
 struct FailedAttempt {
   ClassId class_id = 0;
   /// Number of attempts of the request so far.
   std::uint32_t attempts = 1;
   bool rejected = false;
   bool unreachable = false;
-  /// Retry-After of a rejection; 0: not given.
+  /// Retry-After of a rejection; 0: the rejection has none.
   Duration retry_after{0};
 };
 
-/// Returns how long the client waits before its next attempt, or nothing if it does not retry:
-/// because its policy forbids it, the retries are used up, or a repetition could execute a request
-/// twice.
+/// Returns how long the client waits before its next attempt. Returns nothing if the client does
+/// not retry, because its retry policy is kNever, its retries are used up, or a retry could execute
+/// the request twice.
 std::optional<Duration> wait_before_retry(const Scenario& scenario, const FailedAttempt& failed,
                                           Stream& random);
 
--- a/src/emulator/discovery_feed.cpp
+++ b/src/emulator/discovery_feed.cpp
@@ -18,7 +18,7 @@
     ProxyState& proxy = sim_.proxies[index];
     const Duration spread = to_duration(to_s(scenario.list_spread) * random_.uniform());
     const Duration lag = scenario.list_lag + spread + staleness_ + extra_delay;
-    // Updates to one proxy must not overtake each other.
+    // Keeps the updates to one proxy in order, whatever their random delays.
     proxy.last_update_at = std::max(sim_.now + lag, proxy.last_update_at + Duration{1});
     sim_.events.schedule(proxy.last_update_at,
                          EndpointUpdateDelivered{proxy.current(), updates_.size() - 1});
--- a/src/emulator/discovery_feed.h
+++ b/src/emulator/discovery_feed.h
@@ -23,12 +23,12 @@
   /// Sends a backend's new state to every proxy of its tier. Updates reach each proxy in order,
   /// after the scenario's discovery lag and `extra_delay`.
   void publish(std::uint32_t tier, const Endpoint& endpoint, Duration extra_delay = Duration{0});
-  /// Delivers an update to a proxy: the update with this number, or the present full list if there
-  /// is none. The update is lost during a fault of discovery for this proxy; the proxy gets the
-  /// full list when the fault ends.
+  /// Delivers a message to a proxy: the update with the index `update`, or the present full
+  /// endpoint list if `update` is empty. The message is lost while a discovery fault affects the
+  /// proxy; the proxy receives the full list when the fault ends.
   void deliver(std::uint32_t proxy, std::optional<std::size_t> update);
-  /// The endpoint list as of the time `at`: the latest change of each backend up to then.
-  /// O(backends + changes).
+  /// Returns the endpoint list of the time `at`, which includes all changes up to that time. Takes
+  /// O(backends + changes) time.
   std::vector<Endpoint> endpoints_at(std::uint32_t tier, Time at) const;
   /// Sets the delay that is added to the lag of every update from now on.
   void set_staleness(Duration staleness) { staleness_ = staleness; }
--- a/src/emulator/event_queue.h
+++ b/src/emulator/event_queue.h
@@ -17,15 +17,16 @@
 /// Identifies a client's operation, which is one request with all its attempts. An id of a Slab.
 using OperationId = std::uint64_t;
 
-/// One process of a proxy. Events that were scheduled for an earlier incarnation are ignored.
+/// Identifies one process of a proxy. Each restart of the proxy has a new incarnation number, and
+/// events that were scheduled for an earlier incarnation are ignored.
 struct ProxyIncarnation {
   std::uint32_t proxy = 0;
   std::uint64_t incarnation = 0;
 };
 
-/// A client sends a new operation.
+/// The next arrival: a client starts a new operation.
 struct ArrivalDue {};
-/// A client retries its operation.
+/// A client starts its operation's next attempt.
 struct ClientRetryDue {
   OperationId operation = 0;
 };
@@ -38,7 +39,7 @@
 struct DownstreamCallDue {
   JobId job = 0;
 };
-/// The last byte of an attempt has reached its backend.
+/// The last byte of an attempt's request has reached its backend.
 struct JobArrived {
   JobId job = 0;
 };
@@ -50,6 +51,7 @@
 struct AttemptResponse {
   JobId job = 0;
 };
+/// An attempt that its proxy has cancelled ends at the proxy.
 struct AttemptCancelled {
   RequestId request = 0;
   std::uint32_t attempt = 0;
@@ -65,8 +67,8 @@
   ProxyIncarnation proxy;
   TimerToken token = 0;
 };
-/// A discovery message reaches a proxy: the update with this number, or the full endpoint list if
-/// there is none.
+/// A discovery message reaches a proxy: the update with this index in DiscoveryFeed, or the
+/// full endpoint list if `update` is empty.
 struct EndpointUpdateDelivered {
   ProxyIncarnation proxy;
   std::optional<std::size_t> update;
@@ -87,7 +89,7 @@
 struct FaultEnds {
   std::size_t fault = 0;
 };
-/// A rolling replacement continues with the next backend.
+/// A rolling replacement continues with the backend `endpoint`.
 struct ReplacementDue {
   std::size_t fault = 0;
   EndpointId endpoint = 0;
@@ -118,7 +120,8 @@
   }
 };
 
-/// A binary heap: scheduling and popping take O(log n) time.
+/// The scheduled events, ordered by time and then by the order in which they were scheduled.
+/// Scheduling and popping take O(log n) time.
 class EventQueue {
  public:
   void schedule(Time at, const SimulationEvent& event) {
--- a/src/emulator/fault_injector.cpp
+++ b/src/emulator/fault_injector.cpp
@@ -49,7 +49,8 @@
   end_backend_fault(fault);
 }
 
-// Draws among the backends of the fault's tier that are listed as up when the fault begins.
+// Draws the affected backends from those of the fault's tier that are up in the endpoint list when
+// the fault begins.
 void FaultInjector::choose_backends(std::size_t fault) {
   std::vector<Endpoint> up;
   for (const BackendState& backend : sim_.backends.in_tier(sim_.scenario.faults[fault].tier)) {
@@ -109,7 +110,7 @@
     case FaultKind::kStaleList:
       return sim_.discovery.set_staleness(Duration{0});
     case FaultKind::kDrain:
-      // After a drain the backends are out for maintenance and then start again.
+      // Simulates maintenance after the drain: the backends are stopped and restarted.
       for (const EndpointId endpoint : affected_backends_[fault]) {
         sim_.backends.stop(spec.tier, endpoint, false);
         sim_.backends.restart(spec.tier, endpoint);
@@ -225,8 +226,8 @@
   }
 }
 
-// Sends an earlier endpoint list to the affected proxies that can receive it, and nothing more
-// until the fault ends.
+// Sends an earlier endpoint list to the affected proxies that can receive it. No affected proxy
+// receives updates until the fault ends.
 void FaultInjector::rewind_discovery(const FaultSpec& spec) {
   const Time rewound_to = sim_.now - sim_.scenario.list_lag - spec.delay;
   const std::vector<Endpoint> endpoints = sim_.discovery.endpoints_at(0, rewound_to);
--- a/src/emulator/fault_injector.h
+++ b/src/emulator/fault_injector.h
@@ -1,5 +1,5 @@
 /// Injects the faults of a scenario: schedules their beginnings and ends, and applies their effects
-/// to the parts of the deployment. Load bursts are not handled here; the generator of arrivals
+/// to the parts of the deployment. Load bursts are not handled here, because Arrivals
 /// includes them. Gossip faults have no effect, because emulated proxies do not gossip.
 #pragma once
 
--- a/src/emulator/fault_spec.h
+++ b/src/emulator/fault_spec.h
@@ -9,8 +9,8 @@
 
 namespace beechhill::emulator {
 
-/// In the order of fault_kind_names(). The kinds that affect stored state and disks must be
-/// contiguous; see affects_state().
+/// The kinds of fault, in the order of fault_kind_names(). The kinds that affect stored state and
+/// disks must be contiguous; see affects_state().
 enum class FaultKind {
   kSilent,
   kErrors,
@@ -21,6 +21,8 @@
   kDrain,
   kReplace,
   kProxyCrash,
+  /// Messages between the first half of the proxies and the selected backends are lost, in the
+  /// direction `way`.
   kPartition,
   kBurst,
   kTenantBurst,
@@ -68,21 +70,23 @@
 /// proxies.
 enum class Direction { kBoth, kThere, kBack };
 
-/// One planned fault. A fault of backends draws its targets when it begins: `part` or `nodes` of
-/// the backends in `zone` and `cell`, or all of these if neither is set.
+/// One planned fault. The targets of a fault that affects backends are drawn when it begins, from
+/// the backends in `zone` and `cell`: `nodes` of them, or else the share `part`, or all of them if
+/// neither is set.
 struct FaultSpec {
   FaultKind kind = FaultKind::kSilent;
   Duration at{0};
   Duration length{0};
   std::uint32_t tier = 0;
-  /// Share of the backends, or of the proxies if the fault affects proxies, from 0 to 1.
+  /// Share of the backends, or of the proxies if the fault affects proxies, from 0 to 1; 0: not
+  /// set.
   double part = 0;
   /// Number of backends; 0: not set.
   std::uint32_t nodes = 0;
   /// Selects the backends of one zone or cell; negative: not set.
   std::int64_t zone = -1;
   std::int64_t cell = -1;
-  /// Error rate, slowdown or load multiple, depending on the kind.
+  /// Error rate, slowdown, load multiple or datagram loss, depending on the kind.
   double factor = 0;
   Duration delay{0};
   std::uint32_t tenant = 0;
--- a/src/emulator/gossip_simulation.cpp
+++ b/src/emulator/gossip_simulation.cpp
@@ -16,11 +16,11 @@
 constexpr std::uint64_t kGossipStream = 1ULL << 37;
 // Number of datagrams that the socket of a stopped process buffers.
 constexpr std::size_t kSocketBufferDatagrams = 128;
-// Bytes that a datagram adds to its payload: MAC, magic number, name with its length, boot id,
-// counter, session nonce and channel. Names are about 9 bytes long in this simulation.
+// Number of bytes that a datagram adds to its payload: MAC, magic number, name with its length,
+// boot id, counter, session nonce and channel. Names are about 9 bytes long in this simulation.
 constexpr std::size_t kDatagramOverheadBytes = 32 + 4 + 2 + 9 + 8 * 3 + 1;
-// A gap between ticks of more than this many probe intervals is handled as a resume, as in
-// GossipActor.
+// A member that was stopped for more than this many probe intervals calls SwimNode::on_resume(), as
+// in GossipActor.
 constexpr int kResumeGapIntervals = 2;
 constexpr Time kNoTick{-1};
 
@@ -183,7 +183,7 @@
 void GossipSimulation::schedule_tick(std::size_t i) {
   Member& member = members_[i];
   const auto own_time = static_cast<double>(member.swim->next_tick().count());
-  // Adds one microsecond, so that rounding never makes the tick early by the member's own clock.
+  // Without the additional microsecond, rounding could make the tick early on the member's clock.
   const Time simulated_time(static_cast<std::int64_t>(own_time / member.clock_rate) + 1);
   const Time due = std::max(now_, simulated_time);
   if (member.scheduled_tick >= now_ && member.scheduled_tick <= due) {
--- a/src/emulator/gossip_simulation.h
+++ b/src/emulator/gossip_simulation.h
@@ -30,11 +30,12 @@
   Duration delay{500};
   /// Maximum relative error of a member's clock rate.
   double drift = 0;
-  /// Number of seed members. The members with the lowest indices are the seeds of all.
+  /// Number of seed members, which have the lowest indices. All members use the same seeds.
   std::uint32_t seeds = 2;
 };
 
-/// Members are identified by their index, from 0. All of them are running at the start.
+/// Runs the simulated cluster. Members are identified by their index, from 0. All of them are
+/// running at the start.
 class GossipSimulation {
  public:
   explicit GossipSimulation(const GossipSimulationSpec& spec);
@@ -58,10 +59,10 @@
   void stop(std::size_t i);
   /// Resumes a stopped member.
   void go_on(std::size_t i);
-  /// Makes the member announce that it leaves, then ends it.
+  /// Makes the member announce that it leaves, then ends its process.
   void leave(std::size_t i);
-  /// Sets the filter of links, which is called for each datagram. An empty function lets all
-  /// datagrams pass.
+  /// Sets the link filter: only datagrams for which `reaches` returns true are delivered. An empty
+  /// function lets all datagrams pass.
   void cut(std::function<bool(std::size_t from, std::size_t to)> reaches) {
     reaches_ = std::move(reaches);
   }
@@ -69,8 +70,8 @@
   /// Whether all running members have the same, correct view: each considers exactly the running
   /// members alive or suspect.
   bool agreed() const;
-  /// The time since which `observer`, which must be running, has considered `other` dead; empty if
-  /// it does not.
+  /// Returns the simulated time since which `observer` has considered `other` dead, or nothing if
+  /// `observer` does not consider it dead. `observer` must not have been killed.
   std::optional<Time> dead_since(std::size_t observer, std::size_t other) const;
 
   struct TrafficCounts {
--- a/src/emulator/maintenance_fault_plan.cpp
+++ b/src/emulator/maintenance_fault_plan.cpp
@@ -16,8 +16,8 @@
 namespace {
 
 constexpr std::uint64_t kRandomStream = (1ULL << 36) + 1;
-// Rounds that are simulated after the last fault, so that requests complete or state a reason for
-// waiting.
+// Minimum and maximum number of rounds that are simulated after the last fault, so that maintenance
+// requests are completed or have a stated reason for waiting.
 constexpr int kMinSettlingRounds = 10;
 constexpr int kMaxSettlingRounds = 60;
 constexpr Duration kSettlingRound = 5s;
@@ -193,8 +193,8 @@
   suspended_.insert(proxy);
 }
 
-// Wipes at most one storage at a time: if a majority of the voters lost their storage, the
-// committed state could not be recovered.
+// Wipes a voter's storage only while all voters are running, so that one storage is lost at a time.
+// The committed state cannot be recovered if a majority of the voters lose their storage.
 void FaultPlan::wipe_storage(std::size_t proxy) {
   if (proxy >= spec_.voters || !simulation_.has_all_voters()) {
     return;
@@ -205,8 +205,9 @@
   killed_.insert(proxy);
 }
 
-// Voters detect that another voter's storage is older than what they have seen from it. All voters
-// must therefore run and receive its messages before the copy is restored.
+// Restores an older copy of a voter's storage. The other voters detect it by messages that they
+// received from the voter after the copy was made, so all voters must be running and connected
+// until the voter is killed.
 void FaultPlan::restore_storage(std::size_t proxy) {
   if (proxy >= spec_.voters || !simulation_.has_all_voters()) {
     return;
--- a/src/emulator/maintenance_invariants.h
+++ b/src/emulator/maintenance_invariants.h
@@ -1,4 +1,4 @@
-// The safety properties of maintenance, checked against a simulation.
+// Checks the safety properties of maintenance in a simulation.
 #pragma once
 
 #include <cstddef>
@@ -11,19 +11,23 @@
 
 namespace beechhill::emulator {
 
-/// Number of violations of each property, and descriptions of the first few.
+/// The violations that MaintenanceInvariants has found.
 struct MaintenanceVerdict {
-  /// Requests that were sent to a machine, or were in flight to it, while it was out of service.
+  /// Number of requests that were sent to a machine while it was out of service, and of proxies
+  /// that had requests in flight to a machine when the work on it began.
   std::uint64_t attempts_during_maintenance = 0;
-  /// Committed states, or sets of machines that are worked on, that exceed the disruption budget.
+  /// Number of committed states that exceed the disruption budget, and of checks that found more
+  /// machines worked on than the budget allows.
   std::uint64_t budget_exceeded = 0;
-  /// Replicas whose states differ at the same log index, and fencing tokens issued for two
-  /// machines.
+  /// Number of replica states that differ from another replica's state at the same log index, and
+  /// of checked workflows whose fencing token had been issued for another machine.
   std::uint64_t diverged = 0;
+  /// Descriptions of the first violations, one per line.
   std::string text;
   std::uint64_t all() const { return attempts_during_maintenance + budget_exceeded + diverged; }
 };
 
+/// Checks the properties and counts violations.
 class MaintenanceInvariants {
  public:
   explicit MaintenanceInvariants(const maintenance::DisruptionBudget& budget) : budget_(budget) {}
@@ -32,8 +36,8 @@
   /// since the last call.
   void check_replica(Time now, std::size_t voter,
                      const maintenance::MaintenanceStateMachine& state);
-  /// Checks the number of machines that operators actually work on against the budget, whatever the
-  /// proxies have committed.
+  /// Checks the number of machines that operators actually work on against the disruption budget,
+  /// independently of the committed state.
   void check_machines_in_work(Time now, std::uint32_t count);
   void report_dispatch_during_maintenance(Time now, const std::string& what);
 
--- a/src/emulator/maintenance_simulation.cpp
+++ b/src/emulator/maintenance_simulation.cpp
@@ -29,7 +29,7 @@
 constexpr std::size_t kBackendsPerCell = 4;
 constexpr Duration kDoneCommandInterval = 500ms;
 constexpr std::uint64_t kServedRequestsPerSecond = 100;
-// Factor by which SeededBug::kLongLease overestimates a lease.
+// Number of lease durations by which SeededBug::kLongLease extends a dispatch permission.
 constexpr int kLongLeaseFactor = 4;
 
 }  // namespace
@@ -145,7 +145,7 @@
     return;
   }
   proxy.coordinator->on_resume(now_);
-  // Worst case: a request is sent, if still permitted, before the buffered datagrams are handled.
+  // Simulates the worst case: the proxy sends a request before it handles the buffered datagrams.
   send_request(i);
   for (const Datagram& datagram : std::exchange(proxy.socket_buffer, {})) {
     proxy.coordinator->receive(now_, proxy_name(datagram.from), datagram.channel, datagram.bytes);
@@ -346,8 +346,8 @@
   }
 }
 
-// Follows MaintenanceActor: a storage that was rolled back is discarded, and the voter waits to be
-// readmitted.
+// Discards a voter's storage if it was rolled back, as MaintenanceActor does. A voter without
+// storage gets a new one when it has been readmitted.
 void MaintenanceSimulation::replace_lost_storage(std::size_t i) {
   Proxy& proxy = proxies_[i];
   if (!proxy.is_voter || (proxy.storage && !proxy.coordinator->rolled_back())) {
@@ -406,13 +406,14 @@
         now_, fmt::format("{} sent a request to {}, which has been out of service since {:.2f} s",
                           proxy_name(i), backend.machine.id, to_s(*backend.out_since)));
   }
-  // A backend that is down refuses the request immediately.
+  // A backend that is down rejects the request immediately, so that it is never in flight.
   if (backend.machine.up) {
     proxy.in_flight[backend.machine.id].push_back(now_ + spec_.request_duration);
   }
 }
 
-// Applies the coordinator's own permission, as modified by a seeded bug.
+// Returns the end of the coordinator's dispatch permission for the machine, as modified by the
+// seeded bug.
 Time MaintenanceSimulation::dispatch_permitted_until(const Proxy& proxy,
                                                      const std::string& machine) const {
   const Time permitted_until = proxy.coordinator->dispatch_permitted_until(machine);
--- a/src/emulator/maintenance_simulation.h
+++ b/src/emulator/maintenance_simulation.h
@@ -27,7 +27,7 @@
   kLongLease,
   /// Proxies confirm a drain while they still have requests in flight.
   kConfirmsBusy,
-  /// Proxies send requests to announced machines without a lease.
+  /// Proxies send requests to machines that require a lease although they hold none.
   kNoLease,
 };
 
@@ -58,7 +58,8 @@
   SeededBug bug = SeededBug::kNone;
 };
 
-/// Proxies are numbered from 0. The voters have the lowest numbers.
+/// Runs the simulated proxies, backends and operators. Proxies are numbered from 0, and the voters
+/// have the lowest numbers.
 class MaintenanceSimulation {
  public:
   explicit MaintenanceSimulation(const MaintenanceSimulationSpec& spec);
@@ -72,8 +73,8 @@
 
   /// Sends an operator's command to the proxy. The command is lost if the proxy is not running.
   void order(std::size_t proxy, maintenance::Command command);
-  /// The running proxy that considers itself the leader. If there are several, the one that has
-  /// applied the most of the log.
+  /// Returns the running proxy that considers itself the leader. If several do, returns the one
+  /// that has applied the most of the log.
   std::optional<std::size_t> leader() const;
   /// Whether all voters are running and can vote, so that one of them may lose its storage without
   /// loss of the quorum.
@@ -118,13 +119,14 @@
 
   using Verdict = MaintenanceVerdict;
   const Verdict& verdict() const { return invariants_.verdict(); }
-  /// Number of maintenance works that operators have completed.
+  /// Number of times that an operator has completed the work on a machine.
   std::size_t taken_out() const { return completed_works_; }
   std::uint64_t calls() const { return requests_sent_; }
   /// Number of requests that were not sent because no backend was permitted.
   std::uint64_t calls_kept_back() const { return requests_withheld_; }
+  /// Ids of the open maintenance requests.
   std::vector<std::string> open_requests() const;
-  /// Ids of open maintenance requests for which the planner gives no reason why they wait.
+  /// Ids of the open maintenance requests for which the planner states no reason for waiting.
   std::vector<std::string> unexplained_requests() const;
 
  private:
@@ -165,7 +167,8 @@
     bool in_work = false;
     bool down = false;
     Time work_ends_at{0};
-    /// Time at which an operator saw that the machine was out of service.
+    /// Time at which an operator found the machine out of service and began the work; empty while
+    /// no operator works on it.
     std::optional<Time> out_since;
     std::string request;
     maintenance::FencingToken fencing_token = 0;
@@ -216,8 +219,9 @@
   MaintenanceSimulation::Verdict verdict;
   std::size_t taken_out = 0;
   std::size_t backends = 0;
-  /// Maintenance requests that were open at the end, and those among them without a stated reason.
+  /// Ids of the maintenance requests that were open at the end without a stated reason for waiting.
   std::vector<std::string> silent;
+  /// Ids of all maintenance requests that were open at the end.
   std::vector<std::string> open;
   /// The injected faults, one per line.
   std::string plan;
--- a/src/emulator/metrics.cpp
+++ b/src/emulator/metrics.cpp
@@ -12,9 +12,9 @@
 constexpr double kMaxLatencyS = 1e3;
 constexpr std::chrono::milliseconds kBucketLength{100};
 constexpr std::size_t kBucketsPerSecond = 10;
-// Number of buckets for which full service must last.
+// Full service must last for this many buckets after its first one.
 constexpr std::size_t kFullServiceBuckets = 50;
-// Share of the control's goodput that counts as full service.
+// Minimum served priority weight that counts as full service, relative to the control run.
 constexpr double kFullServiceShare = 0.98;
 
 Json::Value number(std::uint64_t n) {
@@ -208,7 +208,8 @@
   return -1;
 }
 
-// Compares the whole second that begins with the given bucket.
+// Returns whether the second that begins with `first_bucket` has full service, compared with the
+// control run.
 bool Metrics::matches_control(const Metrics& control, std::size_t first_bucket) const {
   double served = 0;
   double expected = 0;
--- a/src/emulator/metrics.h
+++ b/src/emulator/metrics.h
@@ -35,8 +35,8 @@
   std::uint64_t count_ = 0;
 };
 
-/// Requests of one class or tenant that arrived after the warm-up, by result. Here and below,
-/// `in_aim` means within the latency objective, `refused` means rejected, and `worth` is the
+/// Numbers of requests of one class or tenant that arrived after the warm-up, by result. Here and
+/// below, `in_aim` means within the latency objective, `refused` means rejected, and `worth` is the
 /// priority weight.
 struct Count {
   std::uint64_t asked = 0;
@@ -62,7 +62,7 @@
   double worth_served = 0;
   /// Share of all cores that was busy, from 0 to 1.
   double busy = 0;
-  /// Jobs that wait for a core at the end of the second.
+  /// Number of jobs that wait for a slot or a core at the end of the second.
   std::uint64_t waiting = 0;
   /// Load of the most loaded backend of the first tier relative to the mean, at the end of the
   /// second. Load is the number of jobs over the capacity.
@@ -74,11 +74,12 @@
 struct Return {
   /// Time from the last proxy's return to full service; empty if full service was not reached.
   std::optional<Duration> full_after;
-  /// Priority weight lost relative to the control run since the fault began, in seconds of the mean
-  /// load.
+  /// Priority weight that was served in the control run but not in this run since the fault began,
+  /// divided by the mean priority weight requested per second.
   double worth_lost = 0;
 };
 
+/// The metrics of one run of a scenario.
 struct Metrics {
   /// `scenario` must outlive this object.
   explicit Metrics(const Scenario& scenario);
@@ -104,16 +105,16 @@
   std::vector<LatencyHistogram> latency;
   LatencyHistogram latency_all;
   std::vector<Second> seconds;
-  /// Attempts of clients at proxies after the warm-up.
+  /// Number of attempts of clients at proxies after the warm-up.
   std::uint64_t tries = 0;
-  /// Attempts of proxies at backends of the first tier after the warm-up.
+  /// Number of attempts of proxies at backends of the first tier after the warm-up.
   std::uint64_t attempts = 0;
   std::uint64_t connections = 0;
   /// Number of health checks.
   std::uint64_t probes = 0;
-  /// Attempts of clients that no proxy accepted.
+  /// Number of attempts of clients that no proxy accepted.
   std::uint64_t unreachable = 0;
-  /// Cold backends that collapsed under load.
+  /// Number of times that a cold backend collapsed under load.
   std::uint64_t tipped = 0;
   /// Maximum number of connections opened, and of attempts received, by one backend of the first
   /// tier in one second after the warm-up.
@@ -121,14 +122,14 @@
   std::uint64_t max_arrivals = 0;
   /// Number of pairs of a proxy and a backend that have had a connection.
   std::uint64_t pairs = 0;
-  /// Attempts that crossed zones, over all tiers.
+  /// Number of attempts that crossed zones, over all tiers.
   std::uint64_t crossings = 0;
   /// Core-seconds at speed 1: all work done, and the work that contributed to answers that clients
   /// received.
   double work_done = 0;
   double work_useful = 0;
   std::uint64_t events = 0;
-  /// Requests that proxies have made decisions on.
+  /// Number of requests that proxies have made decisions on.
   std::uint64_t decisions = 0;
   /// The summary of each tier, as written to the result.
   std::vector<Json::Value> tiers;
@@ -137,8 +138,9 @@
   double goodput() const { return all.worth_asked > 0 ? all.worth_served / all.worth_asked : 1; }
   /// Goodput of the requests that arrived in the whole seconds from `from` to `until`.
   double goodput_between(Duration from, Duration until) const;
-  /// Seconds after `from` at which goodput is at least `goal` for three consecutive seconds;
-  /// negative if that does not occur before `until`.
+  /// Returns the number of seconds from `from`, rounded up to a whole second, to the first of three
+  /// consecutive seconds with a goodput of at least `goal`; -1 if no such three seconds end by
+  /// `until`.
   double recovery_s(Duration from, Duration until, double goal) const;
   /// Measures the recovery from a fault. Full service begins where the served priority weight is
   /// within 2 % of the control's over each one-second window that begins in the next five seconds.
@@ -149,7 +151,7 @@
   Json::Value to_json(bool series) const;
 
  private:
-  /// Sums over a tenth of a second, by the arrival time of the requests.
+  /// Sums of the priority weights of the requests that arrived within a tenth of a second.
   struct Bucket {
     double worth_asked = 0;
     double worth_served = 0;
--- a/src/emulator/node.cpp
+++ b/src/emulator/node.cpp
@@ -6,9 +6,11 @@
 namespace beechhill::emulator {
 namespace {
 
-// Reports that are kept, which limits their delay to this many report intervals.
+// Maximum number of stored reports. Reports with a delay of more than this many report intervals
+// are lost.
 constexpr std::size_t kMaxReports = 64;
-// Maximum share of busy cores at which a collapsed backend recovers.
+// Maximum share of busy cores at which a backend with empty queues counts as idle, so that it can
+// recover from a collapse.
 constexpr double kMostlyIdle = 0.5;
 
 }  // namespace
--- a/src/emulator/node.h
+++ b/src/emulator/node.h
@@ -22,10 +22,11 @@
   Time until{0};
 };
 
-/// The times passed to successive calls must not decrease. Work is in seconds on a core of speed 1.
+/// The model of one backend. The times passed to successive calls must not decrease. Work is in
+/// seconds on a core of speed 1.
 class Node {
  public:
-  /// `spec` must outlive this object. `started_at` is set if the backend starts cold.
+  /// `spec` must outlive this object. `started_at` must be set if the backend starts cold.
   Node(const TierSpec& spec, std::uint64_t seed, std::uint64_t index,
        std::optional<Time> started_at, Time now);
 
@@ -50,14 +51,15 @@
   /// during slow start.
   double capacity_share(Time now) const;
   bool cold(Time now) const { return capacity_share(now) < 1; }
-  /// Core-seconds of work per second at the present state of the slow start.
+  /// Capacity in core-seconds at speed 1 per second, reduced by slow start but not by slow_down()
+  /// or a collapse.
   double capacity(Time now) const { return spec_->cores * speed_ * capacity_share(now); }
   std::size_t job_count() const { return used_slots_ + slot_queue_.size(); }
   std::size_t waiting() const { return core_queue_.size() + slot_queue_.size(); }
-  /// Seconds of queued work per core, at the present speed.
+  /// Estimated seconds until the cores complete the running and queued work, at the present speed.
   double backlog_s(Time now) const;
-  /// The load report that a proxy receives now, with the delay and noise of the scenario. Empty if
-  /// no report is old enough.
+  /// The load report that a proxy receives now, with the noise of the scenario and its delay plus
+  /// `more_delay`. Empty if no report is old enough.
   LoadReport report(Time now, Duration more_delay);
   void slow_down(double factor) { slowdown_ = factor; }
   /// Whether throughput has collapsed under load.
@@ -65,7 +67,7 @@
   const std::optional<Time>& born() const { return started_at_; }
   double speed() const { return speed_; }
 
-  /// Totals up to the latest call that was passed a time.
+  /// Totals up to the latest time that was passed to a function that changes the state.
   double busy_core_s() const { return busy_total_; }
   double total_wait_s() const { return total_wait_s_; }
   /// The integral of job_count() over time, in job-seconds.
--- a/src/emulator/policies.cpp
+++ b/src/emulator/policies.cpp
@@ -27,14 +27,15 @@
   Balancer balancer_;
 };
 
-// Share of the accumulated load reports of a backend that decays with each new report.
+// Share of a backend's accumulated load reports that is dropped with each new report.
 constexpr double kReportDecay = 0.2;
 // Averaging window of the request rate, in seconds.
 constexpr double kRateWindowS = 5;
-// Number of times that choose() is called before any allowed backend is taken.
+// Maximum number of calls of choose() for one attempt. If none returns an allowed backend, any
+// allowed backend is used.
 constexpr int kMaxChoices = 3;
 
-// A backend as a baseline policy sees it.
+// The state that a baseline policy keeps for a backend.
 struct KnownBackend {
   bool up = false;
   Endpoint endpoint;
@@ -42,7 +43,7 @@
   // Exponentially decaying sums of reported rates and utilisations.
   double rates = 0;
   double utilisations = 0;
-  // Number of attempts that a cold backend may still be sent.
+  // Number of attempts that may be sent to the backend while it is cold, including fractions.
   double credit = 0;
   Time credited_at{0};
 };
@@ -67,7 +68,7 @@
   }
 
  protected:
-  // Returns an index into up(). Called only while up() is not empty.
+  // Returns an index into up(). Must not be called while up() is empty.
   virtual std::size_t choose() = 0;
   virtual bool admits(const Request&) { return true; }
   virtual bool has_capacity(KnownBackend& backend) {
@@ -363,7 +364,8 @@
   }
 };
 
-// Uses the true state of the backends. Gives an upper bound for the results of other policies.
+// Chooses the backend with the shortest true wait. Its results serve as an upper bound for those of
+// the other policies.
 class Oracle : public BaselinePolicy {
  public:
   Oracle(const Settings& settings, const TrueBackendState& true_state)
@@ -373,8 +375,8 @@
     }
   }
 
-  // Rejects requests at the first tier that would wait too long for their latency objective. The
-  // limit is lower for classes of lower priority.
+  // Rejects a request at the first tier if it would wait longer than a share of its latency
+  // objective. The share grows with the priority weight of the request's class.
   bool admits(const Request& request) override {
     if (settings().tier > 0) {
       return true;
--- a/src/emulator/policy.h
+++ b/src/emulator/policy.h
@@ -18,8 +18,8 @@
   /// Processes one event at `now`, which never decreases, and appends the resulting actions in
   /// order. Same contract as Balancer::handle.
   virtual void handle(Time now, const Event& event, std::vector<Action>& actions) = 0;
-  /// What the policy has learned about a backend, as in Balancer::endpoint_stats. Baseline policies
-  /// return empty statistics.
+  /// Returns the statistics that the policy has collected on a backend, as
+  /// Balancer::endpoint_stats() does. Baseline policies return empty statistics.
   virtual EndpointStats endpoint_stats(EndpointId) const { return {}; }
 };
 
@@ -27,21 +27,21 @@
 class TrueBackendState {
  public:
   virtual ~TrueBackendState() = default;
-  /// Seconds until a core would be free for work that is sent now. A very large number for a
+  /// Estimated seconds until a core is free for work that is sent now. A very large number for a
   /// backend that is silent, down or overloaded, or that fails many of its requests.
   virtual double wait_s(Time now, std::uint32_t tier, EndpointId node) const = 0;
   /// Whether the backend is warm, or is cold but can take one more job without risk of collapse.
   virtual bool has_headroom(Time now, std::uint32_t tier, EndpointId node) const = 0;
 };
 
-/// Creates the policy of one proxy, at its start and at each restart.
+/// Creates the policy of a proxy. Called each time the proxy's process starts.
 using PolicyFactory = std::function<std::unique_ptr<Policy>(Time now, const Settings& settings,
                                                             const TrueBackendState& true_state,
                                                             std::vector<Action>& actions)>;
 
 /// Valid names: module, random, round_robin, two_choices, least_outstanding, weighted, oracle.
 const std::vector<std::string>& policy_names();
-/// Returns null if the name is unknown. `truth` must outlive the policy.
+/// Returns null if the name is unknown. `true_state` must outlive the policy.
 std::unique_ptr<Policy> make_policy(const std::string& name, Time now, const Settings& settings,
                                     const TrueBackendState& true_state,
                                     std::vector<Action>& actions);
--- a/src/emulator/proxy_fleet.cpp
+++ b/src/emulator/proxy_fleet.cpp
@@ -11,8 +11,8 @@
 
 // Time until a proxy has received the full endpoint list, after a restart or a long pause.
 constexpr Duration kListFetchTime{100'000};
-// Silence of discovery after which a proxy requests the full list again. Same value as in the real
-// proxy.
+// Time without messages from discovery after which a proxy requests the full endpoint list again.
+// The real proxy uses the same value.
 constexpr Duration kWatchSilence{2'500'000};
 
 }  // namespace
@@ -110,7 +110,7 @@
     return;
   }
   proxy.alive = false;
-  // Invalidates the proxy's timers and the updates that are on their way to it.
+  // Invalidates the proxy's timers and the updates that are in transit to it.
   ++proxy.incarnation;
   proxy.died_at = sim_.now;
   proxy.paused = false;
@@ -229,7 +229,8 @@
   return is_current(run) && defer(event, run.proxy);
 }
 
-// The proxy handles the deadline after it has resumed, but its client does not wait for that.
+// Defers the deadline of a paused proxy's request. Schedules AnswerOverdue, because the client does
+// not wait until the proxy resumes.
 bool ProxyFleet::defer_deadline(const SimulationEvent& event, RequestId id) {
   const ProxyRequest* request = sim_.requests.find(id);
   if (!request || !defer(event, request->proxy)) {
@@ -245,7 +246,7 @@
     return false;
   }
   if (!request->answered) {
-    // A process that is not running is not required to answer.
+    // A paused process cannot answer, so the missing answer is not a violation.
     sim_.rules.excused(sim_.now, id);
     request->answered = true;
     request->client_gone = true;
@@ -282,8 +283,8 @@
   notify_policy(index, EndpointUpdate{UpdateKind::kSnapshot, endpoints});
 }
 
-// Passes on only updates within the proxy's subset. RuleChecker uses all endpoints that discovery
-// has sent.
+// Passes on only updates within the proxy's subset. ProxyState::endpoints, which RuleChecker uses,
+// holds all endpoints that discovery has sent.
 void ProxyFleet::notify_policy(std::uint32_t index, const EndpointUpdate& update) {
   ProxyState& proxy = proxies_[index];
   if (!proxy.subset) {
--- a/src/emulator/proxy_fleet.h
+++ b/src/emulator/proxy_fleet.h
@@ -22,7 +22,7 @@
 
 struct Simulation;
 
-/// One attempt of a request, at its backend or in transit.
+/// An attempt of a ProxyRequest, which may have ended.
 struct RequestAttempt {
   EndpointId endpoint = 0;
   /// Whether the proxy still waits for the result.
@@ -96,6 +96,7 @@
   void record(const Endpoint& endpoint, Time now);
 };
 
+/// Owns the proxies. Starts, kills, pauses and resumes their processes.
 class ProxyFleet {
  public:
   ProxyFleet(Simulation& sim, PolicyFactory make_policy);
@@ -108,8 +109,8 @@
   /// Whether this incarnation of the proxy is still running.
   bool is_current(const ProxyIncarnation& run) const;
 
-  /// Starts a proxy's process. The first process gets the list from discovery, later ones load the
-  /// list and statistics that the proxy has stored.
+  /// Starts a proxy's process. The first process receives the endpoint list from discovery; later
+  /// ones load the list and statistics that the proxy has stored.
   void start(std::uint32_t proxy);
   /// Ends the process immediately. All its requests in flight are lost.
   void kill(std::uint32_t proxy);
@@ -119,14 +120,16 @@
   /// Completes a resume, once the endpoint list has been received or the wait for it has timed out:
   /// handles the deferred events and unread requests.
   void finish_resume(std::uint32_t proxy, bool list_received);
-  /// Defers an event for a paused proxy. Returns true if the event needs no further handling now.
-  /// The deadlines of the clients are not deferred.
+  /// Defers an event if its proxy is paused. Returns true if the event needs no further handling
+  /// now. Clients stop waiting at their deadlines even while the proxy is paused.
   bool defer_if_paused(const SimulationEvent& event);
 
   /// Applies an endpoint update to the proxy's view of the backends and passes it to the policy.
   void apply_delta(std::uint32_t proxy, const EndpointUpdate& update);
+  /// Applies the full endpoint list. Backends that were up and are not listed become removed.
   void apply_snapshot(std::uint32_t proxy, const std::vector<Endpoint>& endpoints);
 
+  /// Begin or end a fault of the proxy's stored state or disk; see affects_state().
   void begin_state_fault(const FaultSpec& fault, std::uint32_t proxy);
   void end_state_fault(const FaultSpec& fault, std::uint32_t proxy);
 
--- a/src/emulator/proxy_requests.cpp
+++ b/src/emulator/proxy_requests.cpp
@@ -45,7 +45,8 @@
   report_skipped_attempts();
 }
 
-// Runs after all actions have been performed, as in the real proxy.
+// Notifies the policies of skipped attempts. As in the real proxy, this must happen after all
+// actions have been performed.
 void ProxyRequests::report_skipped_attempts() {
   if (reporting_skipped_) {
     return;
@@ -283,8 +284,8 @@
   if (!request || (request->answered && !request->client_gone)) {
     return;
   }
-  // If the request has an answer, its client disconnected while the proxy was paused, and the proxy
-  // learns that only now.
+  // If the request is already answered, its client disconnected while the proxy was paused. The
+  // policy is notified of the disconnect only now.
   if (!request->answered) {
     sim_.rules.overdue(sim_.now, id);
     request->answered = true;
--- a/src/emulator/proxy_requests.h
+++ b/src/emulator/proxy_requests.h
@@ -52,7 +52,7 @@
   void complete_attempt(const AttemptId& id, const AttemptResult& result);
   /// Delivers the final answer to the job or client that waits for it.
   void deliver_answer(const ProxyRequest& request, const ClientAttemptResult& result);
-  /// Schedules AnswerOverdue at the end of the answer grace period.
+  /// Schedules AnswerOverdue for the end of an answer grace period that begins now.
   void schedule_overdue(RequestId id);
 
   void on_response(JobId id);
@@ -70,7 +70,7 @@
   void apply(std::uint32_t proxy, const Fail& action);
   void apply(std::uint32_t proxy, const HealthCheck& action);
   void apply(std::uint32_t proxy, const SetTimer& action);
-  // Does nothing: emulated discovery sends all updates without being asked.
+  // Does nothing, because emulated discovery sends all updates without a watch request.
   void apply(std::uint32_t, const WatchEndpoints&) {}
 
   void send(ProxyState& proxy, ProxyRequest& request, const AttemptId& id);
--- a/src/emulator/proxy_storage.h
+++ b/src/emulator/proxy_storage.h
@@ -25,8 +25,9 @@
   /// cannot be written.
   void save(Time now, Duration interval, const Policy& policy,
             const std::vector<KnownEndpoint>& endpoints);
-  /// Returns the stored statistics that are recent enough to be restored, for a proxy that knows
-  /// `endpoints`.
+  /// Returns the stored statistics that are recent enough to be restored. `endpoints` is the
+  /// endpoint list that the proxy has stored; it tells which backends were restarted after the
+  /// snapshot.
   std::vector<RestoredStats> load(Time now, const std::vector<KnownEndpoint>& endpoints) const;
 
   /// Begins or ends a fault of state or disk; see affects_state(). Corruption counts as loss,
--- a/src/emulator/rules.cpp
+++ b/src/emulator/rules.cpp
@@ -15,8 +15,8 @@
 // size. Below this bound, the tolerance is twice the square root of the number of jobs in the
 // budget, plus two.
 constexpr double kMaxChanceJobs = 8;
-// Minimum share of the work that proxies must have sent while they knew that the backend had
-// started. Below it, the overload is not counted as a violation of the rule.
+// Minimum share of an overload's work that must have been sent by proxies that knew of the
+// backend's start. Below this share, the overload is not counted as a violation of Rule::kCold.
 constexpr double kAwareShare = 2.0 / 3;
 
 const char* name_of_result(Result result) {
@@ -84,7 +84,7 @@
   }
   add_to_trace(*request, now, rejection ? "refused" : "answered");
   if (request->excused) {
-    // The client has disconnected.
+    // The client has stopped waiting, so the rules do not apply to this answer.
     return;
   }
   if (request->answered) {
@@ -93,7 +93,7 @@
   request->answered = true;
   request->answered_at = now;
   if (now > request->deadline + scenario_.answer_grace + slack_) {
-    report(now, Rule::kOneAnswer, request_id, "answered after the deadline and its grace");
+    report(now, Rule::kOneAnswer, request_id, "answered after the deadline and the grace period");
   }
   const ClassSettings& settings = scenario_.classes[request->class_id].settings;
   const bool harmless = settings.idempotency == Idempotency::kIdempotent ||
@@ -101,7 +101,8 @@
                          settings.deduplication_scope == DeduplicationScope::kAll);
   if (rejection && !harmless &&
       std::any_of(request->attempts.begin(), request->attempts.end(), may_have_run)) {
-    report(now, Rule::kEffects, request_id, "refused as harmless after it may have run");
+    report(now, Rule::kEffects, request_id,
+           "rejected as safe to retry after an attempt that may have been executed");
   }
 }
 
@@ -127,8 +128,9 @@
                               std::optional<Time> not_up_since) {
   if (not_up_since && now > *not_up_since + scenario_.drain_grace + slack_) {
     report(now, Rule::kDrains, id,
-           fmt::format("sent to node {} {:.3f} s after it was told to drain", endpoint,
-                       to_s(now - *not_up_since)));
+           fmt::format(
+               "sent to node {} {:.3f} s after the endpoint list had it as draining or removed",
+               endpoint, to_s(now - *not_up_since)));
   }
 }
 
@@ -138,14 +140,15 @@
   const bool any_open = std::any_of(request.attempts.begin(), request.attempts.end(),
                                     [](const Attempt& attempt) { return !attempt.result; });
   if (any_open && !scenario_.hedging_allowed) {
-    report(now, Rule::kEffects, id, "two attempts at once");
+    report(now, Rule::kEffects, id,
+           "sent while another attempt was open, although hedging is not allowed");
   }
   const auto first = std::find_if(request.attempts.begin(), request.attempts.end(), may_have_run);
   if (first == request.attempts.end()) {
     return;
   }
   if (settings.idempotency == Idempotency::kNonIdempotent) {
-    report(now, Rule::kEffects, id, "sent again after it may have run");
+    report(now, Rule::kEffects, id, "sent again after an attempt that may have been executed");
   }
   if (settings.idempotency == Idempotency::kIdempotencyKey) {
     check_deduplication(now, id, *first, endpoint);
@@ -162,10 +165,10 @@
       (endpoint.zone == first.zone &&
        (settings.deduplication_scope == DeduplicationScope::kZone || endpoint.cell == first.cell));
   if (!within_scope) {
-    report(now, Rule::kEffects, id, "sent again outside its group");
+    report(now, Rule::kEffects, id, "sent again outside the deduplication scope");
   }
   if (now > first.sent_at + settings.deduplication_window + slack_) {
-    report(now, Rule::kEffects, id, "sent again after its group's memory span");
+    report(now, Rule::kEffects, id, "sent again after the deduplication window");
   }
 }
 
@@ -196,7 +199,8 @@
 void RuleChecker::overdue(Time now, std::uint64_t request_id) {
   const RequestRecord* request = find(request_id);
   if (request && !request->answered) {
-    report(now, Rule::kOneAnswer, request_id, "no final answer by the deadline and its grace");
+    report(now, Rule::kOneAnswer, request_id,
+           "no final answer by the deadline plus the grace period");
   }
 }
 
@@ -221,8 +225,8 @@
   }
   if (sent_knowingly >= kAwareShare * sent) {
     report(now, Rule::kCold, 0,
-           fmt::format("cold node {} of tier {} was sent {:.3f} core-seconds in {:.1f} s and can "
-                       "do {:.3f} a second",
+           fmt::format("cold node {} of tier {} was sent {:.3f} core-seconds in {:.1f} s; its "
+                       "capacity is {:.3f} core-seconds per second",
                        node, tier, sent, to_s(scenario_.collapse_delay), capacity));
   }
   return true;
--- a/src/emulator/rules.h
+++ b/src/emulator/rules.h
@@ -32,7 +32,8 @@
   std::string trace;
 };
 
-/// Requests are identified by their ids at the proxies, backends by tier and index.
+/// Checks the rules during a run. Requests are identified by their ids at the proxies, backends by
+/// tier and index.
 class RuleChecker {
  public:
   /// `slack` is the maximum delay between an event and its report; zero if all events are timed by
@@ -57,13 +58,13 @@
   void excused(Time now, std::uint64_t request_id);
   /// Removes a request that is complete or whose proxy has died. No further answer is required.
   void forget(std::uint64_t request_id);
-  /// Reports a violation if the request has no answer although its deadline and the grace period
-  /// have passed.
+  /// Reports a violation if the request has no answer. Must not be called before the request's
+  /// deadline and the grace period have passed.
   void overdue(Time now, std::uint64_t request_id);
   /// Records that `work` core-seconds arrive at a cold backend with a present capacity of
-  /// `capacity` core-seconds per second. `usual_work` is the work of a mean request there.
-  /// `proxy_knows_start` tells whether the sending proxy knew that the backend had started. Returns
-  /// true if the backend collapses.
+  /// `capacity` core-seconds per second. `usual_work` is the mean work of a request at this
+  /// backend. `proxy_knows_start` tells whether the sending proxy knew that the backend had
+  /// started. Returns true if the backend collapses.
   bool pressed(Time now, std::uint32_t tier, EndpointId node, double work, double capacity,
                double usual_work, bool proxy_knows_start);
   /// Discards the records of a backend that is warm or has stopped.
@@ -93,7 +94,7 @@
     std::vector<Attempt> attempts;
     std::string trace;
   };
-  /// Work that has reached a cold backend.
+  /// Work that has reached a cold backend with one attempt.
   struct ColdWork {
     Time at{0};
     double work_s = 0;
--- a/src/emulator/scenario.cpp
+++ b/src/emulator/scenario.cpp
@@ -101,7 +101,7 @@
 }
 
 double capacity_per_s(const Scenario& scenario) {
-  // Stands for an unlimited rate; far larger than any possible one.
+  // Larger than the rate that any tier can process.
   constexpr double kUnbounded = 1e18;
   const double work = mean_work_s(scenario);
   double min_rate = kUnbounded;
--- a/src/emulator/scenario.h
+++ b/src/emulator/scenario.h
@@ -57,8 +57,8 @@
   Range speed{1, 1};
   /// Share of a request's work that one call to this tier does.
   double work = 1;
-  /// Calls to the next tier for each job in this tier: an integer, uniformly distributed over the
-  /// range.
+  /// Number of calls to the next tier for each job in this tier: an integer, uniformly distributed
+  /// over the range.
   Range calls{1, 1};
   /// Share of jobs that fail without any fault.
   double errors = 0;
@@ -91,7 +91,7 @@
 
 /// The arrivals, which form an open loop.
 struct LoadSpec {
-  /// Mean rate of first attempts; 0: derived from `utilisation`.
+  /// Mean number of first attempts per second; 0: derived from `utilisation`.
   double rate_per_s = 0;
   /// Offered load as a share of the capacity of the tier with the lowest capacity. Used if
   /// `rate_per_s` is 0.
@@ -131,7 +131,8 @@
   bool rebalances_on_return = false;
 };
 
-/// Proxies that gossip and coordinate the maintenance of backends. Used only by the cluster test.
+/// Settings of proxies that gossip and coordinate the maintenance of backends. Used only by the
+/// cluster test.
 struct ClusterSpec {
   /// Number of voters; 0: no cluster.
   std::uint32_t voters = 0;
@@ -154,7 +155,7 @@
 
   /// Mean one-way network delay within a zone.
   Duration network{200};
-  /// Maximum relative deviation from the mean delay, in both directions.
+  /// Maximum deviation of a delay above or below the mean, as a share of the mean.
   double network_spread = 0.1;
   /// Additional one-way delay between zones.
   Duration cross_zone{0};
@@ -175,7 +176,7 @@
   /// Subsetting of the first tier's proxies. If `subset_count_known`, `proxies` and `proxy_index`
   /// are filled in for each proxy.
   routing::SubsetSettings subset;
-  /// Whether the proxies know their number and their own index.
+  /// Whether each proxy knows the number of proxies and its index among them.
   bool subset_count_known = true;
 
   /// Delay until a proxy receives an update from discovery, and the maximum random addition to it.
@@ -199,13 +200,13 @@
   ClusterSpec group;
 };
 
-/// The given share of `count`, rounded, but at least one and at most `count`.
+/// Returns the share `part` of `count`, rounded, but at least 1 and at most `count`.
 std::size_t part_of(double part, std::size_t count);
 /// The indices of the first tier's proxies that a fault affects, counted from `first` and wrapping
 /// around. Empty for faults that do not affect proxies.
 std::vector<std::uint32_t> affected_proxies(const Scenario& scenario, const FaultSpec& fault);
-/// The backends of `nodes` that the fault with this index affects, in ascending order. They are
-/// drawn from a random stream of the fault's own.
+/// The backends of `nodes` that the fault with this index affects, in ascending order. Each
+/// fault draws them from its own random stream.
 std::vector<EndpointId> affected_backends(const Scenario& scenario, std::size_t fault,
                                           const std::vector<Endpoint>& nodes);
 
--- a/src/emulator/scenario_file.cpp
+++ b/src/emulator/scenario_file.cpp
@@ -10,7 +10,8 @@
 namespace {
 
 constexpr int kMaxExtendsDepth = 4;
-// More digits than any array index in a file of 1 MiB needs. Prevents an overflow in std::stoul.
+// Maximum number of digits of an array index, which prevents an overflow in std::stoul. Arrays in
+// files of at most 1 MiB need no more digits.
 constexpr std::size_t kMaxIndexDigits = 6;
 
 void merge(toml::table& base, toml::table&& over) {
--- a/tests/event_queue_test.cpp
+++ b/tests/event_queue_test.cpp
@@ -1,4 +1,5 @@
-// Tests of the emulator's event queue, and of the container that owns what its events refer to.
+// Tests of the emulator's event queue, and of Slab, which owns the objects that events identify by
+// id.
 #include "emulator/event_queue.h"
 
 #include <gtest/gtest.h>
--- a/tests/metrics_test.cpp
+++ b/tests/metrics_test.cpp
@@ -12,7 +12,8 @@
 
 using test::shipped_scenario;
 
-// Recovery is measured against goodput before the fault, not during it.
+// Goodput before and during a fault is computed separately, and recovery requires three consecutive
+// seconds at the goal.
 TEST(Metrics, MeasuresRecoveryAgainstTheTimeBeforeTheFault) {
   const Scenario scenario = shipped_scenario("calm");
   Metrics metrics(scenario);
--- a/tests/scenario_reader_test.cpp
+++ b/tests/scenario_reader_test.cpp
@@ -58,8 +58,8 @@
   EXPECT_THROW(scenario_of(""), config::TomlError);
 }
 
-// Random changes, removals and duplications of bytes: the reader must return a scenario or throw a
-// TomlError with a message.
+// Changes, removes and duplicates random bytes of scenario files. The reader must return a scenario
+// or throw a TomlError with a message.
 TEST(ScenarioReader, ReadsOrRejectsDamagedInput) {
   std::vector<std::string> texts;
   for (const auto& file : std::filesystem::directory_iterator(EXPERIMENTS)) {
--- a/tests/world_test.cpp
+++ b/tests/world_test.cpp
@@ -23,8 +23,8 @@
   return Json::writeString(builder, value);
 }
 
-// A deployment without network delays, handshakes, retries or effective limits on queues and
-// deadlines.
+// Returns the TOML text of a scenario without network delays, handshakes, retries or effective
+// limits on queues and deadlines.
 std::string queue_only(int nodes, int cores, double load, int requests) {
   const double rate = load * nodes * cores / 0.01;
   return "length = \"" + std::to_string(requests / rate) +
@@ -126,14 +126,15 @@
     return static_cast<double>(world.metrics().crossings) /
            static_cast<double>(world.metrics().all.asked);
   };
-  // Each request crosses about 1.1 times if backends are chosen by load alone.
+  // If backends are chosen by load alone, requests cross zones about 1.1 times on average.
   EXPECT_LT(crossings_at(0.3), 0.1);
   // At this load, the backends of the busy zone can process 63 % of the requests that arrive there.
   EXPECT_GT(crossings_at(0.8), 0.1);
 }
 
-// Many proxies and backends, so that each pair exchanges few requests: slow backends must still be
-// recognised. Goodput is 0.87 and 0.90 for the two seeds if each proxy uses all backends.
+// With many proxies and backends, each proxy sends few requests to each backend, and must detect
+// slow backends nevertheless. If each proxy uses all backends, goodput is only 0.87 and 0.90 for
+// the two seeds.
 TEST(World, ManyProxiesDetectSlowBackends) {
   for (const std::uint64_t seed : {1, 2}) {
     Scenario scenario = shipped_scenario("coming-back");
