--- a/src/emulator/maintenance_invariants.h
+++ b/src/emulator/maintenance_invariants.h
@@ -27,7 +27,7 @@
   std::uint64_t all() const { return attempts_during_maintenance + budget_exceeded + diverged; }
 };
 
-/// Checks the properties and counts violations.
+/// Checks the safety properties and counts their violations.
 class MaintenanceInvariants {
  public:
   explicit MaintenanceInvariants(const maintenance::DisruptionBudget& budget) : budget_(budget) {}
--- a/src/emulator/metrics.h
+++ b/src/emulator/metrics.h
@@ -72,7 +72,8 @@
 /// The cost of a fault, relative to a control run with the same arrivals and seed but without the
 /// fault.
 struct Return {
-  /// Time from the last proxy's return to full service; empty if full service was not reached.
+  /// Time from the restart or resume of the last proxy to the start of full service; empty if full
+  /// service was not reached.
   std::optional<Duration> full_after;
   /// Priority weight that was served in the control run but not in this run since the fault began,
   /// divided by the mean priority weight requested per second.
--- a/src/emulator/rules.cpp
+++ b/src/emulator/rules.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t kMaxViolations = 16;
-// Maximum length of one request's trace, in bytes.
+// Length in bytes at which the trace of a request is not extended further.
 constexpr std::size_t kMaxTrace = 4096;
 // Upper bound of the tolerance for random variation above a cold backend's budget, in jobs of mean
 // size. Below this bound, the tolerance is twice the square root of the number of jobs in the
--- a/tests/scenario_reader_test.cpp
+++ b/tests/scenario_reader_test.cpp
@@ -15,7 +15,7 @@
 using test::scenario_of;
 
 struct BadInput {
-  // Appended to a complete scenario.
+  // TOML text that is appended to a complete scenario.
   const char* change;
   const char* error;
 };
