--- a/src/experiments/experiment.cpp
+++ b/src/experiments/experiment.cpp
@@ -49,8 +49,9 @@
   emulator::override_key(root, path, toml::value<std::int64_t>(value.asInt64()));
 }
 
-// Adds the goodput before the first fault, and the time that the goodput takes to recover after the
-// end of the last one. Adds nothing without a fault or if the last one does not end within the run.
+// Adds to `result` the goodput before the first fault, and the time that the goodput takes to
+// recover after the end of the last one. Adds nothing if the scenario has no fault or the last one
+// does not end within the run.
 void add_recovery(Json::Value& result, const emulator::Scenario& scenario,
                   const emulator::Metrics& metrics) {
   Duration first_begin{0};
@@ -182,8 +183,8 @@
   }
 }
 
-// Moves to the next point of the grid; the first axis changes fastest. Returns false after the last
-// point.
+// Moves `indices` to the next point of the grid; the first axis changes fastest. Returns false
+// after the last point.
 bool advance(const std::vector<Axis>& grid, std::vector<std::size_t>& indices) {
   for (std::size_t i = 0; i < indices.size(); ++i) {
     ++indices[i];
--- a/src/experiments/experiment.h
+++ b/src/experiments/experiment.h
@@ -29,7 +29,8 @@
   double wall_s = 0;
 };
 
-/// Creates a world whose proxies use `policy`, one of emulator::policy_names().
+/// Creates the emulator's world for the scenario. Its proxies use `policy`, which must be one of
+/// emulator::policy_names().
 std::unique_ptr<emulator::World> world_of(const emulator::Scenario& scenario,
                                           const std::string& policy);
 
@@ -77,18 +78,19 @@
 /// 100,000.
 std::vector<Cell> expand_grid(const Experiment& experiment);
 
+/// The outcome of one call of run_experiment().
 struct Summary {
   /// Number of cells that this call ran.
   std::size_t run = 0;
   /// Number of cells whose results were already in the files.
   std::size_t kept = 0;
-  /// Whether the files contained an incomplete line, as an interrupted run leaves it.
+  /// Whether one of the files contained an incomplete line, which an interrupted run can leave.
   bool torn = false;
-  /// Rule violations in the new runs of policy "module".
+  /// Number of rule violations in the new runs of policy "module".
   std::uint64_t module_violations = 0;
-  /// Rule violations in the new runs of the other policies.
+  /// Number of rule violations in the new runs of the other policies.
   std::uint64_t plain_violations = 0;
-  /// Violations of policy "module" with their traces; at about 64 KiB no more are added.
+  /// The first violations of policy "module" with their traces, up to about 64 KiB of text.
   std::string violation_text;
 };
 
--- a/src/experiments/experiment_runner.cpp
+++ b/src/experiments/experiment_runner.cpp
@@ -16,7 +16,8 @@
 namespace beechhill::experiments {
 namespace {
 
-// Size of the collected violation text in bytes at which no more is appended.
+// Limit of the collected violation text in bytes. Once its size reaches the limit, no more text is
+// appended.
 constexpr std::size_t kMaxViolationText = std::size_t{64} * 1024;
 
 std::string timing_line(const Cell& cell, const RunOutput& out) {
--- a/src/experiments/plot.cpp
+++ b/src/experiments/plot.cpp
@@ -17,8 +17,8 @@
 namespace beechhill::experiments {
 namespace {
 
-// Maximum number of plots of one kind. Larger grids are sampled, as the points in between add
-// little.
+// Maximum number of plots of one kind. Of a larger grid only a sample of points is plotted, as
+// those in between add little.
 constexpr std::size_t kMaxPlotsPerKind = 6;
 // Smallest ratio of the largest to the smallest x value for which the x axis is logarithmic.
 constexpr double kLogAxisRatio = 30;
@@ -45,7 +45,7 @@
                                           {"tries_per_request", "tries"},
                                           {"attempts_per_request", "attempts"}}};
 
-// Results of one point of the grid and one policy over all seeds.
+// One row of the table: results of one policy at one point of the grid, aggregated over all seeds.
 struct TableRow {
   std::map<std::string, Mean> columns;
   Mean rejected_share;
--- a/src/experiments/result_file.h
+++ b/src/experiments/result_file.h
@@ -24,7 +24,7 @@
 void write_lines(const std::string& path, const std::vector<Json::Value>& rows);
 
 /// Returns the complete lines of a result file, or none if the file does not exist. Sets `torn` to
-/// whether the file contains an incomplete line, as an interrupted run leaves it.
+/// whether the file contains an incomplete line, which an interrupted run can leave.
 std::vector<Json::Value> read_lines(const std::string& path, bool& torn);
 
 /// Writes lines to a file and flushes each of them to the operating system.
--- a/src/testbed/closed_loop_load.h
+++ b/src/testbed/closed_loop_load.h
@@ -13,22 +13,22 @@
 
 namespace beechhill::testbed {
 
-/// Sends requests of the scenario's first class. Not thread-safe; objects passed by reference must
-/// outlive it.
+/// Load generator that sends requests of the scenario's first class to one proxy. Not thread-safe.
+/// Objects passed to the constructor by reference must outlive the generator.
 class ClosedLoopLoad {
  public:
   ClosedLoopLoad(runtime::Scheduler& scheduler, const emulator::Scenario& scenario,
                  sockaddr_in proxy, std::size_t clients);
-  /// Completes when each client has ended the request that was in progress at `until`.
+  /// Sends requests until `until`. Completes when the requests in progress at that time have ended.
   runtime::Task<> run(runtime::TimePoint until);
   std::uint64_t served() const { return served_; }
-  /// Requests that were rejected or failed.
+  /// Number of requests that were rejected or failed.
   std::uint64_t not_served() const { return not_served_; }
 
  private:
   runtime::Task<> run_client(std::size_t client, runtime::TimePoint until);
   // Returns whether the request was served. Connects if `stream` is null, and resets `stream` if
-  // the connection cannot be reused. The references must outlive the task.
+  // the connection cannot be reused. `stream` and `buffer` must outlive the task.
   runtime::Task<bool> run_request(std::size_t client, std::uint64_t number,
                                   std::unique_ptr<net::Stream>& stream, std::string& buffer);
 
--- a/src/testbed/cluster_deployment.h
+++ b/src/testbed/cluster_deployment.h
@@ -1,5 +1,6 @@
-// The resources that the proxies of a cluster (gossip and coordinated maintenance) need in a load
-// test: keys, voters' storage, settings, and a network between them that supports fault injection.
+// Sets up a cluster for a load test, whose proxies exchange gossip and coordinate maintenance: the
+// cluster's key, the voters' initial storage, the proxies' settings, and a network between the
+// proxies that supports fault injection.
 #pragma once
 
 #include <memory>
@@ -18,8 +19,8 @@
 /// Returns the name of a proxy in its configuration and in the cluster.
 std::string proxy_name(std::size_t proxy);
 
-/// Must outlive the scheduler's run. In a build without BEECHHILL_CLUSTER the constructor throws
-/// std::invalid_argument.
+/// The resources of one cluster. Must outlive the scheduler's run. In a build without
+/// BEECHHILL_CLUSTER the constructor throws std::invalid_argument.
 class ClusterDeployment {
  public:
   /// Writes the cluster's key into `directory` and the voters' initial storage into their state
@@ -33,8 +34,8 @@
 
   /// Returns the [membership] and [maintenance] tables of a proxy's operator file.
   std::string operator_file_tables(std::size_t proxy) const;
-  /// Begins or ends a fault of the network between proxies (emulator::affects_gossip). `affected`:
-  /// for a partition, the proxies on one side.
+  /// Begins or ends a fault of the network between proxies, whose kind must satisfy
+  /// emulator::affects_gossip(). For a partition, `affected` holds the proxies on one side.
   void apply(const emulator::FaultSpec& fault, const std::vector<std::uint32_t>& affected,
              FaultPhase phase);
 
--- a/src/testbed/cluster_test/cluster_test.cpp
+++ b/src/testbed/cluster_test/cluster_test.cpp
@@ -17,16 +17,16 @@
 
 namespace {
 
-// The run of the test itself, or that of its control.
+// The result of one run of the scenario, with all of its faults or as the control run.
 struct SingleRun {
-  std::unique_ptr<emulator::World> world;  // only in the emulator; the metrics refer to it
+  std::unique_ptr<emulator::World> world;  // null for real processes; the metrics refer to it
   std::shared_ptr<const emulator::Metrics> metrics;  // never null
   Json::Value result;
   BackendPeaks peaks;
   std::uint64_t max_snapshot_requests = 0;
   std::uint64_t violations = 0;
   std::string violation_text;
-  // When the last proxy that a fault made unavailable was ready again.
+  // Time at which the last proxy that a fault made unavailable was ready again.
   std::optional<Time> last_ready_at;
 };
 
@@ -117,7 +117,7 @@
   result.violations = run.violations;
   result.violation_text = run.violation_text;
   if (options.control) {
-    // The control's metrics refer to this scenario.
+    // The scenario must outlive the control run's metrics, which refer to it.
     const Scenario control_scenario = without_process_faults(scenario);
     compare_with_control(run, run_once(control_scenario, options), scenario, result);
   }
--- a/src/testbed/cluster_test/cluster_test.h
+++ b/src/testbed/cluster_test/cluster_test.h
@@ -1,6 +1,6 @@
-// Cluster tests: run many proxies under a fault plan and compare them with a control run without
-// the faults of proxy processes. The runs use real processes on loopback or the emulator.
-// Violations are determined from what clients and backends observed.
+// Cluster tests run many proxies under a fault plan and compare the result with that of a control
+// run, which omits the faults of proxy processes. The runs use real processes on loopback or the
+// emulator. Violations are determined from what clients and backends observed.
 #pragma once
 
 #include <json/json.h>
@@ -16,11 +16,11 @@
   bool emulated = false;          // run in the emulator, not with real processes
   std::string policy = "module";  // load balancing policy in the emulator
   std::string program;            // path of the proxy program, for real processes
-  bool control = true;  // also run the control, without which the recovery is not measured
+  bool control = true;  // also perform the control run, which the measurement of recovery needs
 };
 
-/// Maximum number of new connections and of attempts at one backend in one second, after the
-/// warm-up.
+/// Maximum numbers of new connections and of attempts that one backend received in one second,
+/// after the warm-up.
 struct BackendPeaks {
   std::uint64_t connections = 0;
   std::uint64_t attempts = 0;
@@ -28,25 +28,27 @@
 
 struct ClusterTestResult {
   Json::Value result;         // in the emulator's format, with time series
-  emulator::Return recovery;  // compared with the control
+  emulator::Return recovery;  // recovery relative to the control run
   double goodput = 0;
   double control_goodput = 0;
   BackendPeaks peaks;
   BackendPeaks control_peaks;
-  /// Maximum number of endpoint lists that one proxy requested from discovery; 0 in the emulator.
+  /// Number of endpoint lists that a proxy requested from discovery, maximum over all proxies; 0 in
+  /// the emulator.
   std::uint64_t max_snapshot_requests = 0;
-  /// Number of rule violations, of responses that belong to other requests and of requests that
-  /// never ended, including those of the control.
+  /// Number of violations, including those of the control run: broken rules, responses that belong
+  /// to other requests, requests that never ended, and violations of the maintenance limits.
   std::uint64_t violations = 0;
   std::string violation_text;  // the first few violations, with their traces
 };
 
-/// Blocks. With real processes, a run takes slightly longer than the scenario's length, and a
-/// control run takes as long again. Throws the same exceptions as run_load_test().
+/// Runs the scenario and, if `options.control` is set, its control run. Blocks. With real
+/// processes, each run takes slightly longer than the scenario's length. Throws the same exceptions
+/// as run_load_test().
 ClusterTestResult run_cluster_test(const emulator::Scenario& scenario,
                                    const ClusterTestOptions& options);
 
-/// Runs the scenario without a control and returns its number of violations.
+/// Runs the scenario without a control run and returns the number of violations.
 std::uint64_t count_violations(const emulator::Scenario& scenario,
                                const ClusterTestOptions& options);
 
--- a/src/testbed/cluster_test/cluster_test_command.cpp
+++ b/src/testbed/cluster_test/cluster_test_command.cpp
@@ -37,7 +37,7 @@
   std::string json_file;  // empty: not written
   std::string html_file;  // empty: not written
   ClusterTestOptions test;
-  std::uint32_t runs = 1;  // with consecutive seeds
+  std::uint32_t runs = 1;  // number of runs, with consecutive seeds
   bool draw_faults = false;
   bool shrink = false;
 };
@@ -123,9 +123,9 @@
     times_.push_back(recovery.full_after);
     lost_.push_back(recovery.worth_lost);
   }
-  // Requires at least one call of add().
+  // add() must have been called at least once.
   void print() {
-    // Sorts runs that did not recover to the end.
+    // Places runs that did not recover last.
     std::sort(times_.begin(), times_.end(),
               [](const auto& a, const auto& b) { return a && (!b || *a < *b); });
     std::sort(lost_.begin(), lost_.end());
--- a/src/testbed/cluster_test/fault_plan.cpp
+++ b/src/testbed/cluster_test/fault_plan.cpp
@@ -21,8 +21,8 @@
 constexpr std::size_t kMinFaults = 2;
 constexpr std::size_t kMaxFaults = 6;
 
-// Fault kinds that are drawn with equal probability; a kind that is listed twice is drawn twice as
-// often.
+// Fault kinds to draw from. All entries have the same probability, so that a kind that is listed
+// twice is drawn twice as often.
 constexpr std::array kDrawnKinds{
     FaultKind::kProxyCrash, FaultKind::kProxyCrash,      FaultKind::kProxyStop,
     FaultKind::kProxyStop,  FaultKind::kProxyEnd,        FaultKind::kDiscoverySilent,
@@ -30,7 +30,7 @@
     FaultKind::kCrash,      FaultKind::kDrain,           FaultKind::kPartition,
     FaultKind::kStaleList,  FaultKind::kLateReports,     FaultKind::kLinkDelay,
     FaultKind::kLinkReset,  FaultKind::kDiscoveryRewound};
-// Fault kinds that are drawn as well if the proxies keep snapshots.
+// Additional fault kinds to draw from if the proxies keep snapshots.
 constexpr std::array kDrawnStateKinds{
     FaultKind::kStateLost, FaultKind::kStateOld, FaultKind::kStateTorn, FaultKind::kStateFlipped,
     FaultKind::kStateAged, FaultKind::kDiskFull, FaultKind::kDiskHangs, FaultKind::kDiskGone};
@@ -76,7 +76,7 @@
   return fmt::format("\"{}us\"", duration.count());
 }
 
-// Returns a line "key = value", or nothing if the value is not given.
+// Returns the line "key = value" if `given` is true, otherwise an empty string.
 template <typename Number>
 std::string toml_line_if(bool given, const char* key, Number value) {
   return given ? fmt::format("{} = {}\n", key, value) : "";
--- a/src/testbed/cluster_test/fault_plan.h
+++ b/src/testbed/cluster_test/fault_plan.h
@@ -12,9 +12,9 @@
 
 namespace beechhill::testbed {
 
-/// Draws two to six faults that replace the scenario's own and end within the first two thirds of
-/// its length. The result depends only on the scenario and the seed. Only fault kinds that both the
-/// emulator and real processes support are drawn.
+/// Returns two to six randomly drawn faults that end within the first two thirds of the scenario's
+/// length. They replace the scenario's own faults. The result depends only on the scenario and the
+/// seed. Only fault kinds that both the emulator and real processes support are drawn.
 std::vector<emulator::FaultSpec> draw_faults(const emulator::Scenario& scenario,
                                              std::uint64_t seed);
 
@@ -23,13 +23,13 @@
                     const std::vector<emulator::FaultSpec>& faults);
 
 /// Removes faults one by one as long as `fails` returns true for the remaining ones, until none can
-/// be removed or `fails` was called `max_calls` times. `faults` must be a plan that fails; at least
-/// one fault remains.
+/// be removed or `fails` was called `max_calls` times. `fails` must return true for `faults`. At
+/// least one fault remains.
 std::vector<emulator::FaultSpec> shrink(
     std::vector<emulator::FaultSpec> faults, std::size_t max_calls,
     const std::function<bool(const std::vector<emulator::FaultSpec>&)>& fails);
 
-/// Returns the scenario without the faults of proxy processes, which is the control of a cluster
+/// Returns the scenario without the faults of proxy processes, for the control run of a cluster
 /// test.
 emulator::Scenario without_process_faults(emulator::Scenario scenario);
 
--- a/src/testbed/console.cpp
+++ b/src/testbed/console.cpp
@@ -15,7 +15,8 @@
 
 constexpr const char* kClearLine = "\r\033[K";
 
-// `latencies` may be null if the result has no latencies for this row.
+// Prints a row of the result table. `latencies` may be null if the result has no latencies for this
+// row.
 void print_result_row(const std::string& name, const Json::Value& counts,
                       const Json::Value* latencies) {
   fmt::print("{:<20} {:>9} {:>8.4f} {:>8} {:>8} {:>8}", name, counts["asked"].asUInt64(),
--- a/src/testbed/cost_measurement.cpp
+++ b/src/testbed/cost_measurement.cpp
@@ -27,7 +27,8 @@
 
 namespace {
 
-// Exceeds the maximum number of clients that the command accepts.
+// Maximum number of sockets of the proxy. It exceeds the maximum number of clients that the command
+// accepts.
 constexpr int kMaxProxySockets = 16'384;
 
 // Scenario whose requests take the backends no noticeable time; the parameter is the number of
--- a/src/testbed/cost_measurement.h
+++ b/src/testbed/cost_measurement.h
@@ -1,4 +1,4 @@
-// Measures the CPU time that a request costs a real proxy, by the number of concurrent clients.
+// Measures the CPU time per request of a real proxy for several numbers of concurrent clients.
 #pragma once
 
 #include <cstdint>
@@ -9,14 +9,14 @@
 
 struct CostMeasurementOptions {
   std::uint32_t backends = 15;
-  std::vector<std::size_t> clients{64, 400, 2000};  // one measurement for each number
+  std::vector<std::size_t> clients{64, 400, 2000};  // clients in each measurement
   double seconds_each = 5;
   std::string program;  // path of the proxy program
 };
 
-/// Prints one line for each number of clients. The backends do no work. Blocks; raises this
-/// process's soft limit on open files. Throws std::runtime_error if the proxy does not become
-/// ready.
+/// Runs the measurements and prints one line for each. The requests cost the backends almost no
+/// work. Blocks; raises this process's soft limit on open files to the hard limit. Throws
+/// std::runtime_error if the proxy does not become ready.
 void measure_cost(const CostMeasurementOptions& options);
 
 }  // namespace beechhill::testbed
--- a/src/testbed/datagram_fault_proxy.h
+++ b/src/testbed/datagram_fault_proxy.h
@@ -12,23 +12,26 @@
 
 namespace beechhill::testbed {
 
-/// Each process is advertised at one of the proxy's addresses. The proxy forwards datagrams that
-/// arrive there to the process, with the sender's advertised address as their source, so that both
-/// ends see the same addresses as without the proxy. Must outlive the scheduler's run.
+/// Forwards datagrams between processes. It has one address for each process, which is advertised
+/// to the other processes instead of the process's own. A datagram that arrives there is forwarded
+/// to the process, with the sender's advertised address as its source, so that both ends see the
+/// same addresses as without the fault proxy. Must outlive the scheduler's run.
 class DatagramFaultProxy {
  public:
-  /// Supports at most 100 processes and throws std::invalid_argument for more. Uses loopback
-  /// addresses that are derived from the testbed's process id.
+  /// Throws std::invalid_argument for more than 100 processes. Uses loopback addresses that are
+  /// derived from the testbed's process id.
   DatagramFaultProxy(runtime::Scheduler& scheduler, std::size_t processes, std::uint64_t seed);
 
-  /// The address on which a process must listen, and the one to which other processes send.
+  /// The addresses of a process: the one on which it must listen, and the one to which the other
+  /// processes must send.
   std::string listen_address(std::size_t process) const;
   std::string advertised_address(std::size_t process) const;
 
-  /// Partitions or heals the direction from one process to another. Calls nest.
+  /// Partitions or heals the direction from one process to another. Calls nest: the direction is
+  /// healed when each call with true has been matched by one with false.
   void set_partitioned(std::size_t from, std::size_t to, bool partitioned);
-  /// Sets the probabilities, from 0 to 1, that a datagram is lost or duplicated, and the maximum
-  /// delay of each datagram.
+  /// Sets the probabilities, from 0 to 1, that a datagram is lost or duplicated, and the maximum of
+  /// the random delay of each copy.
   void set_impairment(double loss, double duplication, runtime::Clock::duration max_delay);
 
  private:
--- a/src/testbed/fake_backend.cpp
+++ b/src/testbed/fake_backend.cpp
@@ -22,8 +22,9 @@
 namespace {
 
 constexpr std::string_view kWorkParameter = "work_us=";
-constexpr double kMaxWorkUs = 3600e6;  // maximum of one request, in core-microseconds
-// Delay after accept() failed, for example for lack of file descriptors.
+constexpr double kMaxWorkUs = 3600e6;  // maximum work of one request
+// Delay before the next call of accept() when one has failed, for example for lack of file
+// descriptors.
 constexpr auto kAcceptRetryDelay = 10ms;
 // Selects a random stream for error responses that is distinct from that of the node model.
 constexpr std::uint64_t kErrorStream = 1ULL << 32;
@@ -170,7 +171,8 @@
   }
 }
 
-// Runs the request in the node model and sets its status.
+// Runs the request in the node model, waits until the model has finished it, and sets the status of
+// the response.
 Task<> FakeBackend::execute(Exchange& exchange) {
   const emulator::JobId id = next_job_++;
   if (error_rate_ > 0 && random_.uniform() < error_rate_) {
@@ -190,8 +192,8 @@
   co_await wait;
 }
 
-// Ends phases at the times that the model determined, even if the timer fires late, so that the
-// timer's granularity does not slow the backend down.
+// Passes the end of each due phase to the node model with the time that the model determined, even
+// if the timer fires late, so that the timer's granularity does not slow the backend down.
 Task<> FakeBackend::run_phase_timer() {
   for (;;) {
     finish_due_phases();
--- a/src/testbed/fake_backend.h
+++ b/src/testbed/fake_backend.h
@@ -1,4 +1,5 @@
-// A fake backend on loopback: the emulator's node model behind a real HTTP/1.1 server.
+// A fake backend on loopback: a real HTTP/1.1 server whose timing is that of the emulator's node
+// model.
 #pragma once
 
 #include <map>
@@ -18,13 +19,14 @@
 
 namespace beechhill::testbed {
 
-/// Requests state their work in core-microseconds in the query parameter `work_us`. The node model
-/// determines how long a request takes and when the backend is overloaded (503). Runs on the
-/// scheduler's thread and must outlive the scheduler's run.
+/// HTTP/1.1 server for one backend of a scenario. Requests state their work in core-microseconds in
+/// the query parameter `work_us`. The node model determines how long a request takes and when the
+/// backend is overloaded (503). Runs on the scheduler's thread and must outlive the scheduler's
+/// run.
 class FakeBackend {
  public:
-  /// kUnresponsive: connections stay open and requests are read, but none is answered. kStopped:
-  /// connections are reset, and none is accepted.
+  /// kServing: requests are answered. kUnresponsive: connections stay open and requests are read,
+  /// but none is answered. kStopped: connections are closed, and none is accepted.
   enum class State { kServing, kUnresponsive, kStopped };
 
   /// `observations` may be null; otherwise it must outlive the backend.
@@ -48,10 +50,11 @@
   void set_error_rate(double rate) { error_rate_ = rate; }
   /// Makes work take `factor` times as long; 1 restores the normal speed.
   void set_slowdown(double factor) { model_.slow_down(factor); }
-  /// Makes load reports older by `delay` than they normally are.
+  /// Sets the delay of load reports beyond the normal delay of the node model.
   void set_report_delay(Duration delay) { report_delay_ = delay; }
 
-  /// Number of complete requests read and of connections accepted, over all starts of the backend.
+  /// Numbers of requests that the backend has begun to serve and of connections that it has
+  /// accepted, including those before a restart.
   std::uint64_t requests_received() const { return requests_received_; }
   std::uint64_t connections_accepted() const { return connections_accepted_; }
 
@@ -61,7 +64,7 @@
   };
   // A request that is being served.
   struct Exchange {
-    std::optional<ClientAttemptId> observed_id;  // nullopt: not recorded
+    std::optional<ClientAttemptId> observed_id;  // nullopt if the request is not recorded
     std::uint32_t attempt = 0;                   // number of the attempt in the observation log
     double work = 0;                             // core-seconds on a core of speed 1
     int status = 200;
@@ -88,21 +91,21 @@
   emulator::Node model_;
   emulator::Stream random_;
   EndpointId id_;
-  const ReservedPort port_;  // the same at each start
+  const ReservedPort port_;  // kept when the backend restarts
   std::unique_ptr<net::Listener> listener_;
   runtime::TaskId accept_task_ = 0;
   std::set<runtime::TaskId> connection_tasks_;
   State state_ = State::kServing;
   double error_rate_ = 0;
   Duration report_delay_{0};
-  std::map<emulator::JobId, Job*> jobs_;  // owned by the coroutine frames of the connections
+  std::map<emulator::JobId, Job*> jobs_;  // jobs are owned by coroutine frames
   emulator::JobId next_job_ = 1;
   std::priority_queue<emulator::Start, std::vector<emulator::Start>, EndsLater> phases_;
   runtime::Notifier phases_changed_;
   std::uint64_t requests_received_ = 0;
   std::uint64_t connections_accepted_ = 0;
   ObservationLog* observations_;
-  bool in_slow_start_ = false;  // used only for the observation log
+  bool in_slow_start_ = false;  // until the observation log is notified of its end
 };
 
 }  // namespace beechhill::testbed
--- a/src/testbed/fake_backends_command.cpp
+++ b/src/testbed/fake_backends_command.cpp
@@ -38,8 +38,8 @@
   double max_duration_s = kSecondsPerDay;
 };
 
-// Returns a descriptor that becomes readable at SIGTERM and SIGINT. The signals no longer end the
-// process.
+// Returns a descriptor that becomes readable when SIGTERM or SIGINT is received. Blocks both
+// signals, so that they do not terminate the process.
 net::FileDescriptor termination_signals() {
   sigset_t mask;
   sigemptyset(&mask);
--- a/src/testbed/fake_discovery.cpp
+++ b/src/testbed/fake_discovery.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-// Interval of the empty lines that show a watching proxy that the watch is alive.
+// Time without a change after which a watch stream sends an empty line as a heartbeat.
 constexpr auto kWatchHeartbeat = 2s;
 constexpr const char* kRemovedHealth = "terminated";
 
@@ -40,7 +40,8 @@
 
 }  // namespace
 
-// A watch stream that waits for changes; registered in the set for its lifetime.
+// Registers a watch stream in the set of watchers while the object exists, to notify the stream of
+// changes.
 class FakeDiscovery::Watcher {
  public:
   explicit Watcher(std::set<Watcher*>& watchers) : watchers_(watchers) { watchers_.insert(this); }
@@ -194,12 +195,13 @@
   }
 }
 
-// Sends a snapshot, then the changes as they become due, each time as one chunk.
+// Sends a snapshot, then the changes as they become due, each time as one chunk. Returns when the
+// list is rewound or the connection fails.
 Task<> FakeDiscovery::send_watch_stream(net::Stream& stream) {
   Watcher watcher(watchers_);
   std::string out = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   std::string line = compact_json(snapshot()) + "\n";
-  std::size_t version = version_;  // the version of the list up to and including `line`
+  std::size_t version = version_;  // list version of the proxy once `line` is sent
   std::size_t sent_version = 0;    // the list version that the proxy has
   bool snapshot_sent = false;
   const std::uint64_t rewinds = rewinds_;
--- a/src/testbed/fake_discovery.h
+++ b/src/testbed/fake_discovery.h
@@ -19,8 +19,8 @@
 
 namespace beechhill::testbed {
 
-/// Each proxy has its own instance, so that proxies can receive a change at different times. Runs
-/// on the scheduler's thread and must outlive the scheduler's run.
+/// The discovery server of one proxy. Each proxy has its own, so that a change can reach the
+/// proxies at different times. Runs on the scheduler's thread and must outlive the scheduler's run.
 class FakeDiscovery {
  public:
   /// `observations` may be null; otherwise it must outlive the server. `proxy` identifies the
@@ -29,10 +29,12 @@
                 ObservationLog* observations = nullptr);
   std::string address_text() const { return net::to_string(listener_.address()); }
 
-  /// Adds `row` to the list at time `at`, or removes its host if its health is "terminated".
-  /// Changes are sent in the order of the calls: none is sent before the change of an earlier call.
+  /// Changes the list at time `at`: adds `row`, which replaces an earlier row of the same host, or
+  /// removes the host if the health in `row` is "terminated". Changes are sent in the order of the
+  /// calls: none is sent before the change of an earlier call.
   void publish(Json::Value row, const Endpoint& endpoint, Time at);
-  /// While unresponsive, the server keeps connections open and sends nothing. Calls nest.
+  /// While unresponsive, the server keeps connections open and sends nothing. Calls nest: the
+  /// server responds again when each call with true has been matched by one with false.
   void set_unresponsive(bool unresponsive);
   /// Rewinds the list and its version to their state at time `to` and ends all watches; nullopt
   /// restores the current list.
@@ -68,7 +70,7 @@
   std::set<Watcher*> watchers_;
   std::size_t proxy_;
   ObservationLog* observations_;
-  int unresponsive_ = 0;              // number of nested calls
+  int unresponsive_ = 0;              // set_unresponsive(true) calls in effect
   Time visible_until_ = Time::max();  // changes due after this time are not sent
   std::uint64_t rewinds_ = 0;
 };
--- a/src/testbed/fake_services.h
+++ b/src/testbed/fake_services.h
@@ -23,7 +23,8 @@
 
 namespace beechhill::testbed {
 
-/// Objects passed by reference must outlive it, and it must outlive the scheduler's run.
+/// All fake services of one run. Objects passed by reference must outlive this object, and it must
+/// outlive the scheduler's run.
 class FakeServices {
  public:
   /// `observations` may be null. Throws std::invalid_argument for a scenario that real processes do
@@ -34,11 +35,11 @@
   FakeDiscovery& discovery(std::size_t proxy) { return *discoveries_[proxy]; }
   const std::vector<std::unique_ptr<FakeBackend>>& backends() const { return backends_; }
   FakeBackend& backend(EndpointId id) { return *backends_[id]; }
-  /// Returns all backends with the status that discovery lists while they are up.
+  /// Returns all backends as discovery lists them while they are up.
   std::vector<Endpoint> endpoints() const;
 
-  /// Number of proxies, counted from the first, whose links to the affected backends are subject to
-  /// link faults, as in the emulator.
+  /// Number N of proxies whose links to the affected backends are subject to link faults. As in the
+  /// emulator, they are the proxies 0 to N - 1.
   std::size_t proxies_with_faulty_links() const;
   /// Returns the fault proxy of a link. Throws std::out_of_range for a link that no fault of the
   /// scenario affects.
--- a/src/testbed/fault_injector.h
+++ b/src/testbed/fault_injector.h
@@ -14,11 +14,13 @@
 
 enum class FaultPhase { kBegins, kEnds };
 
-/// Applies faults to backends, links and discovery servers; faults of proxies are passed to a
-/// handler. Objects passed by reference must outlive it, and it must outlive the scheduler's run.
+/// Applies faults to backends, links and discovery servers, and passes faults of proxies to a
+/// handler. Objects passed by reference must outlive the injector, and it must outlive the
+/// scheduler's run.
 class FaultInjector {
  public:
-  /// `proxies`: the affected proxies.
+  /// Called when a fault of proxies begins or ends. `proxies` holds the indices of the affected
+  /// proxies.
   using ProxyFaultHandler = std::function<void(
       const emulator::FaultSpec& fault, const std::vector<std::uint32_t>& proxies, FaultPhase)>;
 
--- a/src/testbed/http_client.h
+++ b/src/testbed/http_client.h
@@ -18,12 +18,12 @@
 };
 
 /// Sends `request` and reads its response. `buffer` holds bytes that were read from the connection
-/// but not parsed yet; both references must outlive the task.
+/// but not parsed yet. `stream`, `request` and `buffer` must outlive the task.
 runtime::Task<HttpExchange> exchange(net::Stream& stream, const std::string& request,
                                      std::string& buffer, runtime::TimePoint write_deadline,
                                      runtime::TimePoint read_deadline);
 
-/// The response to call_http(). Status 0: no response was received in time.
+/// The result of call_http(). The status is 0 if no response was received in time.
 struct HttpResponse {
   int status = 0;
   std::string body;
--- a/src/testbed/load_test.cpp
+++ b/src/testbed/load_test.cpp
@@ -36,7 +36,8 @@
   return {static_cast<Json::UInt64>(number)};
 }
 
-// Returns the maximum count of any backend in one second, from `first_second` on.
+// Returns the maximum number of events that a backend counted in one second, from second
+// `first_second` on.
 std::uint32_t max_per_second(const ObservationLog::CountsPerSecond& counts,
                              std::size_t first_second) {
   std::uint32_t max = 0;
@@ -188,7 +189,7 @@
   }
 
   // The scheduler is destroyed after the objects that its tasks refer to. This is safe because
-  // run() has ended all tasks before.
+  // run() ends all tasks before it returns.
   const emulator::Scenario& scenario_;
   runtime::Scheduler scheduler_;
   TestbedClock clock_;
--- a/src/testbed/load_test.h
+++ b/src/testbed/load_test.h
@@ -14,26 +14,26 @@
 
 namespace beechhill::testbed {
 
-/// The observations of a load test. Rules are checked from the observation log, never from what a
-/// proxy reports about itself.
+/// The outcome of a load test. Rules are checked from the observation log, never from what a proxy
+/// reports about itself.
 struct LoadTestResult {
-  Json::Value result;  // in the emulator's format, as far as it can be observed
+  Json::Value result;                                // in the JSON format of the emulator's metrics
   std::shared_ptr<const emulator::Metrics> metrics;  // never null; refers to the scenario
   std::uint64_t asked = 0;                           // number of requests, not counting retries
-  /// Responses that belong to another request or have an unknown status.
+  /// Number of responses that belong to another request or have an unknown status.
   std::uint64_t wrong_responses = 0;
   Duration max_send_delay{0};  // maximum time by which the load generator was late
   double proxy_cpu_s = 0;      // CPU time of all proxies together
 
   std::uint64_t violations = 0;  // number of rule violations
   std::string violation_text;    // the first few violations, with their traces
-  std::uint64_t excused = 0;     // responses that are missing because of a proxy fault
+  std::uint64_t excused = 0;     // missing responses that a proxy fault explains
 
-  /// Maximum number of new connections and of attempts at one backend in one second, after the
-  /// warm-up.
+  /// Maximum numbers of new connections and of attempts that one backend received in one second,
+  /// after the warm-up.
   std::uint32_t max_connections_per_s = 0;
   std::uint32_t max_attempts_per_s = 0;
-  /// Maximum number of endpoint lists that one proxy requested from discovery.
+  /// Number of endpoint lists that a proxy requested from discovery, maximum over all proxies.
   std::uint32_t max_snapshot_requests = 0;
   /// Time at which the last proxy that a fault made unavailable was ready again; 0 if there was
   /// none.
@@ -42,13 +42,15 @@
   /// Number of lines in the proxies' logs for each event about snapshots. They show whether a fault
   /// took effect and are not part of the rule check.
   std::map<std::string, std::size_t> log_events;
-  /// Number of backends whose state in a snapshot was used, and of those whose state was discarded.
+  /// Numbers of backends whose state in a snapshot the proxies used and discarded, summed over the
+  /// proxies' logs.
   std::uint64_t restored_endpoints = 0;
   std::uint64_t discarded_endpoints = 0;
 
-  /// Maintenance: attempts that reached a backend while it was out, backends that were worked on,
-  /// maximum number of backends out at the same time, requests that were open at the end, the last
-  /// status from a proxy, and the time at which the last request was completed (0: not completed).
+  /// Results of maintenance: number of attempts that reached a backend while it was out of service,
+  /// number of backends that were taken out and returned, maximum number of backends out at the
+  /// same time, number of requests that were open at the end, the last status from a proxy, and the
+  /// time at which the last request was completed (0 if it was not).
   std::uint64_t attempts_during_maintenance = 0;
   std::uint32_t taken_out = 0;
   std::uint32_t max_backends_out = 0;
--- a/src/testbed/maintenance_operators.cpp
+++ b/src/testbed/maintenance_operators.cpp
@@ -20,8 +20,8 @@
 constexpr auto kPollInterval = 100ms;
 constexpr auto kCallTimeout = 2s;
 constexpr std::string_view kBackendNamePrefix = "node-";
-// Offset between the proxies that the operators call in the same round, so that they call different
-// ones.
+// Offset between the indices of the proxies that the two operators call in the same round, so that
+// they call different proxies.
 constexpr std::size_t kOperatorStride = 3;
 
 bool parse_json(const std::string& text, Json::Value& root) {
--- a/src/testbed/maintenance_operators.h
+++ b/src/testbed/maintenance_operators.h
@@ -1,5 +1,5 @@
-// Two independent operators that each request maintenance of half of the backends through the
-// proxies' operator interface.
+// Emulates two independent operators, each of whom requests maintenance of half of the backends
+// through the proxies' operator interface.
 #pragma once
 
 #include <json/json.h>
@@ -22,22 +22,23 @@
 
 /// Progress of the operators' maintenance requests.
 struct MaintenanceOutcome {
-  std::uint32_t backends_done = 0;  // backends taken out, worked on and restarted
+  std::uint32_t backends_done = 0;  // number of backends that were worked on and restarted
   std::uint32_t max_out = 0;        // maximum number of backends out at the same time
-  std::uint32_t open_requests = 0;  // in the last status from a proxy
+  std::uint32_t open_requests = 0;  // requests that are open in the last status from a proxy
   std::string last_status;          // JSON text of the last status
   Time completed_at{0};             // when all requests were first reported as completed; 0: never
 };
 
-/// Objects passed by reference must outlive it, and it must outlive the scheduler's run.
+/// The two operators of a run. Objects passed by reference must outlive this object, and it must
+/// outlive the scheduler's run.
 class MaintenanceOperators {
  public:
   /// `admin_addresses`: addresses of the proxies' operator interfaces.
   MaintenanceOperators(runtime::Scheduler& scheduler, const TestbedClock& clock,
                        const emulator::Scenario& scenario, FakeServices& services,
                        ObservationLog& observations, std::vector<sockaddr_in> admin_addresses);
-  /// Submits the requests until both are accepted, then works on each backend that is out, restarts
-  /// it and reports it as done. Runs until the scheduler stops.
+  /// Submits each operator's request until a proxy accepts it, then works on each backend that is
+  /// out, restarts it and reports it as done. Runs until the scheduler stops.
   runtime::Task<> run();
   const MaintenanceOutcome& outcome() const { return outcome_; }
 
@@ -69,10 +70,11 @@
   const std::vector<sockaddr_in> admin_addresses_;  // indexed by proxy
   std::size_t poll_round_ = 0;                      // selects the proxy to call
   std::array<bool, kOperators> submitted_{};
-  // End of the work on each backend in progress.
+  // Time at which the work on a backend ends, for the backends that are being worked on.
   std::map<EndpointId, runtime::TimePoint> work_ends_;
-  std::map<EndpointId, std::uint64_t> last_fencing_token_;  // of the last work on each backend
-  std::set<EndpointId> unreported_backends_;  // completed work that is not reported yet
+  std::map<EndpointId, std::uint64_t>
+      last_fencing_token_;                    // token of the last work on each backend
+  std::set<EndpointId> unreported_backends_;  // work is done but not yet reported
   MaintenanceOutcome outcome_;
 };
 
--- a/src/testbed/observation_log.cpp
+++ b/src/testbed/observation_log.cpp
@@ -11,14 +11,16 @@
 constexpr Duration kRetention{5'000'000};
 constexpr std::size_t kMaxRecordedSeconds = 100'000;
 
-// Disables the check for concurrent attempts. A backend cannot observe that a proxy gave up one
-// attempt before it sent another, so two attempts at the same time do not prove a violation.
+// Returns the scenario with the check for concurrent attempts disabled. A backend cannot observe
+// that a proxy gave up one attempt before it sent another, so two attempts at the same time do not
+// prove a violation.
 emulator::Scenario without_concurrency_check(emulator::Scenario scenario) {
   scenario.hedging_allowed = true;
   return scenario;
 }
 
-// Parses a number that extends over the whole text between the two pointers.
+// Parses the text from `from` to `to` as a number in base `base`. Returns false if the text
+// contains anything else.
 template <class Number>
 bool parse_number(const char* from, const char* to, Number& number, int base) {
   const auto [end, error] = std::from_chars(from, to, number, base);
--- a/src/testbed/observation_log.h
+++ b/src/testbed/observation_log.h
@@ -28,7 +28,8 @@
 /// Whether a proxy still has its in-memory state when a fault of its process ends.
 enum class ProxyMemory { kKept, kLost };
 
-/// Not thread-safe. All times are scenario times.
+/// Records the observations of one run and checks the rules. Not thread-safe. All times are
+/// scenario times.
 class ObservationLog {
  public:
   /// Event counts, indexed by backend and then by second of scenario time.
@@ -47,15 +48,15 @@
     return request << kAttemptBits | attempt;
   }
 
-  /// Client events: an attempt was sent to a proxy; a response was received.
+  /// Client events: an attempt was sent to a proxy; a response to an attempt was received.
   void request_sent(ClientAttemptId id, ClassId request_class, std::size_t proxy, Time deadline);
   void response_received(ClientAttemptId id, bool rejected);
   /// Client event: the connection ended without a response, or none was received before the
   /// deadline plus kObservationTolerance.
   void no_response(ClientAttemptId id);
 
-  /// Backend events: a connection was accepted; a request was received; its response is ready.
-  /// attempt_received() returns the number to pass to attempt_completed().
+  /// Backend events: a connection was accepted; an attempt was received; the response to an attempt
+  /// is ready. attempt_received() returns the number to pass to attempt_completed().
   void connection_accepted(EndpointId backend);
   std::uint32_t attempt_received(ClientAttemptId id, const Endpoint& backend);
   void attempt_completed(ClientAttemptId id, std::uint32_t attempt, Result result);
@@ -121,9 +122,10 @@
   const emulator::Scenario scenario_;
   std::function<Time()> now_;
   emulator::RuleChecker rules_;
-  // Never iterated, so that its order has no effect.
+  // Client attempts that have not expired. The map is never iterated, so that its order has no
+  // effect.
   std::unordered_map<ClientAttemptId, OpenRequest> open_requests_;
-  std::deque<std::pair<Time, ClientAttemptId>> expiries_;  // expiry times, in the order of sending
+  std::deque<std::pair<Time, ClientAttemptId>> expiries_;  // in the order of sending
   std::vector<std::vector<AdvertisedState>> advertised_;   // indexed by proxy and backend
   std::vector<ProxyFaults> proxy_faults_;
   // Most recent partition of each link.
--- a/src/testbed/open_loop_load.cpp
+++ b/src/testbed/open_loop_load.cpp
@@ -19,9 +19,9 @@
 
 namespace {
 
-// Longer Retry-After times are ignored.
+// Upper bound of Retry-After in seconds. Greater values are ignored.
 constexpr double kMaxRetryAfterS = 3600;
-// Minimum delay before an attempt at another proxy when one was unreachable.
+// Minimum delay before the next attempt when a proxy was unreachable.
 constexpr Duration kMinUnreachableDelay{1000};
 
 Duration retry_after_of(const http::Message& response) {
@@ -38,7 +38,7 @@
   return response.status == 429 || response.status == 503;
 }
 
-// Counts a connection while an attempt uses it.
+// Includes a connection in `count` while the object exists.
 class ConnectionCount {
  public:
   explicit ConnectionCount(std::size_t& count) : count_(count) { ++count_; }
@@ -86,7 +86,7 @@
                                   count_in_rotation, random_);
 }
 
-// Returns any proxy if none is in rotation.
+// Returns a random proxy in rotation, or any random proxy if none is in rotation.
 std::size_t OpenLoopLoad::draw_proxy_in_rotation() {
   std::vector<std::size_t> candidates;
   for (std::size_t i = 0; i < in_rotation_.size(); ++i) {
@@ -176,8 +176,9 @@
   }
 }
 
-// Returns the delay before the next attempt, or nullopt if there is none. If the proxy was
-// unreachable, assigns a randomly chosen proxy in rotation to the client's connection.
+// Returns the delay before the next attempt, or nullopt if the scenario allows no further attempt.
+// If the proxy was unreachable, assigns a randomly chosen proxy in rotation to the client's
+// connection.
 std::optional<Duration> OpenLoopLoad::retry_delay(const emulator::Arrival& arrival,
                                                   std::uint32_t attempt,
                                                   const AttemptResult& result) {
@@ -234,7 +235,8 @@
   return stream;
 }
 
-// Returns an idle connection or opens a new one.
+// Returns an idle connection or opens a new one. The returned stream is null if kMaxConnections are
+// open or the connection cannot be opened.
 Task<OpenLoopLoad::Connection> OpenLoopLoad::connect(std::size_t proxy, TimePoint deadline) {
   Connection connection;
   connection.stream = take_idle_connection(proxy);
@@ -255,7 +257,8 @@
 Task<OpenLoopLoad::AttemptResult> OpenLoopLoad::run_attempt(const Attempt& attempt) {
   AttemptResult result;
   const TimePoint deadline = clock_.time_point(clock_.now() + attempt.timeout);
-  // Waits for a response until the rules can be checked; after the deadline it counts as failed.
+  // A response after the deadline counts as failed. It is awaited until the tolerance of the rule
+  // checker has passed, so that it is recorded.
   const TimePoint read_deadline = deadline + kObservationTolerance;
   const ClientAttemptId id = ObservationLog::client_attempt(attempt.request, attempt.number);
   const std::string request = request_text(attempt);
--- a/src/testbed/open_loop_load.h
+++ b/src/testbed/open_loop_load.h
@@ -1,4 +1,4 @@
-// An open-loop load on real proxies: the scenario's clients over HTTP/1.1. Latency is
+// An open-loop load on real proxies: emulates the scenario's clients over HTTP/1.1. Latency is
 // measured from the time at which a request is scheduled to be sent, so that delays of the load
 // generator are included.
 #pragma once
@@ -19,12 +19,13 @@
 
 namespace beechhill::testbed {
 
-/// Also emulates the load balancer in front of the proxies; set_proxy_in_rotation() sets the result
-/// of its health checks. Not thread-safe; objects passed by reference must outlive it.
+/// Load generator for all proxies of a run. Also emulates the load balancer in front of the
+/// proxies; set_proxy_in_rotation() sets the result of its health checks. Not thread-safe. Objects
+/// passed by reference must outlive the generator.
 class OpenLoopLoad {
  public:
-  /// Maximum number of connections to all proxies together. An attempt that needs one more counts
-  /// as unreachable.
+  /// Maximum number of connections to all proxies together. An attempt for which another connection
+  /// would be needed counts as unreachable.
   static constexpr std::size_t kMaxConnections = 4096;
 
   OpenLoopLoad(runtime::Scheduler& scheduler, const TestbedClock& clock,
@@ -33,10 +34,10 @@
 
   /// Sets whether clients send requests to the proxy.
   void set_proxy_in_rotation(std::size_t proxy, bool in_rotation);
-  /// Moves an even share of the clients' connections back to a proxy that has returned, if the
-  /// scenario enables this.
+  /// Moves an even share of the clients' connections to a proxy that is back in rotation, if the
+  /// scenario's clients rebalance connections.
   void rebalance_to(std::size_t proxy);
-  /// Completes when every request has ended.
+  /// Sends all requests of the scenario and completes when each of them has ended.
   runtime::Task<> run();
 
   const emulator::Metrics& metrics() const { return metrics_; }
@@ -92,7 +93,7 @@
   std::size_t connections_ = 0;
   emulator::Metrics metrics_;
   emulator::Stream random_;
-  std::vector<std::uint32_t> assigned_proxies_;  // indexed by client connection
+  std::vector<std::uint32_t> assigned_proxies_;  // proxy of each client connection
   std::uint64_t requests_ = 0;
   std::uint64_t served_ = 0;
   std::uint64_t open_requests_ = 0;
--- a/src/testbed/proxy_fault_injector.cpp
+++ b/src/testbed/proxy_fault_injector.cpp
@@ -96,7 +96,7 @@
     return;
   }
   ProxyProcess& process = proxies_.process(proxy);
-  process.kill();  // in case a graceful shutdown is still in progress
+  process.kill();  // ends a graceful shutdown that is still in progress
   process.start();
   if (state.suspend_faults > 0) {
     process.suspend();
--- a/src/testbed/proxy_fault_injector.h
+++ b/src/testbed/proxy_fault_injector.h
@@ -15,10 +15,10 @@
 
 namespace beechhill::testbed {
 
-/// Also emulates the health checks of the load balancer in front of the proxies: a proxy that is
-/// down leaves rotation when the scenario's notice period is over, and a restarted one
-/// returns to rotation once it is ready. Objects passed by reference must outlive it, and it must
-/// outlive the scheduler's run.
+/// Applies the faults of a run's proxies. Also emulates the health checks of the load balancer in
+/// front of the proxies: a proxy that is down is removed from rotation after the scenario's notice
+/// period, and a restarted one returns to rotation once it is ready. Objects passed by reference
+/// must outlive the injector, and it must outlive the scheduler's run.
 class ProxyFaultInjector {
  public:
   ProxyFaultInjector(runtime::Scheduler& scheduler, const TestbedClock& clock,
@@ -29,14 +29,13 @@
   /// which recovers when the last one ends.
   void apply(const emulator::FaultSpec& fault, const std::vector<std::uint32_t>& affected,
              FaultPhase phase);
-  /// Time at which a proxy last became ready again after a fault; 0 if no fault made one
-  /// unavailable.
+  /// Time at which a proxy was last ready again or resumed after a fault; 0 if there was none.
   Time last_ready_at() const { return last_ready_at_; }
 
  private:
   struct ProxyState {
-    std::uint32_t down_faults = 0;     // active faults that keep it down
-    std::uint32_t suspend_faults = 0;  // active faults that keep it suspended
+    std::uint32_t down_faults = 0;     // number of active faults that keep the process down
+    std::uint32_t suspend_faults = 0;  // number of active faults that suspend the process
     std::uint64_t generation = 0;      // incremented at each start and end of the process
   };
   void apply_to_process(const emulator::FaultSpec& fault, std::size_t proxy, FaultPhase phase);
--- a/src/testbed/proxy_group.h
+++ b/src/testbed/proxy_group.h
@@ -18,7 +18,7 @@
 
 namespace beechhill::testbed {
 
-/// Must outlive the scheduler's run.
+/// The proxies of one run. Must outlive the scheduler's run.
 class ProxyGroup {
  public:
   /// Prepares `scenario.proxies` processes of `program` without starting them. Throws
--- a/src/testbed/proxy_process.cpp
+++ b/src/testbed/proxy_process.cpp
@@ -28,7 +28,7 @@
 constexpr auto kReadinessTimeout = 200ms;
 constexpr auto kReadinessPollInterval = 20ms;
 constexpr auto kStartTimeout = 15s;
-constexpr int kExecFailed = 127;  // the same status as a shell's
+constexpr int kExecFailed = 127;  // as a shell reports a program that cannot be executed
 // Number of fields of /proc/PID/stat between the process name and the user time.
 constexpr int kStatFieldsBeforeCpu = 11;
 
--- a/src/testbed/proxy_process.h
+++ b/src/testbed/proxy_process.h
@@ -26,7 +26,8 @@
   ProxyProcess(const ProxyProcess&) = delete;
   ProxyProcess& operator=(const ProxyProcess&) = delete;
 
-  /// Throws std::runtime_error if the system cannot create a process.
+  /// Starts a process, which appends to the log. Throws std::runtime_error if the system cannot
+  /// create a process.
   void start();
   /// Sends SIGKILL and waits until the process has exited.
   void kill();
@@ -36,7 +37,7 @@
   void resume() { signal(SIGCONT); }
   /// Shuts down gracefully, or with SIGKILL after 5 s. Blocks.
   void shut_down();
-  /// Whether no process is running: none was started, or it has exited and was reaped.
+  /// Returns whether no process is running, and reaps the process if it has exited.
   bool exited();
 
   /// CPU time in seconds of all processes of this proxy that have exited.
@@ -47,11 +48,11 @@
   long rss_kib() const;
   const sockaddr_in& address() const { return address_; }
 
-  /// The last line of the log, which all processes of this proxy append to.
+  /// Returns the last line of the log, to which all processes of this proxy append.
   std::string last_log_line() const;
-  /// Number of log lines for the event.
+  /// Returns the number of log lines for the event.
   std::size_t count_log_events(const std::string& event) const;
-  /// Sum of the values after `key=` in the log lines for the event.
+  /// Returns the sum of the values after `key=` in the log lines for the event.
   std::uint64_t sum_log_field(const std::string& event, const std::string& key) const;
 
  private:
@@ -70,7 +71,7 @@
   double cpu_s_ = 0;
 };
 
-/// Whether the proxy at the address reports within 200 ms that it is ready.
+/// Returns whether the proxy at the address reports within 200 ms that it is ready.
 runtime::Task<bool> is_ready(runtime::Scheduler& scheduler, sockaddr_in address);
 /// Completes when the proxy is ready. Throws std::runtime_error if it exits or is not ready within
 /// 15 s.
--- a/src/testbed/simulation_commands.cpp
+++ b/src/testbed/simulation_commands.cpp
@@ -35,7 +35,7 @@
 constexpr auto kMaxConvergenceTime = 600s;
 constexpr auto kSteadyStateDuration = 300s;  // duration of the traffic measurement
 constexpr auto kPartitionDuration = 120s;
-// One of this many members is suspended.
+// Number of members for each one that is suspended.
 constexpr std::size_t kMembersPerSuspended = 10;
 
 // Measurements of one simulation. A duration is nullopt if the members did not converge.
@@ -43,13 +43,13 @@
   std::optional<Duration> join;
   double bytes_per_s = 0;           // per member, without faults
   double false_deaths_per_h = 0;    // per member, without faults
-  std::vector<double> detection_s;  // sorted; for each pair of a running and a suspended member
+  std::vector<double> detection_s;  // sorted; one for each pair of running and suspended member
   std::optional<Duration> detected_by_all;
-  std::optional<Duration> heal;  // after a partition into two halves
+  std::optional<Duration> heal;  // time to converge after a partition into two halves
 };
 
 // Returns the time until each running member knows exactly the other running members, or nullopt if
-// it exceeds the maximum.
+// that takes longer than kMaxConvergenceTime.
 std::optional<Duration> time_to_converge(GossipSimulation& simulation) {
   const Time began = simulation.now();
   while (!simulation.agreed()) {
@@ -72,7 +72,8 @@
       static_cast<double>(after.false_deaths - before.false_deaths) / member_seconds * 3600;
 }
 
-// Suspends the last members, measures when the others detect it, and resumes them.
+// Suspends the members with the highest indices, measures when the others detect that, and resumes
+// them.
 void measure_failure_detection(GossipSimulation& simulation, MembershipResult& result) {
   const std::size_t count = std::max<std::size_t>(1, simulation.size() / kMembersPerSuspended);
   const std::size_t first = simulation.size() - count;
@@ -113,7 +114,7 @@
   return result;
 }
 
-// Returns 0 if there are no values.
+// Returns the value at quantile `q`, from 0 to 1, or 0 if there are no values.
 double quantile(const std::vector<double>& sorted, double q) {
   if (sorted.empty()) {
     return 0;
@@ -160,7 +161,7 @@
 // Command simulate-maintenance.
 
 constexpr std::size_t kSubmissionProxy = 0;  // the proxy to which requests are submitted
-constexpr int kSubmissions = 3;              // one may be lost while a leader is elected
+constexpr int kSubmissions = 3;              // repeated, as one may be lost during an election
 constexpr auto kSubmissionInterval = 300ms;
 constexpr auto kElectionTime = 3s;
 constexpr auto kLeaderDowntime = 2s;
@@ -171,7 +172,7 @@
   std::uint32_t backends = 0;
   std::uint32_t followers = 0;
   std::uint64_t seed = 1;
-  bool kill_leader = false;  // halfway through the round
+  bool kill_leader = false;  // kill the leader halfway through the round
 };
 
 MaintenanceSimulationSpec round_spec(const RoundOptions& options) {
@@ -205,8 +206,9 @@
   }
 }
 
-// Kills the leader and restarts it. Returns the time from its death until work that began
-// afterwards has ended.
+// Kills the leader and restarts it. Returns the time from its death until more than `max_out`
+// further backends were done, which include one that was taken out after the death. Returns about
+// kMaxFailover if that takes longer.
 Duration measure_failover(MaintenanceSimulation& simulation, std::size_t leader,
                           std::uint32_t max_out) {
   const std::size_t done_before = simulation.taken_out();
@@ -221,8 +223,8 @@
   return simulation.now() - died_at;
 }
 
-// Runs maintenance of all backends once, without faults except for the leader's death if that is
-// requested, and compares the duration with the minimum that the disruption budget allows.
+// Runs one round of maintenance of all backends and compares its duration with the minimum that the
+// disruption budget allows. The only fault is the leader's death, if `options` request it.
 void simulate_round(const RoundOptions& options) {
   const MaintenanceSimulationSpec spec = round_spec(options);
   MaintenanceSimulation simulation(spec);
@@ -258,12 +260,12 @@
   std::uint64_t seed = 1;
   std::uint32_t plans = 100;
   std::uint32_t followers = 10;
-  std::uint32_t round_backends = 0;  // 0: run drawn plans instead of a round
+  std::uint32_t round_backends = 0;  // number in a round; 0: run drawn plans instead
   bool kill_leader = false;
 };
 
-// Runs randomly drawn fault plans and prints those with violations or unexplained waiting on
-// standard error.
+// Runs randomly drawn fault plans. Prints the plans with violations, or with requests that wait
+// without a reason, on standard error.
 ExitCode simulate_plans(const MaintenanceOptions& options) {
   std::uint64_t violating_plans = 0;
   std::uint64_t unexplained_requests = 0;
--- a/src/testbed/state_directory_faults.h
+++ b/src/testbed/state_directory_faults.h
@@ -14,8 +14,8 @@
 
 namespace beechhill::testbed {
 
-/// Disk faults need no privileges: the temporary file that the process writes and then renames is
-/// replaced by something that is not a regular file.
+/// Injects faults into one state directory. Disk faults need no privileges: the temporary file that
+/// the process writes and then renames is replaced by something that is not a regular file.
 class StateDirectoryFaults {
  public:
   /// Creates the directory. `temporary_file`: name of the file in it that the process writes and
--- a/src/testbed/tcp_fault_proxy.cpp
+++ b/src/testbed/tcp_fault_proxy.cpp
@@ -13,7 +13,8 @@
 struct TcpFaultProxy::Connection {
   std::unique_ptr<net::Stream> client;
   std::unique_ptr<net::Stream> backend;
-  // Each of these wakes the task that reads from that end.
+  // Notified when the connection is closed, to wake the task that reads from the client and the one
+  // that reads from the backend.
   runtime::Notifier client_closed;
   runtime::Notifier backend_closed;
   bool closed = false;
@@ -63,7 +64,7 @@
   std::unique_ptr<net::Stream> backend =
       co_await net::Stream::connect(scheduler_, backend_, Clock::now() + kNoTimeout);
   if (!backend) {
-    co_return;  // closes the client's connection, because the backend rejected the proxy's
+    co_return;  // closes the client's connection, as none to the backend could be opened
   }
   connection->backend = std::move(backend);
   connections_.insert(connection);
--- a/tests/cluster_test_test.cpp
+++ b/tests/cluster_test_test.cpp
@@ -23,15 +23,14 @@
 const testbed::ClusterTestOptions kEmulatedWithoutControl{
     .emulated = true, .policy = "module", .program = {}, .control = false};
 
-// Expects that nearly all requests from time `from` on are served, so that no proxy remains
-// unavailable.
+// Expects a goodput above 0.9 from time `from` on, which fails if a proxy stays unavailable.
 void expect_recovery(const testbed::LoadTestResult& run, const Scenario& scenario, Duration from) {
   EXPECT_GT(run.metrics->goodput_between(from, scenario.length), 0.9);
 }
 
 // Seven in ten proxies restart at once while a backend is slow. Each restarted proxy must request
-// only one more list, and no backend may receive more new connections per second than the clients
-// have connections.
+// only one more endpoint list, and no backend may receive more new connections in one second than
+// the scenario's clients have connections.
 TEST(ClusterTest, RecoversWhenMostProxiesRestartAtOnceBesideASlowBackend) {
   const Scenario scenario = cluster_scenario(fault("proxy_crash", "2s", "800ms", "part = 0.7") +
                                              fault("slow", "1s", "7s", "nodes = 1\nfactor = 3.0"));
@@ -41,8 +40,9 @@
   EXPECT_LE(run.max_connections_per_s, scenario.clients.connections);
 }
 
-// All proxies restart a second time before they have warmed up, and the clients that could not
-// reach them return together.
+// All proxies restart twice, the second time before they have warmed up. The goodput must recover
+// although the clients that could not reach a proxy return together, and each restart must cause
+// only one request for the endpoint list.
 TEST(ClusterTest, RecoversWhenAllProxiesRestartTwice) {
   const Scenario scenario = cluster_scenario(
       fault("proxy_crash", "2s", "600ms", "part = 1.0\ntimes = 2\nevery = \"1500ms\""));
@@ -60,7 +60,8 @@
 }
 
 // Backends begin to drain while most proxies are down. When the proxies return, half of the
-// discovery servers are unresponsive and one proxy is still suspended.
+// discovery servers are unresponsive and one proxy is still suspended. The goodput must recover
+// nevertheless.
 TEST(ClusterTest, RecoversWhenProxiesReturnToADrainAndUnresponsiveDiscovery) {
   const Scenario scenario =
       cluster_scenario(fault("proxy_crash", "2s", "700ms", "part = 0.8") +
@@ -91,7 +92,8 @@
 }
 
 // All proxies restart at once, each with its state in another condition: lost, truncated, with one
-// bit flipped, one hour old, on a full disk, and on a disk that hung.
+// bit flipped, one hour old, on a full disk, and on a disk that hung. The proxies must set aside
+// the truncated, corrupted and old snapshots and recover.
 TEST(ClusterTest, RestartsWithDamagedStateOfEveryKind) {
   const auto state_fault = [](const char* kind, int proxy, const char* extra_lines = "") {
     return fault(kind, "2200ms", "100ms",
@@ -130,7 +132,7 @@
 }
 
 // Half of the proxies return with fresh state and half with old state, while three proxies'
-// discovery servers send a list from before a drain.
+// discovery servers send a list from before a drain. The goodput must recover nevertheless.
 TEST(ClusterTest, RecoversWhenHalfOfTheStateIsOldAndDiscoveryIsRewound) {
   const Scenario scenario = cluster_scenario_with_snapshots(
       fault("proxy_crash", "3s", "600ms", "part = 1.0") +
@@ -140,7 +142,8 @@
   expect_recovery(run_without_violations(scenario), scenario, seconds(6));
 }
 
-// Runs three drawn plans, which include state faults because the proxies keep snapshots.
+// Runs three drawn fault plans with real processes and expects no violations. The plans can include
+// state faults because the proxies keep snapshots.
 void run_drawn_plans(std::uint64_t first_seed) {
   constexpr std::uint64_t kPlans = 3;
   for (std::uint64_t seed = first_seed; seed < first_seed + kPlans; ++seed) {
@@ -164,7 +167,7 @@
 // Returns the emulator's whole result as JSON text, except for the number of events.
 std::string emulated_result(const Scenario& scenario) {
   testbed::ClusterTestResult test = testbed::run_cluster_test(scenario, kEmulatedWithoutControl);
-  test.result.removeMember("events");  // each state fault adds two events
+  test.result.removeMember("events");  // differs, as each state fault adds two events
   return test.result.toStyledString();
 }
 
@@ -173,7 +176,7 @@
   const std::string state_lost = fault("state_lost", "3200ms", "100ms", "part = 1.0");
   const std::string first_start = emulated_result(cluster_scenario(crash));
   EXPECT_EQ(emulated_result(cluster_scenario_with_snapshots(crash + state_lost)), first_start);
-  // State that is not lost must change the result.
+  // Checks that the comparison is meaningful: proxies that keep their state give another result.
   EXPECT_NE(emulated_result(cluster_scenario_with_snapshots(crash)), first_start);
 }
 
--- a/tests/experiment_test.cpp
+++ b/tests/experiment_test.cpp
@@ -69,8 +69,8 @@
   EXPECT_EQ(run_experiment(experiment_, directory_ + "/cut", 4).run, 24u);
 }
 
-// The result file is from an earlier version of the scenario. Its cells must not count as finished,
-// and a run that stops early must leave the file unchanged.
+// The result file is from an earlier version of the scenario. A run must not count its cells as
+// finished, and a run that stops early must leave the file unchanged.
 TEST_F(Experiments, StopEarlyBesideTheResultOfAChangedScenario) {
   run("out", 4);
   std::ofstream(directory_ + "/s.toml", std::ios::app) << "cores = 2\n";
--- a/tests/load_test_test.cpp
+++ b/tests/load_test_test.cpp
@@ -16,7 +16,7 @@
 // Maximum difference in goodput between the real proxy and the emulator.
 constexpr double kGoodputTolerance = 0.05;
 
-// A load low enough for a build with sanitizers.
+// Scenario whose load is low enough for a build with sanitizers.
 constexpr const char* kScenario = R"(
 length = "6s"
 warm_up = "1s"
--- a/tests/support/action_trace.h
+++ b/tests/support/action_trace.h
@@ -20,7 +20,8 @@
 
 namespace beechhill::test {
 
-/// Kinds of deployment. A stream uses the one whose value is its seed modulo kCount.
+/// Kinds of deployment to simulate. A stream simulates the one whose value is its seed modulo
+/// kCount.
 enum class Deployment : std::uint64_t {
   kCrossZoneCost,    // like deploy/sites/lantern-post.toml
   kNoCancelHedging,  // like deploy/sites/quarry-dispatch.toml, which is an inner tier
--- a/tests/support/balancer_driver.h
+++ b/tests/support/balancer_driver.h
@@ -98,7 +98,8 @@
     return handle(Outcome{id, attempt, result, is_final || result == Result::kOk, {}});
   }
 
-  /// Advances the clock by `duration`. Timers expire when they are due.
+  /// Advances the clock by `duration` and passes the events of all timers that expire in this time
+  /// to the balancer.
   void advance(Duration duration) {
     const Time end = now + duration;
     while (!timers_.empty() && timers_.begin()->first <= end) {
--- a/tests/support/fault_plan_text.h
+++ b/tests/support/fault_plan_text.h
@@ -5,8 +5,8 @@
 
 namespace beechhill::test {
 
-/// Returns a `[[fault]]` table. `length` is the value of its key `for`, and `extra_lines` holds
-/// further lines.
+/// Returns a `[[fault]]` table. `at` and `length` are the values of its keys `at` and `for`, and
+/// `extra_lines` holds further lines.
 inline std::string fault(const std::string& kind, const std::string& at, const std::string& length,
                          const std::string& extra_lines) {
   return "[[fault]]\nkind = \"" + kind + "\"\nat = \"" + at + "\"\nfor = \"" + length + "\"\n" +
--- a/tests/support/proxy_fixture.h
+++ b/tests/support/proxy_fixture.h
@@ -31,13 +31,14 @@
   const TemporaryDirectory state_directory;
 };
 
-// A proxy process. The test has accepted its first watch and sends endpoint lists on it.
+// A proxy process and its discovery service. The constructor accepts the proxy's first watch; the
+// test sends endpoint lists on the current watch.
 class ProxyUnderTest {
  public:
   // Starts the process and accepts its first watch. If `hosts` is not empty, sends it as the
   // complete endpoint list and waits until the proxy is ready. `known` is the endpoint list in the
-  // configuration file. With `shared`, the process takes the listening socket and the state
-  // directory from there.
+  // configuration file. If `shared` is not null, the process uses its listening socket and state
+  // directory.
   explicit ProxyUnderTest(const std::string& hosts, const std::string& known = "[]",
                           const SharedListener* shared = nullptr)
       : shared_(shared), watch_((start(known), discovery_.accept())) {
@@ -78,7 +79,8 @@
   // Accepts the proxy's next watch and starts the response. Later lists are sent on this watch.
   // Returns the target of its request.
   std::string accept_watch() { return accept_watch(discovery_); }
-  // Does the same for a watch that arrives at `discovery`.
+  // Accepts a watch that arrives at `discovery` and starts the response. Later lists are sent on
+  // this watch. Returns the target of its request.
   std::string accept_watch(const FakeListener& discovery) {
     watch_ = discovery.accept();
     const std::string target = watch_.request().target;
@@ -146,7 +148,7 @@
     require(::pipe(log_pipe) == 0);
     pid_ = ::fork();
     if (pid_ == 0) {
-      ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // no process outlives a failed test
+      ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // kills the proxy when the test process ends
       ::dup2(log_pipe[1], 1);
       ::setenv("GW_CONFIG", path, 1);
       for (const char* name : {"GW_NAME", "GW_LISTEN"}) {
@@ -178,8 +180,8 @@
     address_ = address("address=");
     admin_address_ = address("admin=");
   }
-  // Waits until the proxy is ready. With a shared listening socket, only the admin interface is
-  // sure to reach this process.
+  // Waits until the proxy is ready. If the listening socket is shared, uses the admin interface, as
+  // only requests to it are certain to reach this process.
   void wait_ready() const {
     const auto deadline = Clock::now() + kTestTimeout;
     while ((shared_ ? admin_request("GET", "/api/ready").status : ready()) != 200) {
--- a/tests/support/require.h
+++ b/tests/support/require.h
@@ -13,7 +13,7 @@
 using namespace std::chrono_literals;
 using Clock = std::chrono::steady_clock;
 
-/// Time limit of every wait in test helpers; none takes nearly as long unless the test fails.
+/// Time limit of every wait in test helpers. In a passing test, every wait ends long before it.
 inline constexpr std::chrono::milliseconds kTestTimeout = 20s;
 
 /// Throws std::runtime_error with the caller's file, line and function if `condition` is false.
--- a/tests/support/testbed_fixture.h
+++ b/tests/support/testbed_fixture.h
@@ -67,7 +67,7 @@
   return parse_scenario(kClusterScenario + faults);
 }
 
-/// Returns the same scenario with proxies that keep snapshots.
+/// Returns cluster_scenario(faults) with proxies that keep snapshots.
 inline emulator::Scenario cluster_scenario_with_snapshots(const std::string& faults = "") {
   std::string text = kClusterScenario + faults;
   text.insert(text.find("count = 6"), "snapshot_every = \"100ms\"\n");
