--- a/src/experiments/experiment.h
+++ b/src/experiments/experiment.h
@@ -82,7 +82,7 @@
 struct Summary {
   /// Number of cells that this call ran.
   std::size_t run = 0;
-  /// Number of cells whose results were already in the files.
+  /// Number of cells whose results were already in the result file or the partial file.
   std::size_t kept = 0;
   /// Whether one of the files contained an incomplete line, which an interrupted run can leave.
   bool torn = false;
--- a/src/experiments/plot.cpp
+++ b/src/experiments/plot.cpp
@@ -56,7 +56,7 @@
 };
 
 struct ResultTable {
-  // Labels of the grid's points, in order of appearance.
+  // Labels of the grid's points, in the order in which the results mention them.
   std::vector<std::string> labels;
   // Rows by label and policy.
   std::map<std::string, std::map<std::string, TableRow>> rows;
--- a/src/testbed/cluster_test/cluster_test_command.cpp
+++ b/src/testbed/cluster_test/cluster_test_command.cpp
@@ -34,10 +34,10 @@
 
 struct Options {
   ScenarioOptions scenario;
-  std::string json_file;  // empty: not written
-  std::string html_file;  // empty: not written
+  std::string json_file;  // path; empty: no JSON is written
+  std::string html_file;  // path; empty: no HTML is written
   ClusterTestOptions test;
-  std::uint32_t runs = 1;  // number of runs, with consecutive seeds
+  std::uint32_t runs = 1;  // number of runs; their seeds are consecutive
   bool draw_faults = false;
   bool shrink = false;
 };
--- a/src/testbed/emulator_commands.cpp
+++ b/src/testbed/emulator_commands.cpp
@@ -65,7 +65,7 @@
 struct EmulateOptions {
   ScenarioOptions scenario;
   std::string policy = "module";
-  std::string json_file;  // empty: not written
+  std::string json_file;  // path; empty: no JSON is written
 };
 
 ExitCode emulate(const EmulateOptions& options) {
@@ -95,8 +95,8 @@
 
 struct ExperimentOptions {
   std::string experiment_file;
-  std::string result_file;  // empty: the experiment's name with .jsonl
-  std::string html_file;    // empty: not written
+  std::string result_file;  // path; empty: the experiment's name with .jsonl
+  std::string html_file;    // path; empty: no HTML is written
   unsigned threads = std::max(1u, std::thread::hardware_concurrency());
 };
 
@@ -152,8 +152,8 @@
 
 struct PlotOptions {
   std::string result_file;
-  std::string html_file;  // empty: the result file's name with .html
-  std::string title;      // empty: the result file's name
+  std::string html_file;  // path; empty: the result file's name with .html
+  std::string title;      // title of the page; empty: the result file's name
 };
 
 ExitCode plot(const PlotOptions& options) {
--- a/src/testbed/fake_backend.h
+++ b/src/testbed/fake_backend.h
@@ -105,7 +105,7 @@
   std::uint64_t requests_received_ = 0;
   std::uint64_t connections_accepted_ = 0;
   ObservationLog* observations_;
-  bool in_slow_start_ = false;  // until the observation log is notified of its end
+  bool in_slow_start_ = false;  // whether the end of slow start must still be logged
 };
 
 }  // namespace beechhill::testbed
--- a/src/testbed/fake_backends_command.cpp
+++ b/src/testbed/fake_backends_command.cpp
@@ -32,8 +32,8 @@
 constexpr double kSecondsPerDay = 86'400;
 
 struct Options {
-  std::string scenario_file;  // empty: the demo scenario
-  std::string config_file;    // empty: not written
+  std::string scenario_file;  // path; empty: the demo scenario is used
+  std::string config_file;    // path; empty: none is written
   std::string listen = "127.0.0.1:18080";
   double max_duration_s = kSecondsPerDay;
 };
--- a/src/testbed/fake_discovery.h
+++ b/src/testbed/fake_discovery.h
@@ -63,7 +63,7 @@
   runtime::Scheduler& scheduler_;
   const TestbedClock& clock_;
   net::Listener listener_;
-  std::vector<Change> changes_;  // all changes of the run
+  std::vector<Change> changes_;  // every change published so far, due or not
   std::size_t version_ = 0;      // number of changes applied to the list
   std::map<std::string, Json::Value> rows_;
   std::map<std::string, Endpoint> endpoints_;
--- a/src/testbed/load_test.cpp
+++ b/src/testbed/load_test.cpp
@@ -199,7 +199,7 @@
   std::unique_ptr<OpenLoopLoad> load_;
   std::unique_ptr<ProxyFaultInjector> proxy_faults_;
   std::unique_ptr<FaultInjector> faults_;
-  std::unique_ptr<MaintenanceOperators> operators_;  // null: no maintenance in the scenario
+  std::unique_ptr<MaintenanceOperators> operators_;  // null if the scenario has no maintenance
   std::function<void(const std::string&)> progress_;
 };
 
--- a/src/testbed/load_test.h
+++ b/src/testbed/load_test.h
@@ -22,7 +22,7 @@
   std::uint64_t asked = 0;                           // number of requests, not counting retries
   /// Number of responses that belong to another request or have an unknown status.
   std::uint64_t wrong_responses = 0;
-  Duration max_send_delay{0};  // maximum time by which the load generator was late
+  Duration max_send_delay{0};  // maximum delay of a request after its scheduled time
   double proxy_cpu_s = 0;      // CPU time of all proxies together
 
   std::uint64_t violations = 0;  // number of rule violations
--- a/src/testbed/load_test_commands.cpp
+++ b/src/testbed/load_test_commands.cpp
@@ -29,10 +29,10 @@
 constexpr std::uint32_t kMaxCostClients = 10'000;
 
 struct LoadTestOptions {
-  std::string scenario_file;  // empty: the demo scenario
+  std::string scenario_file;  // path; empty: the demo scenario is used
   std::string proxy_program = default_proxy_program();
-  std::string json_file;  // empty: not written
-  std::string html_file;  // empty: not written
+  std::string json_file;  // path; empty: no JSON is written
+  std::string html_file;  // path; empty: no HTML is written
 };
 
 void print_run(const LoadTestResult& run) {
--- a/src/testbed/maintenance_operators.h
+++ b/src/testbed/maintenance_operators.h
@@ -33,7 +33,7 @@
 /// outlive the scheduler's run.
 class MaintenanceOperators {
  public:
-  /// `admin_addresses`: addresses of the proxies' operator interfaces.
+  /// `admin_addresses` holds the addresses of the proxies' operator interfaces, indexed by proxy.
   MaintenanceOperators(runtime::Scheduler& scheduler, const TestbedClock& clock,
                        const emulator::Scenario& scenario, FakeServices& services,
                        ObservationLog& observations, std::vector<sockaddr_in> admin_addresses);
--- a/src/testbed/observation_log.h
+++ b/src/testbed/observation_log.h
@@ -125,7 +125,7 @@
   // Client attempts that have not expired. The map is never iterated, so that its order has no
   // effect.
   std::unordered_map<ClientAttemptId, OpenRequest> open_requests_;
-  std::deque<std::pair<Time, ClientAttemptId>> expiries_;  // in the order of sending
+  std::deque<std::pair<Time, ClientAttemptId>> expiries_;  // sorted by time
   std::vector<std::vector<AdvertisedState>> advertised_;   // indexed by proxy and backend
   std::vector<ProxyFaults> proxy_faults_;
   // Most recent partition of each link.
--- a/src/testbed/open_loop_load.cpp
+++ b/src/testbed/open_loop_load.cpp
@@ -235,8 +235,8 @@
   return stream;
 }
 
-// Returns an idle connection or opens a new one. The returned stream is null if kMaxConnections are
-// open or the connection cannot be opened.
+// Returns an idle connection or, if there is none, opens a new one. The returned stream is null if
+// a new connection would exceed kMaxConnections or cannot be opened.
 Task<OpenLoopLoad::Connection> OpenLoopLoad::connect(std::size_t proxy, TimePoint deadline) {
   Connection connection;
   connection.stream = take_idle_connection(proxy);
--- a/src/testbed/open_loop_load.h
+++ b/src/testbed/open_loop_load.h
@@ -54,7 +54,7 @@
   struct AttemptResult {
     enum class Outcome { kServed, kRejected, kFailed, kUnreachable };
     Outcome outcome = Outcome::kFailed;
-    Duration retry_after{0};  // from the proxy's Retry-After header; 0: none
+    Duration retry_after{0};  // the proxy's Retry-After header; 0: none
   };
   // One attempt to send one of the scenario's requests.
   struct Attempt {
--- a/src/testbed/proxy_process.cpp
+++ b/src/testbed/proxy_process.cpp
@@ -28,7 +28,7 @@
 constexpr auto kReadinessTimeout = 200ms;
 constexpr auto kReadinessPollInterval = 20ms;
 constexpr auto kStartTimeout = 15s;
-constexpr int kExecFailed = 127;  // as a shell reports a program that cannot be executed
+constexpr int kExecFailed = 127;  // exit status, as in a shell, if execl() fails
 // Number of fields of /proc/PID/stat between the process name and the user time.
 constexpr int kStatFieldsBeforeCpu = 11;
 
@@ -84,7 +84,7 @@
   if (pid_ <= 0) {
     return;
   }
-  signal(SIGKILL);  // also ends a suspended process
+  signal(SIGKILL);  // terminates the process even if it is suspended
   reap();
 }
 
--- a/src/testbed/proxy_process.h
+++ b/src/testbed/proxy_process.h
@@ -65,7 +65,7 @@
   std::string program_;
   std::string config_path_;
   std::string log_path_;
-  std::string operator_file_path_;  // empty: no operator file
+  std::string operator_file_path_;  // empty if there is no operator file
   sockaddr_in address_{};
   pid_t pid_ = 0;  // 0: no process is running
   double cpu_s_ = 0;
--- a/src/testbed/scenario_options.h
+++ b/src/testbed/scenario_options.h
@@ -13,8 +13,8 @@
 /// A scenario file and overrides from the command line.
 struct ScenarioOptions {
   std::string file;
-  std::vector<std::string> overrides;  // "KEY=VALUE"
-  std::int64_t seed = -1;              // negative: the seed in the file
+  std::vector<std::string> overrides;  // each of the form "KEY=VALUE"
+  std::int64_t seed = -1;              // negative: the seed in the file is used
 };
 
 /// Adds `--seed` and `--set` to a command. `options` must outlive the app's parsing.
--- a/src/testbed/simulation_commands.cpp
+++ b/src/testbed/simulation_commands.cpp
@@ -29,7 +29,7 @@
 
 namespace {
 
-// Command simulate-membership.
+// Implementation of the command simulate-membership.
 
 constexpr auto kSimulationStep = 100ms;
 constexpr auto kMaxConvergenceTime = 600s;
@@ -158,7 +158,7 @@
   return kSuccess;
 }
 
-// Command simulate-maintenance.
+// Implementation of the command simulate-maintenance.
 
 constexpr std::size_t kSubmissionProxy = 0;  // the proxy to which requests are submitted
 constexpr int kSubmissions = 3;              // repeated, as one may be lost during an election
@@ -260,7 +260,7 @@
   std::uint64_t seed = 1;
   std::uint32_t plans = 100;
   std::uint32_t followers = 10;
-  std::uint32_t round_backends = 0;  // number in a round; 0: run drawn plans instead
+  std::uint32_t round_backends = 0;  // number of backends; 0: run drawn plans instead
   bool kill_leader = false;
 };
 
--- a/src/testbed/tcp_fault_proxy.h
+++ b/src/testbed/tcp_fault_proxy.h
@@ -10,7 +10,8 @@
 
 namespace beechhill::testbed {
 
-/// Forwards connections to its own address to one backend. Must outlive the scheduler's run.
+/// Accepts connections on its own address and forwards them to one backend. Must outlive the
+/// scheduler's run.
 class TcpFaultProxy {
  public:
   TcpFaultProxy(runtime::Scheduler& scheduler, const sockaddr_in& backend);
--- a/tests/support/action_trace.h
+++ b/tests/support/action_trace.h
@@ -27,7 +27,7 @@
   kNoCancelHedging,  // like deploy/sites/quarry-dispatch.toml, which is an inner tier
   kTenantQuotas,
   kLargeFleet,
-  kDrawn,  // random settings
+  kDrawn,  // settings are drawn from the seed
   kCount
 };
 
