--- a/src/testbed/cost_measurement.h
+++ b/src/testbed/cost_measurement.h
@@ -9,7 +9,7 @@
 
 struct CostMeasurementOptions {
   std::uint32_t backends = 15;
-  std::vector<std::size_t> clients{64, 400, 2000};  // clients in each measurement
+  std::vector<std::size_t> clients{64, 400, 2000};  // number of clients in each measurement
   double seconds_each = 5;
   std::string program;  // path of the proxy program
 };
--- a/src/testbed/observation_log.h
+++ b/src/testbed/observation_log.h
@@ -35,7 +35,7 @@
   /// Event counts, indexed by backend and then by second of scenario time.
   using CountsPerSecond = std::vector<std::vector<std::uint32_t>>;
 
-  /// `proxies`: number of proxies. `now` returns the scenario time.
+  /// `proxies` is the number of proxies. `now` returns the scenario time.
   ObservationLog(const emulator::Scenario& scenario, std::size_t proxies,
                  std::function<Time()> now);
   ObservationLog(const ObservationLog&) = delete;
@@ -128,7 +128,7 @@
   std::deque<std::pair<Time, ClientAttemptId>> expiries_;  // sorted by time
   std::vector<std::vector<AdvertisedState>> advertised_;   // indexed by proxy and backend
   std::vector<ProxyFaults> proxy_faults_;
-  // Most recent partition of each link.
+  // The most recent partition of each link between a proxy and a backend.
   std::map<std::pair<std::size_t, EndpointId>, Partition> partitions_;
   CountsPerSecond connections_;
   CountsPerSecond attempts_;
--- a/src/testbed/proxy_process.h
+++ b/src/testbed/proxy_process.h
@@ -19,7 +19,8 @@
 class ProxyProcess {
  public:
   /// Writes the proxy's configuration into `directory`, which also receives the log and must
-  /// outlive this object. `operator_file`: contents of the proxy's operator file; empty for none.
+  /// outlive this object. `operator_file` holds the contents of the proxy's operator file, or is
+  /// empty if it has none.
   ProxyProcess(const experiments::TempDirectory& directory, const std::string& program,
                Json::Value config, sockaddr_in address, const std::string& operator_file = {});
   ~ProxyProcess() { kill(); }
@@ -40,11 +41,11 @@
   /// Returns whether no process is running, and reaps the process if it has exited.
   bool exited();
 
-  /// CPU time in seconds of all processes of this proxy that have exited.
+  /// Returns the CPU time in seconds of all processes of this proxy that have exited.
   double cpu_s() const { return cpu_s_; }
-  /// CPU time in seconds of the running process, from /proc.
+  /// Returns the CPU time in seconds of the running process, from /proc.
   double running_cpu_s() const;
-  /// Resident memory of the running process in KiB.
+  /// Returns the resident memory of the running process in KiB.
   long rss_kib() const;
   const sockaddr_in& address() const { return address_; }
 
--- a/src/testbed/scenario_options.cpp
+++ b/src/testbed/scenario_options.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-// Sixteen small backends, two of which become unresponsive for 6 s and then return with slow start.
+// Demo scenario with sixteen small backends, two of which become unresponsive for 6 s and then
+// return with slow start.
 constexpr const char* kDemoScenario = R"(
 name = "demo"
 length = "20s"
--- a/src/testbed/simulation_commands.cpp
+++ b/src/testbed/simulation_commands.cpp
@@ -41,8 +41,8 @@
 // Measurements of one simulation. A duration is nullopt if the members did not converge.
 struct MembershipResult {
   std::optional<Duration> join;
-  double bytes_per_s = 0;           // per member, without faults
-  double false_deaths_per_h = 0;    // per member, without faults
+  double bytes_per_s = 0;           // traffic per member, without faults
+  double false_deaths_per_h = 0;    // rate per member, without faults
   std::vector<double> detection_s;  // sorted; one for each pair of running and suspended member
   std::optional<Duration> detected_by_all;
   std::optional<Duration> heal;  // time to converge after a partition into two halves
--- a/src/testbed/state_directory_faults.cpp
+++ b/src/testbed/state_directory_faults.cpp
@@ -29,7 +29,8 @@
   std::ofstream(file, std::ios::binary | std::ios::trunc) << text;
 }
 
-// Returns the files in directory order. The list is complete before the caller changes any file.
+// Returns the regular files in the directory. The list is complete when the caller gets it, so that
+// files can be changed while it is iterated.
 std::vector<fs::path> regular_files(const fs::path& directory) {
   std::vector<fs::path> files;
   for (const auto& entry : fs::directory_iterator(directory)) {
--- a/src/testbed/state_directory_faults.h
+++ b/src/testbed/state_directory_faults.h
@@ -18,8 +18,8 @@
 /// the process writes and then renames is replaced by something that is not a regular file.
 class StateDirectoryFaults {
  public:
-  /// Creates the directory. `temporary_file`: name of the file in it that the process writes and
-  /// then renames.
+  /// Creates the directory. `temporary_file` is the name of the file in it that the process writes
+  /// and then renames.
   StateDirectoryFaults(std::filesystem::path directory, const std::string& temporary_file,
                        std::uint64_t seed);
   ~StateDirectoryFaults();
@@ -28,8 +28,8 @@
 
   std::string path() const { return directory_.string(); }
   /// Begins or ends a state fault (emulator::affects_state); other faults are ignored. Disk faults
-  /// may overlap: the first one that ends makes the disk writable again. `age`: for kStateAged, the
-  /// time by which snapshots are backdated.
+  /// may overlap: the first one that ends makes the disk writable again. For kStateAged, `age` is
+  /// the time by which snapshots are backdated.
   void apply(emulator::FaultKind kind, FaultPhase phase, std::chrono::milliseconds age);
 
  private:
--- a/tests/fault_plan_test.cpp
+++ b/tests/fault_plan_test.cpp
@@ -45,8 +45,8 @@
   EXPECT_TRUE(fails(shrunk));
 }
 
-// Two runs of ten requests per second. The control serves all requests; the faulty run serves none
-// from 1 s to 1.5 s.
+// Fixture with the metrics of two runs of ten requests per second. The control run serves all
+// requests; the run with faults serves none from 1 s to 1.5 s.
 class RecoveryMeasurement : public testing::Test {
  protected:
   RecoveryMeasurement() {
--- a/tests/observation_log_test.cpp
+++ b/tests/observation_log_test.cpp
@@ -21,7 +21,8 @@
 constexpr testbed::ClientAttemptId kRequest = 1;
 constexpr std::size_t kProxy = 0;
 
-// A log for two proxies. The first proxy received a list of two backends at time 0.
+// Fixture with an observation log for two proxies. The first proxy received a list of two backends
+// at time 0.
 class ObservationLogTest : public testing::Test {
  protected:
   ObservationLogTest() : endpoints_(2) {
--- a/tests/support/action_trace.h
+++ b/tests/support/action_trace.h
@@ -23,8 +23,8 @@
 /// Kinds of deployment to simulate. A stream simulates the one whose value is its seed modulo
 /// kCount.
 enum class Deployment : std::uint64_t {
-  kCrossZoneCost,    // like deploy/sites/lantern-post.toml
-  kNoCancelHedging,  // like deploy/sites/quarry-dispatch.toml, which is an inner tier
+  kCrossZoneCost,    // resembles deploy/sites/lantern-post.toml
+  kNoCancelHedging,  // resembles deploy/sites/quarry-dispatch.toml, an inner tier
   kTenantQuotas,
   kLargeFleet,
   kDrawn,  // settings are drawn from the seed
--- a/tests/support/testbed_fixture.h
+++ b/tests/support/testbed_fixture.h
@@ -16,7 +16,8 @@
   return emulator::read_scenario(config::parse_toml(toml, "test"), "test");
 }
 
-/// Six proxies and eight backends, with a load low enough for a build with sanitizers.
+/// Scenario with six proxies and eight backends, whose load is low enough for a build with
+/// sanitizers.
 inline constexpr const char* kClusterScenario = R"(
 length = "8s"
 warm_up = "1s"
