--- a/src/testbed/load_test.h
+++ b/src/testbed/load_test.h
@@ -42,8 +42,8 @@
   /// Number of lines in the proxies' logs for each event about snapshots. They show whether a fault
   /// took effect and are not part of the rule check.
   std::map<std::string, std::size_t> log_events;
-  /// Numbers of backends whose state in a snapshot the proxies used and discarded, summed over the
-  /// proxies' logs.
+  /// Numbers of backends whose state in a snapshot was restored and discarded by the proxies,
+  /// according to their logs.
   std::uint64_t restored_endpoints = 0;
   std::uint64_t discarded_endpoints = 0;
 
--- a/src/testbed/simulation_commands.cpp
+++ b/src/testbed/simulation_commands.cpp
@@ -161,7 +161,7 @@
 // Implementation of the command simulate-maintenance.
 
 constexpr std::size_t kSubmissionProxy = 0;  // the proxy to which requests are submitted
-constexpr int kSubmissions = 3;              // repeated, as one may be lost during an election
+constexpr int kSubmissions = 3;              // more than one, as an election may lose a request
 constexpr auto kSubmissionInterval = 300ms;
 constexpr auto kElectionTime = 3s;
 constexpr auto kLeaderDowntime = 2s;
