--- a/src/testbed/fake_backends_command.cpp
+++ b/src/testbed/fake_backends_command.cpp
@@ -32,14 +32,14 @@
 constexpr double kSecondsPerDay = 86'400;
 
 struct Options {
-  std::string scenario_file;  // empty: the demo scenario
-  std::string config_file;    // empty: not written
+  std::string scenario_file;  // path; empty: the demo scenario is used
+  std::string config_file;    // path; empty: none is written
   std::string listen = "127.0.0.1:18080";
   double max_duration_s = kSecondsPerDay;
 };
 
-// Returns a descriptor that becomes readable at SIGTERM and SIGINT. The signals no longer end the
-// process.
+// Returns a descriptor that becomes readable when SIGTERM or SIGINT is received. Blocks both
+// signals, so that they do not terminate the process.
 net::FileDescriptor termination_signals() {
   sigset_t mask;
   sigemptyset(&mask);
--- a/src/testbed/load_test.cpp
+++ b/src/testbed/load_test.cpp
@@ -36,7 +36,8 @@
   return {static_cast<Json::UInt64>(number)};
 }
 
-// Returns the maximum count of any backend in one second, from `first_second` on.
+// Returns the maximum number of events that a backend counted in one second, from second
+// `first_second` on.
 std::uint32_t max_per_second(const ObservationLog::CountsPerSecond& counts,
                              std::size_t first_second) {
   std::uint32_t max = 0;
@@ -188,7 +189,7 @@
   }
 
   // The scheduler is destroyed after the objects that its tasks refer to. This is safe because
-  // run() has ended all tasks before.
+  // run() ends all tasks before it returns.
   const emulator::Scenario& scenario_;
   runtime::Scheduler scheduler_;
   TestbedClock clock_;
@@ -198,7 +199,7 @@
   std::unique_ptr<OpenLoopLoad> load_;
   std::unique_ptr<ProxyFaultInjector> proxy_faults_;
   std::unique_ptr<FaultInjector> faults_;
-  std::unique_ptr<MaintenanceOperators> operators_;  // null: no maintenance in the scenario
+  std::unique_ptr<MaintenanceOperators> operators_;  // null if the scenario has no maintenance
   std::function<void(const std::string&)> progress_;
 };
 
--- a/tests/support/testbed_fixture.h
+++ b/tests/support/testbed_fixture.h
@@ -16,7 +16,8 @@
   return emulator::read_scenario(config::parse_toml(toml, "test"), "test");
 }
 
-/// Six proxies and eight backends, with a load low enough for a build with sanitizers.
+/// Scenario with six proxies and eight backends, whose load is low enough for a build with
+/// sanitizers.
 inline constexpr const char* kClusterScenario = R"(
 length = "8s"
 warm_up = "1s"
@@ -67,7 +68,7 @@
   return parse_scenario(kClusterScenario + faults);
 }
 
-/// Returns the same scenario with proxies that keep snapshots.
+/// Returns cluster_scenario(faults) with proxies that keep snapshots.
 inline emulator::Scenario cluster_scenario_with_snapshots(const std::string& faults = "") {
   std::string text = kClusterScenario + faults;
   text.insert(text.find("count = 6"), "snapshot_every = \"100ms\"\n");
