--- a/include/beechhill/balancer.h
+++ b/include/beechhill/balancer.h
@@ -36,7 +36,7 @@
     std::size_t listed = 0;
     /// Number of listed endpoints that receive no new requests: they are draining, excluded by an
     /// operator, or have just rejected an attempt as overloaded.
-    std::size_t avoided = 0;
+    std::size_t unavailable = 0;
   };
   /// Counts endpoints at `now`. O(endpoints).
   EndpointCounts endpoint_counts(Time now) const;
--- a/simhost/instance.cpp
+++ b/simhost/instance.cpp
@@ -153,14 +153,14 @@
     throw_json_error("id", "already used by a known request");
   }
   requests_[request.id].name = name;
-  const auto class_id = classes_.known(get_member<std::string>(json, "kind"));
+  const auto class_id = classes_.find(get_member<std::string>(json, "kind"));
   if (!class_id) {
     throw_json_error("kind", "not listed in profiles");
   }
   request.class_id = *class_id;
   const Json::Value* const account = find_member(json, "account");
   if (account != nullptr && account->isString()) {
-    const auto tenant = tenants_.known(account->asString());
+    const auto tenant = tenants_.find(account->asString());
     if (!tenant) {
       throw_json_error("account", "not listed in tenants");
     }
@@ -196,7 +196,7 @@
 }
 
 Event Instance::read_health_check_result(const Json::Value& json) const {
-  const auto endpoint = endpoints_.known(get_member<std::string>(json, "upstream"));
+  const auto endpoint = endpoints_.find(get_member<std::string>(json, "upstream"));
   if (!endpoint) {
     throw_json_error("upstream", "not on any endpoint list that this instance has received");
   }
--- a/src/admin/telemetry_json.cpp
+++ b/src/admin/telemetry_json.cpp
@@ -11,7 +11,7 @@
   Json::Value rejected(Json::objectValue);
   Json::Value failed(Json::objectValue);
   for (ClassId id = 0; id < class_names.size(); ++id) {
-    const proxy::Telemetry::Counts& counts = telemetry.of(id);
+    const proxy::Telemetry::Counts& counts = telemetry.counts(id);
     completed[class_names[id]] = Json::UInt64(counts.completed);
     rejected[class_names[id]] = Json::UInt64(counts.rejected);
     failed[class_names[id]] = Json::UInt64(counts.failed);
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -54,7 +54,7 @@
     for (const EndpointRecord& record : endpoints_.records()) {
       if (record.listed) {
         ++counts.listed;
-        counts.avoided += !record.up() || now < record.overloaded_until ? 1 : 0;
+        counts.unavailable += !record.up() || now < record.overloaded_until ? 1 : 0;
       }
     }
     return counts;
--- a/src/bootstrap/cluster.cpp
+++ b/src/bootstrap/cluster.cpp
@@ -131,7 +131,7 @@
     view.zone_utilization = decisions.utilization_by_zone();
     view.busy_machines = decisions.busy_excluded_backends();
     for (ClassId id = 0; id < dependencies_.config.named_settings.classes.size(); ++id) {
-      const proxy::Telemetry::Counts& counts = dependencies_.telemetry.of(id);
+      const proxy::Telemetry::Counts& counts = dependencies_.telemetry.counts(id);
       view.served_requests += counts.completed;
       view.unserved_requests += counts.rejected + counts.failed;
     }
--- a/src/bootstrap/server.cpp
+++ b/src/bootstrap/server.cpp
@@ -125,10 +125,10 @@
     const SharedStateDirectory::ProcessGroupStatus& others) {
   const DescriptorAllocation allocation = descriptors_.shared_with(others);
   listener_.descriptor_budget().set_limit(allocation.for_clients());
-  backend_pool_.budget.set_limit(allocation.for_backends());
+  backend_pool_.descriptor_budget.set_limit(allocation.for_backends());
   body_budget_.set_limit(body_memory_bytes(config_, others.alive > 0));
-  const std::size_t used =
-      listener_.descriptor_budget().used() + backend_pool_.budget.used() + reserved_descriptors();
+  const std::size_t used = listener_.descriptor_budget().used() +
+                           backend_pool_.descriptor_budget.used() + reserved_descriptors();
   return {listener_.is_serving(), static_cast<std::uint32_t>(used)};
 }
 
--- a/src/cluster/gossip_actor.cpp
+++ b/src/cluster/gossip_actor.cpp
@@ -66,7 +66,7 @@
     wait.readable(socket_.io());
     wait.notified(inbox_.arrived());
     // The socket is edge-triggered and does not report the datagrams that are still queued.
-    wait.until(runtime::to_point(more_datagrams ? now() : swim_.next_tick()));
+    wait.until(runtime::to_time_point(more_datagrams ? now() : swim_.next_tick()));
     co_await wait;
   }
 }
--- a/src/cluster/maintenance_actor.cpp
+++ b/src/cluster/maintenance_actor.cpp
@@ -96,7 +96,7 @@
     report_changes();
     const Time wake_up = std::max(next_wake_up(), now() + kMinWait);
     runtime::Wait wait(scheduler_);
-    wait.notified(inbox_.arrived()).until(runtime::to_point(wake_up));
+    wait.notified(inbox_.arrived()).until(runtime::to_time_point(wake_up));
     co_await wait;
   }
 }
@@ -209,8 +209,8 @@
 }
 
 void MaintenanceActor::report_changes() {
-  const bool self_out = coordinator_->is_self_out();
-  if (std::exchange(was_self_out_, self_out) != self_out) {
+  const bool self_out = coordinator_->is_self_in_maintenance();
+  if (std::exchange(was_self_in_maintenance_, self_out) != self_out) {
     set_draining_(self_out);
   }
   const bool leader = coordinator_->is_leader();
--- a/src/cluster/maintenance_actor.h
+++ b/src/cluster/maintenance_actor.h
@@ -81,7 +81,7 @@
   std::map<std::string, Time> published_machines_;
   Time published_serving_ = Time::min();
   /// The states last reported.
-  bool was_self_out_ = false;
+  bool was_self_in_maintenance_ = false;
   bool was_leader_ = false;
   bool halt_logged_ = false;
 };
--- a/src/config/interner.h
+++ b/src/config/interner.h
@@ -31,12 +31,12 @@
     return next;
   }
   /// Removes the name of `id` and releases `id` for reuse. `id` must be in use.
-  void forget(std::uint32_t id) {
+  void release(std::uint32_t id) {
     ids_.erase(names_[id]);
     unused_ids_.push_back(id);
   }
   /// Returns the integer of `name`, or nothing if the name has none.
-  std::optional<std::uint32_t> known(std::string_view name) const {
+  std::optional<std::uint32_t> find(std::string_view name) const {
     const auto it = ids_.find(std::string(name));
     return it == ids_.end() ? std::nullopt : std::optional(it->second);
   }
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -32,23 +32,23 @@
 // Reads a duration of at least 1 s and rounds it down to whole seconds.
 maintenance::Seconds read_seconds(TomlReader& table, std::string_view key,
                                   maintenance::Seconds fallback) {
-  return table.span(key, std::chrono::seconds(fallback), 1s) / std::chrono::seconds(1);
+  return table.duration(key, std::chrono::seconds(fallback), 1s) / std::chrono::seconds(1);
 }
 
 void check_address(const TomlReader& table, std::string_view key, const std::string& text) {
   if (!text.empty() && !net::parse_address(text)) {
-    table.fault(key, "not an IPv4 address with a port: " + text);
+    table.throw_error(key, "not an IPv4 address with a port: " + text);
   }
 }
 
 log::Settings read_log(TomlReader table) {
   log::Settings settings;
   settings.level =
-      static_cast<log::Level>(table.word("level", static_cast<std::size_t>(settings.level),
-                                         {"debug", "info", "warning", "error", "off"}));
+      static_cast<log::Level>(table.choice("level", static_cast<std::size_t>(settings.level),
+                                           {"debug", "info", "warning", "error", "off"}));
   settings.format = static_cast<log::Format>(
-      table.word("format", static_cast<std::size_t>(settings.format), {"logfmt", "json"}));
-  settings.time = table.flag("time", settings.time);
+      table.choice("format", static_cast<std::size_t>(settings.format), {"logfmt", "json"}));
+  settings.time = table.boolean("time", settings.time);
   settings.queue = static_cast<std::size_t>(table.integer(
       "queue", static_cast<std::int64_t>(settings.queue), kMinLogQueue, kMaxLogQueue));
   table.finish();
@@ -65,7 +65,7 @@
     settings.proxy_index = read_count(table, "place", 0);
   }
   if (settings.proxy_index && *settings.proxy_index >= settings.proxies) {
-    table.fault("place", "must be less than routing.proxies");
+    table.throw_error("place", "must be less than routing.proxies");
   }
   table.finish();
   return settings;
@@ -73,8 +73,8 @@
 
 SnapshotSettings read_snapshot(TomlReader table) {
   SnapshotSettings settings;
-  settings.directory = table.text("folder", "");
-  const Duration interval = table.span("every", settings.interval, kMinSnapshotInterval);
+  settings.directory = table.string("folder", "");
+  const Duration interval = table.duration("every", settings.interval, kMinSnapshotInterval);
   settings.interval = std::chrono::duration_cast<std::chrono::milliseconds>(interval);
   table.finish();
   return settings;
@@ -82,23 +82,23 @@
 
 MembershipSettings read_membership(TomlReader table) {
   MembershipSettings settings;
-  settings.listen_address = table.text("listen", "");
-  settings.advertised_address = table.text("advertise", "");
-  settings.seed_addresses = table.texts("seeds");
-  settings.key_file = table.text("key_file", "");
-  settings.probe_interval = table.span("interval", settings.probe_interval, kMinProbeInterval);
-  settings.forget_after = table.span("forget_after", settings.forget_after, kMinForgetAfter);
+  settings.listen_address = table.string("listen", "");
+  settings.advertised_address = table.string("advertise", "");
+  settings.seed_addresses = table.strings("seeds");
+  settings.key_file = table.string("key_file", "");
+  settings.probe_interval = table.duration("interval", settings.probe_interval, kMinProbeInterval);
+  settings.forget_after = table.duration("forget_after", settings.forget_after, kMinForgetAfter);
   check_address(table, "listen", settings.listen_address);
   check_address(table, "advertise", settings.advertised_address);
   for (const std::string& seed : settings.seed_addresses) {
     check_address(table, "seeds", seed);
   }
   if (!settings.listen_address.empty() && settings.key_file.empty()) {
-    table.fault("key_file", "missing; required where membership.listen is set");
+    table.throw_error("key_file", "missing; required where membership.listen is set");
   }
 #ifndef BEECHHILL_CLUSTER
   if (!settings.listen_address.empty()) {
-    table.fault("listen", "not supported: this build does not include BEECHHILL_CLUSTER");
+    table.throw_error("listen", "not supported: this build does not include BEECHHILL_CLUSTER");
   }
 #endif
   table.finish();
@@ -109,19 +109,19 @@
                   const MembershipSettings& membership) {
   const std::size_t count = voters.size();
   if (count != 0 && (count % 2 == 0 || count > kMaxVoters)) {
-    table.fault("voters", "not 1, 3, 5 or 7 names");
+    table.throw_error("voters", "not 1, 3, 5 or 7 names");
   }
   const std::set<std::string> names(voters.begin(), voters.end());
   if (names.size() != count) {
-    table.fault("voters", "must not contain a name twice");
+    table.throw_error("voters", "must not contain a name twice");
   }
   for (const std::string& name : names) {
     if (name.empty() || name.size() > kMaxNameBytes || name.find('#') != std::string::npos) {
-      table.fault("voters", "not a proxy name of 1 to 48 bytes without '#': " + name);
+      table.throw_error("voters", "not a proxy name of 1 to 48 bytes without '#': " + name);
     }
   }
   if (count > 0 && membership.listen_address.empty()) {
-    table.fault("voters", "requires membership.listen to be set");
+    table.throw_error("voters", "requires membership.listen to be set");
   }
 }
 
@@ -137,19 +137,19 @@
   budget.deferral = read_seconds(table, "put_off", budget.deferral);
   budget.priority_aging_interval = read_seconds(table, "age_step", budget.priority_aging_interval);
   budget.quiet_period = read_seconds(table, "calm", budget.quiet_period);
-  budget.needs_approval = table.flag("approval", budget.needs_approval);
+  budget.needs_approval = table.boolean("approval", budget.needs_approval);
   return budget;
 }
 
 MaintenanceSettings read_maintenance(TomlReader table, const MembershipSettings& membership) {
   MaintenanceSettings settings;
-  settings.voters = table.texts("voters");
+  settings.voters = table.strings("voters");
   check_voters(table, settings.voters, membership);
-  settings.storage_directory = table.text("folder", "");
-  settings.lease_duration = table.span("lease", settings.lease_duration, kMinLease);
-  settings.isolation_timeout = table.span("isolated_after", settings.isolation_timeout);
-  settings.initial_lease_timeout = table.span("hear_within", settings.initial_lease_timeout);
-  settings.serve_without_lease = table.flag("serve_unheard", settings.serve_without_lease);
+  settings.storage_directory = table.string("folder", "");
+  settings.lease_duration = table.duration("lease", settings.lease_duration, kMinLease);
+  settings.isolation_timeout = table.duration("isolated_after", settings.isolation_timeout);
+  settings.initial_lease_timeout = table.duration("hear_within", settings.initial_lease_timeout);
+  settings.serve_without_lease = table.boolean("serve_unheard", settings.serve_without_lease);
   settings.disruption_budget = read_disruption_budget(table);
   table.finish();
   return settings;
--- a/src/config/toml_reader.cpp
+++ b/src/config/toml_reader.cpp
@@ -110,78 +110,78 @@
     : table_(table), file_(std::move(file)), path_(std::move(path)) {
 }
 
-void TomlReader::fault(std::string_view key, const std::string& reason) const {
+void TomlReader::throw_error(std::string_view key, const std::string& reason) const {
   const toml::node* node = table_.get(key);
   const std::string at = location(file_, node != nullptr ? node->source() : table_.source());
   throw TomlError(at + ": " + path_ + std::string(key) + ": " + reason);
 }
 
-const toml::node* TomlReader::raw(std::string_view key) {
+const toml::node* TomlReader::find(std::string_view key) {
   read_keys_.emplace(key);
   return table_.get(key);
 }
 
-bool TomlReader::flag(std::string_view key, bool fallback) {
-  const toml::node* node = raw(key);
+bool TomlReader::boolean(std::string_view key, bool fallback) {
+  const toml::node* node = find(key);
   if (node == nullptr) {
     return fallback;
   }
   const toml::value<bool>* const value = node->as_boolean();
   if (value == nullptr) {
-    fault(key, "not true or false");
+    throw_error(key, "not true or false");
   }
   return value->get();
 }
 
 double TomlReader::number(std::string_view key, double fallback, double min, double max) {
-  const toml::node* node = raw(key);
+  const toml::node* node = find(key);
   if (node == nullptr) {
     return fallback;
   }
   const std::optional<double> value = as_number(*node);
   if (!value) {
-    fault(key, "not a number");
+    throw_error(key, "not a number");
   }
   if (!(*value >= min && *value <= max)) {
     std::ostringstream reason;
     reason << "not from " << min << " to " << max;
-    fault(key, reason.str());
+    throw_error(key, reason.str());
   }
   return *value;
 }
 
 std::int64_t TomlReader::integer(std::string_view key, std::int64_t fallback, std::int64_t min,
                                  std::int64_t max) {
-  const toml::node* node = raw(key);
+  const toml::node* node = find(key);
   if (node == nullptr) {
     return fallback;
   }
   const toml::value<std::int64_t>* const integer = node->as_integer();
   if (integer == nullptr) {
-    fault(key, "not a whole number");
+    throw_error(key, "not a whole number");
   }
   const std::int64_t value = integer->get();
   if (value < min || value > max) {
-    fault(key, "not from " + std::to_string(min) + " to " + std::to_string(max));
+    throw_error(key, "not from " + std::to_string(min) + " to " + std::to_string(max));
   }
   return value;
 }
 
-std::string TomlReader::text(std::string_view key, std::string fallback) {
-  const toml::node* node = raw(key);
+std::string TomlReader::string(std::string_view key, std::string fallback) {
+  const toml::node* node = find(key);
   if (node == nullptr) {
     return fallback;
   }
   const toml::value<std::string>* const value = node->as_string();
   if (value == nullptr) {
-    fault(key, "not a string");
+    throw_error(key, "not a string");
   }
   return value->get();
 }
 
-std::size_t TomlReader::word(std::string_view key, std::size_t fallback,
-                             const std::vector<std::string>& choices) {
-  const toml::node* node = raw(key);
+std::size_t TomlReader::choice(std::string_view key, std::size_t fallback,
+                               const std::vector<std::string>& choices) {
+  const toml::node* node = find(key);
   if (node == nullptr) {
     return fallback;
   }
@@ -192,11 +192,11 @@
     }
     list += (i > 0 ? ", " : "") + choices[i];
   }
-  fault(key, "not one of " + list);
+  throw_error(key, "not one of " + list);
 }
 
-Duration TomlReader::span(std::string_view key, Duration fallback, Duration min) {
-  const toml::node* node = raw(key);
+Duration TomlReader::duration(std::string_view key, Duration fallback, Duration min) {
+  const toml::node* node = find(key);
   if (node == nullptr) {
     return fallback;
   }
@@ -204,45 +204,45 @@
   const std::optional<Duration> value =
       text != nullptr ? parse_duration(text->get()) : std::nullopt;
   if (!value) {
-    fault(key, "not a span of time such as \"250ms\", \"1.5s\" or \"2m\"");
+    throw_error(key, "not a span of time such as \"250ms\", \"1.5s\" or \"2m\"");
   }
   if (*value < min) {
-    fault(key, "must be at least " + std::to_string(min.count()) + "us");
+    throw_error(key, "must be at least " + std::to_string(min.count()) + "us");
   }
   return *value;
 }
 
 Range TomlReader::range(std::string_view key, Range fallback, double min, double max) {
-  const toml::node* node = raw(key);
+  const toml::node* node = find(key);
   if (node == nullptr) {
     return fallback;
   }
   const std::optional<Range> range = as_range(*node);
   if (!range) {
-    fault(key, "not a number or [least, most]");
+    throw_error(key, "not a number or [least, most]");
   }
   if (!(range->from >= min && range->to <= max && range->from <= range->to)) {
     std::ostringstream reason;
     reason << "not within " << min << " to " << max << ", with the smaller number first";
-    fault(key, reason.str());
+    throw_error(key, reason.str());
   }
   return *range;
 }
 
-std::vector<std::string> TomlReader::texts(std::string_view key) {
+std::vector<std::string> TomlReader::strings(std::string_view key) {
   std::vector<std::string> all;
-  const toml::node* node = raw(key);
+  const toml::node* node = find(key);
   if (node == nullptr) {
     return all;
   }
   const toml::array* array = node->as_array();
   if (array == nullptr) {
-    fault(key, "not an array of strings");
+    throw_error(key, "not an array of strings");
   }
   for (const toml::node& item : *array) {
     const toml::value<std::string>* const text = item.as_string();
     if (text == nullptr) {
-      fault(key, "not an array of strings");
+      throw_error(key, "not an array of strings");
     }
     all.push_back(text->get());
   }
@@ -250,9 +250,9 @@
 }
 
 TomlReader TomlReader::table(std::string_view key) {
-  const toml::node* node = raw(key);
+  const toml::node* node = find(key);
   if (node != nullptr && !node->is_table()) {
-    fault(key, "not a table");
+    throw_error(key, "not a table");
   }
   return TomlReader(node != nullptr ? *node->as_table() : kEmptyTable, file_,
                     path_ + std::string(key) + ".");
@@ -260,17 +260,17 @@
 
 std::vector<TomlReader> TomlReader::tables(std::string_view key) {
   std::vector<TomlReader> all;
-  const toml::node* node = raw(key);
+  const toml::node* node = find(key);
   if (node == nullptr) {
     return all;
   }
   const toml::array* array = node->as_array();
   if (array == nullptr) {
-    fault(key, "not an array of tables");
+    throw_error(key, "not an array of tables");
   }
   for (const toml::node& item : *array) {
     if (!item.is_table()) {
-      fault(key, "not an array of tables");
+      throw_error(key, "not an array of tables");
     }
     all.emplace_back(*item.as_table(), file_,
                      path_ + std::string(key) + "[" + std::to_string(all.size()) + "].");
@@ -281,7 +281,7 @@
 void TomlReader::finish() const {
   for (const auto& [key, node] : table_) {
     if (!read_keys_.contains(key.str())) {
-      fault(key.str(), "unknown key");
+      throw_error(key.str(), "unknown key");
     }
   }
 }
--- a/src/config/toml_reader.h
+++ b/src/config/toml_reader.h
@@ -50,30 +50,30 @@
 
   // Each of these functions returns `fallback` if the key is absent, and throws TomlError if the
   // value has another type or is outside the bounds, which are inclusive.
-  bool flag(std::string_view key, bool fallback);
+  bool boolean(std::string_view key, bool fallback);
   double number(std::string_view key, double fallback, double min, double max);
   std::int64_t integer(std::string_view key, std::int64_t fallback, std::int64_t min,
                        std::int64_t max);
-  std::string text(std::string_view key, std::string fallback);
+  std::string string(std::string_view key, std::string fallback);
   /// Returns the index in `choices` of the value, which must be one of them.
-  std::size_t word(std::string_view key, std::size_t fallback,
-                   const std::vector<std::string>& choices);
-  Duration span(std::string_view key, Duration fallback, Duration min = Duration{0});
+  std::size_t choice(std::string_view key, std::size_t fallback,
+                     const std::vector<std::string>& choices);
+  Duration duration(std::string_view key, Duration fallback, Duration min = Duration{0});
   /// Reads one number, or an array of two numbers with the smaller one first.
   Range range(std::string_view key, Range fallback, double min, double max);
 
   // Each of these functions returns an empty array or table if the key is absent.
-  std::vector<std::string> texts(std::string_view key);
+  std::vector<std::string> strings(std::string_view key);
   TomlReader table(std::string_view key);
   std::vector<TomlReader> tables(std::string_view key);
 
   /// Returns the value, of any type, or null if the key is absent.
-  const toml::node* raw(std::string_view key);
+  const toml::node* find(std::string_view key);
 
   /// Throws TomlError if the table contains a key that was not read.
   void finish() const;
   /// Throws a TomlError for `key`, with its line if the table contains it.
-  [[noreturn]] void fault(std::string_view key, const std::string& reason) const;
+  [[noreturn]] void throw_error(std::string_view key, const std::string& reason) const;
 
  private:
   const toml::table& table_;
--- a/src/emulator/backend_fleet.cpp
+++ b/src/emulator/backend_fleet.cpp
@@ -84,7 +84,7 @@
   backend.mode = silent ? BackendMode::kSilent : BackendMode::kDown;
   lose_jobs(tier, endpoint, !silent);
   backend.model.restart(sim_.now, sim_.now);
-  sim_.rules.node_warm(tier, endpoint);
+  sim_.rules.forget_cold_work(tier, endpoint);
   if (!silent) {
     for (const std::uint32_t proxy : sim_.proxies.in_tier(tier)) {
       sim_.proxies[proxy].connections[endpoint].idle = 0;
@@ -152,7 +152,7 @@
     return;
   }
   job->cancelled = true;
-  std::vector<Start> starts;
+  std::vector<StartedPhase> starts;
   if (job->at_backend && sim_.scenario.tiers[job->tier].drops_cancelled_jobs &&
       backend_of(*job).model.remove_queued(sim_.now, id, starts)) {
     detach_from_backend(id);
@@ -161,8 +161,8 @@
   }
 }
 
-void BackendFleet::schedule_phases(const std::vector<Start>& starts) {
-  for (const Start& start : starts) {
+void BackendFleet::schedule_phases(const std::vector<StartedPhase>& starts) {
+  for (const StartedPhase& start : starts) {
     sim_.events.schedule(start.until, JobPhaseDone{start.job});
   }
 }
@@ -192,8 +192,8 @@
     job.report = backend.model.report(sim_.now, backend.report_delay);
     return respond(id, Result::kError);
   }
-  std::vector<Start> starts;
-  if (!backend.model.take(sim_.now, id, job.first_phase_s, starts)) {
+  std::vector<StartedPhase> starts;
+  if (!backend.model.accept(sim_.now, id, job.first_phase_s, starts)) {
     job.report = backend.model.report(sim_.now, backend.report_delay);
     return respond(id, Result::kOverloaded);
   }
@@ -208,16 +208,16 @@
   BackendState& backend = backend_of(job);
   if (!backend.model.cold(sim_.now)) {
     backend.warming_up = false;
-    sim_.rules.node_warm(job.tier, job.endpoint);
+    sim_.rules.forget_cold_work(job.tier, job.endpoint);
     return false;
   }
   const KnownEndpoint& known = sim_.proxies[job.proxy].endpoints[job.endpoint];
   const bool proxy_knows_start =
       known.known && known.endpoint.started_at == backend.endpoint.started_at;
-  return sim_.rules.pressed(sim_.now, job.tier, job.endpoint,
-                            job.first_phase_s + job.second_phase_s,
-                            backend.model.capacity(sim_.now),
-                            mean_work_s_ * sim_.scenario.tiers[job.tier].work, proxy_knows_start);
+  return sim_.rules.on_cold_work(
+      sim_.now, job.tier, job.endpoint, job.first_phase_s + job.second_phase_s,
+      backend.model.capacity(sim_.now), mean_work_s_ * sim_.scenario.tiers[job.tier].work,
+      proxy_knows_start);
 }
 
 void BackendFleet::on_phase_done(JobId id) {
@@ -232,7 +232,7 @@
   job.useful_work_s += done - (job.in_second_phase ? 0 : job.handshake_s);
   sim_.metrics.work_done += done;
   if (!job.in_second_phase && job.downstream_calls_left > 0) {
-    std::vector<Start> starts;
+    std::vector<StartedPhase> starts;
     backend.model.phase_done(sim_.now, false, starts);
     schedule_phases(starts);
     sim_.events.schedule(sim_.now, DownstreamCallDue{id});
@@ -281,7 +281,7 @@
     return;
   }
   job->in_second_phase = true;
-  std::vector<Start> starts;
+  std::vector<StartedPhase> starts;
   backend_of(*job).model.resume(sim_.now, id, job->second_phase_s, starts);
   schedule_phases(starts);
 }
@@ -289,7 +289,7 @@
 void BackendFleet::finish_job(JobId id, Result result, bool holds_core) {
   BackendJob& job = *jobs_.find(id);
   BackendState& backend = backend_of(job);
-  std::vector<Start> starts;
+  std::vector<StartedPhase> starts;
   if (holds_core) {
     backend.model.phase_done(sim_.now, true, starts);
   } else {
--- a/src/emulator/backend_fleet.h
+++ b/src/emulator/backend_fleet.h
@@ -128,7 +128,7 @@
  private:
   BackendState& backend_of(const BackendJob& job) { return at(job.tier, job.endpoint); }
   bool overloads_cold_backend(const BackendJob& job);
-  void schedule_phases(const std::vector<Start>& starts);
+  void schedule_phases(const std::vector<StartedPhase>& starts);
   void finish_job(JobId id, Result result, bool holds_core);
   void respond(JobId id, Result result);
   void detach_from_backend(JobId id);
--- a/src/emulator/client_population.cpp
+++ b/src/emulator/client_population.cpp
@@ -49,8 +49,8 @@
   const Arrival arrival = *next_arrival_;
   ClientOperation operation;
   operation.arrived_at = sim_.now;
-  operation.deadline = sim_.now + sim_.scenario.classes[arrival.c].settings.deadline;
-  operation.class_id = arrival.c;
+  operation.deadline = sim_.now + sim_.scenario.classes[arrival.class_id].settings.deadline;
+  operation.class_id = arrival.class_id;
   operation.tenant = arrival.tenant;
   operation.work_s = arrival.work_s;
   operation.weight = arrival.worth;
--- a/src/emulator/clients.cpp
+++ b/src/emulator/clients.cpp
@@ -124,9 +124,9 @@
   } while (random_.uniform() * max_rate_ >= rate_at(now_));
   Arrival arrival;
   arrival.at = now_;
-  arrival.c = draw_weighted(scenario_.classes.size(), random_,
-                            [this](std::size_t i) { return scenario_.classes[i].part; });
-  const ClassSpec& request_class = scenario_.classes[arrival.c];
+  arrival.class_id = draw_weighted(scenario_.classes.size(), random_,
+                                   [this](std::size_t i) { return scenario_.classes[i].part; });
+  const ClassSpec& request_class = scenario_.classes[arrival.class_id];
   arrival.tenant = draw_tenant();
   arrival.work_s = draw_work(request_class);
   arrival.connection = static_cast<std::uint32_t>(random_.below(scenario_.clients.connections));
--- a/src/emulator/clients.h
+++ b/src/emulator/clients.h
@@ -15,7 +15,7 @@
 /// A client's request before its first attempt.
 struct Arrival {
   Time at{0};
-  ClassId c = 0;
+  ClassId class_id = 0;
   TenantId tenant = kNoTenant;
   /// Work over all tiers, in core-seconds at speed 1.
   double work_s = 0;
--- a/src/emulator/fault_injector.cpp
+++ b/src/emulator/fault_injector.cpp
@@ -169,7 +169,7 @@
   link_fault.proxies.resize(sim_.proxies.size());
   link_fault.backends.resize(sim_.backends.in_tier(spec.tier).size());
   const std::vector<std::uint32_t>& proxies = sim_.proxies.in_tier(spec.tier);
-  const std::size_t affected = part_of(kAffectedProxyShare, proxies.size());
+  const std::size_t affected = rounded_share(kAffectedProxyShare, proxies.size());
   for (std::size_t i = 0; i < affected; ++i) {
     link_fault.proxies[proxies[i]] = true;
   }
--- a/src/emulator/gossip_simulation.cpp
+++ b/src/emulator/gossip_simulation.cpp
@@ -70,12 +70,12 @@
   member.pending_messages.clear();
 }
 
-void GossipSimulation::stop(std::size_t i) {
+void GossipSimulation::pause(std::size_t i) {
   members_[i].stopped = true;
   members_[i].stopped_at = now_;
 }
 
-void GossipSimulation::go_on(std::size_t i) {
+void GossipSimulation::resume(std::size_t i) {
   Member& member = members_[i];
   if (!member.swim || !std::exchange(member.stopped, false)) {
     return;
@@ -174,7 +174,7 @@
       random_.uniform() < spec_.loss) {
     return;
   }
-  for (int copies = random_.uniform() < spec_.doubled ? 2 : 1; copies > 0; --copies) {
+  for (int copies = random_.uniform() < spec_.duplication ? 2 : 1; copies > 0; --copies) {
     const Duration delay = spec_.delay + to_duration(to_s(spec_.delay) * random_.uniform());
     events_.push({now_ + delay, ++next_order_, to, from, 0, message});
   }
@@ -193,7 +193,7 @@
   events_.push({due, ++next_order_, i, i, member.generation, std::nullopt});
 }
 
-bool GossipSimulation::agreed() const {
+bool GossipSimulation::has_converged() const {
   for (std::size_t i = 0; i < members_.size(); ++i) {
     if (running(i) && !agrees_with_cluster(i)) {
       return false;
--- a/src/emulator/gossip_simulation.h
+++ b/src/emulator/gossip_simulation.h
@@ -25,7 +25,7 @@
   /// Probability that a datagram is lost.
   double loss = 0;
   /// Probability that a datagram that is not lost is duplicated.
-  double doubled = 0;
+  double duplication = 0;
   /// Minimum one-way delay. Each datagram gets up to the same amount in addition, at random.
   Duration delay{500};
   /// Maximum relative error of a member's clock rate.
@@ -55,20 +55,20 @@
   void start(std::size_t i);
   /// Pauses the member. Datagrams that arrive meanwhile are buffered, up to the capacity of a
   /// socket's buffer.
-  void stop(std::size_t i);
+  void pause(std::size_t i);
   /// Resumes a stopped member.
-  void go_on(std::size_t i);
+  void resume(std::size_t i);
   /// Makes the member announce that it leaves, then ends it.
   void leave(std::size_t i);
   /// Sets the filter of links, which is called for each datagram. An empty function lets all
   /// datagrams pass.
-  void cut(std::function<bool(std::size_t from, std::size_t to)> reaches) {
+  void set_link_filter(std::function<bool(std::size_t from, std::size_t to)> reaches) {
     reaches_ = std::move(reaches);
   }
 
   /// Whether all running members have the same, correct view: each considers exactly the running
   /// members alive or suspect.
-  bool agreed() const;
+  bool has_converged() const;
   /// The time since which `observer`, which must be running, has considered `other` dead; empty if
   /// it does not.
   std::optional<Time> dead_since(std::size_t observer, std::size_t other) const;
--- a/src/emulator/maintenance_fault_plan.cpp
+++ b/src/emulator/maintenance_fault_plan.cpp
@@ -35,13 +35,13 @@
   spec.delay = to_duration(random.uniform({0.0005, 0.03}));
   spec.disk_delay = random.below(2) != 0 ? to_duration(random.uniform({0.001, 0.05})) : Duration{0};
   spec.isolation_timeout = random.below(2) != 0 ? Duration{4'000'000} : Duration{0};
-  spec.bounds.max_out = 1 + static_cast<std::uint32_t>(random.below(3));
-  spec.bounds.max_out_per_zone = 2;
-  spec.bounds.max_out_per_cell = 2;
-  spec.bounds.drain_timeout = 30;
-  spec.bounds.deferral = 3;
-  spec.bounds.quiet_period = 3;
-  spec.bounds.needs_approval = false;
+  spec.budget.max_out = 1 + static_cast<std::uint32_t>(random.below(3));
+  spec.budget.max_out_per_zone = 2;
+  spec.budget.max_out_per_cell = 2;
+  spec.budget.drain_timeout = 30;
+  spec.budget.deferral = 3;
+  spec.budget.quiet_period = 3;
+  spec.budget.needs_approval = false;
   return spec;
 }
 
@@ -111,7 +111,7 @@
   run.verdict = simulation_.verdict();
   run.taken_out = simulation_.taken_out();
   run.backends = spec_.backends;
-  run.silent = simulation_.unexplained_requests();
+  run.unexplained = simulation_.unexplained_requests();
   run.open = simulation_.open_requests();
   run.plan = plan_;
   return run;
@@ -133,7 +133,7 @@
     command.request->max_concurrent = 2;
     command.request->selector.zone = zone;
     for (int i = 0; i < 3; ++i) {
-      simulation_.order(random_.below(simulation_.size()), command);
+      simulation_.submit_command(random_.below(simulation_.size()), command);
       simulation_.run(1s);
     }
   }
--- a/src/emulator/maintenance_simulation.cpp
+++ b/src/emulator/maintenance_simulation.cpp
@@ -41,7 +41,7 @@
       random_(spec.seed, Actor::kFaults, kRandomStream),
       proxies_(spec.voters + spec.followers),
       backends_(spec.backends),
-      invariants_(spec.bounds) {
+      invariants_(spec.budget) {
   for (std::size_t i = 0; i < backends_.size(); ++i) {
     const bool is_big = i % 3 == 0;
     Machine& machine = backends_[i].machine;
@@ -91,7 +91,7 @@
   settings.drain_grace = kDrainGrace;
   settings.max_request_duration = spec_.request_duration;
   settings.isolation_timeout = spec_.isolation_timeout;
-  settings.disruption_budget = spec_.bounds;
+  settings.disruption_budget = spec_.budget;
   return settings;
 }
 
@@ -197,7 +197,7 @@
 
 // ---- State of the cluster
 
-void MaintenanceSimulation::order(std::size_t proxy, Command command) {
+void MaintenanceSimulation::submit_command(std::size_t proxy, Command command) {
   if (running(proxy)) {
     proxies_[proxy].coordinator->submit_command(now_, std::move(command),
                                                 [](const maintenance::OperatorResponse&) {});
@@ -433,7 +433,7 @@
     view.machines.push_back(backend.machine);
   }
   for (std::size_t zone = 0; zone < spec_.zones; ++zone) {
-    view.zone_utilization[fmt::format("zone-{}", zone)] = spec_.use;
+    view.zone_utilization[fmt::format("zone-{}", zone)] = spec_.utilization;
   }
   track_exclusions(proxy);
   for (const auto& [machine, since] : proxy.excluded_since) {
@@ -442,7 +442,7 @@
       view.busy_machines.insert(machine);
     }
   }
-  view.is_idle = proxy.coordinator->is_self_out();
+  view.is_idle = proxy.coordinator->is_self_in_maintenance();
   view.served_requests = kServedRequestsPerSecond * static_cast<std::uint64_t>(now_ / 1s);
   return view;
 }
@@ -484,7 +484,7 @@
       done.type = CommandType::kCompleteWork;
       done.id = backend.request;
       done.machine = backend.machine.id;
-      order(*leader_index, done);
+      submit_command(*leader_index, done);
     }
   }
 }
--- a/src/emulator/maintenance_simulation.h
+++ b/src/emulator/maintenance_simulation.h
@@ -52,9 +52,9 @@
   Duration work{1'500'000};
   Duration warm{1'000'000};
   Duration isolation_timeout{0};
-  maintenance::DisruptionBudget bounds;
+  maintenance::DisruptionBudget budget;
   /// Utilization of each zone, from 0 to 1.
-  double use = 0.5;
+  double utilization = 0.5;
   SeededBug bug = SeededBug::kNone;
 };
 
@@ -71,7 +71,7 @@
   std::size_t size() const { return proxies_.size(); }
 
   /// Sends an operator's command to the proxy. The command is lost if the proxy is not running.
-  void order(std::size_t proxy, maintenance::Command command);
+  void submit_command(std::size_t proxy, maintenance::Command command);
   /// The running proxy that considers itself the leader. If there are several, the one that has
   /// applied the most of the log.
   std::optional<std::size_t> leader() const;
@@ -120,9 +120,9 @@
   const Verdict& verdict() const { return invariants_.verdict(); }
   /// Number of maintenance works that operators have completed.
   std::size_t taken_out() const { return completed_works_; }
-  std::uint64_t calls() const { return requests_sent_; }
+  std::uint64_t requests_sent() const { return requests_sent_; }
   /// Number of requests that were not sent because no backend was permitted.
-  std::uint64_t calls_kept_back() const { return requests_withheld_; }
+  std::uint64_t requests_withheld() const { return requests_withheld_; }
   std::vector<std::string> open_requests() const;
   /// Ids of open maintenance requests for which the planner gives no reason why they wait.
   std::vector<std::string> unexplained_requests() const;
@@ -217,7 +217,7 @@
   std::size_t taken_out = 0;
   std::size_t backends = 0;
   /// Maintenance requests that were open at the end, and those among them without a stated reason.
-  std::vector<std::string> silent;
+  std::vector<std::string> unexplained;
   std::vector<std::string> open;
   /// The injected faults, one per line.
   std::string plan;
--- a/src/emulator/metrics.cpp
+++ b/src/emulator/metrics.cpp
@@ -219,8 +219,8 @@
   return served >= kFullServiceShare * expected;
 }
 
-Return Metrics::return_from(const Metrics& control, Time begun, Time back) const {
-  Return result;
+RecoveryCost Metrics::measure_recovery(const Metrics& control, Time begun, Time back) const {
+  RecoveryCost result;
   const std::size_t count = std::min(buckets_.size(), control.buckets_.size());
   double worth_asked = 0;
   for (std::size_t i = bucket_index(begun); i < count; ++i) {
--- a/src/emulator/metrics.h
+++ b/src/emulator/metrics.h
@@ -71,7 +71,7 @@
 
 /// The cost of a fault, relative to a control run with the same arrivals and seed but without the
 /// fault.
-struct Return {
+struct RecoveryCost {
   /// Time from the last proxy's return to full service; empty if full service was not reached.
   std::optional<Duration> full_after;
   /// Priority weight lost relative to the control run since the fault began, in seconds of the mean
@@ -143,7 +143,7 @@
   /// Measures the recovery from a fault. Full service begins where the served priority weight is
   /// within 2 % of the control's over each one-second window that begins in the next five seconds.
   /// `begun` is when the fault began, `back` when the last proxy was restarted or resumed.
-  Return return_from(const Metrics& control, Time begun, Time back) const;
+  RecoveryCost measure_recovery(const Metrics& control, Time begun, Time back) const;
   /// Returns the result document. With `series`, it includes the time series and the latency
   /// distribution.
   Json::Value to_json(bool series) const;
--- a/src/emulator/node.cpp
+++ b/src/emulator/node.cpp
@@ -111,7 +111,7 @@
   }
 }
 
-void Node::start_phases(Time now, std::vector<Start>& starts) {
+void Node::start_phases(Time now, std::vector<StartedPhase>& starts) {
   while (used_slots_ < spec_->slots && !slot_queue_.empty()) {
     ++used_slots_;
     slot_queue_work_ -= slot_queue_.front().work;
@@ -140,7 +140,7 @@
   update_collapse(now);
 }
 
-bool Node::take(Time now, JobId job, double work, std::vector<Start>& starts) {
+bool Node::accept(Time now, JobId job, double work, std::vector<StartedPhase>& starts) {
   advance(now);
   update_collapse(now);
   if (job_count() >= static_cast<std::size_t>(spec_->slots) + spec_->room) {
@@ -153,14 +153,14 @@
   return true;
 }
 
-void Node::resume(Time now, JobId job, double work, std::vector<Start>& starts) {
+void Node::resume(Time now, JobId job, double work, std::vector<StartedPhase>& starts) {
   advance(now);
   core_queue_.push_back({job, work, now, false});
   core_queue_work_ += work;
   start_phases(now, starts);
 }
 
-void Node::phase_done(Time now, bool leaves, std::vector<Start>& starts) {
+void Node::phase_done(Time now, bool leaves, std::vector<StartedPhase>& starts) {
   advance(now);
   --busy_cores_;
   if (leaves) {
@@ -170,14 +170,14 @@
   start_phases(now, starts);
 }
 
-void Node::leave(Time now, std::vector<Start>& starts) {
+void Node::leave(Time now, std::vector<StartedPhase>& starts) {
   advance(now);
   --used_slots_;
   done_in_window_ += 1;
   start_phases(now, starts);
 }
 
-bool Node::remove_queued(Time now, JobId job, std::vector<Start>& starts) {
+bool Node::remove_queued(Time now, JobId job, std::vector<StartedPhase>& starts) {
   advance(now);
   const auto is_job = [job](const QueuedPhase& r) { return r.job == job; };
   if (const auto it = std::find_if(slot_queue_.begin(), slot_queue_.end(), is_job);
--- a/src/emulator/node.h
+++ b/src/emulator/node.h
@@ -17,7 +17,7 @@
 using JobId = std::uint64_t;
 
 /// A phase of a job that has been given a core, and the time at which it ends.
-struct Start {
+struct StartedPhase {
   JobId job = 0;
   Time until{0};
 };
@@ -31,17 +31,17 @@
 
   /// Accepts a job whose first phase takes `work`. Returns false, without having run the job, if
   /// the backend is overloaded. Appends the phases that start to `starts`.
-  bool take(Time now, JobId job, double work, std::vector<Start>& starts);
+  bool accept(Time now, JobId job, double work, std::vector<StartedPhase>& starts);
   /// Queues a job for a core again, after it gave up its core to wait for the next tier. `work` is
   /// the length of its next phase.
-  void resume(Time now, JobId job, double work, std::vector<Start>& starts);
+  void resume(Time now, JobId job, double work, std::vector<StartedPhase>& starts);
   /// Ends a job's phase and frees its core; with `leaves`, also its slot.
-  void phase_done(Time now, bool leaves, std::vector<Start>& starts);
+  void phase_done(Time now, bool leaves, std::vector<StartedPhase>& starts);
   /// Ends a job that holds a slot but no core.
-  void leave(Time now, std::vector<Start>& starts);
+  void leave(Time now, std::vector<StartedPhase>& starts);
   /// Removes a job that is queued for a slot or a core; returns false if it is not queued. O(queue
   /// length), which is bounded by slots and room.
-  bool remove_queued(Time now, JobId job, std::vector<Start>& starts);
+  bool remove_queued(Time now, JobId job, std::vector<StartedPhase>& starts);
   /// Discards all jobs and reports, as after a crash. The backend is cold again from `started_at`
   /// on.
   void restart(Time now, Time started_at);
@@ -62,7 +62,7 @@
   void slow_down(double factor) { slowdown_ = factor; }
   /// Whether throughput has collapsed under load.
   bool collapsed() const { return collapsed_; }
-  const std::optional<Time>& born() const { return started_at_; }
+  const std::optional<Time>& started_at() const { return started_at_; }
   double speed() const { return speed_; }
 
   /// Totals up to the latest call that was passed a time.
@@ -92,7 +92,7 @@
   void advance(Time now);
   void close_report_window(Time now);
   void update_collapse(Time now);
-  void start_phases(Time now, std::vector<Start>& starts);
+  void start_phases(Time now, std::vector<StartedPhase>& starts);
   double effective_speed(Time now) const;
 
   const TierSpec* spec_;
--- a/src/emulator/rules.cpp
+++ b/src/emulator/rules.cpp
@@ -200,8 +200,8 @@
   }
 }
 
-bool RuleChecker::pressed(Time now, std::uint32_t tier, EndpointId node, double work,
-                          double capacity, double usual_work, bool proxy_knows_start) {
+bool RuleChecker::on_cold_work(Time now, std::uint32_t tier, EndpointId node, double work,
+                               double capacity, double usual_work, bool proxy_knows_start) {
   std::deque<ColdWork>& window = cold_work_[backend_key(tier, node)];
   window.push_back({now, work, proxy_knows_start});
   while (window.front().at + scenario_.collapse_delay < now) {
@@ -228,7 +228,7 @@
   return true;
 }
 
-void RuleChecker::node_warm(std::uint32_t tier, EndpointId node) {
+void RuleChecker::forget_cold_work(std::uint32_t tier, EndpointId node) {
   cold_work_.erase(backend_key(tier, node));
 }
 
--- a/src/emulator/rules.h
+++ b/src/emulator/rules.h
@@ -64,10 +64,10 @@
   /// `capacity` core-seconds per second. `usual_work` is the work of a mean request there.
   /// `proxy_knows_start` tells whether the sending proxy knew that the backend had started. Returns
   /// true if the backend collapses.
-  bool pressed(Time now, std::uint32_t tier, EndpointId node, double work, double capacity,
-               double usual_work, bool proxy_knows_start);
+  bool on_cold_work(Time now, std::uint32_t tier, EndpointId node, double work, double capacity,
+                    double usual_work, bool proxy_knows_start);
   /// Discards the records of a backend that is warm or has stopped.
-  void node_warm(std::uint32_t tier, EndpointId node);
+  void forget_cold_work(std::uint32_t tier, EndpointId node);
 
   std::uint64_t count(Rule rule) const { return counts_[static_cast<std::size_t>(rule)]; }
   std::uint64_t all() const;
--- a/src/emulator/scenario.cpp
+++ b/src/emulator/scenario.cpp
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-std::size_t part_of(double part, std::size_t count) {
+std::size_t rounded_share(double part, std::size_t count) {
   const auto rounded = static_cast<std::size_t>(std::llround(part * static_cast<double>(count)));
   return std::min(count, std::max<std::size_t>(1, rounded));
 }
@@ -52,7 +52,7 @@
     return affected;
   }
   const std::size_t count =
-      fault.proxies > 0 ? fault.proxies : part_of(fault.part, scenario.proxies);
+      fault.proxies > 0 ? fault.proxies : rounded_share(fault.part, scenario.proxies);
   for (std::uint32_t i = 0; i < count; ++i) {
     affected.push_back((fault.first + i) % scenario.proxies);
   }
@@ -68,7 +68,7 @@
   if (spec.nodes > 0) {
     count = spec.nodes;
   } else if (spec.part > 0) {
-    count = part_of(spec.part, remaining.size());
+    count = rounded_share(spec.part, remaining.size());
   }
   std::vector<EndpointId> chosen;
   Stream random(scenario.seed, Actor::kFaults, fault);
--- a/src/emulator/scenario.h
+++ b/src/emulator/scenario.h
@@ -200,7 +200,7 @@
 };
 
 /// The given share of `count`, rounded, but at least one and at most `count`.
-std::size_t part_of(double part, std::size_t count);
+std::size_t rounded_share(double part, std::size_t count);
 /// The indices of the first tier's proxies that a fault affects, counted from `first` and wrapping
 /// around. Empty for faults that do not affect proxies.
 std::vector<std::uint32_t> affected_proxies(const Scenario& scenario, const FaultSpec& fault);
--- a/src/emulator/scenario_file.cpp
+++ b/src/emulator/scenario_file.cpp
@@ -33,7 +33,7 @@
   const auto name = base->value<std::string>();
   if (!name || depth_left == 0) {
     config::TomlReader(root, path)
-        .fault("extends", name ? "more than four levels of inheritance" : "not a string");
+        .throw_error("extends", name ? "more than four levels of inheritance" : "not a string");
   }
   const std::string base_path = (std::filesystem::path(path).parent_path() / *name).string();
   toml::table merged = load_extended(base_path, depth_left - 1);
--- a/src/emulator/world.cpp
+++ b/src/emulator/world.cpp
@@ -25,7 +25,7 @@
   return simulation_->rules;
 }
 
-std::size_t World::left_over() const {
+std::size_t World::requests_in_flight() const {
   return simulation_->requests.in_flight();
 }
 
--- a/src/emulator/world.h
+++ b/src/emulator/world.h
@@ -34,7 +34,7 @@
   const RuleChecker& rules() const;
   /// Number of requests still in flight at proxies. It is 0 after a run, unless a policy failed to
   /// answer a request.
-  std::size_t left_over() const;
+  std::size_t requests_in_flight() const;
 
  private:
   std::unique_ptr<Simulation> simulation_;
--- a/src/experiments/experiment.cpp
+++ b/src/experiments/experiment.cpp
@@ -33,7 +33,7 @@
   if (const auto* text = node.as_string()) {
     return Json::Value(text->get());
   }
-  reader.fault(key, "values must be numbers, strings or booleans");
+  reader.throw_error(key, "values must be numbers, strings or booleans");
 }
 
 void override_with_json(toml::table& root, const std::string& path, const Json::Value& value) {
@@ -74,34 +74,34 @@
 }
 
 std::vector<std::string> read_policies(config::TomlReader& reader) {
-  std::vector<std::string> policies = reader.texts("policies");
+  std::vector<std::string> policies = reader.strings("policies");
   if (policies.empty()) {
     return {"module"};
   }
   const std::vector<std::string>& known = emulator::policy_names();
   for (const std::string& policy : policies) {
     if (std::find(known.begin(), known.end(), policy) == known.end()) {
-      reader.fault("policies", fmt::format("unknown policy \"{}\"; accepted: {}", policy,
-                                           fmt::join(known, ", ")));
+      reader.throw_error("policies", fmt::format("unknown policy \"{}\"; accepted: {}", policy,
+                                                 fmt::join(known, ", ")));
     }
   }
   return policies;
 }
 
 std::vector<std::uint64_t> read_seeds(config::TomlReader& reader) {
-  const toml::node* node = reader.raw("seeds");
+  const toml::node* node = reader.find("seeds");
   if (!node) {
     return {1};
   }
   const toml::array* list = node->as_array();
   if (!list || list->empty()) {
-    reader.fault("seeds", "must be a non-empty array of whole numbers, each at least 0");
+    reader.throw_error("seeds", "must be a non-empty array of whole numbers, each at least 0");
   }
   std::vector<std::uint64_t> seeds;
   for (const toml::node& element : *list) {
     const auto* seed = element.as_integer();
     if (!seed || seed->get() < 0) {
-      reader.fault("seeds", "must be a non-empty array of whole numbers, each at least 0");
+      reader.throw_error("seeds", "must be a non-empty array of whole numbers, each at least 0");
     }
     seeds.push_back(static_cast<std::uint64_t>(seed->get()));
   }
@@ -109,19 +109,19 @@
 }
 
 std::vector<Axis> read_grid(config::TomlReader& reader) {
-  const toml::node* node = reader.raw("grid");
+  const toml::node* node = reader.find("grid");
   if (!node) {
     return {};
   }
   const toml::table* table = node->as_table();
   if (!table) {
-    reader.fault("grid", "not a table");
+    reader.throw_error("grid", "not a table");
   }
   std::vector<Axis> grid;
   for (const auto& [key, values] : *table) {
     const toml::array* list = values.as_array();
     if (!list || list->empty()) {
-      reader.fault("grid", std::string(key.str()) + ": must be a non-empty array of values");
+      reader.throw_error("grid", std::string(key.str()) + ": must be a non-empty array of values");
     }
     Axis axis{std::string(key.str()), {}};
     for (const toml::node& value : *list) {
@@ -197,8 +197,8 @@
 
 }  // namespace
 
-std::unique_ptr<emulator::World> world_of(const emulator::Scenario& scenario,
-                                          const std::string& policy) {
+std::unique_ptr<emulator::World> make_world(const emulator::Scenario& scenario,
+                                            const std::string& policy) {
   return std::make_unique<emulator::World>(
       scenario, [policy](Time now, const Settings& settings,
                          const emulator::TrueBackendState& truth, std::vector<Action>& actions) {
@@ -209,7 +209,7 @@
 RunOutput run_scenario(const emulator::Scenario& scenario, const std::string& policy, bool series,
                        const emulator::ProgressCallback& progress) {
   const auto start = std::chrono::steady_clock::now();
-  const std::unique_ptr<emulator::World> world = world_of(scenario, policy);
+  const std::unique_ptr<emulator::World> world = make_world(scenario, policy);
   world->run(progress);
   RunOutput out;
   out.wall_s = std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
@@ -219,7 +219,7 @@
   for (const emulator::Rule rule : emulator::kRules) {
     out.result["rules"][emulator::name_of(rule)] = static_cast<Json::UInt64>(rules.count(rule));
   }
-  out.result["left_over"] = static_cast<Json::UInt64>(world->left_over());
+  out.result["left_over"] = static_cast<Json::UInt64>(world->requests_in_flight());
   out.violations = rules.all();
   for (const emulator::Violation& violation : rules.violations()) {
     out.violation_text += format_violation(violation, scenario.seed);
@@ -231,12 +231,12 @@
   Experiment experiment;
   const toml::table root = config::load_toml(path);
   config::TomlReader reader(root, path);
-  experiment.name = reader.text("name", std::filesystem::path(path).stem().string());
-  experiment.title = reader.text("title", experiment.name);
-  experiment.series = reader.flag("series", true);
-  const std::string file = reader.text("scenario", "");
+  experiment.name = reader.string("name", std::filesystem::path(path).stem().string());
+  experiment.title = reader.string("title", experiment.name);
+  experiment.series = reader.boolean("series", true);
+  const std::string file = reader.string("scenario", "");
   if (file.empty()) {
-    reader.fault("scenario", "missing or empty; the path of a scenario file is required");
+    reader.throw_error("scenario", "missing or empty; the path of a scenario file is required");
   }
   experiment.scenario_file = (std::filesystem::path(path).parent_path() / file).string();
   experiment.scenario = emulator::load_scenario(experiment.scenario_file);
--- a/src/experiments/experiment.h
+++ b/src/experiments/experiment.h
@@ -30,8 +30,8 @@
 };
 
 /// Creates a world whose proxies use `policy`, one of emulator::policy_names().
-std::unique_ptr<emulator::World> world_of(const emulator::Scenario& scenario,
-                                          const std::string& policy);
+std::unique_ptr<emulator::World> make_world(const emulator::Scenario& scenario,
+                                            const std::string& policy);
 
 /// Runs a scenario to its end. `policy` must be one of emulator::policy_names(). With `series`, the
 /// result includes the time series by second and the latency distribution.
@@ -81,13 +81,13 @@
   /// Number of cells that this call ran.
   std::size_t run = 0;
   /// Number of cells whose results were already in the files.
-  std::size_t kept = 0;
+  std::size_t already_finished = 0;
   /// Whether the files contained an incomplete line, as an interrupted run leaves it.
   bool torn = false;
   /// Rule violations in the new runs of policy "module".
   std::uint64_t module_violations = 0;
   /// Rule violations in the new runs of the other policies.
-  std::uint64_t plain_violations = 0;
+  std::uint64_t baseline_violations = 0;
   /// Violations of policy "module" with their traces; at about 64 KiB no more are added.
   std::string violation_text;
 };
--- a/src/experiments/experiment_runner.cpp
+++ b/src/experiments/experiment_runner.cpp
@@ -46,7 +46,7 @@
     open_files();
     run_pool(threads);
     partial_.reset();
-    if (summary_.kept + summary_.run < cells_.size()) {
+    if (summary_.already_finished + summary_.run < cells_.size()) {
       // The run was stopped early; finished cells remain in the partial file.
       return summary_;
     }
@@ -68,7 +68,7 @@
         pending_cells_.push_back(&cell);
       }
     }
-    summary_.kept = cells_.size() - pending_cells_.size();
+    summary_.already_finished = cells_.size() - pending_cells_.size();
   }
 
   // Rewrites the partial file with the complete lines only, so that new lines are not appended to
@@ -125,13 +125,13 @@
     ++summary_.run;
     record_violations(cell, out);
     if (progress_) {
-      progress_(summary_.kept + summary_.run, cells_.size());
+      progress_(summary_.already_finished + summary_.run, cells_.size());
     }
   }
 
   void record_violations(const Cell& cell, const RunOutput& out) {
     if (cell.policy != "module") {
-      summary_.plain_violations += out.violations;
+      summary_.baseline_violations += out.violations;
       return;
     }
     summary_.module_violations += out.violations;
--- a/src/experiments/result_file.cpp
+++ b/src/experiments/result_file.cpp
@@ -15,8 +15,8 @@
   return Json::writeString(builder, value);
 }
 
-Json::Value row_of(const emulator::Scenario& scenario, const std::string& policy,
-                   const Json::Value& result) {
+Json::Value make_result_row(const emulator::Scenario& scenario, const std::string& policy,
+                            const Json::Value& result) {
   Json::Value row;
   row["cell"]["policy"] = policy;
   row["cell"]["seed"] = static_cast<Json::UInt64>(scenario.seed);
--- a/src/experiments/result_file.h
+++ b/src/experiments/result_file.h
@@ -17,8 +17,8 @@
 std::string to_json_line(const Json::Value& value);
 
 /// Returns the row of a result file for a single run, which has no grid parameters.
-Json::Value row_of(const emulator::Scenario& scenario, const std::string& policy,
-                   const Json::Value& result);
+Json::Value make_result_row(const emulator::Scenario& scenario, const std::string& policy,
+                            const Json::Value& result);
 
 /// Replaces the file with `rows`, one per line. Throws std::runtime_error if it cannot be written.
 void write_lines(const std::string& path, const std::vector<Json::Value>& rows);
--- a/src/http/field_values.cpp
+++ b/src/http/field_values.cpp
@@ -52,7 +52,7 @@
   return std::nullopt;
 }
 
-std::string retry_after(std::chrono::microseconds duration) {
+std::string format_retry_after(std::chrono::microseconds duration) {
   const auto milliseconds = std::chrono::ceil<std::chrono::milliseconds>(duration).count();
   std::string decimals = std::to_string(milliseconds % kMillisecondsPerSecond);
   decimals.insert(0, kDecimals - decimals.size(), '0');
--- a/src/http/field_values.h
+++ b/src/http/field_values.h
@@ -19,6 +19,6 @@
 std::optional<double> find_load_value(std::string_view report, std::string_view column);
 
 /// Formats `duration` as a Retry-After value: seconds with three decimals, rounded up.
-std::string retry_after(std::chrono::microseconds duration);
+std::string format_retry_after(std::chrono::microseconds duration);
 
 }  // namespace beechhill::http
--- a/src/maintenance/maintenance_coordinator.h
+++ b/src/maintenance/maintenance_coordinator.h
@@ -67,7 +67,7 @@
   /// Permissions of machines with a workflow, as last granted.
   const DispatchPermissionMap& dispatch_permissions() const { return lease_.permissions(); }
   /// Whether this proxy must drain itself because it is being taken out of service.
-  bool is_self_out() const { return lease_.is_self_out(); }
+  bool is_self_in_maintenance() const { return lease_.is_self_out(); }
   bool has_held_lease() const { return lease_.has_held_lease(); }
 
   // ---- Operators
--- a/src/net/address.cpp
+++ b/src/net/address.cpp
@@ -33,7 +33,7 @@
   return std::string(host.data()) + ":" + std::to_string(ntohs(address.sin_port));
 }
 
-bool same(const sockaddr_in& a, const sockaddr_in& b) {
+bool same_address(const sockaddr_in& a, const sockaddr_in& b) {
   return a.sin_addr.s_addr == b.sin_addr.s_addr && a.sin_port == b.sin_port;
 }
 
--- a/src/net/address.h
+++ b/src/net/address.h
@@ -17,6 +17,6 @@
 std::string to_string(const sockaddr_in& address);
 
 /// Whether `a` and `b` have the same address and port.
-bool same(const sockaddr_in& a, const sockaddr_in& b);
+bool same_address(const sockaddr_in& a, const sockaddr_in& b);
 
 }  // namespace beechhill::net
--- a/src/proxy/backend_actor.cpp
+++ b/src/proxy/backend_actor.cpp
@@ -18,7 +18,7 @@
 using runtime::now;
 using runtime::Task;
 using runtime::TimePoint;
-using runtime::to_point;
+using runtime::to_time_point;
 
 namespace {
 
@@ -121,8 +121,8 @@
   }
   // After a restart or a move, closes the connections to the previous process, because a request
   // that is written to one of them counts as possibly executed.
-  const bool restarted =
-      !net::same(status.address, status_.address) || status.started_at != status_.started_at;
+  const bool restarted = !net::same_address(status.address, status_.address) ||
+                         status.started_at != status_.started_at;
   status_ = status;
   if (status.status != EndpointStatus::kUp || restarted) {
     idle_connections_.close_all(EndReason::kBackendDrained);
@@ -148,7 +148,7 @@
 }
 
 bool BackendActor::is_at_current_address(const BackendConnection& connection) const {
-  return net::same(connection.address, status_.address);
+  return net::same_address(connection.address, status_.address);
 }
 
 Task<> BackendActor::run_attempt(AttemptRequest attempt) {
@@ -228,9 +228,9 @@
   if (!pool_.reserve_descriptor()) {
     co_return nullptr;
   }
-  auto connection = std::make_unique<BackendConnection>(pool_.budget, status_.address);
+  auto connection = std::make_unique<BackendConnection>(pool_.descriptor_budget, status_.address);
   const TimePoint deadline =
-      to_point(std::min(connect_deadline, now() + settings_.connect_timeout));
+      to_time_point(std::min(connect_deadline, now() + settings_.connect_timeout));
   connection->stream = co_await net::Stream::connect(scheduler_, status_.address, deadline);
   if (!connection->stream) {
     connection->end_reason = EndReason::kConnectFailed;
--- a/src/proxy/backend_exchange.cpp
+++ b/src/proxy/backend_exchange.cpp
@@ -17,7 +17,7 @@
 using runtime::Clock;
 using runtime::now;
 using runtime::Task;
-using runtime::to_point;
+using runtime::to_time_point;
 
 namespace {
 
@@ -55,7 +55,7 @@
 Task<ExchangeResult> BackendExchange::run(Time write_deadline, Time deadline) {
   ++connection_.requests;
   const std::string bytes = payload_.encode(net::to_string(connection_.address), deadline - now());
-  IoResult written = co_await connection_.stream->write(bytes, to_point(write_deadline));
+  IoResult written = co_await connection_.stream->write(bytes, to_time_point(write_deadline));
   if (written == IoResult::kOk && payload_.remaining_body()) {
     written = co_await write_remaining_body();
     deadline = now() + attempt_->response_timeout;
@@ -133,7 +133,7 @@
   bool started = false;
   for (;;) {
     const Time until = started ? std::min(deadline, now() + pool_.max_response_gap) : deadline;
-    const IoResult io = co_await connection_.stream->read(buffer_, to_point(until));
+    const IoResult io = co_await connection_.stream->read(buffer_, to_time_point(until));
     http::Progress progress = http::Progress::kNeedsMore;
     if (io == IoResult::kOk) {
       progress = parse_buffer();
--- a/src/proxy/backend_pool.h
+++ b/src/proxy/backend_pool.h
@@ -19,7 +19,7 @@
 struct BackendPool {
   BackendPool(std::size_t descriptors, BodyBudget& body_budget, Telemetry& telemetry,
               const Settings& settings)
-      : budget(descriptors), body_budget(body_budget), telemetry(telemetry) {
+      : descriptor_budget(descriptors), body_budget(body_budget), telemetry(telemetry) {
     for (const ClassSettings& class_settings : settings.classes) {
       max_response_gap = std::min(max_response_gap, class_settings.deadline / kResponseGapDivisor);
     }
@@ -28,7 +28,7 @@
   /// Returns whether another connection may be opened. If the descriptor budget is exhausted, frees
   /// a descriptor by closing the connection that has been idle longest, of any backend.
   bool reserve_descriptor() {
-    if (budget.has_capacity()) {
+    if (descriptor_budget.has_capacity()) {
       return true;
     }
     IdleConnections* oldest = nullptr;
@@ -43,7 +43,7 @@
     return oldest != nullptr;
   }
 
-  DescriptorBudget budget;
+  DescriptorBudget descriptor_budget;
   BodyBudget& body_budget;
   Telemetry& telemetry;
   /// The idle connections of each backend, in no particular order.
--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -20,7 +20,7 @@
 using runtime::now;
 using runtime::Task;
 using runtime::TimePoint;
-using runtime::to_point;
+using runtime::to_time_point;
 
 namespace {
 
@@ -118,7 +118,7 @@
 // a reset could destroy a response in transit.
 Task<> ClientConnection::lingering_close() {
   const TimePoint until =
-      to_point(std::min(now() + kLingerTimeout, context_.lifecycle.response_deadline()));
+      to_time_point(std::min(now() + kLingerTimeout, context_.lifecycle.response_deadline()));
   if (discard_input_) {
     co_await stream_.lingering_close(until, wake_);
   } else {
@@ -335,7 +335,7 @@
                                                                      http::Parser& parser) {
   const bool uploading = is_uploading(request);
   const TimePoint overdue =
-      uploading ? request_read_deadline() : to_point(request.deadline + kResponseOverdue);
+      uploading ? request_read_deadline() : to_time_point(request.deadline + kResponseOverdue);
   const bool may_read =
       uploading ? !request.payload->remaining_body()->full() : buffer_.size() < kMaxPipelinedBytes;
   IoResult io = IoResult::kNotified;
@@ -348,7 +348,7 @@
     // full, nothing is read, but a disconnect is still detected. The time spent waiting for the
     // backend does not count as the client's upload time.
     const TimePoint started_at = Clock::now();
-    const TimePoint until = uploading ? to_point(request.deadline) : overdue;
+    const TimePoint until = uploading ? to_time_point(request.deadline) : overdue;
     io = co_await stream_.wait_for_peer_close(until, request.response_ready);
     if (uploading) {
       request_started_at_ += Clock::now() - started_at;
--- a/src/proxy/client_request_parser.cpp
+++ b/src/proxy/client_request_parser.cpp
@@ -78,14 +78,14 @@
 }
 
 std::optional<ClassId> ClientRequestParser::find_class(const std::string& target) const {
-  return class_ids_.known(target.substr(1, target.find_first_of("/?", 1) - 1));
+  return class_ids_.find(target.substr(1, target.find_first_of("/?", 1) - 1));
 }
 
 // Returns the tenant that the X-Customer header names, kNoTenant if the header is absent, and
 // nothing if it names an unknown tenant.
 std::optional<TenantId> ClientRequestParser::find_tenant(const http::Headers& headers) const {
   const std::string* name = headers.find("X-Customer");
-  return name ? tenant_ids_.known(*name) : std::optional<TenantId>(kNoTenant);
+  return name ? tenant_ids_.find(*name) : std::optional<TenantId>(kNoTenant);
 }
 
 ClientRequestParser::ParsedRequest ClientRequestParser::parse(
--- a/src/proxy/client_response_encoder.cpp
+++ b/src/proxy/client_response_encoder.cpp
@@ -15,7 +15,7 @@
 
 std::string retry_after_header(const Rejection& rejection) {
   return rejection.retry_after > Duration{0}
-             ? "Retry-After: " + http::retry_after(rejection.retry_after) + "\r\n"
+             ? "Retry-After: " + http::format_retry_after(rejection.retry_after) + "\r\n"
              : "";
 }
 
--- a/src/proxy/decision_actor.cpp
+++ b/src/proxy/decision_actor.cpp
@@ -9,7 +9,7 @@
 namespace beechhill::proxy {
 
 using runtime::now;
-using runtime::to_point;
+using runtime::to_time_point;
 
 namespace {
 
@@ -81,7 +81,7 @@
       until = std::min(until, timers_.begin()->first);
     }
     runtime::Wait wait(scheduler_);
-    wait.notified(inbox_.arrived()).until(to_point(until));
+    wait.notified(inbox_.arrived()).until(to_time_point(until));
     co_await wait;
   }
 }
@@ -135,8 +135,9 @@
 bool DecisionActor::update_recovery() {
   const Time current_time = now();
   if (recovery_.observe_clock(current_time)) {
-    const auto gap = std::chrono::duration_cast<std::chrono::milliseconds>(recovery_.gap());
-    log::info("away", {{"ms", static_cast<std::uint64_t>(gap.count())}});
+    const auto last_pause =
+        std::chrono::duration_cast<std::chrono::milliseconds>(recovery_.last_pause());
+    log::info("away", {{"ms", static_cast<std::uint64_t>(last_pause.count())}});
     if (!watch_.post(Resync{recovery_.needs_snapshot()})) {
       log::dropped_message("resync");
     }
@@ -190,9 +191,9 @@
 }
 
 void DecisionActor::on(GetEndpointCounts& query) {
-  const auto [listed, avoided] = balancer_.endpoint_counts(now());
+  const auto [listed, unavailable] = balancer_.endpoint_counts(now());
   query.reply->endpoint_count = listed;
-  query.reply->avoided_endpoint_count = avoided;
+  query.reply->avoided_endpoint_count = unavailable;
   query.reply->recovery_stage = recovery::name(recovery_.stage());
   query.reply->complete(200);
 }
--- a/src/proxy/decision_actor_endpoints.cpp
+++ b/src/proxy/decision_actor_endpoints.cpp
@@ -21,7 +21,7 @@
   std::vector<EndpointId> listed;
   std::vector<std::uint64_t> name_hashes;
   for (const config::EndpointListEntry& row : list.entries) {
-    if (row.status == EndpointStatus::kRemoved && !endpoint_ids_.known(row.host)) {
+    if (row.status == EndpointStatus::kRemoved && !endpoint_ids_.find(row.host)) {
       continue;  // The backend has already been released.
     }
     update.endpoints.push_back(upsert_backend(row));
@@ -152,12 +152,12 @@
 }
 
 bool DecisionActor::was_ever_listed(const std::string& backend_id) const {
-  return endpoint_ids_.known(backend_id).has_value() || departed_backends_.contains(backend_id) ||
+  return endpoint_ids_.find(backend_id).has_value() || departed_backends_.contains(backend_id) ||
          exclusions_.is_excluded_by_operator(backend_id);
 }
 
 void DecisionActor::update_exclusion(const std::string& backend_id) {
-  const auto endpoint = endpoint_ids_.known(backend_id);
+  const auto endpoint = endpoint_ids_.find(backend_id);
   if (!endpoint) {
     return;
   }
@@ -216,7 +216,7 @@
     set_excluded(endpoint, false);  // Another backend may get this id; exclusions_ uses names.
   }
   departed_backends_.add(endpoint_ids_.name(endpoint));
-  endpoint_ids_.forget(endpoint);
+  endpoint_ids_.release(endpoint);
 }
 
 }  // namespace beechhill::proxy
--- a/src/proxy/endpoint_watch_actor.cpp
+++ b/src/proxy/endpoint_watch_actor.cpp
@@ -119,7 +119,7 @@
     }
     // StartWatch needs no processing, as its arrival has woken the actor.
     const auto* redirect = std::get_if<RedirectWatch>(&message);
-    if (!redirect || net::same(redirect->address, address_)) {
+    if (!redirect || net::same_address(redirect->address, address_)) {
       continue;
     }
     moved = true;
--- a/src/proxy/messages.h
+++ b/src/proxy/messages.h
@@ -15,7 +15,7 @@
 using runtime::now;
 using runtime::PendingReply;
 using runtime::PendingTextReply;
-using runtime::to_point;
 using runtime::to_time;
+using runtime::to_time_point;
 
 }  // namespace beechhill::proxy
--- a/src/proxy/telemetry.h
+++ b/src/proxy/telemetry.h
@@ -62,7 +62,7 @@
   /// Must be called when the last byte of a request has been written to a backend.
   void count_upstream_request() { ++upstream_requests_; }
 
-  const Counts& of(ClassId class_id) const { return by_class_[class_id]; }
+  const Counts& counts(ClassId class_id) const { return by_class_[class_id]; }
   std::uint64_t accepted_requests() const { return accepted_; }
   std::uint64_t upstream_requests() const { return upstream_requests_; }
   std::uint64_t pending_requests() const { return accepted_ - ended_; }
--- a/src/recovery/recovery_tracker.h
+++ b/src/recovery/recovery_tracker.h
@@ -43,7 +43,7 @@
   /// have failed by then, and changes sent on it may be lost, so a complete list is required.
   bool needs_snapshot() const { return last_pause_ >= watch_silence_; }
   /// Returns the length of the last pause; zero before the first pause.
-  Duration gap() const { return last_pause_; }
+  Duration last_pause() const { return last_pause_; }
 
   /// Must be called when discovery has sent a complete endpoint list or changes to it.
   void on_endpoint_update();
--- a/src/runtime/time.h
+++ b/src/runtime/time.h
@@ -14,7 +14,7 @@
 }
 
 /// The inverse of to_time(), with a resolution of one microsecond.
-inline TimePoint to_point(Time at) {
+inline TimePoint to_time_point(Time at) {
   return TimePoint(at);
 }
 
--- a/src/testbed/cluster_test/cluster_test.cpp
+++ b/src/testbed/cluster_test/cluster_test.cpp
@@ -43,7 +43,7 @@
         fmt::format("{} backends were out for maintenance at once\n", load_test.max_backends_out);
   }
   if (scenario.group.voters > 0) {
-    run.result["taken_out"] = load_test.taken_out;
+    run.result["taken_out"] = load_test.backends_maintained;
     run.result["open_requests"] = load_test.open_requests;
     run.result["works_ended_s"] = emulator::to_s(load_test.maintenance_completed_at);
   }
@@ -71,18 +71,18 @@
 
 SingleRun run_emulated(const Scenario& scenario, const std::string& policy) {
   SingleRun run;
-  run.world = experiments::world_of(scenario, policy);
+  run.world = experiments::make_world(scenario, policy);
   run.world->run();
   run.metrics = std::make_shared<const emulator::Metrics>(run.world->metrics());
   run.result = run.metrics->to_json(true);
   run.peaks = {run.metrics->max_connections, run.metrics->max_arrivals};
-  run.violations = run.world->rules().all() + run.world->left_over();
+  run.violations = run.world->rules().all() + run.world->requests_in_flight();
   for (const emulator::Violation& violation : run.world->rules().violations()) {
     run.violation_text += fmt::format("{:.6f} {}: {}\n{}", emulator::to_s(violation.at),
                                       name_of(violation.rule), violation.what, violation.trace);
   }
-  if (run.world->left_over() > 0) {
-    run.violation_text += fmt::format("{} requests never ended\n", run.world->left_over());
+  if (run.world->requests_in_flight() > 0) {
+    run.violation_text += fmt::format("{} requests never ended\n", run.world->requests_in_flight());
   }
   return run;
 }
@@ -96,8 +96,8 @@
                           ClusterTestResult& result) {
   const FaultWindow window = process_fault_window(scenario);
   result.control_goodput = control.metrics->goodput();
-  result.recovery = run.metrics->return_from(*control.metrics, window.began,
-                                             run.last_ready_at.value_or(window.ended));
+  result.recovery = run.metrics->measure_recovery(*control.metrics, window.began,
+                                                  run.last_ready_at.value_or(window.ended));
   result.control_peaks = control.peaks;
   result.violations += control.violations;
   if (control.violations > 0) {
--- a/src/testbed/cluster_test/cluster_test.h
+++ b/src/testbed/cluster_test/cluster_test.h
@@ -27,8 +27,8 @@
 };
 
 struct ClusterTestResult {
-  Json::Value result;         // in the emulator's format, with time series
-  emulator::Return recovery;  // compared with the control
+  Json::Value result;               // in the emulator's format, with time series
+  emulator::RecoveryCost recovery;  // compared with the control
   double goodput = 0;
   double control_goodput = 0;
   BackendPeaks peaks;
--- a/src/testbed/cluster_test/cluster_test_command.cpp
+++ b/src/testbed/cluster_test/cluster_test_command.cpp
@@ -57,7 +57,7 @@
 
 Json::Value result_row(const ClusterTestResult& test, const Scenario& scenario,
                        const std::string& policy) {
-  Json::Value row = experiments::row_of(scenario, policy, test.result);
+  Json::Value row = experiments::make_result_row(scenario, policy, test.result);
   Json::Value& result = row["result"];
   if (test.recovery.full_after) {
     result["full_after_s"] = emulator::to_s(*test.recovery.full_after);
@@ -119,7 +119,7 @@
 // Statistics of the recovery over all runs of one command.
 class RecoverySummary {
  public:
-  void add(const emulator::Return& recovery) {
+  void add(const emulator::RecoveryCost& recovery) {
     times_.push_back(recovery.full_after);
     lost_.push_back(recovery.worth_lost);
   }
--- a/src/testbed/emulator_commands.cpp
+++ b/src/testbed/emulator_commands.cpp
@@ -83,8 +83,8 @@
                output.wall_s, output.result["events"].asDouble() / output.wall_s,
                1e6 * output.wall_s / decisions, peak_memory_mib());
   if (!options.json_file.empty()) {
-    experiments::write_lines(options.json_file,
-                             {experiments::row_of(scenario, options.policy, output.result)});
+    experiments::write_lines(
+        options.json_file, {experiments::make_result_row(scenario, options.policy, output.result)});
   }
   if (output.violations > 0) {
     std::fputs(output.violation_text.c_str(), stderr);
@@ -129,7 +129,7 @@
     std::fputs("an interrupted run left an incomplete line: that cell was run again\n", stderr);
   }
   fmt::print("{}: {} cells run, {} found finished, results in {}\n", experiment.name, summary.run,
-             summary.kept, result_file);
+             summary.already_finished, result_file);
   if (interrupted) {
     std::fputs("interrupted; run the same command again to continue\n", stderr);
     return kInterrupted;
@@ -139,9 +139,9 @@
     write_html(options.html_file, experiment.title, experiments::read_lines(result_file, ignored),
                result_file);
   }
-  if (summary.plain_violations > 0) {
+  if (summary.baseline_violations > 0) {
     fmt::print("baseline policies violated rules {} times; see \"rules\" in the results\n",
-               summary.plain_violations);
+               summary.baseline_violations);
   }
   if (summary.module_violations > 0) {
     std::fputs(summary.violation_text.c_str(), stderr);
--- a/src/testbed/fake_backend.cpp
+++ b/src/testbed/fake_backend.cpp
@@ -177,8 +177,8 @@
     exchange.status = 500;
     co_return;
   }
-  std::vector<emulator::Start> starts;
-  if (!model_.take(clock_.now(), id, exchange.work, starts)) {
+  std::vector<emulator::StartedPhase> starts;
+  if (!model_.accept(clock_.now(), id, exchange.work, starts)) {
     exchange.status = 503;
     co_return;
   }
@@ -206,21 +206,21 @@
 
 void FakeBackend::finish_due_phases() {
   while (!phases_.empty() && phases_.top().until <= clock_.now()) {
-    const emulator::Start phase = phases_.top();
+    const emulator::StartedPhase phase = phases_.top();
     phases_.pop();
     const auto it = jobs_.find(phase.job);
     if (it != jobs_.end()) {
       it->second->done.notify();
       jobs_.erase(it);
     }
-    std::vector<emulator::Start> starts;
+    std::vector<emulator::StartedPhase> starts;
     model_.phase_done(phase.until, true, starts);
     schedule(starts);
   }
 }
 
-void FakeBackend::schedule(const std::vector<emulator::Start>& starts) {
-  for (const emulator::Start& start : starts) {
+void FakeBackend::schedule(const std::vector<emulator::StartedPhase>& starts) {
+  for (const emulator::StartedPhase& start : starts) {
     phases_.push(start);
   }
   if (!starts.empty()) {
--- a/src/testbed/fake_backend.h
+++ b/src/testbed/fake_backend.h
@@ -40,7 +40,7 @@
   /// Returns the endpoint as discovery lists it while the backend is up.
   Endpoint endpoint() const;
   /// Time of the last start; nullopt if the backend has not restarted since the run began.
-  const std::optional<Time>& started_at() const { return model_.born(); }
+  const std::optional<Time>& started_at() const { return model_.started_at(); }
 
   /// Leaving kServing discards all work; entering kServing restarts the backend, with slow start.
   void set_state(State state);
@@ -67,7 +67,7 @@
     int status = 200;
   };
   struct EndsLater {
-    bool operator()(const emulator::Start& a, const emulator::Start& b) const {
+    bool operator()(const emulator::StartedPhase& a, const emulator::StartedPhase& b) const {
       return a.until > b.until;
     }
   };
@@ -77,7 +77,7 @@
   runtime::Task<> run_phase_timer();
   void listen();
   void finish_due_phases();
-  void schedule(const std::vector<emulator::Start>& starts);
+  void schedule(const std::vector<emulator::StartedPhase>& starts);
   std::string load_report_header(Time now);
   void observe_arrival(Exchange& exchange);
   void observe_completion(const Exchange& exchange);
@@ -97,7 +97,8 @@
   Duration report_delay_{0};
   std::map<emulator::JobId, Job*> jobs_;  // owned by the coroutine frames of the connections
   emulator::JobId next_job_ = 1;
-  std::priority_queue<emulator::Start, std::vector<emulator::Start>, EndsLater> phases_;
+  std::priority_queue<emulator::StartedPhase, std::vector<emulator::StartedPhase>, EndsLater>
+      phases_;
   runtime::Notifier phases_changed_;
   std::uint64_t requests_received_ = 0;
   std::uint64_t connections_accepted_ = 0;
--- a/src/testbed/fake_services.cpp
+++ b/src/testbed/fake_services.cpp
@@ -77,7 +77,7 @@
 }
 
 std::size_t FakeServices::proxies_with_faulty_links() const {
-  return emulator::part_of(0.5, scenario_.proxies);
+  return emulator::rounded_share(0.5, scenario_.proxies);
 }
 
 TcpFaultProxy& FakeServices::link(std::size_t proxy, EndpointId backend) {
--- a/src/testbed/load_test.cpp
+++ b/src/testbed/load_test.cpp
@@ -115,7 +115,7 @@
   void collect_load(LoadTestResult& run) const {
     run.metrics = std::make_shared<const emulator::Metrics>(load_->metrics());
     run.result = load_->metrics().to_json(true);
-    run.asked = load_->requests();
+    run.requests = load_->requests();
     run.wrong_responses = load_->wrong_responses();
     run.max_send_delay = load_->max_send_delay();
     run.last_ready_at = proxy_faults_->last_ready_at();
@@ -166,7 +166,7 @@
       run.proxy_cpu_s += proxies_.process(i).cpu_s();
     }
     const auto per_request = [&run](double total) {
-      return run.asked > 0 ? total / static_cast<double>(run.asked) : 0;
+      return run.requests > 0 ? total / static_cast<double>(run.requests) : 0;
     };
     run.result["attempts"] = json_number(attempts);
     run.result["node_connections"] = json_number(connections);
@@ -180,7 +180,7 @@
       return;
     }
     const MaintenanceOutcome& outcome = operators_->outcome();
-    run.taken_out = outcome.backends_done;
+    run.backends_maintained = outcome.backends_done;
     run.max_backends_out = outcome.max_out;
     run.open_requests = outcome.open_requests;
     run.last_maintenance_status = outcome.last_status;
--- a/src/testbed/load_test.h
+++ b/src/testbed/load_test.h
@@ -19,7 +19,7 @@
 struct LoadTestResult {
   Json::Value result;  // in the emulator's format, as far as it can be observed
   std::shared_ptr<const emulator::Metrics> metrics;  // never null; refers to the scenario
-  std::uint64_t asked = 0;                           // number of requests, not counting retries
+  std::uint64_t requests = 0;                        // number of requests, not counting retries
   /// Responses that belong to another request or have an unknown status.
   std::uint64_t wrong_responses = 0;
   Duration max_send_delay{0};  // maximum time by which the load generator was late
@@ -50,7 +50,7 @@
   /// maximum number of backends out at the same time, requests that were open at the end, the last
   /// status from a proxy, and the time at which the last request was completed (0: not completed).
   std::uint64_t attempts_during_maintenance = 0;
-  std::uint32_t taken_out = 0;
+  std::uint32_t backends_maintained = 0;
   std::uint32_t max_backends_out = 0;
   std::uint32_t open_requests = 0;
   std::string last_maintenance_status;
--- a/src/testbed/load_test_commands.cpp
+++ b/src/testbed/load_test_commands.cpp
@@ -46,7 +46,7 @@
 }
 
 Json::Value result_row(const LoadTestResult& run, const emulator::Scenario& scenario) {
-  Json::Value row = experiments::row_of(scenario, "real proxy", run.result);
+  Json::Value row = experiments::make_result_row(scenario, "real proxy", run.result);
   row["result"]["wrong_answers"] = static_cast<Json::UInt64>(run.wrong_responses);
   return row;
 }
--- a/src/testbed/observation_log.cpp
+++ b/src/testbed/observation_log.cpp
@@ -143,8 +143,8 @@
   }
   const AdvertisedState& advertised = advertised_[it->second.proxy][backend];
   const bool proxy_knows_of_start = advertised.up && advertised.up_since >= started_at;
-  rules_.pressed(now_(), 0, backend, work, capacity, emulator::mean_work_s(scenario_),
-                 proxy_knows_of_start);
+  rules_.on_cold_work(now_(), 0, backend, work, capacity, emulator::mean_work_s(scenario_),
+                      proxy_knows_of_start);
 }
 
 void ObservationLog::set_partitioned(std::size_t proxy, EndpointId backend, bool partitioned) {
--- a/src/testbed/observation_log.h
+++ b/src/testbed/observation_log.h
@@ -63,7 +63,7 @@
   /// that started at `started_at` and currently processes `capacity` core-seconds per second.
   void work_received_in_slow_start(ClientAttemptId id, EndpointId backend, double work,
                                    double capacity, Time started_at);
-  void slow_start_ended(EndpointId backend) { rules_.node_warm(0, backend); }
+  void slow_start_ended(EndpointId backend) { rules_.forget_cold_work(0, backend); }
 
   /// Discovery events: a proxy requested the endpoint list; endpoints were sent to a proxy.
   void snapshot_requested(std::size_t proxy) { ++snapshot_requests_[proxy]; }
--- a/src/testbed/open_loop_load.cpp
+++ b/src/testbed/open_loop_load.cpp
@@ -107,7 +107,7 @@
       co_await sleep_until(scheduler_, clock_.time_point(arrival->at));
     }
     max_send_delay_ = std::max(max_send_delay_, clock_.now() - arrival->at);
-    metrics_.asked(arrival->at, arrival->c, arrival->tenant, arrival->worth);
+    metrics_.asked(arrival->at, arrival->class_id, arrival->tenant, arrival->worth);
     ++open_requests_;
     scheduler_.spawn(run_request(*arrival, requests_++));
   }
@@ -122,7 +122,7 @@
 
 // Sends attempts until the request is served, no retry is allowed or its deadline has passed.
 Task<> OpenLoopLoad::run_request(emulator::Arrival arrival, std::uint64_t request) {
-  const Time deadline = arrival.at + scenario_.classes[arrival.c].settings.deadline;
+  const Time deadline = arrival.at + scenario_.classes[arrival.class_id].settings.deadline;
   AttemptResult result;
   for (std::uint32_t number = 1;; ++number) {
     count_attempt(arrival);
@@ -130,7 +130,8 @@
     if (!in_rotation_[proxy]) {
       proxy = static_cast<std::uint32_t>(draw_proxy_in_rotation());
     }
-    const Duration attempt_timeout = emulator::draw_attempt_timeout(scenario_, arrival.c, random_);
+    const Duration attempt_timeout =
+        emulator::draw_attempt_timeout(scenario_, arrival.class_id, random_);
     const Attempt attempt{arrival, request, number, proxy,
                           std::min(attempt_timeout, deadline - clock_.now())};
     result = co_await run_attempt(attempt);
@@ -146,8 +147,8 @@
   }
   const bool served = result.outcome == AttemptResult::Outcome::kServed;
   const bool rejected = result.outcome == AttemptResult::Outcome::kRejected;
-  metrics_.ended(arrival.at, clock_.now() - arrival.at, arrival.c, arrival.tenant, arrival.worth,
-                 served, rejected);
+  metrics_.ended(arrival.at, clock_.now() - arrival.at, arrival.class_id, arrival.tenant,
+                 arrival.worth, served, rejected);
   if (served) {
     ++served_;
   }
@@ -187,7 +188,7 @@
     assigned_proxies_[arrival.connection] = static_cast<std::uint32_t>(draw_proxy_in_rotation());
   }
   std::optional<Duration> delay = emulator::wait_before_retry(
-      scenario_, {arrival.c, attempt, rejected, unreachable, result.retry_after}, random_);
+      scenario_, {arrival.class_id, attempt, rejected, unreachable, result.retry_after}, random_);
   if (delay && unreachable) {
     delay = std::max(*delay, kMinUnreachableDelay);
   }
@@ -200,7 +201,7 @@
 
 std::string OpenLoopLoad::request_text(const Attempt& attempt) const {
   const emulator::Arrival& arrival = attempt.arrival;
-  const emulator::ClassSpec& request_class = scenario_.classes[arrival.c];
+  const emulator::ClassSpec& request_class = scenario_.classes[arrival.class_id];
   const auto timeout_ms =
       std::chrono::duration_cast<std::chrono::milliseconds>(attempt.timeout).count();
   std::string headers = fmt::format("X-Trace-Id: {}\r\nX-Expires-In-Ms: {}\r\n", trace_id(attempt),
@@ -259,7 +260,8 @@
   const TimePoint read_deadline = deadline + kObservationTolerance;
   const ClientAttemptId id = ObservationLog::client_attempt(attempt.request, attempt.number);
   const std::string request = request_text(attempt);
-  observations_.request_sent(id, attempt.arrival.c, attempt.proxy, clock_.now() + attempt.timeout);
+  observations_.request_sent(id, attempt.arrival.class_id, attempt.proxy,
+                             clock_.now() + attempt.timeout);
   for (;;) {
     Connection connection = co_await connect(attempt.proxy, deadline);
     if (!connection.stream) {
--- a/src/testbed/simulation_commands.cpp
+++ b/src/testbed/simulation_commands.cpp
@@ -52,7 +52,7 @@
 // it exceeds the maximum.
 std::optional<Duration> time_to_converge(GossipSimulation& simulation) {
   const Time began = simulation.now();
-  while (!simulation.agreed()) {
+  while (!simulation.has_converged()) {
     if (simulation.now() - began > kMaxConvergenceTime) {
       return std::nullopt;
     }
@@ -78,7 +78,7 @@
   const std::size_t first = simulation.size() - count;
   const Time suspended_at = simulation.now();
   for (std::size_t i = first; i < simulation.size(); ++i) {
-    simulation.stop(i);
+    simulation.pause(i);
   }
   result.detected_by_all = time_to_converge(simulation);
   for (std::size_t observer = 0; observer < first; ++observer) {
@@ -90,16 +90,17 @@
   }
   std::sort(result.detection_s.begin(), result.detection_s.end());
   for (std::size_t i = first; i < simulation.size(); ++i) {
-    simulation.go_on(i);
+    simulation.resume(i);
   }
   time_to_converge(simulation);
 }
 
 void measure_partition(GossipSimulation& simulation, MembershipResult& result) {
   const std::size_t half = simulation.size() / 2;
-  simulation.cut([half](std::size_t from, std::size_t to) { return (from < half) == (to < half); });
+  simulation.set_link_filter(
+      [half](std::size_t from, std::size_t to) { return (from < half) == (to < half); });
   simulation.run(kPartitionDuration);
-  simulation.cut({});
+  simulation.set_link_filter({});
   result.heal = time_to_converge(simulation);
 }
 
@@ -179,11 +180,11 @@
   spec.seed = options.seed;
   spec.backends = options.backends;
   spec.followers = options.followers;
-  spec.use = 0.7;
+  spec.utilization = 0.7;
   spec.calls_per_s = 5;
   spec.work = 10s;
   spec.warm = 2s;
-  maintenance::DisruptionBudget& budget = spec.bounds;
+  maintenance::DisruptionBudget& budget = spec.budget;
   budget.needs_approval = false;
   budget.capacity_reserve = 0.1;
   budget.quiet_period = 5;
@@ -200,7 +201,7 @@
   command.request->id = "all";
   command.request->max_concurrent = backends;
   for (int i = 0; i < kSubmissions; ++i) {
-    simulation.order(kSubmissionProxy, command);
+    simulation.submit_command(kSubmissionProxy, command);
     simulation.run(kSubmissionInterval);
   }
 }
@@ -236,11 +237,11 @@
     const std::optional<std::size_t> leader = simulation.leader();
     if (options.kill_leader && !failover && leader &&
         simulation.taken_out() >= options.backends / 2) {
-      failover = measure_failover(simulation, *leader, spec.bounds.max_out);
+      failover = measure_failover(simulation, *leader, spec.budget.max_out);
     }
   }
   const double took_s = to_s(simulation.now() - began);
-  const double batches = std::ceil(options.backends / static_cast<double>(spec.bounds.max_out));
+  const double batches = std::ceil(options.backends / static_cast<double>(spec.budget.max_out));
   const double shortest_s = batches * to_s(spec.work + spec.warm);
   const std::string failover_text =
       failover ? fmt::format("; {:.1f} s from the leader's death until later work had ended",
@@ -249,9 +250,10 @@
   fmt::print(
       "{} backends, {} at a time, {} proxies: {:.1f} s, {:.2f} times the shortest; held back {} of "
       "{} calls; {} violations of the disruption budget{}\n",
-      options.backends, spec.bounds.max_out, spec.voters + options.followers, took_s,
-      took_s / shortest_s, simulation.calls_kept_back(),
-      simulation.calls() + simulation.calls_kept_back(), simulation.verdict().all(), failover_text);
+      options.backends, spec.budget.max_out, spec.voters + options.followers, took_s,
+      took_s / shortest_s, simulation.requests_withheld(),
+      simulation.requests_sent() + simulation.requests_withheld(), simulation.verdict().all(),
+      failover_text);
 }
 
 struct MaintenanceOptions {
@@ -273,17 +275,17 @@
     const emulator::MaintenanceRun run = emulator::run_drawn_maintenance(seed, options.followers);
     const bool violated = run.verdict.all() > 0;
     backends_done += run.taken_out;
-    unexplained_requests += run.silent.size();
+    unexplained_requests += run.unexplained.size();
     if (run.open.empty()) {
       ++completed_plans;
     }
     if (violated) {
       ++violating_plans;
     }
-    if (violated || !run.silent.empty()) {
+    if (violated || !run.unexplained.empty()) {
       fmt::print(stderr, "seed {}\n{}{}", seed, run.plan, run.verdict.text);
     }
-    for (const std::string& id : run.silent) {
+    for (const std::string& id : run.unexplained) {
       fmt::print(stderr, "{}: request neither completed nor has a reason for waiting\n", id);
     }
   }
--- a/tests/backend_actor_test.cpp
+++ b/tests/backend_actor_test.cpp
@@ -56,7 +56,7 @@
  private:
   runtime::Task<> await_outcome(const std::function<void()>& while_connecting) {
     if (while_connecting) {
-      co_await let_others_run(scheduler, 1);
+      co_await yield_to_other_tasks(scheduler, 1);
       EXPECT_TRUE(decisions.empty());
       while_connecting();
     }
--- a/tests/cluster_maintenance_test.cpp
+++ b/tests/cluster_maintenance_test.cpp
@@ -70,8 +70,8 @@
       "requests %llu, goodput %.3f, excused %llu, backends taken out %u, at most %u together, "
       "open maintenance requests %u, attempts during maintenance %llu, completed after "
       "%.1f s\n%s%s\n",
-      static_cast<unsigned long long>(run.asked), run.result["goodput"].asDouble(),
-      static_cast<unsigned long long>(run.excused), run.taken_out, run.max_backends_out,
+      static_cast<unsigned long long>(run.requests), run.result["goodput"].asDouble(),
+      static_cast<unsigned long long>(run.excused), run.backends_maintained, run.max_backends_out,
       run.open_requests, static_cast<unsigned long long>(run.attempts_during_maintenance),
       std::chrono::duration<double>(run.maintenance_completed_at).count(),
       run.violation_text.c_str(), run.last_maintenance_status.c_str());
@@ -85,8 +85,8 @@
   EXPECT_EQ(run.violations, 0u);
   EXPECT_EQ(run.wrong_responses, 0u);
   EXPECT_EQ(run.result["all"]["unanswered"].asUInt64(), 0u);
-  EXPECT_GT(run.asked, 800u);
-  EXPECT_GT(run.taken_out, 0u);
+  EXPECT_GT(run.requests, 800u);
+  EXPECT_GT(run.backends_maintained, 0u);
   return run;
 }
 
@@ -94,7 +94,7 @@
   const emulator::Scenario scenario = scenario_with("");
   const testbed::LoadTestResult run = run_and_check(scenario);
   EXPECT_EQ(run.open_requests, 0u);
-  EXPECT_GE(run.taken_out, 8u);
+  EXPECT_GE(run.backends_maintained, 8u);
   EXPECT_GT(run.result["goodput"].asDouble(), 0.95);
 }
 
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -68,7 +68,7 @@
 
 // A watch that delivers the start of a list and then single bytes must be closed, just as if
 // nothing arrived.
-TEST(Crossings, LeavesWatchThatCompletesNothing) {
+TEST(Crossings, ClosesWatchWithoutCompleteTokens) {
   ProxyUnderTest proxy("[]");
   proxy.send_chunk("{\"seq\":5,\"whole\":true,\"hosts\":[");
   // These bytes arrive for 4 s, which is longer than the silence timeout.
@@ -81,7 +81,7 @@
 
 // Malformed data closes the watch at once, even without a line end. One case is a list that is
 // truncated within a string at the end of a line.
-TEST(Crossings, LeavesMalformedWatchAtOnce) {
+TEST(Crossings, ClosesMalformedWatchAtOnce) {
   ProxyUnderTest proxy("[]");
   const auto started_at = Clock::now();
   for (const char* malformed : {"xxxx", "{\"seq\":5,\"who\n", "]"}) {
--- a/tests/decision_actor_test.cpp
+++ b/tests/decision_actor_test.cpp
@@ -92,9 +92,9 @@
   }
 
   runtime::Task<> run_around(const std::function<void()>& next) {
-    co_await let_others_run(scheduler);
+    co_await yield_to_other_tasks(scheduler);
     next();
-    co_await let_others_run(scheduler);
+    co_await yield_to_other_tasks(scheduler);
     scheduler.stop();
   }
 
@@ -191,7 +191,7 @@
     }
     proxy::DecisionMessage message(std::move(list));
     EXPECT_TRUE(inbox.post(std::move(message)));
-    co_await let_others_run(scheduler, 1);
+    co_await yield_to_other_tasks(scheduler, 1);
   }
   scheduler.stop();
 }
--- a/tests/experiment_test.cpp
+++ b/tests/experiment_test.cpp
@@ -60,7 +60,7 @@
       << partial.substr(0, partial.size() - 30);
   const Summary summary = run_experiment(experiment_, directory_ + "/cut", 4);
   EXPECT_TRUE(summary.torn);
-  EXPECT_EQ(summary.kept, 9u);
+  EXPECT_EQ(summary.already_finished, 9u);
   EXPECT_EQ(summary.run, 15u);
   EXPECT_EQ(bytes_of(directory_ + "/cut"), complete);
   // After a change of the scenario, all cells must run again.
@@ -79,11 +79,11 @@
   int started = 0;
   const Summary stopped = run_experiment(experiment_, directory_ + "/out", 1, {},
                                          [&started] { return ++started > 10; });
-  EXPECT_EQ(stopped.kept, 0u);
+  EXPECT_EQ(stopped.already_finished, 0u);
   EXPECT_EQ(stopped.run, 10u);
   EXPECT_EQ(bytes_of(directory_ + "/out"), former);
   const Summary finished = run_experiment(experiment_, directory_ + "/out", 4);
-  EXPECT_EQ(finished.kept, 10u);
+  EXPECT_EQ(finished.already_finished, 10u);
   EXPECT_EQ(finished.run, 14u);
   EXPECT_NE(bytes_of(directory_ + "/out"), former);
 }
--- a/tests/fault_plan_test.cpp
+++ b/tests/fault_plan_test.cpp
@@ -69,19 +69,21 @@
 };
 
 TEST_F(RecoveryMeasurement, IsImmediateForARunThatEqualsItsControl) {
-  const emulator::Return recovery = control_.return_from(control_, fault_began_, fault_began_);
+  const emulator::RecoveryCost recovery =
+      control_.measure_recovery(control_, fault_began_, fault_began_);
   EXPECT_EQ(recovery.full_after, Duration{0});
 }
 
 TEST_F(RecoveryMeasurement, CountsTimeAndGoodputUntilServiceIsFull) {
-  const emulator::Return recovery = faulty_.return_from(control_, fault_began_, fault_began_);
+  const emulator::RecoveryCost recovery =
+      faulty_.measure_recovery(control_, fault_began_, fault_began_);
   EXPECT_EQ(recovery.full_after, std::chrono::milliseconds(500));
   EXPECT_NEAR(recovery.worth_lost, 0.5, 0.02);
 }
 
 TEST_F(RecoveryMeasurement, IsUnknownWhenTooLittleOfTheRunIsLeft) {
-  const emulator::Return recovery =
-      faulty_.return_from(control_, fault_began_, std::chrono::seconds(4));
+  const emulator::RecoveryCost recovery =
+      faulty_.measure_recovery(control_, fault_began_, std::chrono::seconds(4));
   EXPECT_FALSE(recovery.full_after);
 }
 
--- a/tests/http_field_values_test.cpp
+++ b/tests/http_field_values_test.cpp
@@ -48,8 +48,8 @@
 }
 
 TEST(HttpFieldValues, WritesRetryAfterInSecondsRoundedUp) {
-  EXPECT_EQ(retry_after(microseconds(250'000)), "0.250");
-  EXPECT_EQ(retry_after(microseconds(1'000'001)), "1.001");
+  EXPECT_EQ(format_retry_after(microseconds(250'000)), "0.250");
+  EXPECT_EQ(format_retry_after(microseconds(1'000'001)), "1.001");
 }
 
 }  // namespace
--- a/tests/load_test_test.cpp
+++ b/tests/load_test_test.cpp
@@ -59,7 +59,7 @@
   const Json::Value& real = run.result;
   std::fprintf(stderr, "goodput %.4f with the real proxy, %.4f in the emulator\n",
                real["goodput"].asDouble(), emulated["goodput"].asDouble());
-  EXPECT_GT(run.asked, 200u);
+  EXPECT_GT(run.requests, 200u);
   EXPECT_EQ(run.wrong_responses, 0u);
   EXPECT_EQ(real["all"]["asked"], emulated["all"]["asked"]) << "not the same clients";
   EXPECT_EQ(real["all"]["unanswered"].asUInt64(), 0u);
@@ -69,7 +69,7 @@
 
 TEST(LoadTest, SendsEachRequestOnceWhenNothingFails) {
   const testbed::LoadTestResult run = run_and_compare_with_emulator(scenario_with(""));
-  EXPECT_EQ(run.result["attempts"].asUInt64(), run.asked);
+  EXPECT_EQ(run.result["attempts"].asUInt64(), run.requests);
 }
 
 TEST(LoadTest, AgreesWithTheEmulatorWhenBackendsCrashDrainAndFail) {
--- a/tests/maintenance_simulation_test.cpp
+++ b/tests/maintenance_simulation_test.cpp
@@ -34,13 +34,13 @@
 MaintenanceSimulationSpec make_spec(std::uint64_t seed = 1) {
   MaintenanceSimulationSpec spec;
   spec.seed = seed;
-  spec.bounds.needs_approval = false;
-  spec.bounds.max_out = 2;
-  spec.bounds.max_out_per_zone = 2;
-  spec.bounds.max_out_per_cell = 2;
-  spec.bounds.drain_timeout = 30;
-  spec.bounds.deferral = 3;
-  spec.bounds.quiet_period = 3;
+  spec.budget.needs_approval = false;
+  spec.budget.max_out = 2;
+  spec.budget.max_out_per_zone = 2;
+  spec.budget.max_out_per_cell = 2;
+  spec.budget.drain_timeout = 30;
+  spec.budget.deferral = 3;
+  spec.budget.quiet_period = 3;
   return spec;
 }
 
@@ -48,7 +48,7 @@
 // accepted request change nothing.
 void submit_all(MaintenanceSimulation& simulation, std::size_t at) {
   for (int i = 0; i < 3; ++i) {
-    simulation.order(at, make_submission("all", 2));
+    simulation.submit_command(at, make_submission("all", 2));
     simulation.run(500ms);
   }
 }
@@ -84,7 +84,7 @@
   EXPECT_TRUE(ends_within(simulation, 120s));
   EXPECT_EQ(simulation.taken_out(), 12u);
   expect_no_violation(simulation);
-  EXPECT_GT(simulation.calls(), 3'000u);
+  EXPECT_GT(simulation.requests_sent(), 3'000u);
 }
 
 TEST(MaintenanceCoordinator, ContinuesAfterTheLeaderCrashes) {
@@ -123,11 +123,11 @@
   simulation.kill(0);
   simulation.kill(1);
   simulation.run(20s);
-  const std::uint64_t before = simulation.calls();
-  const std::uint64_t withheld = simulation.calls_kept_back();
+  const std::uint64_t before = simulation.requests_sent();
+  const std::uint64_t withheld = simulation.requests_withheld();
   simulation.run(5s);
-  EXPECT_GT(simulation.calls() - before, 300u);
-  EXPECT_EQ(simulation.calls_kept_back(), withheld);
+  EXPECT_GT(simulation.requests_sent() - before, 300u);
+  EXPECT_EQ(simulation.requests_withheld(), withheld);
 }
 
 // A proxy that starts while no voter runs cannot learn which machines are out, so it sends no
@@ -238,7 +238,7 @@
 
 TEST(MaintenanceCoordinator, NamesAMachineThatStaysOut) {
   MaintenanceSimulationSpec spec = make_spec();
-  spec.bounds.max_out = 1;
+  spec.budget.max_out = 1;
   MaintenanceSimulation simulation(spec);
   simulation.run(3s);
   simulation.pause_operators();
@@ -270,8 +270,9 @@
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     const emulator::MaintenanceRun run = emulator::run_drawn_maintenance(seed, 4);
     EXPECT_EQ(run.verdict.all(), 0u) << "seed " << seed << "\n" << run.plan << run.verdict.text;
-    EXPECT_TRUE(run.silent.empty()) << "seed " << seed << ": " << run.silent.front() << "\n"
-                                    << run.plan;
+    EXPECT_TRUE(run.unexplained.empty())
+        << "seed " << seed << ": " << run.unexplained.front() << "\n"
+        << run.plan;
   }
 }
 
@@ -312,12 +313,12 @@
   spec.followers = 0;
   spec.backends = 2;
   spec.zones = 1;
-  spec.use = 0.1;
+  spec.utilization = 0.1;
   spec.isolation_timeout = 3s;
   spec.bug = bug;
   spec.request_duration = 1s;
   spec.work = 2s;
-  spec.bounds.max_out = 1;
+  spec.budget.max_out = 1;
   return spec;
 }
 
@@ -335,7 +336,7 @@
                                   << " at " << at.count() << " us");
   MaintenanceSimulation simulation(exploration_spec(bug));
   simulation.run(2s);
-  simulation.order(simulation.leader().value_or(0), make_submission("both"));
+  simulation.submit_command(simulation.leader().value_or(0), make_submission("both"));
   simulation.run(at);
   begin_fault(simulation, fault, voter);
   simulation.run(13s);
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -29,10 +29,10 @@
 
 bool converges_within(GossipSimulation& simulation, Duration timeout) {
   const Time deadline = simulation.now() + timeout;
-  while (simulation.now() < deadline && !simulation.agreed()) {
+  while (simulation.now() < deadline && !simulation.has_converged()) {
     simulation.run(100ms);
   }
-  return simulation.agreed();
+  return simulation.has_converged();
 }
 
 TEST(Membership, ConvergesFromTwoSeeds) {
@@ -58,7 +58,7 @@
   simulation.start(7);
   simulation.start(5);
   simulation.run(20s);
-  EXPECT_TRUE(simulation.agreed());
+  EXPECT_TRUE(simulation.has_converged());
   EXPECT_EQ(state_seen_by(simulation, 0, 7), MemberState::kAlive);
   // The five members that ran throughout see both restarts. Members 5 and 7 may see each other as
   // new instead.
@@ -68,11 +68,11 @@
 TEST(Membership, ResumedMemberLearnsOfItsDeathBeforeItHasContact) {
   GossipSimulation simulation(spec(6));
   ASSERT_TRUE(converges_within(simulation, 10s));
-  simulation.stop(3);
+  simulation.pause(3);
   ASSERT_TRUE(converges_within(simulation, 60s));
   EXPECT_EQ(state_seen_by(simulation, 0, 3), MemberState::kDead);
   const std::uint64_t deaths = simulation.swim(3).times_declared_dead();
-  simulation.go_on(3);
+  simulation.resume(3);
   EXPECT_FALSE(simulation.swim(3).has_contact());
   for (int i = 0; i < 1000 && !simulation.swim(3).has_contact(); ++i) {
     simulation.run(1ms);
@@ -85,10 +85,10 @@
 TEST(Membership, ResumedMemberThatIsPartitionedHasNoContact) {
   GossipSimulation simulation(spec(6));
   ASSERT_TRUE(converges_within(simulation, 10s));
-  simulation.stop(3);
+  simulation.pause(3);
   simulation.run(30s);
-  simulation.cut([](std::size_t from, std::size_t to) { return from != 3 && to != 3; });
-  simulation.go_on(3);
+  simulation.set_link_filter([](std::size_t from, std::size_t to) { return from != 3 && to != 3; });
+  simulation.resume(3);
   simulation.run(60s);
   EXPECT_FALSE(simulation.swim(3).has_contact());
 }
@@ -96,7 +96,7 @@
 TEST(Membership, LossAloneCausesNoDeaths) {
   GossipSimulationSpec lossy = spec(30);
   lossy.loss = 0.15;
-  lossy.doubled = 0.1;
+  lossy.duplication = 0.1;
   lossy.drift = 0.01;
   GossipSimulation simulation(lossy);
   ASSERT_TRUE(converges_within(simulation, 60s));
@@ -111,7 +111,7 @@
   GossipSimulation simulation(spec(12));
   ASSERT_TRUE(converges_within(simulation, 10s));
   std::mt19937 random(7);
-  simulation.cut([&random](std::size_t from, std::size_t to) {
+  simulation.set_link_filter([&random](std::size_t from, std::size_t to) {
     return (from != kImpaired && to != kImpaired) || random() % 10 >= 6;
   });
   unsigned max_penalty = 0;
@@ -128,11 +128,12 @@
 TEST(Membership, ConvergesAfterAPartitionHeals) {
   GossipSimulation simulation(spec(20));
   ASSERT_TRUE(converges_within(simulation, 10s));
-  simulation.cut([](std::size_t from, std::size_t to) { return (from < 7) == (to < 7); });
+  simulation.set_link_filter(
+      [](std::size_t from, std::size_t to) { return (from < 7) == (to < 7); });
   simulation.run(60s);
   EXPECT_EQ(state_seen_by(simulation, 0, 19), MemberState::kDead);
   EXPECT_EQ(state_seen_by(simulation, 19, 0), MemberState::kDead);
-  simulation.cut({});
+  simulation.set_link_filter({});
   EXPECT_TRUE(converges_within(simulation, 60s));
 }
 
@@ -140,7 +141,7 @@
   GossipSimulation simulation(spec(6));
   ASSERT_TRUE(converges_within(simulation, 10s));
   // Cuts the link between members 0 and 1 in both directions.
-  simulation.cut([](std::size_t from, std::size_t to) { return from + to != 1; });
+  simulation.set_link_filter([](std::size_t from, std::size_t to) { return from + to != 1; });
   simulation.run(300s);
   EXPECT_EQ(simulation.traffic().false_deaths, 0u);
 }
@@ -161,26 +162,26 @@
       break;
     case 2:
       if (simulation.running(i)) {
-        simulation.stop(i);
+        simulation.pause(i);
       }
       break;
     case 3:
-      simulation.cut(
+      simulation.set_link_filter(
           [split](std::size_t from, std::size_t to) { return (from < split) == (to < split); });
       break;
     default:
       // Cuts one direction only.
-      simulation.cut(
+      simulation.set_link_filter(
           [split](std::size_t from, std::size_t to) { return from < split || to >= split; });
       break;
   }
 }
 
 void repair_all(GossipSimulation& simulation) {
-  simulation.cut({});
+  simulation.set_link_filter({});
   for (std::size_t i = 0; i < simulation.size(); ++i) {
     if (!simulation.running(i)) {
-      simulation.go_on(i);
+      simulation.resume(i);
     }
     if (!simulation.running(i)) {
       simulation.start(i);
@@ -193,7 +194,7 @@
     std::mt19937_64 random(seed);
     GossipSimulationSpec faulty = spec(3 + static_cast<std::uint32_t>(random() % 25), seed);
     faulty.loss = 0.01 * static_cast<double>(random() % 20);
-    faulty.doubled = 0.05;
+    faulty.duplication = 0.05;
     faulty.drift = 0.01;
     GossipSimulation simulation(faulty);
     simulation.run(10s);
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -21,19 +21,19 @@
   tier.report_noise = 0;
   tier.collapse_queue_per_core = 2;
   Node node(tier, 1, 0, std::nullopt, Time{0});
-  std::vector<Start> starts;
+  std::vector<StartedPhase> starts;
   // A job that keeps the only core busy for the whole test.
-  ASSERT_TRUE(node.take(Time{0}, 1, 100.0, starts));
+  ASSERT_TRUE(node.accept(Time{0}, 1, 100.0, starts));
   EXPECT_FALSE(node.report(Time{0}, Duration{0}).utilization);
   EXPECT_EQ(node.report(Time{5'000'000}, Duration{0}).utilization, 1.0);
   // The delay is longer than the age of all reports.
   EXPECT_FALSE(node.report(Time{5'000'000}, Duration{60'000'000}).utilization);
   for (JobId id = 2; id < 6; ++id) {
-    node.take(Time{5'000'000}, id, 0.1, starts);
+    node.accept(Time{5'000'000}, id, 0.1, starts);
   }
-  node.take(Time{5'000'000} + tier.collapse_after / 2, 7, 0.1, starts);
+  node.accept(Time{5'000'000} + tier.collapse_after / 2, 7, 0.1, starts);
   EXPECT_FALSE(node.collapsed());
-  node.take(Time{5'000'000} + 2 * tier.collapse_after, 8, 0.1, starts);
+  node.accept(Time{5'000'000} + 2 * tier.collapse_after, 8, 0.1, starts);
   EXPECT_TRUE(node.collapsed());
   EXPECT_TRUE(node.remove_queued(Time{10'000'000}, 8, starts));
   // The job is running and therefore cannot be removed from the queue.
--- a/tests/properties_test.cpp
+++ b/tests/properties_test.cpp
@@ -726,7 +726,7 @@
                     << to_s(violation.at) << " s: " << violation.what << "\n"
                     << violation.trace;
     }
-    EXPECT_EQ(world.left_over(), 0u) << "seed " << seed;
+    EXPECT_EQ(world.requests_in_flight(), 0u) << "seed " << seed;
   }
 }
 INSTANTIATE_TEST_SUITE_P(Drawn, Worlds, testing::Range<std::uint64_t>(0, 8));
--- a/tests/proxy_rules.cpp
+++ b/tests/proxy_rules.cpp
@@ -297,7 +297,7 @@
 }
 
 // A response that stalls is abandoned well before the request's deadline.
-TEST_F(ProxyRulesOneBackend, GivesUpResponseThatStallsBeforeItsEnd) {
+TEST_F(ProxyRulesOneBackend, AbandonsStalledResponse) {
   const auto sent = Clock::now();
   client.send(ProxyUnderTest::get("a1", 3000));
   TestConnection server = backend.accept();
--- a/tests/rule_checker_test.cpp
+++ b/tests/rule_checker_test.cpp
@@ -63,7 +63,7 @@
                           }),
               Rule::kOneAnswer);
   EXPECT_NE(world->rules().violations()[0].trace.find("taken"), std::string::npos);
-  EXPECT_EQ(world->left_over(), 0u);
+  EXPECT_EQ(world->requests_in_flight(), 0u);
 }
 
 TEST(RuleChecker, ReportsASecondFinalAnswer) {
@@ -192,7 +192,7 @@
     EXPECT_EQ(world.rules().all(), 0u)
         << "seed " << seed << ": " << world.rules().violations()[0].what << "\n"
         << world.rules().violations()[0].trace;
-    EXPECT_EQ(world.left_over(), 0u) << "seed " << seed;
+    EXPECT_EQ(world.requests_in_flight(), 0u) << "seed " << seed;
     EXPECT_EQ(world.rules().open(), 0u) << "seed " << seed;
     EXPECT_EQ(world.metrics().all.unanswered, 0u) << "seed " << seed;
   }
--- a/tests/support/action_trace.h
+++ b/tests/support/action_trace.h
@@ -506,7 +506,7 @@
                                stats.weighted_latency_ratios, stats.response_weight}) {
       line += ' ' + std::to_string(std::bit_cast<std::uint64_t>(value));
     }
-    sink_(line + ' ' + std::to_string(counts.listed) + ' ' + std::to_string(counts.avoided));
+    sink_(line + ' ' + std::to_string(counts.listed) + ' ' + std::to_string(counts.unavailable));
   }
 
   static constexpr std::uint64_t kStateInterval = 20;  // number of events between state lines
--- a/tests/support/proxy_test_util.h
+++ b/tests/support/proxy_test_util.h
@@ -30,7 +30,7 @@
 
 /// Yields to the scheduler's other tasks `rounds` times. The default exceeds the length of the
 /// longest chain of messages between actors.
-inline runtime::Task<> let_others_run(runtime::Scheduler& scheduler, int rounds = 8) {
+inline runtime::Task<> yield_to_other_tasks(runtime::Scheduler& scheduler, int rounds = 8) {
   while (rounds-- > 0) {
     runtime::Wait wait(scheduler);
     wait.until(Clock::now());
--- a/tests/support/testbed_fixture.h
+++ b/tests/support/testbed_fixture.h
@@ -79,9 +79,9 @@
 inline testbed::LoadTestResult run_without_violations(const emulator::Scenario& scenario) {
   testbed::LoadTestResult run = testbed::run_load_test(scenario, PROXY_PROGRAM);
   std::fprintf(stderr, "requests %llu goodput %.3f excused %llu snapshot requests %u\n",
-               static_cast<unsigned long long>(run.asked), run.result["goodput"].asDouble(),
+               static_cast<unsigned long long>(run.requests), run.result["goodput"].asDouble(),
                static_cast<unsigned long long>(run.excused), run.max_snapshot_requests);
-  EXPECT_GT(run.asked, 600u);
+  EXPECT_GT(run.requests, 600u);
   EXPECT_EQ(run.violations, 0u) << run.violation_text;
   EXPECT_EQ(run.wrong_responses, 0u);
   EXPECT_EQ(run.result["all"]["unanswered"].asUInt64(), 0u);
