--- a/src/cluster/gossip_actor.cpp
+++ b/src/cluster/gossip_actor.cpp
@@ -68,7 +68,7 @@
     wait.notified(inbox_.arrived());
     // The socket is edge-triggered, so it does not report the remaining datagrams again. The actor
     // takes its next turn immediately to receive them.
-    wait.until(runtime::to_point(more_datagrams ? now() : swim_.next_tick()));
+    wait.until(runtime::to_time_point(more_datagrams ? now() : swim_.next_tick()));
     co_await wait;
   }
 }
--- a/src/cluster/maintenance_actor.h
+++ b/src/cluster/maintenance_actor.h
@@ -84,7 +84,7 @@
   /// The time last published until which this proxy may send requests to any backend.
   Time published_serving_ = Time::min();
   /// The states that were last passed on or logged.
-  bool was_self_out_ = false;
+  bool was_self_in_maintenance_ = false;
   bool was_leader_ = false;
   bool halt_logged_ = false;
 };
--- a/src/emulator/gossip_simulation.h
+++ b/src/emulator/gossip_simulation.h
@@ -25,7 +25,7 @@
   /// Probability that a datagram is lost.
   double loss = 0;
   /// Probability that a datagram that is not lost is duplicated.
-  double doubled = 0;
+  double duplication = 0;
   /// Minimum one-way delay. Each datagram gets up to the same amount in addition, at random.
   Duration delay{500};
   /// Maximum relative error of a member's clock rate.
@@ -56,20 +56,20 @@
   void start(std::size_t i);
   /// Pauses the member. Datagrams that arrive meanwhile are buffered, up to the capacity of a
   /// socket's buffer.
-  void stop(std::size_t i);
+  void pause(std::size_t i);
   /// Resumes a stopped member.
-  void go_on(std::size_t i);
+  void resume(std::size_t i);
   /// Makes the member announce that it leaves, then ends its process.
   void leave(std::size_t i);
   /// Sets the link filter: only datagrams for which `reaches` returns true are delivered. An empty
   /// function lets all datagrams pass.
-  void cut(std::function<bool(std::size_t from, std::size_t to)> reaches) {
+  void set_link_filter(std::function<bool(std::size_t from, std::size_t to)> reaches) {
     reaches_ = std::move(reaches);
   }
 
   /// Whether all running members have the same, correct view: each considers exactly the running
   /// members alive or suspect.
-  bool agreed() const;
+  bool has_converged() const;
   /// Returns the simulated time since which `observer` has considered `other` dead, or nothing if
   /// `observer` does not consider it dead. `observer` must not have been killed.
   std::optional<Time> dead_since(std::size_t observer, std::size_t other) const;
--- a/src/experiments/experiment.h
+++ b/src/experiments/experiment.h
@@ -31,8 +31,8 @@
 
 /// Creates the emulator's world for the scenario. Its proxies use `policy`, which must be one of
 /// emulator::policy_names().
-std::unique_ptr<emulator::World> world_of(const emulator::Scenario& scenario,
-                                          const std::string& policy);
+std::unique_ptr<emulator::World> make_world(const emulator::Scenario& scenario,
+                                            const std::string& policy);
 
 /// Runs a scenario to its end. `policy` must be one of emulator::policy_names(). With `series`, the
 /// result includes the time series by second and the latency distribution.
@@ -83,13 +83,13 @@
   /// Number of cells that this call ran.
   std::size_t run = 0;
   /// Number of cells whose results were already in the result file or the partial file.
-  std::size_t kept = 0;
+  std::size_t already_finished = 0;
   /// Whether one of the files contained an incomplete line, which an interrupted run can leave.
   bool torn = false;
   /// Number of rule violations in the new runs of policy "module".
   std::uint64_t module_violations = 0;
   /// Number of rule violations in the new runs of the other policies.
-  std::uint64_t plain_violations = 0;
+  std::uint64_t baseline_violations = 0;
   /// The first violations of policy "module" with their traces, up to about 64 KiB of text.
   std::string violation_text;
 };
--- a/src/testbed/cluster_test/cluster_test.h
+++ b/src/testbed/cluster_test/cluster_test.h
@@ -27,8 +27,8 @@
 };
 
 struct ClusterTestResult {
-  Json::Value result;         // in the emulator's format, with time series
-  emulator::Return recovery;  // recovery relative to the control run
+  Json::Value result;               // in the emulator's format, with time series
+  emulator::RecoveryCost recovery;  // recovery relative to the control run
   double goodput = 0;
   double control_goodput = 0;
   BackendPeaks peaks;
--- a/src/testbed/load_test.h
+++ b/src/testbed/load_test.h
@@ -19,7 +19,7 @@
 struct LoadTestResult {
   Json::Value result;                                // in the JSON format of the emulator's metrics
   std::shared_ptr<const emulator::Metrics> metrics;  // never null; refers to the scenario
-  std::uint64_t asked = 0;                           // number of requests, not counting retries
+  std::uint64_t requests = 0;                        // number of requests, not counting retries
   /// Number of responses that belong to another request or have an unknown status.
   std::uint64_t wrong_responses = 0;
   Duration max_send_delay{0};  // maximum delay of a request after its scheduled time
@@ -52,7 +52,7 @@
   /// same time, number of requests that were open at the end, the last status from a proxy, and the
   /// time at which the last request was completed (0 if it was not).
   std::uint64_t attempts_during_maintenance = 0;
-  std::uint32_t taken_out = 0;
+  std::uint32_t backends_maintained = 0;
   std::uint32_t max_backends_out = 0;
   std::uint32_t open_requests = 0;
   std::string last_maintenance_status;
