--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -16,8 +16,8 @@
 
 enum TimerKind : TimerToken { kQueueTimer, kHealthCheckTimer, kDiscoveryTimer };
 
-// Number of times that the queues are checked within the shortest latency objective while requests
-// wait. The interval is at least one time step.
+// Divisor of the shortest latency objective that gives the interval between queue checks while
+// requests wait. The interval is at least one time step.
 constexpr int kQueueTimerDivisor = 40;
 
 Settings validated(Settings settings) {
--- a/src/balancer/policy/health_checker.h
+++ b/src/balancer/policy/health_checker.h
@@ -23,7 +23,9 @@
   const Settings& settings_;
   const FleetStatistics& statistics_;
   EndpointTable& endpoints_;
-  double budget_ = 4;  // checks; a higher initial value lets new replicas overload slow endpoints
+  // Number of checks that may be sent now. With more at the start, many new replicas together would
+  // overload the slowest instance type.
+  double budget_ = 4;
 };
 
 }  // namespace beechhill
--- a/src/balancer/policy/slow_start.cpp
+++ b/src/balancer/policy/slow_start.cpp
@@ -3,8 +3,7 @@
 namespace beechhill {
 namespace {
 
-// Minimum of the attempts per second that all replicas together may send to an endpoint. Without
-// it, an endpoint would receive nothing while there is little traffic.
+// Minimum attempts per second over all replicas; else an endpoint gets nothing at little traffic.
 constexpr double kMinAttemptsPerS = 1;
 // Divisor of the collapse ratio; the quotient limits the load in even shares of the traffic.
 constexpr double kSafetyFactor = 1.5;
@@ -26,10 +25,9 @@
   return initial + (1 - initial) * age_s / seconds(settings_.slow_start_window);
 }
 
-// Prevents a collapse: each replica sends an endpoint in slow start at most capacity_share() of
-// what it sends a warm endpoint. A few warm endpoints may themselves be overloaded, so the limit is
-// also capacity_share() times an even share of the traffic, or overload_collapse_ratio /
-// kSafetyFactor even shares if that is more.
+// Limits the rate to an endpoint in slow start to capacity_share() of a warm endpoint's rate and of
+// max(1, overload_collapse_ratio / kSafetyFactor) even shares of the traffic, since the warm ones
+// may be few and overloaded. The limit is at least kMinAttemptsPerS over all replicas.
 bool SlowStart::has_budget(EndpointRecord& record, const Traffic& traffic, Time now) const {
   if (!warming_up(record, now)) {
     return true;
--- a/src/balancer/state/endpoint_state.h
+++ b/src/balancer/state/endpoint_state.h
@@ -66,7 +66,8 @@
   /// Returns whether the endpoint may get new requests according to discovery and operators.
   bool up() const { return listed && !excluded && entry.status == EndpointStatus::kUp; }
 
-  /// Returns the later of the endpoint's start and its readmission; absent if it started long ago.
+  /// Returns the later of the endpoint's start and its readmission; absent if it started long ago
+  /// and has no recorded readmission.
   std::optional<Time> serving_since() const { return std::max(entry.started_at, readmitted_at); }
 };
 
--- a/src/balancer/state/fair_queues.h
+++ b/src/balancer/state/fair_queues.h
@@ -91,8 +91,8 @@
   void expire_all(Time now, RequestTable& requests);
 
  private:
-  // Number of queues for each width of a level. With 64, it is rare that two of some tens of
-  // tenants share both of their queues.
+  // Number of queues of each width in a priority level. Each tenant is assigned two of them. With
+  // 64, two of some tens of tenants rarely share both.
   static constexpr std::uint64_t kQueuesPerWidth = 64;
 
   FairQueue& queue(const RequestState& state) {
--- a/src/balancer/state/fleet_statistics.h
+++ b/src/balancer/state/fleet_statistics.h
@@ -25,8 +25,8 @@
   void add_instance_type(std::uint32_t instance_type);
   /// Records the start of an attempt. The caller sets the endpoint's tie-breaker.
   void record_attempt(EndpointRecord& record, ClassId class_id, Time now);
-  /// Records the end of an attempt at the current incarnation. `average_s` is the class's average
-  /// latency before this outcome, or 0 if unknown.
+  /// Records the end of an attempt at the endpoint's current incarnation. `average_s` is the
+  /// class's average latency before this outcome, or 0 if unknown.
   void record_outcome(EndpointRecord& record, ClassId class_id, Result result, double latency_s,
                       double average_s, Time now);
   /// Records a load report, unless it is incomplete or implausible.
--- a/src/cluster/gossip_actor.cpp
+++ b/src/cluster/gossip_actor.cpp
@@ -175,7 +175,7 @@
   for (const MemberChange& change : swim_.take_changes()) {
     const bool suspicion_refuted = change.from == MemberState::kSuspect &&
                                    change.to == MemberState::kAlive && !change.restarted;
-    // Suspicions resolve without an operator's action, so they are not logged.
+    // Suspicions and their refutations need no action by an operator, so they are not logged.
     if (change.to == MemberState::kSuspect || suspicion_refuted) {
       continue;
     }
--- a/src/config/settings_reader.h
+++ b/src/config/settings_reader.h
@@ -23,7 +23,7 @@
 };
 
 /// Reads the settings from `env` and sets their seed to `seed`. Unknown keys are ignored. Does not
-/// check value ranges, which validate() does. Throws JsonError.
+/// check value ranges; use validate(). Throws JsonError.
 NamedSettings read_settings(const Json::Value& env, std::uint64_t seed);
 
 }  // namespace beechhill::config
--- a/src/emulator/fault_injector.h
+++ b/src/emulator/fault_injector.h
@@ -45,7 +45,7 @@
   std::vector<std::uint32_t> affected_proxies(const FaultSpec& spec) const;
 
   Simulation& sim_;
-  // Indexed by fault.
+  // Indexed by the fault's index in the scenario.
   std::vector<std::vector<EndpointId>> affected_backends_;
 };
 
--- a/src/emulator/gossip_simulation.h
+++ b/src/emulator/gossip_simulation.h
@@ -57,7 +57,7 @@
   /// Pauses the member. Datagrams that arrive meanwhile are buffered, up to the capacity of a
   /// socket's buffer.
   void pause(std::size_t i);
-  /// Resumes a stopped member.
+  /// Resumes a paused member.
   void resume(std::size_t i);
   /// Makes the member announce that it leaves, then ends its process.
   void leave(std::size_t i);
--- a/src/emulator/node.h
+++ b/src/emulator/node.h
@@ -108,7 +108,6 @@
   std::deque<QueuedPhase> core_queue_;
   double slot_queue_work_ = 0;
   double core_queue_work_ = 0;
-  // Slots and cores in use.
   std::size_t used_slots_ = 0;
   std::size_t busy_cores_ = 0;
 
--- a/src/emulator/policy.h
+++ b/src/emulator/policy.h
@@ -39,7 +39,8 @@
                                                             const TrueBackendState& true_state,
                                                             std::vector<Action>& actions)>;
 
-/// Valid names: module, random, round_robin, two_choices, least_outstanding, weighted, oracle.
+/// Returns the names of the policies: module, random, round_robin, two_choices, least_outstanding,
+/// weighted, oracle. "module" is the balancer under test.
 const std::vector<std::string>& policy_names();
 /// Returns null if the name is unknown. `true_state` must outlive the policy.
 std::unique_ptr<Policy> make_policy(const std::string& name, Time now, const Settings& settings,
--- a/src/experiments/experiment.h
+++ b/src/experiments/experiment.h
@@ -90,7 +90,8 @@
   std::uint64_t module_violations = 0;
   /// Number of rule violations in the new runs of the other policies.
   std::uint64_t baseline_violations = 0;
-  /// The first violations of policy "module" with their traces, up to about 64 KiB of text.
+  /// The first rule violations in the new runs of policy "module", with their traces; about 64 KiB
+  /// of text at most.
   std::string violation_text;
 };
 
--- a/src/hot_restart/hot_restart_actor.h
+++ b/src/hot_restart/hot_restart_actor.h
@@ -33,7 +33,8 @@
   struct ProcessStatus {
     /// Whether the process accepts clients.
     bool ready = false;
-    /// Number of file descriptors in use, including the reserve of the process.
+    /// Number of file descriptors used by connections, plus those that the process reserves for
+    /// other uses.
     std::uint32_t descriptors = 0;
   };
   /// Called at each synchronization with the status of the other processes. Returns the status of
--- a/src/hot_restart/process_liveness_lock.h
+++ b/src/hot_restart/process_liveness_lock.h
@@ -19,7 +19,8 @@
   struct Status {
     /// 1 if the process accepts clients, otherwise 0.
     std::uint32_t ready = 0;
-    /// Number of file descriptors in use, including the reserve of the process.
+    /// Number of file descriptors used by connections, plus those that the process reserves for
+    /// other uses.
     std::uint32_t descriptors = 0;
   };
   static_assert(sizeof(Status) == 8 && std::is_trivially_copyable_v<Status>);
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -31,7 +31,7 @@
 
 std::atomic<std::uint64_t> lines_written{0};
 
-// A sink that writes to standard output. Used only by the single thread of the pool, so it needs no
+// A sink that writes to standard output. Used only by spdlog's single writer thread, so it needs no
 // mutex.
 class StandardOutput : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  public:
--- a/src/maintenance/raft_node_impl.h
+++ b/src/maintenance/raft_node_impl.h
@@ -16,8 +16,8 @@
 
 namespace beechhill::maintenance {
 
-/// Provides libraft with I/O and a state machine. Callbacks that libraft waits for are never called
-/// within a call of libraft: they are queued and run by run_callbacks().
+/// Provides libraft with I/O and a state machine. Completion callbacks are never called within a
+/// call of libraft: they are queued and run by run_callbacks().
 class RaftNode::Impl {
  public:
   Impl(Time now, const Voter& self, RaftStorage& storage, MaintenanceStateMachine& state_machine,
--- a/src/maintenance/workflow_transitions.cpp
+++ b/src/maintenance/workflow_transitions.cpp
@@ -1,4 +1,4 @@
-// Transitions of a machine's workflow, in the order of its states.
+// The state transitions of a maintenance workflow.
 #include <utility>
 
 #include "maintenance/maintenance_planner.h"
@@ -44,8 +44,9 @@
     case CommandType::kMarkOut:
       return paused() ? CommandResult::kPaused : mark_out(workflow);
     case CommandType::kCompleteWork:
-      // Only the operator's command completes the work: a restart that the endpoint list shows with
-      // a delay may have happened before the work.
+      // An observed restart does not complete the work, because it may have happened before the
+      // work began: the endpoint list reports restarts with a delay. Only the operator's command
+      // does.
       return workflow.request != command.id
                  ? CommandResult::kOtherRequest
                  : change_state(workflow, WorkflowState::kOut, WorkflowState::kWarming);
--- a/src/membership/indirect_probe_relay.h
+++ b/src/membership/indirect_probe_relay.h
@@ -35,7 +35,8 @@
   std::optional<IndirectProbe> complete(std::uint64_t sequence_number);
   /// Returns the probes for which a nack is due; each probe is returned once.
   std::vector<IndirectProbe> take_nacks_due(Time now);
-  /// Removes the probes whose nack was due at least `age` ago. Late acks are forwarded until then.
+  /// Removes the probes whose nack was due at least `age` ago. Acks that arrive
+  /// before the removal are still forwarded.
   void expire(Time now, Duration age);
   /// Returns when the next nack is due, or nothing if none is pending.
   std::optional<Time> next_nack() const;
--- a/src/proxy/client_request_parser.cpp
+++ b/src/proxy/client_request_parser.cpp
@@ -52,7 +52,8 @@
 }
 
 // Returns how long the client waits: the time in its X-Expires-In-Ms header, limited to the
-// deadline of the class. Returns nothing if the header is malformed.
+// deadline of the class, or that deadline if the header is absent. Returns nothing if the header is
+// malformed or 0.
 std::optional<Duration> client_timeout(const http::Headers& headers, Duration class_deadline) {
   const std::string* text = headers.find("X-Expires-In-Ms");
   if (!text) {
--- a/src/proxy/decision_actor_endpoints.cpp
+++ b/src/proxy/decision_actor_endpoints.cpp
@@ -213,7 +213,9 @@
   }
   entry.backend.reset();
   if (entry.excluded) {
-    set_excluded(endpoint, false);  // Another backend may get this id; exclusions_ uses names.
+    // The id may be reused for another backend, so its flag is cleared. The exclusion itself is
+    // stored by name in exclusions_ and remains.
+    set_excluded(endpoint, false);
   }
   departed_backends_.add(endpoint_ids_.name(endpoint));
   endpoint_ids_.release(endpoint);
--- a/src/proxy/endpoint_watch_actor.cpp
+++ b/src/proxy/endpoint_watch_actor.cpp
@@ -245,7 +245,8 @@
     return EndReason::kDiscoveryMalformed;
   }
   if (!watch.requested_snapshot) {
-    // There may be no change that discovery could send at once.
+    // Without a snapshot, discovery sends nothing until the list changes, so the silence timeout
+    // applies from here.
     watch.silence_deadline = Clock::now() + kWatchSilenceTimeout;
   }
   return std::nullopt;
--- a/src/routing/subset.h
+++ b/src/routing/subset.h
@@ -36,7 +36,7 @@
 
 /// The group of endpoints that is either completely in a subset or not at all. A request with an
 /// idempotency key may have to be retried within the deduplication scope of its first endpoint, so
-/// a subset must contain all of such a scope or nothing of it.
+/// a subset must contain each scope completely or not at all.
 enum class SubsetUnit { kEndpoint, kCell, kZone };
 
 /// Returns the smallest unit that contains the deduplication scope of every class. Classes that
--- a/src/testbed/fake_discovery.h
+++ b/src/testbed/fake_discovery.h
@@ -31,7 +31,7 @@
 
   /// Changes the list at time `at`: adds `row`, which replaces an earlier row of the same host, or
   /// removes the host if the health in `row` is "terminated". Changes are sent in the order of the
-  /// calls: none is sent before the change of an earlier call.
+  /// calls, even if a later call has an earlier `at`.
   void publish(Json::Value row, const Endpoint& endpoint, Time at);
   /// While unresponsive, the server keeps connections open and sends nothing. Calls nest: the
   /// server responds again when each call with true has been matched by one with false.
--- a/src/testbed/open_loop_load.cpp
+++ b/src/testbed/open_loop_load.cpp
@@ -21,7 +21,7 @@
 
 // Upper bound of Retry-After in seconds. Greater values are ignored.
 constexpr double kMaxRetryAfterS = 3600;
-// Minimum delay before the next attempt when a proxy was unreachable.
+// Minimum delay before the next attempt after a proxy was unreachable.
 constexpr Duration kMinUnreachableDelay{1000};
 
 Duration retry_after_of(const http::Message& response) {
--- a/src/testbed/simulation_commands.cpp
+++ b/src/testbed/simulation_commands.cpp
@@ -35,7 +35,7 @@
 constexpr auto kMaxConvergenceTime = 600s;
 constexpr auto kSteadyStateDuration = 300s;  // duration of the traffic measurement
 constexpr auto kPartitionDuration = 120s;
-// Number of members for each one that is suspended.
+// One of this many members is suspended.
 constexpr std::size_t kMembersPerSuspended = 10;
 
 // Measurements of one simulation. A duration is nullopt if the members did not converge.
--- a/tests/properties_test.cpp
+++ b/tests/properties_test.cpp
@@ -502,7 +502,7 @@
           endpoint.relative_latency = one_of(random_, {0.1, 0.1, 2.0});
         }
         return;
-      default:  // time passes without requests
+      default:  // advances the clock without sending requests
         return advance(driver_.now + to_duration(one_of(random_, {0.001, 1.0, 100.0})));
     }
   }
--- a/tests/proxy_rules.cpp
+++ b/tests/proxy_rules.cpp
@@ -396,7 +396,7 @@
       TestConnection other = proxy.client();
       other.send(ProxyUnderTest::get("a2"));
       TestConnection server = second.accept();
-      server.request();  // Shows that the proxy has applied the list.
+      server.request();  // The second backend's request shows that the list was applied.
       server.reply(200, "Connection: close\r\n", "2");
       expect_status(other, 200);
       previous.reply(200, "", "1");
--- a/tests/snapshot_process_test.cpp
+++ b/tests/snapshot_process_test.cpp
@@ -84,9 +84,9 @@
   FakeListener fast_;
 };
 
-// With a snapshot, a process avoids the slow backend from its first request. A torn snapshot must
-// be set aside and must have no more effect than a missing one. The counts are added up over three
-// rounds.
+// A process restarted with a snapshot must send the slow backend fewer requests than one without.
+// A truncated snapshot must be renamed to *.aside and must have no effect. The requests to the slow
+// backend are summed over three rounds.
 TEST_F(SnapshotProcessTest, StatisticsSurviveAKill) {
   constexpr int kRounds = 3;
   configure_snapshots(folder_.path);
--- a/tests/support/balancer_driver.h
+++ b/tests/support/balancer_driver.h
@@ -69,7 +69,7 @@
     return event_actions;
   }
 
-  /// Lists endpoints 0 to count - 1 in one zone, in cells of two.
+  /// Lists endpoints 0 to count - 1 in one zone, two endpoints per cell.
   void list_endpoints(std::uint32_t count, UpdateKind kind = UpdateKind::kSnapshot) {
     EndpointUpdate update{kind, {}};
     for (EndpointId id = 0; id < count; ++id) {
